--- a/control/src/main/java/org/teaseltrail/control/ControlOptions.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlOptions.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.control.PlacementSettings;
 import org.teaseltrail.core.id.RegionId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.replication.GroupId;
 import org.teaseltrail.core.rollout.RolloutSettings;
 import org.teaseltrail.core.session.SessionSettings;
@@ -80,7 +80,7 @@
         CLAIM_EXPIRY_EVERY_MS,
         placement,
         System.nanoTime(),
-        QuotaBounds.DEFAULT,
+        QuotaPolicy.DEFAULT,
         RolloutSettings.DEFAULT,
         Optional.empty());
   }
--- a/core/src/main/java/org/teaseltrail/core/backpressure/PermitBucket.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/PermitBucket.java
@@ -38,7 +38,7 @@
    * @param nowNs time
    * @return permits given, 0 if there is none yet
    */
-  public int take(RateLimit limit, int wanted, long nowNs) {
+  public int acquire(RateLimit limit, int wanted, long nowNs) {
     fill(limit, nowNs);
     int taken = (int) Math.min(wanted, Math.floor(permits));
     permits -= taken;
--- a/core/src/main/java/org/teaseltrail/core/backpressure/LimitSighting.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitObservation.java
@@ -9,4 +9,4 @@
  * @param limit the limit, {@link RateLimit#UNLIMITED} if the answer named none
  * @param agoMs how long ago the answer came, in milliseconds
  */
-public record LimitSighting(UpstreamLife upstream, RateLimit limit, long agoMs) {}
+public record RateLimitObservation(UpstreamLife upstream, RateLimit limit, long agoMs) {}
--- a/core/src/main/java/org/teaseltrail/core/backpressure/LimitBook.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitRegistry.java
@@ -14,7 +14,7 @@
  * <p>That a limit was lifted is remembered for a while too. Guards against an older sighting of
  * another VM that comes later and would set the limit again.
  */
-public final class LimitBook {
+public final class RateLimitRegistry {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -33,16 +33,16 @@
    *
    * @param upstream whose answer
    * @param limit the limit
-   * @param seenNs when the answer came
+   * @param observedNs when the answer came
    * @return whether the limit in force is another one now
    */
-  public boolean note(UpstreamLife upstream, RateLimit limit, long seenNs) {
+  public boolean record(UpstreamLife upstream, RateLimit limit, long observedNs) {
     Entry known = entries.get(upstream);
-    boolean nothingNew = known == null ? !limit.isLimited() : seenNs <= known.seenNs();
+    boolean nothingNew = known == null ? !limit.isLimited() : observedNs <= known.seenNs();
     if (nothingNew) {
       return false;
     }
-    entries.put(upstream, new Entry(limit, seenNs));
+    entries.put(upstream, new Entry(limit, observedNs));
     return known == null || !known.limit().equals(limit);
   }
 
@@ -63,7 +63,7 @@
    * @param upstream the upstream
    * @return the time, {@link Long#MIN_VALUE} if nothing is known
    */
-  public long seenNs(UpstreamLife upstream) {
+  public long observedNs(UpstreamLife upstream) {
     Entry known = entries.get(upstream);
     return known == null ? Long.MIN_VALUE : known.seenNs();
   }
@@ -84,13 +84,13 @@
    * @param nowNs time
    * @return what they said last
    */
-  public List<LimitSighting> sightings(Predicate<UpstreamLife> wanted, long nowNs) {
-    List<LimitSighting> sightings = new ArrayList<>();
+  public List<RateLimitObservation> sightings(Predicate<UpstreamLife> wanted, long nowNs) {
+    List<RateLimitObservation> sightings = new ArrayList<>();
     entries.forEach(
         (upstream, entry) -> {
           if (wanted.test(upstream)) {
             long agoMs = (nowNs - entry.seenNs()) / NS_PER_MS;
-            sightings.add(new LimitSighting(upstream, entry.limit(), agoMs));
+            sightings.add(new RateLimitObservation(upstream, entry.limit(), agoMs));
           }
         });
     return sightings;
@@ -103,7 +103,7 @@
    * @param nowNs time
    * @return what was forgotten
    */
-  public List<UpstreamLife> forget(Set<UpstreamLife> present, long nowNs) {
+  public List<UpstreamLife> removeStale(Set<UpstreamLife> present, long nowNs) {
     List<UpstreamLife> forgotten = new ArrayList<>();
     entries.forEach(
         (upstream, entry) -> {
--- a/core/src/main/java/org/teaseltrail/core/claim/ClaimRecord.java
+++ b/core/src/main/java/org/teaseltrail/core/claim/ClaimRecord.java
@@ -34,7 +34,7 @@
     return state == ClaimState.COMPLETED || state == ClaimState.MAY_HAVE_RUN;
   }
 
-  ClaimRecord grantedAgain(VmId newVm, UpstreamId newUpstream, long nowMs) {
+  ClaimRecord regranted(VmId newVm, UpstreamId newUpstream, long nowMs) {
     return new ClaimRecord(
         key, bodyDigest, nonIdempotent, holder, newVm, newUpstream, attempt + 1, state, nowMs);
   }
--- a/core/src/main/java/org/teaseltrail/core/claim/ClaimBook.java
+++ b/core/src/main/java/org/teaseltrail/core/claim/ClaimStore.java
@@ -18,7 +18,7 @@
  * Holds all claims. Deterministic: time is the log's, and order is that of the calls, so members
  * that apply the same log hold the same claims.
  */
-public final class ClaimBook {
+public final class ClaimStore {
 
   private final Map<ClaimKey, ClaimRecord> byKey = new HashMap<>();
   private final Map<RequestId, ClaimKey> byHolder = new HashMap<>();
@@ -36,30 +36,30 @@
    * <p>A holder may be granted again because its entry VM has said that the grant before was not
    * dispatched, and because that VM dispatches a request id at most once.
    *
-   * @param wish the claim wished for; its attempt and state are not looked at
+   * @param requested the claim wished for; its attempt and state are not looked at
    * @return the claim opened, or why not
    */
-  public OpenResult open(ClaimRecord wish) {
-    ClaimRecord present = byKey.get(wish.key());
+  public OpenClaimResult open(ClaimRecord requested) {
+    ClaimRecord present = byKey.get(requested.key());
     if (present != null) {
-      return openHeld(present, wish);
+      return openHeld(present, requested);
     }
     if (byKey.size() >= limits.maxClaims() && !dropOldestIdempotent()) {
-      return new OpenResult.Full();
+      return new OpenClaimResult.Full();
     }
     ClaimRecord opened =
         new ClaimRecord(
-            wish.key(),
-            wish.bodyDigest(),
-            wish.nonIdempotent(),
-            wish.holder(),
-            wish.vm(),
-            wish.upstream(),
+            requested.key(),
+            requested.bodyDigest(),
+            requested.nonIdempotent(),
+            requested.holder(),
+            requested.vm(),
+            requested.upstream(),
             1,
             ClaimState.RUNNING,
-            wish.changedAtMs());
+            requested.changedAtMs());
     put(opened);
-    return new OpenResult.Opened(opened);
+    return new OpenClaimResult.Opened(opened);
   }
 
   /**
@@ -180,23 +180,23 @@
    * @param limits the limits in force
    * @return a book that goes on as the one the snapshot was taken of
    */
-  public static ClaimBook restore(List<ClaimRecord> claims, ClaimLimits limits) {
-    ClaimBook book = new ClaimBook();
+  public static ClaimStore restore(List<ClaimRecord> claims, ClaimLimits limits) {
+    ClaimStore book = new ClaimStore();
     book.limits = limits;
     claims.forEach(book::put);
     return book;
   }
 
-  private OpenResult openHeld(ClaimRecord present, ClaimRecord wish) {
+  private OpenClaimResult openHeld(ClaimRecord present, ClaimRecord wish) {
     if (!present.bodyDigest().equals(wish.bodyDigest())) {
-      return new OpenResult.DigestConflict(present);
+      return new OpenClaimResult.DigestConflict(present);
     }
     if (!present.holder().equals(wish.holder()) || present.isFinished()) {
-      return new OpenResult.Held(present);
+      return new OpenClaimResult.Held(present);
     }
-    ClaimRecord again = present.grantedAgain(wish.vm(), wish.upstream(), wish.changedAtMs());
+    ClaimRecord again = present.regranted(wish.vm(), wish.upstream(), wish.changedAtMs());
     put(again);
-    return new OpenResult.Opened(again);
+    return new OpenClaimResult.Opened(again);
   }
 
   /** A whole answer that reached an adopter settles what the first VM gave up as perhaps run. */
--- a/core/src/main/java/org/teaseltrail/core/control/ClaimDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ClaimDesk.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.core.control;
 
 import java.util.Optional;
-import org.teaseltrail.core.claim.ClaimBook;
+import org.teaseltrail.core.claim.ClaimStore;
 import org.teaseltrail.core.claim.ClaimKey;
 import org.teaseltrail.core.claim.ClaimRecord;
-import org.teaseltrail.core.claim.OpenResult;
+import org.teaseltrail.core.claim.OpenClaimResult;
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
@@ -149,10 +149,10 @@
     leadership.propose(command, retrying(() -> ended(request, kind, leadership.nowNs())), nowNs);
   }
 
-  private void opened(CommitClaim wish, OpenResult result, long nowNs) {
+  private void opened(CommitClaim wish, OpenClaimResult result, long nowNs) {
     Ticket ticket = wish.ticket();
     RequestId request = ticket.request();
-    if (result instanceof OpenResult.Opened opened) {
+    if (result instanceof OpenClaimResult.Opened opened) {
       boolean granted =
           leadership.feed(ticket.pool(), request, new SchedulerEvent.ClaimGranted(request), nowNs);
       if (!granted) {
@@ -163,9 +163,9 @@
       return;
     }
     leadership.feed(ticket.pool(), request, new SchedulerEvent.ClaimDenied(request), nowNs);
-    if (result instanceof OpenResult.Held held) {
+    if (result instanceof OpenClaimResult.Held held) {
       answerHeld(wish.vm(), ticket, held.claim(), nowNs);
-    } else if (result instanceof OpenResult.DigestConflict) {
+    } else if (result instanceof OpenClaimResult.DigestConflict) {
       leadership.refuse(wish.vm(), request, RefusalKind.KEY_CONFLICT, 0);
     } else {
       leadership.refuse(wish.vm(), request, RefusalKind.CLAIMS_FULL, FULL_RETRY_MS);
@@ -222,7 +222,7 @@
     };
   }
 
-  private ClaimBook book() {
+  private ClaimStore book() {
     return leadership.claims();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ControlSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.teaseltrail.core.claim.ClaimLimits;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.rollout.RolloutSettings;
 import org.teaseltrail.core.session.SessionSettings;
 
@@ -24,7 +24,7 @@
     long claimExpiryEveryMs,
     PlacementSettings placement,
     long seed,
-    QuotaBounds quotas,
+    QuotaPolicy quotas,
     RolloutSettings rollouts,
     Optional<RepairSettings> repair) {
 
@@ -36,7 +36,7 @@
           10_000,
           PlacementSettings.DEFAULT,
           1,
-          QuotaBounds.DEFAULT,
+          QuotaPolicy.DEFAULT,
           RolloutSettings.DEFAULT,
           Optional.empty());
 }
--- a/core/src/main/java/org/teaseltrail/core/control/Leadership.java
+++ b/core/src/main/java/org/teaseltrail/core/control/Leadership.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.stream.Stream;
-import org.teaseltrail.core.claim.ClaimBook;
+import org.teaseltrail.core.claim.ClaimStore;
 import org.teaseltrail.core.configuration.Configuration;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.PoolId;
@@ -271,7 +271,7 @@
     return context;
   }
 
-  ClaimBook claims() {
+  ClaimStore claims() {
     return context.replicated().state().claims();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/LimitDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/LimitDesk.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.teaseltrail.core.backpressure.LimitBook;
-import org.teaseltrail.core.backpressure.LimitSighting;
+import org.teaseltrail.core.backpressure.RateLimitRegistry;
+import org.teaseltrail.core.backpressure.RateLimitObservation;
 import org.teaseltrail.core.backpressure.PermitBucket;
 import org.teaseltrail.core.backpressure.SendPermit;
 import org.teaseltrail.core.id.Incarnation;
@@ -17,7 +17,7 @@
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
 import org.teaseltrail.core.registry.UpstreamLife;
-import org.teaseltrail.core.serving.PermitsWanted;
+import org.teaseltrail.core.serving.PermitDemand;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
@@ -39,14 +39,14 @@
   /** Time for which a more urgent want of another VM goes first: a little over a usual sync. */
   private static final long WANTED_FOR_NS = 300 * NS_PER_MS;
 
-  private record Want(PermitsWanted wanted, long untilNs) {}
+  private record Want(PermitDemand wanted, long untilNs) {}
 
   /** Is which state of the limits a life of a VM was told. */
   private record Told(Incarnation incarnation, long revision) {}
 
   private final Leadership leadership;
 
-  private final LimitBook book = new LimitBook();
+  private final RateLimitRegistry book = new RateLimitRegistry();
   private final Map<UpstreamLife, PermitBucket> buckets = new HashMap<>();
   private final Map<VmId, Map<ServiceId, Want>> wants = new HashMap<>();
   private final Map<VmId, Told> told = new HashMap<>();
@@ -98,12 +98,12 @@
     }
   }
 
-  private void heard(List<LimitSighting> sightings) {
+  private void heard(List<RateLimitObservation> sightings) {
     boolean changed = false;
-    for (LimitSighting sighting : sightings) {
+    for (RateLimitObservation sighting : sightings) {
       UpstreamLife upstream = sighting.upstream();
       final boolean wasLimited = book.limit(upstream).isLimited();
-      book.note(upstream, sighting.limit(), leadership.nowNs() - sighting.agoMs() * NS_PER_MS);
+      book.record(upstream, sighting.limit(), leadership.nowNs() - sighting.agoMs() * NS_PER_MS);
       changed |= wasLimited != book.limit(upstream).isLimited();
     }
     revision += changed ? 1 : 0;
@@ -115,7 +115,7 @@
     Map<ServiceId, Want> latest = new HashMap<>();
     wants.put(asking.vm(), latest);
     List<SendPermit> given = new ArrayList<>();
-    for (PermitsWanted wanted : asking.wanted()) {
+    for (PermitDemand wanted : asking.wanted()) {
       latest.put(wanted.service(), new Want(wanted, nowNs + WANTED_FOR_NS));
       if (!isOthersTurn(asking.vm(), wanted, nowNs)) {
         int left = give(wanted, upstreams, given, nowNs);
@@ -136,22 +136,22 @@
   /** Forgets limits of upstreams that are gone. */
   void retain(Collection<Registration> present) {
     Set<UpstreamLife> lives = present.stream().map(Registration::life).collect(Collectors.toSet());
-    book.forget(lives, leadership.nowNs());
+    book.removeStale(lives, leadership.nowNs());
     buckets.keySet().removeIf(upstream -> !book.limit(upstream).isLimited());
   }
 
-  private boolean isOthersTurn(VmId asking, PermitsWanted wanted, long nowNs) {
+  private boolean isOthersTurn(VmId asking, PermitDemand wanted, long nowNs) {
     return wants.entrySet().stream()
         .filter(other -> !other.getKey().equals(asking))
         .map(other -> other.getValue().get(wanted.service()))
         .anyMatch(
             other ->
-                other != null && nowNs <= other.untilNs() && other.wanted().goesBefore(wanted));
+                other != null && nowNs <= other.untilNs() && other.wanted().hasPriorityOver(wanted));
   }
 
   /** Returns how many of the wanted permits were not given. */
   private int give(
-      PermitsWanted wanted,
+      PermitDemand wanted,
       Collection<Registration> upstreams,
       List<SendPermit> given,
       long nowNs) {
@@ -164,7 +164,7 @@
       if (fits && left > 0) {
         UpstreamLife life = upstream.life();
         PermitBucket bucket = buckets.computeIfAbsent(life, key -> new PermitBucket(nowNs));
-        int taken = bucket.take(book.limit(life), left, nowNs);
+        int taken = bucket.acquire(book.limit(life), left, nowNs);
         left -= taken;
         if (taken > 0) {
           given.add(new SendPermit(life, taken));
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaInheritance.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaInheritance.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.teaseltrail.core.id.CustomerId;
-import org.teaseltrail.core.quota.QuotaUse;
+import org.teaseltrail.core.quota.QuotaReport;
 
 /**
  * Is what a new leader learns of quotas from the entry VMs: what the leader before counted for VMs
@@ -33,7 +33,7 @@
   }
 
   /** Takes what a VM tells that this leader hears for the first time. */
-  void comesForward(QuotaUse use, long nowNs) {
+  void comesForward(QuotaReport use, long nowNs) {
     heldByKnown.merge(use.customer(), use.held(), Double::sum);
     boolean remembers = use.heldElsewhere() > 0 || use.heldByEnded() > 0;
     if (!remembers) {
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaLedger.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaLedger.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.quota.QuotaGrant;
-import org.teaseltrail.core.quota.QuotaUse;
+import org.teaseltrail.core.quota.QuotaReport;
 
 /**
  * Adds up, on the leader, what customers have used of their quotas at all entry VMs, and allows
@@ -109,7 +109,7 @@
   }
 
   /** Takes what a VM tells. */
-  void told(VmId vm, Incarnation incarnation, List<QuotaUse> uses, long nowNs) {
+  void told(VmId vm, Incarnation incarnation, List<QuotaReport> uses, long nowNs) {
     Life life = new Life(vm, incarnation);
     Account known = accounts.get(vm);
     if (known != null && !known.life().equals(life)) {
@@ -120,7 +120,7 @@
     }
     ended.removeIf(account -> account.life().equals(life));
     Account account = accounts.computeIfAbsent(vm, id -> new Account(life, new HashMap<>()));
-    for (QuotaUse use : uses) {
+    for (QuotaReport use : uses) {
       QuotaLine line = account.lines().get(use.customer());
       if (line == null) {
         account.lines().put(use.customer(), new QuotaLine(windowMs, use, nowNs));
@@ -208,7 +208,7 @@
         .lines()
         .computeIfAbsent(
             customer,
-            id -> new QuotaLine(windowMs, new QuotaUse(id, 0, 0, 0, 0, 0, 0, 0, 0), nowNs));
+            id -> new QuotaLine(windowMs, new QuotaReport(id, 0, 0, 0, 0, 0, 0, 0, 0), nowNs));
   }
 
   private static void allow(QuotaLine line, OtherLines others, double allowance, long nowNs) {
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaLine.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaLine.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.core.control;
 
-import org.teaseltrail.core.quota.QuotaUse;
-import org.teaseltrail.core.quota.SlidingSum;
+import org.teaseltrail.core.quota.QuotaReport;
+import org.teaseltrail.core.quota.SlidingWindowSum;
 
 /** Is what one life of a VM holds of one customer's quota, as the leader counts it. */
 final class QuotaLine {
 
   /** What was taken, at the latest times at which it may have been. */
-  private final SlidingSum history;
+  private final SlidingWindowSum history;
 
   /** What was taken, at the earliest such times; of what is not in it these aren't known. */
-  private final SlidingSum earliest;
+  private final SlidingWindowSum earliest;
 
   private double used;
   private double takenEver;
@@ -22,9 +22,9 @@
   private boolean ended;
 
   /** Creates the line of a VM that comes forward with what it has used. */
-  QuotaLine(long windowMs, QuotaUse first, long nowNs) {
-    history = new SlidingSum(windowMs);
-    earliest = new SlidingSum(windowMs);
+  QuotaLine(long windowMs, QuotaReport first, long nowNs) {
+    history = new SlidingWindowSum(windowMs);
+    earliest = new SlidingWindowSum(windowMs);
     history.add(first.used(), nowNs);
     takenEver = first.takenEver();
     told(first, nowNs);
@@ -35,7 +35,7 @@
    *
    * @return how much that is
    */
-  double told(QuotaUse use, long nowNs) {
+  double told(QuotaReport use, long nowNs) {
     double taken = Math.max(0, use.takenEver() - takenEver);
     history.add(taken, nowNs);
     earliest.add(taken, toldNs);
@@ -78,7 +78,7 @@
    * is as much as may have left the window since it told: the VM may have used that again.
    */
   void end(long nowNs) {
-    double leftWindow = Math.max(0, used - earliest.at(nowNs));
+    double leftWindow = Math.max(0, used - earliest.total(nowNs));
     history.add(mayTake + leftWindow, nowNs);
     mayTake = 0;
     ended = true;
@@ -86,7 +86,7 @@
 
   /** Returns what was used within the window: as the VM told, or of an ended life as was noted. */
   double used(long nowNs) {
-    return ended ? history.at(nowNs) : used;
+    return ended ? history.total(nowNs) : used;
   }
 
   double held(long nowNs) {
@@ -107,6 +107,6 @@
   }
 
   long lastsNs(long nowNs) {
-    return history.lastsNs(nowNs);
+    return history.timeUntilEmptyNs(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ServingDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ServingDesk.java
@@ -16,13 +16,13 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.PlanCustomer;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.replication.Member;
 import org.teaseltrail.core.rollout.VersionUse;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
-import org.teaseltrail.core.serving.UpstreamPlaces;
+import org.teaseltrail.core.serving.UpstreamSlots;
 import org.teaseltrail.core.state.ClusterState;
 import org.teaseltrail.core.state.Command;
 
@@ -93,7 +93,7 @@
   private final Map<VmId, Vm> vms = new TreeMap<>(Comparator.comparing(VmId::value));
   private final Map<UpstreamId, Long> heartbeatsNs = new HashMap<>();
   private final Map<UpstreamId, Integer> inFlight = new HashMap<>();
-  private final QuotaBounds quotaBounds;
+  private final QuotaPolicy quotaBounds;
   private final QuotaLedger quotas;
   private final SlotDesk slots = new SlotDesk();
   private final PlaceShares shares = new PlaceShares();
@@ -333,15 +333,15 @@
         state().registry().revision(),
         vms.size(),
         memberVms(),
-        knowsPlaces() ? places(sync.vm()) : UpstreamPlaces.NONE,
+        knowsPlaces() ? places(sync.vm()) : UpstreamSlots.NONE,
         List.copyOf(contended()),
         quotas.grants(sync.vm(), quotaLimits(), leadership.nowNs()));
   }
 
-  private UpstreamPlaces places(VmId asking) {
+  private UpstreamSlots places(VmId asking) {
     Map<UpstreamId, Integer> elsewhere = new HashMap<>(inFlight);
     vms.get(asking).sync.inFlight().forEach((up, own) -> elsewhere.merge(up, -own, Integer::sum));
-    return UpstreamPlaces.of(
+    return UpstreamSlots.of(
         state().registry().present(),
         elsewhere,
         shares.of(asking, state().registry(), leadership.nowNs()));
--- a/core/src/main/java/org/teaseltrail/core/control/SlotDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotDesk.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.Urgency;
 
@@ -86,7 +86,7 @@
   /** Takes what waits at a VM. */
   void lines(ServingMessage.Lines message, long nowNs) {
     vms.computeIfAbsent(message.vm(), SlotVm::new).told(message, nowNs);
-    for (LineState line : message.lines()) {
+    for (QueueState line : message.lines()) {
       contendedUntilNs.put(line.service(), nowNs + CONTENDED_NS);
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/control/SlotVm.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotVm.java
@@ -9,8 +9,8 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.serving.HeldPlaces;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.SlotUsage;
+import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.Urgency;
 
@@ -44,8 +44,8 @@
   private final Deque<Open> open = new ArrayDeque<>();
   private Map<UpstreamId, Integer> inFlight = Map.of();
   private Map<UpstreamId, Integer> unread = Map.of();
-  private List<HeldPlaces> held = List.of();
-  private Map<ServiceId, LineState> lines = Map.of();
+  private List<SlotUsage> held = List.of();
+  private Map<ServiceId, QueueState> lines = Map.of();
   private long linesToldNs;
   private long heardNs;
   private long lastSequence;
@@ -107,12 +107,12 @@
 
   /** Returns, for each urgency, the first of what waits beyond what open grants are meant for. */
   List<Candidate> candidates(ServiceId service) {
-    LineState line = lines.get(service);
+    QueueState line = lines.get(service);
     if (line == null) {
       return List.of();
     }
     List<Candidate> candidates = new ArrayList<>();
-    for (LineState.Waiting waiting : line.waiting()) {
+    for (QueueState.WaitTimes waiting : line.waiting()) {
       int served = (int) openFor(service, waiting.urgency());
       if (served < waiting.waitedMs().size()) {
         long sinceNs = linesToldNs - waiting.waitedMs().get(served) * NS_PER_MS;
--- a/core/src/main/java/org/teaseltrail/core/entry/Outbox.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ActionBuffer.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.request.UpstreamTarget;
 
 /** Collects the actions of one event, in order. */
-final class Outbox {
+final class ActionBuffer {
 
   private List<EntryAction> actions = new ArrayList<>();
 
--- a/core/src/main/java/org/teaseltrail/core/entry/Admission.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/AdmissionHandler.java
@@ -20,21 +20,21 @@
 import org.teaseltrail.core.request.TokenEstimate;
 
 /** Takes requests in: who asks, for what, whether it may run, and its ticket. */
-final class Admission {
+final class AdmissionHandler {
 
   /** When a caller refused for want of a session may come back: two hello intervals. */
   static final long RETRY_AFTER_MS = 1_000;
 
-  private final EntryParts parts;
-  private final DrainPlan drain;
+  private final EntryContext parts;
+  private final DrainCoordinator drain;
 
-  Admission(EntryParts parts, DrainPlan drain) {
+  AdmissionHandler(EntryContext parts, DrainCoordinator drain) {
     this.parts = parts;
     this.drain = drain;
   }
 
   void arrive(RequestId id, CallerCall call, long nowNs) {
-    Optional<NotRunReason> closed = closedReason(nowNs);
+    Optional<NotRunReason> closed = rejectionReason(nowNs);
     if (closed.isPresent()) {
       refuse(id, closed.get(), RETRY_AFTER_MS);
       return;
@@ -58,7 +58,7 @@
   }
 
   /** Returns why the VM admits nothing now, if it doesn't. */
-  Optional<NotRunReason> closedReason(long nowNs) {
+  Optional<NotRunReason> rejectionReason(long nowNs) {
     if (drain.isListenerClosed()) {
       return Optional.of(NotRunReason.DRAINING);
     }
@@ -122,16 +122,16 @@
       parts.timers.add(TimerQueue.deadline(request.deadlineNs(), request.id()));
     }
     request.offer();
-    parts.session.tell(new EntryMessage.Offer(request.ticketAt(nowNs)));
-    parts.out.log(
+    parts.session.sendToLeader(new EntryMessage.Offer(request.ticketAt(nowNs)));
+    parts.actions.log(
         EntryDecisionKind.ADMIT,
         request,
         "route=" + ticket.route() + " pool=" + ticket.pool() + " tokens=" + ticket.promptTokens());
   }
 
   private void refuse(RequestId id, NotRunReason reason, long retryAfterMs) {
-    parts.out.add(new EntryAction.Conclude(id, new Outcome.NotRun(reason, retryAfterMs)));
-    parts.out.add(
+    parts.actions.add(new EntryAction.Conclude(id, new Outcome.NotRun(reason, retryAfterMs)));
+    parts.actions.add(
         new EntryAction.Log(
             new EntryDecision(
                 EntryDecisionKind.REFUSE,
--- a/core/src/main/java/org/teaseltrail/core/entry/UpstreamDirectory.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/AnnouncementStore.java
@@ -16,16 +16,16 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /** Holds the newest announcement of each upstream that this VM has heard. */
-final class UpstreamDirectory {
+final class AnnouncementStore {
 
   private final AppliedConfiguration configuration;
   private final Map<UpstreamId, Heard> heard = new LinkedHashMap<>();
 
-  UpstreamDirectory(AppliedConfiguration configuration) {
+  AnnouncementStore(AppliedConfiguration configuration) {
     this.configuration = configuration;
   }
 
-  UpstreamVerdict judge(UpstreamId upstream, String secretHash) {
+  UpstreamVerdict authorize(UpstreamId upstream, String secretHash) {
     if (!configuration.isConfirmed()) {
       return UpstreamVerdict.NOT_READY;
     }
@@ -48,7 +48,7 @@
    *
    * @return whether it is news, so that it is passed on
    */
-  boolean hear(Announcement announcement, long nowNs) {
+  boolean storeIfNewer(Announcement announcement, long nowNs) {
     Heard known = heard.get(announcement.upstream());
     if (known != null && !isLater(announcement, known.announcement())) {
       return false;
@@ -86,7 +86,7 @@
    * known here, since an upstream's word that it leaves holds for the rest of that life; only what
    * operators no longer allow is forgotten, so that memory is bounded.
    */
-  List<UpstreamSeen> replay(long nowNs) {
+  List<UpstreamSeen> validAnnouncements(long nowNs) {
     heard.keySet().removeIf(upstream -> configuration.upstream(upstream).isEmpty());
     List<UpstreamSeen> messages = new ArrayList<>(heard.size());
     for (Heard entry : heard.values()) {
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlLink.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlConnection.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.MemberId;
 
 /** Is the connection to one control member, with the hellos that are under way on it. */
-final class ControlLink {
+final class ControlConnection {
 
   private final MemberId member;
   private final TreeMap<Long, Long> sentNsBySequence = new TreeMap<>();
@@ -17,7 +17,7 @@
   private FencingNumber reportedFencing;
   private long reportedSequence;
 
-  ControlLink(MemberId member) {
+  ControlConnection(MemberId member) {
     this.member = member;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlMessageHandler.java
@@ -9,18 +9,18 @@
 import org.teaseltrail.core.request.UpstreamTarget;
 
 /** Follows what control members say, and tells a new leader of all that waits and runs here. */
-final class ControlHandler {
+final class ControlMessageHandler {
 
-  private final EntryParts parts;
+  private final EntryContext parts;
   private final Dispatcher dispatcher;
 
-  ControlHandler(EntryParts parts, Dispatcher dispatcher) {
+  ControlMessageHandler(EntryContext parts, Dispatcher dispatcher) {
     this.parts = parts;
     this.dispatcher = dispatcher;
   }
 
   void received(MemberId member, ControlMessage message, long nowNs) {
-    parts.session.heardFrom(member, nowNs);
+    parts.session.messageReceived(member, nowNs);
     if (message instanceof ControlMessage.Welcome welcome) {
       welcomed(member, welcome, nowNs);
     } else if (message instanceof ControlMessage.NotLeader) {
@@ -39,28 +39,28 @@
   }
 
   private void welcomed(MemberId member, ControlMessage.Welcome welcome, long nowNs) {
-    boolean wasInReach = parts.session.isLeaseInReach(nowNs);
-    Optional<ControlLink> accepted = parts.session.welcomed(welcome, member, nowNs);
+    boolean wasInReach = parts.session.isSchedulerReachable(nowNs);
+    Optional<ControlConnection> accepted = parts.session.welcomed(welcome, member, nowNs);
     if (accepted.isEmpty()) {
       return;
     }
-    ControlLink link = accepted.get();
+    ControlConnection link = accepted.get();
     boolean report =
         !wasInReach
             || link.needsReports(welcome.fencing(), welcome.reportsWanted(), welcome.sequence());
     if (report) {
       reportAll(link, welcome, nowNs);
     }
-    parts.ends.confirm(link, welcome.sequence());
+    parts.endedReports.confirm(link, welcome.sequence());
   }
 
-  private void reportAll(ControlLink link, ControlMessage.Welcome welcome, long nowNs) {
-    parts.upstreams.replay(nowNs).forEach(parts.session::tell);
+  private void reportAll(ControlConnection link, ControlMessage.Welcome welcome, long nowNs) {
+    parts.upstreams.validAnnouncements(nowNs).forEach(parts.session::sendToLeader);
     parts.requests.all().forEach(request -> reportOne(request, nowNs));
-    parts.ends.resendAll();
-    parts.session.tell(new EntryMessage.ReportsComplete(parts.settings.vm(), welcome.fencing()));
+    parts.endedReports.resendAll();
+    parts.session.sendToLeader(new EntryMessage.ReportsComplete(parts.settings.vm(), welcome.fencing()));
     link.reported(welcome.fencing(), parts.session.helloSequence());
-    parts.out.log(
+    parts.actions.log(
         EntryDecisionKind.SESSION,
         Optional.empty(),
         "leader="
@@ -74,10 +74,10 @@
   private void reportOne(Request request, long nowNs) {
     if (request.state().isWaiting()) {
       request.offer();
-      parts.session.tell(new EntryMessage.Offer(request.ticketAt(nowNs)));
+      parts.session.sendToLeader(new EntryMessage.Offer(request.ticketAt(nowNs)));
     } else if (!request.isAdopted() && request.state() != RequestState.ENDED) {
       UpstreamTarget target = request.target().orElseThrow();
-      parts.session.tell(
+      parts.session.sendToLeader(
           new EntryMessage.StillRunning(
               request.ticketAt(nowNs),
               target.upstream(),
@@ -87,11 +87,11 @@
   }
 
   private void configured(ControlMessage.ConfigurationUpdate update) {
-    if (!parts.session.isNewestLeadership(update.fencing())) {
+    if (!parts.session.isCurrentLeadership(update.fencing())) {
       log(update, "passed-over-old-leadership");
       return;
     }
-    parts.session.seen(update.fencing());
+    parts.session.observeFencing(update.fencing());
     if (parts.configuration.apply(update.configuration())) {
       log(update, "applied");
     }
@@ -99,7 +99,7 @@
   }
 
   private void log(ControlMessage.ConfigurationUpdate update, String verdict) {
-    parts.out.log(
+    parts.actions.log(
         EntryDecisionKind.CONFIGURATION,
         Optional.empty(),
         "revision="
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlSession.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlSession.java
@@ -23,8 +23,8 @@
 
   private final EntrySettings settings;
   private final AppliedConfiguration configuration;
-  private final Outbox out;
-  private final Map<MemberId, ControlLink> links = new LinkedHashMap<>();
+  private final ActionBuffer out;
+  private final Map<MemberId, ControlConnection> links = new LinkedHashMap<>();
 
   private FencingNumber greatestFencing = new FencingNumber(0);
   private MemberId leader;
@@ -36,26 +36,26 @@
   private long confirmedUntilNs;
   private Confirmation pending;
 
-  ControlSession(EntrySettings settings, AppliedConfiguration configuration, Outbox out) {
+  ControlSession(EntrySettings settings, AppliedConfiguration configuration, ActionBuffer out) {
     this.settings = settings;
     this.configuration = configuration;
     this.out = out;
   }
 
   void connected(MemberId member, long nowNs) {
-    links.computeIfAbsent(member, ControlLink::new).open(nowNs);
+    links.computeIfAbsent(member, ControlConnection::new).open(nowNs);
     sendDueHellos(nowNs);
   }
 
   void disconnected(MemberId member) {
-    ControlLink link = links.get(member);
+    ControlConnection link = links.get(member);
     if (link != null) {
       link.close();
     }
   }
 
-  void heardFrom(MemberId member, long nowNs) {
-    ControlLink link = links.get(member);
+  void messageReceived(MemberId member, long nowNs) {
+    ControlConnection link = links.get(member);
     if (link != null) {
       link.heard(nowNs);
     }
@@ -63,8 +63,8 @@
 
   /** Sends the hellos that are due and gives up connections that have fallen silent. */
   void sendDueHellos(long nowNs) {
-    for (ControlLink link : links.values()) {
-      if (link.isSilent(nowNs, Millis.toNanos(settings.silenceMs()))) {
+    for (ControlConnection link : links.values()) {
+      if (link.isSilent(nowNs, Millis.toNanos(settings.silenceTimeoutMs()))) {
         link.close();
         out.add(new EntryAction.ReconnectControl(link.member()));
       }
@@ -74,7 +74,7 @@
     }
   }
 
-  private void sendHello(ControlLink link, long nowNs) {
+  private void sendHello(ControlConnection link, long nowNs) {
     helloSequence++;
     link.helloSent(helloSequence, nowNs, Millis.toNanos(settings.helloIntervalMs()));
     out.add(
@@ -94,8 +94,8 @@
    * @return the link to the leader, or empty if the welcome is of an older leadership or answers no
    *     hello of this connection
    */
-  Optional<ControlLink> welcomed(Welcome welcome, MemberId member, long nowNs) {
-    ControlLink link = links.get(member);
+  Optional<ControlConnection> welcomed(Welcome welcome, MemberId member, long nowNs) {
+    ControlConnection link = links.get(member);
     OptionalLong sentNs = link == null ? OptionalLong.empty() : link.answered(welcome.sequence());
     if (sentNs.isEmpty() || welcome.fencing().compareTo(greatestFencing) < 0) {
       return Optional.empty();
@@ -126,24 +126,24 @@
 
   /** Notes that the member no longer leads, so that its next welcome asks for all reports. */
   void notLeader(MemberId member) {
-    ControlLink link = links.get(member);
+    ControlConnection link = links.get(member);
     if (link != null) {
       link.forgetReports();
     }
   }
 
   /** Returns whether a configuration from this member and leadership may be applied. */
-  boolean isNewestLeadership(FencingNumber fencing) {
+  boolean isCurrentLeadership(FencingNumber fencing) {
     return fencing.compareTo(greatestFencing) >= 0;
   }
 
   /** Notes a leadership that was seen in a configuration update. */
-  void seen(FencingNumber fencing) {
+  void observeFencing(FencingNumber fencing) {
     greatestFencing = fencing.compareTo(greatestFencing) > 0 ? fencing : greatestFencing;
   }
 
   /** Returns whether a grant is of the newest leadership seen. */
-  boolean isGrantOfLeader(MemberId member, FencingNumber fencing) {
+  boolean isFromLeader(MemberId member, FencingNumber fencing) {
     return member.equals(leader) && fencing.equals(greatestFencing);
   }
 
@@ -153,12 +153,12 @@
   }
 
   /** Returns whether a scheduler is in reach. */
-  boolean isLeaseInReach(long nowNs) {
+  boolean isSchedulerReachable(long nowNs) {
     return leaseSeen && nowNs - lastLeaseNs < lifetimeNs;
   }
 
   /** Returns the time since the last lease seen. */
-  long sinceLeaseNs(long nowNs) {
+  long timeSinceLeaseNs(long nowNs) {
     return leaseSeen ? nowNs - lastLeaseNs : 0;
   }
 
@@ -176,19 +176,19 @@
   }
 
   /** Returns the open connection to the leader, if there is one. */
-  Optional<ControlLink> leaderLink() {
-    return Optional.ofNullable(leader).map(links::get).filter(ControlLink::isOpen);
+  Optional<ControlConnection> leaderConnection() {
+    return Optional.ofNullable(leader).map(links::get).filter(ControlConnection::isOpen);
   }
 
   /** Sends a message to the leader; without a connection to one it is left out. */
-  void tell(EntryMessage message) {
-    leaderLink().ifPresent(link -> out.add(new EntryAction.SendControl(link.member(), message)));
+  void sendToLeader(EntryMessage message) {
+    leaderConnection().ifPresent(link -> out.add(new EntryAction.SendControl(link.member(), message)));
   }
 
   OptionalLong nextHelloNs() {
     return links.values().stream()
-        .filter(ControlLink::isOpen)
-        .mapToLong(ControlLink::nextHelloNs)
+        .filter(ControlConnection::isOpen)
+        .mapToLong(ControlConnection::nextHelloNs)
         .min();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/entry/Dispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/Dispatcher.java
@@ -29,10 +29,10 @@
   /** When a caller may come back whose request its upstream refused. */
   static final long REFUSED_RETRY_AFTER_MS = 1_000;
 
-  private final EntryParts parts;
+  private final EntryContext parts;
   private final RequestCloser closer;
 
-  Dispatcher(EntryParts parts, RequestCloser closer) {
+  Dispatcher(EntryContext parts, RequestCloser closer) {
     this.parts = parts;
     this.closer = closer;
   }
@@ -46,7 +46,7 @@
    */
   void granted(MemberId member, Grant grant, long nowNs) {
     Optional<Request> request = parts.requests.live(grant.request());
-    if (!parts.session.isGrantOfLeader(member, grant.fencing())) {
+    if (!parts.session.isFromLeader(member, grant.fencing())) {
       decline(member, grant, DeclineReason.STALE_GRANT);
     } else if (!parts.session.isValid(nowNs)) {
       decline(member, grant, DeclineReason.NO_SESSION);
@@ -68,7 +68,7 @@
     Optional<RequestStatus> ran =
         parts.requests.status(grant.request()).filter(RequestStatus::dispatched);
     if (ran.isPresent()) {
-      parts.ends.send(endOf(ran.get(), grant.upstream()));
+      parts.endedReports.send(endOf(ran.get(), grant.upstream()));
     } else {
       decline(member, grant, DeclineReason.UNKNOWN_REQUEST);
     }
@@ -96,7 +96,7 @@
     }
     UpstreamTarget target = new UpstreamTarget(grant.upstream(), grant.address());
     int attempt = request.grant(target, grant.upstreamIncarnation(), nowNs);
-    parts.out.add(new EntryAction.Connect(request.id(), attempt, target, request.asked()));
+    parts.actions.add(new EntryAction.Connect(request.id(), attempt, target, request.asked()));
   }
 
   private void decline(MemberId member, Grant grant, DeclineReason reason) {
@@ -105,9 +105,9 @@
 
   private void decline(
       MemberId member, RequestId request, UpstreamId upstream, DeclineReason reason) {
-    parts.out.add(
+    parts.actions.add(
         new EntryAction.SendControl(member, new EntryMessage.Declined(request, upstream, reason)));
-    parts.out.log(
+    parts.actions.log(
         EntryDecisionKind.DECLINE,
         Optional.of(upstream),
         "request=" + request + " reason=" + reason);
@@ -120,7 +120,7 @@
    */
   void recalled(MemberId member, ControlMessage.Recall recall) {
     Optional<Request> request = parts.requests.live(recall.request());
-    if (request.isEmpty() || !parts.session.isGrantOfLeader(member, recall.fencing())) {
+    if (request.isEmpty() || !parts.session.isFromLeader(member, recall.fencing())) {
       return;
     }
     boolean granted = request.get().state() == RequestState.GRANTED;
@@ -155,8 +155,8 @@
         !parts.upstreams.isLeaving(target.upstream(), request.grantedLife()),
         InvariantName.NO_DISPATCH_TO_LEAVING);
     request.dispatch(nowNs);
-    parts.out.add(new EntryAction.Transmit(request.id(), request.attempt()));
-    parts.out.log(
+    parts.actions.add(new EntryAction.Transmit(request.id(), request.attempt()));
+    parts.actions.log(
         EntryDecisionKind.DISPATCH,
         request,
         "fencing=" + parts.session.fencing() + " waited_ms=" + request.waitedMs(nowNs));
@@ -170,10 +170,10 @@
 
   private void giveBack(Request request, DeclineReason reason) {
     final UpstreamTarget target = request.target().orElseThrow();
-    parts.out.add(new EntryAction.CloseUpstream(request.id()));
-    parts.out.log(EntryDecisionKind.DECLINE, request, "reason=" + reason);
+    parts.actions.add(new EntryAction.CloseUpstream(request.id()));
+    parts.actions.log(EntryDecisionKind.DECLINE, request, "reason=" + reason);
     request.giveBack();
-    parts.session.tell(new EntryMessage.Declined(request.id(), target.upstream(), reason));
+    parts.session.sendToLeader(new EntryMessage.Declined(request.id(), target.upstream(), reason));
   }
 
   /**
@@ -186,7 +186,7 @@
     }
     request.refuseByUpstream();
     UpstreamTarget target = request.target().orElseThrow();
-    parts.session.tell(
+    parts.session.sendToLeader(
         new EntryMessage.Declined(
             request.id(), target.upstream(), DeclineReason.REFUSED_BY_UPSTREAM));
     closer.withdraw(
@@ -216,7 +216,7 @@
   private void answerClaim(Request request, ClaimExists claim, long nowNs) {
     if (!isAdoptable(request, claim)) {
       closer.conclude(request, new Outcome.HeldByEarlier(claim.holder(), claim.state()));
-      parts.out.log(
+      parts.actions.log(
           EntryDecisionKind.REFUSE,
           request,
           "reason=key-held holder=" + claim.holder() + " state=" + claim.state());
@@ -225,10 +225,10 @@
     UpstreamTarget target =
         new UpstreamTarget(claim.upstream().orElseThrow(), claim.address().orElseThrow());
     int attempt = request.adopt(claim.holder(), claim.state(), target, nowNs);
-    parts.out.add(
+    parts.actions.add(
         new EntryAction.Resume(
             request.id(), attempt, claim.holder(), target, request.nextSequence()));
-    parts.out.log(
+    parts.actions.log(
         EntryDecisionKind.ADOPT,
         request,
         "holder=" + claim.holder() + " from=" + request.nextSequence());
--- a/core/src/main/java/org/teaseltrail/core/entry/DrainPlan.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/DrainCoordinator.java
@@ -11,12 +11,12 @@
  * <p>Guards against requests that the balancer still sends while it learns that the VM leaves; they
  * would be cut off if the listener closed at once.
  */
-final class DrainPlan {
+final class DrainCoordinator {
 
   /** Time that the last reports get to reach a leader. */
   static final long LAST_REPORTS_MS = 3_000;
 
-  private final EntryParts parts;
+  private final EntryContext parts;
   private boolean requested;
   private boolean listenerClosed;
   private boolean exited;
@@ -24,7 +24,7 @@
   private long idleSinceNs;
   private boolean idle;
 
-  DrainPlan(EntryParts parts) {
+  DrainCoordinator(EntryContext parts) {
     this.parts = parts;
   }
 
@@ -39,7 +39,7 @@
   void advance(long nowNs) {
     if (requested && !listenerClosed && nowNs >= closeListenerNs) {
       listenerClosed = true;
-      parts.out.add(new EntryAction.CloseListener());
+      parts.actions.add(new EntryAction.CloseListener());
       log("step=listener-closed running=" + parts.requests.size());
     }
     if (listenerClosed && !exited) {
@@ -55,16 +55,16 @@
     idleSinceNs = idle ? idleSinceNs : nowNs;
     idle = true;
     boolean reported =
-        parts.ends.isEmpty() || nowNs - idleSinceNs >= Millis.toNanos(LAST_REPORTS_MS);
+        parts.endedReports.isEmpty() || nowNs - idleSinceNs >= Millis.toNanos(LAST_REPORTS_MS);
     if (reported) {
       exited = true;
-      parts.out.add(new EntryAction.Exit());
+      parts.actions.add(new EntryAction.Exit());
       log("step=exit");
     }
   }
 
   private void log(String reason) {
-    parts.out.log(EntryDecisionKind.DRAIN, Optional.empty(), reason);
+    parts.actions.log(EntryDecisionKind.DRAIN, Optional.empty(), reason);
   }
 
   boolean isRequested() {
@@ -75,7 +75,7 @@
     return listenerClosed;
   }
 
-  OptionalLong nextNs() {
+  OptionalLong nextWakeupNs() {
     if (requested && !listenerClosed) {
       return OptionalLong.of(closeListenerNs);
     }
--- a/core/src/main/java/org/teaseltrail/core/entry/EndedReports.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EndedReportQueue.java
@@ -14,7 +14,7 @@
  * would stay taken and the claim would stay open. A connection keeps its order, so a welcome to a
  * hello that was sent after the report shows that the report was read.
  */
-final class EndedReports {
+final class EndedReportQueue {
 
   /** Reports held at most; the oldest goes first, so that memory is bounded without a leader. */
   static final int MAX_REPORTS = 20_000;
@@ -22,7 +22,7 @@
   private final ControlSession session;
   private final Deque<Pending> pending = new ArrayDeque<>();
 
-  EndedReports(ControlSession session) {
+  EndedReportQueue(ControlSession session) {
     this.session = session;
   }
 
@@ -41,15 +41,15 @@
   }
 
   private Pending sendNow(EntryMessage.Ended ended) {
-    session.tell(ended);
+    session.sendToLeader(ended);
     return session
-        .leaderLink()
+        .leaderConnection()
         .map(link -> new Pending(ended, link, link.epoch(), session.helloSequence()))
         .orElseGet(() -> new Pending(ended, null, 0, 0));
   }
 
   /** Forgets the reports that the leader has read for certain. */
-  void confirm(ControlLink link, long welcomedSequence) {
+  void confirm(ControlConnection link, long welcomedSequence) {
     pending.removeIf(report -> report.wasReadBefore(link, welcomedSequence));
   }
 
@@ -57,9 +57,9 @@
     return pending.isEmpty();
   }
 
-  private record Pending(Ended ended, ControlLink link, long epoch, long helloSequence) {
+  private record Pending(Ended ended, ControlConnection link, long epoch, long helloSequence) {
 
-    boolean wasReadBefore(ControlLink answering, long welcomedSequence) {
+    boolean wasReadBefore(ControlConnection answering, long welcomedSequence) {
       return link == answering && epoch == answering.epoch() && welcomedSequence > helloSequence;
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryParts.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryContext.java
@@ -3,21 +3,21 @@
 import org.teaseltrail.core.request.OutputEstimator;
 
 /** Holds the parts that the handlers of an entry VM share. */
-final class EntryParts {
+final class EntryContext {
 
   final EntrySettings settings;
-  final Outbox out = new Outbox();
+  final ActionBuffer actions = new ActionBuffer();
   final AppliedConfiguration configuration = new AppliedConfiguration();
-  final UpstreamDirectory upstreams = new UpstreamDirectory(configuration);
+  final AnnouncementStore upstreams = new AnnouncementStore(configuration);
   final RequestTable requests = new RequestTable();
   final TimerQueue timers = new TimerQueue();
   final OutputEstimator estimator = new OutputEstimator();
   final ControlSession session;
-  final EndedReports ends;
+  final EndedReportQueue endedReports;
 
-  EntryParts(EntrySettings settings) {
+  EntryContext(EntrySettings settings) {
     this.settings = settings;
-    this.session = new ControlSession(settings, configuration, out);
-    this.ends = new EndedReports(session);
+    this.session = new ControlSession(settings, configuration, actions);
+    this.endedReports = new EndedReportQueue(session);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryEvent.java
@@ -137,7 +137,7 @@
    * @param announcement the announcement
    * @param secretHash SHA-256 of the secret that came with it, in lower-case hexadecimal
    */
-  record AnnouncementHeard(long exchange, Announcement announcement, String secretHash)
+  record AnnouncementReceived(long exchange, Announcement announcement, String secretHash)
       implements EntryEvent {}
 
   /**
@@ -147,7 +147,7 @@
    * @param event the event
    * @param secretHash SHA-256 of the secret that came with it, in lower-case hexadecimal
    */
-  record CacheEventHeard(long exchange, CacheEvent event, String secretHash)
+  record CacheEventReceived(long exchange, CacheEvent event, String secretHash)
       implements EntryEvent {}
 
   /** The process is asked to shut down. */
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
@@ -23,16 +23,16 @@
  */
 public final class EntryNode {
 
-  private final EntryParts parts;
-  private final TurnedAwayUpstreams turnedAway = new TurnedAwayUpstreams();
-  private final DrainPlan drain;
-  private final Admission admission;
+  private final EntryContext parts;
+  private final RejectedUpstreamTracker turnedAway = new RejectedUpstreamTracker();
+  private final DrainCoordinator drain;
+  private final AdmissionHandler admission;
   private final RequestCloser closer;
   private final Dispatcher dispatcher;
   private final StreamHandler streams;
-  private final ControlHandler control;
-  private final ScheduledWork scheduled;
-  private final StallWatch stalls = new StallWatch();
+  private final ControlMessageHandler control;
+  private final TimerHandler scheduled;
+  private final StallDetector stalls = new StallDetector();
   private long nowNs;
 
   /**
@@ -41,14 +41,14 @@
    * @param settings its settings
    */
   public EntryNode(EntrySettings settings) {
-    parts = new EntryParts(settings);
-    drain = new DrainPlan(parts);
-    admission = new Admission(parts, drain);
+    parts = new EntryContext(settings);
+    drain = new DrainCoordinator(parts);
+    admission = new AdmissionHandler(parts, drain);
     closer = new RequestCloser(parts);
     dispatcher = new Dispatcher(parts, closer);
     streams = new StreamHandler(parts, closer);
-    control = new ControlHandler(parts, dispatcher);
-    scheduled = new ScheduledWork(parts, closer, streams);
+    control = new ControlMessageHandler(parts, dispatcher);
+    scheduled = new TimerHandler(parts, closer, streams);
   }
 
   /**
@@ -77,7 +77,7 @@
     }
     parts.session.sendDueHellos(now);
     drain.advance(now);
-    return parts.out.drain();
+    return parts.actions.drain();
   }
 
   private void handleUpstreamEvent(EntryEvent event) {
@@ -87,9 +87,9 @@
       find(e.request(), e.attempt()).ifPresent(dispatcher::connectFailed);
     } else if (event instanceof EntryEvent.UpstreamRefused e) {
       find(e.request(), e.attempt()).ifPresent(dispatcher::refusedByUpstream);
-    } else if (event instanceof EntryEvent.AnnouncementHeard e) {
+    } else if (event instanceof EntryEvent.AnnouncementReceived e) {
       announced(e);
-    } else if (event instanceof EntryEvent.CacheEventHeard e) {
+    } else if (event instanceof EntryEvent.CacheEventReceived e) {
       cacheChanged(e);
     } else {
       handleStreamEvent(event);
@@ -143,26 +143,26 @@
     }
   }
 
-  private void announced(EntryEvent.AnnouncementHeard heard) {
+  private void announced(EntryEvent.AnnouncementReceived heard) {
     UpstreamId upstream = heard.announcement().upstream();
-    UpstreamVerdict verdict = parts.upstreams.judge(upstream, heard.secretHash());
-    parts.out.add(new EntryAction.AnswerUpstream(heard.exchange(), verdict));
-    if (turnedAway.isNews(upstream, verdict)) {
-      parts.out.log(EntryDecisionKind.UPSTREAM, Optional.of(upstream), "verdict=" + verdict);
+    UpstreamVerdict verdict = parts.upstreams.authorize(upstream, heard.secretHash());
+    parts.actions.add(new EntryAction.AnswerUpstream(heard.exchange(), verdict));
+    if (turnedAway.isNewRejection(upstream, verdict)) {
+      parts.actions.log(EntryDecisionKind.UPSTREAM, Optional.of(upstream), "verdict=" + verdict);
     }
-    long heardNs = stalls.earliestNs(nowNs);
+    long heardNs = stalls.earliestArrivalNs(nowNs);
     if (verdict == UpstreamVerdict.ACCEPTED
-        && parts.upstreams.hear(heard.announcement(), heardNs)) {
+        && parts.upstreams.storeIfNewer(heard.announcement(), heardNs)) {
       long ageMs = Millis.ofNanos(nowNs - heardNs);
-      parts.session.tell(new EntryMessage.UpstreamSeen(heard.announcement(), ageMs));
+      parts.session.sendToLeader(new EntryMessage.UpstreamSeen(heard.announcement(), ageMs));
     }
   }
 
-  private void cacheChanged(EntryEvent.CacheEventHeard heard) {
-    UpstreamVerdict verdict = parts.upstreams.judge(heard.event().upstream(), heard.secretHash());
-    parts.out.add(new EntryAction.AnswerUpstream(heard.exchange(), verdict));
+  private void cacheChanged(EntryEvent.CacheEventReceived heard) {
+    UpstreamVerdict verdict = parts.upstreams.authorize(heard.event().upstream(), heard.secretHash());
+    parts.actions.add(new EntryAction.AnswerUpstream(heard.exchange(), verdict));
     if (verdict == UpstreamVerdict.ACCEPTED) {
-      parts.session.tell(new EntryMessage.CacheSeen(heard.event()));
+      parts.session.sendToLeader(new EntryMessage.CacheSeen(heard.event()));
     }
   }
 
@@ -174,8 +174,8 @@
   public OptionalLong nextWakeupNs() {
     return LongStream.concat(
             LongStream.concat(
-                parts.session.nextHelloNs().stream(), scheduled.nextNs(nowNs).stream()),
-            drain.nextNs().stream())
+                parts.session.nextHelloNs().stream(), scheduled.nextWakeupNs(nowNs).stream()),
+            drain.nextWakeupNs().stream())
         .min();
   }
 
@@ -195,7 +195,7 @@
    * @param keyHash SHA-256 of the API key in lower-case hexadecimal, if one came
    * @return empty if the customer has no such request here
    */
-  public Optional<RequestStatus> findOwn(RequestId request, Optional<String> keyHash) {
+  public Optional<RequestStatus> findOwnedRequest(RequestId request, Optional<String> keyHash) {
     Optional<CustomerId> customer = parts.configuration.customer(keyHash).map(c -> c.id());
     return parts
         .requests
--- a/core/src/main/java/org/teaseltrail/core/entry/EntrySettings.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntrySettings.java
@@ -11,9 +11,9 @@
  * @param incarnation which life of its process
  * @param dataCenter where it stands
  * @param helloIntervalMs time between hellos on one connection
- * @param silenceMs time without an answer after which a connection to a member is made anew
- * @param giveUpHoldMs time since the last lease seen after which the lowest tier is given up
- * @param giveUpStepMs time from one tier's giving up to the next higher one's
+ * @param silenceTimeoutMs time without an answer after which a connection to a member is made anew
+ * @param sheddingDelayMs time since the last lease seen after which the lowest tier is given up
+ * @param sheddingStepMs time from one tier's giving up to the next higher one's
  * @param resumeBackoffMs wait before the first resume of a broken stream; doubles with each
  * @param progressIntervalMs time between two progress reports of a stream
  * @param balancerDelayMs time from the start of a shutdown until the listener closes
@@ -24,9 +24,9 @@
     Incarnation incarnation,
     DataCenterId dataCenter,
     long helloIntervalMs,
-    long silenceMs,
-    long giveUpHoldMs,
-    long giveUpStepMs,
+    long silenceTimeoutMs,
+    long sheddingDelayMs,
+    long sheddingStepMs,
     long resumeBackoffMs,
     long progressIntervalMs,
     long balancerDelayMs,
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryStatus.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryStatus.java
@@ -15,7 +15,7 @@
 public record EntryStatus(
     int waitingRequests, int runningRequests, long revision, long fencing, long sessionLeftMs) {
 
-  static EntryStatus of(EntryParts parts, long nowNs) {
+  static EntryStatus of(EntryContext parts, long nowNs) {
     int running =
         parts.requests.count(RequestState.DISPATCHED)
             + parts.requests.count(RequestState.STREAMING);
--- a/core/src/main/java/org/teaseltrail/core/entry/TurnedAwayUpstreams.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/RejectedUpstreamTracker.java
@@ -12,7 +12,7 @@
  * second to every VM. Names come from callers that hold no secret, so only a bounded number is
  * kept; the oldest is forgotten, and told of again.
  */
-final class TurnedAwayUpstreams {
+final class RejectedUpstreamTracker {
 
   /** About as many servers as the two-year size has. */
   static final int MAX_UPSTREAMS = 1_000;
@@ -28,7 +28,7 @@
       };
 
   /** Notes a verdict and returns whether the upstream was turned away for another reason before. */
-  boolean isNews(UpstreamId upstream, UpstreamVerdict verdict) {
+  boolean isNewRejection(UpstreamId upstream, UpstreamVerdict verdict) {
     if (verdict == UpstreamVerdict.ACCEPTED) {
       verdicts.remove(upstream);
       return false;
--- a/core/src/main/java/org/teaseltrail/core/entry/RequestCloser.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/RequestCloser.java
@@ -13,24 +13,24 @@
 /** Ends requests: tells the caller, the scheduler and the log. */
 final class RequestCloser {
 
-  private final EntryParts parts;
+  private final EntryContext parts;
 
-  RequestCloser(EntryParts parts) {
+  RequestCloser(EntryContext parts) {
     this.parts = parts;
   }
 
   /** Ends a request that did not run and that the scheduler has let go of. */
   void notRun(Request request, NotRunReason reason, long retryAfterMs) {
     conclude(request, new Outcome.NotRun(reason, retryAfterMs));
-    parts.out.log(EntryDecisionKind.REFUSE, request, "reason=" + reason.problemName());
+    parts.actions.log(EntryDecisionKind.REFUSE, request, "reason=" + reason.problemName());
   }
 
   /** Ends a request that did not run and takes its ticket back. */
   void withdraw(Request request, WithdrawReason withdrawal, NotRunReason reason, long retryMs) {
     if (request.target().isPresent()) {
-      parts.out.add(new EntryAction.CloseUpstream(request.id()));
+      parts.actions.add(new EntryAction.CloseUpstream(request.id()));
     }
-    parts.session.tell(new EntryMessage.Withdraw(request.id(), withdrawal));
+    parts.session.sendToLeader(new EntryMessage.Withdraw(request.id(), withdrawal));
     notRun(request, reason, retryMs);
   }
 
@@ -41,14 +41,14 @@
   }
 
   void failed(Request request, FailureReason reason, long nowNs) {
-    parts.out.add(new EntryAction.CloseUpstream(request.id()));
+    parts.actions.add(new EntryAction.CloseUpstream(request.id()));
     ended(request, EndKind.FAILED, request.usageSoFar(), request.failure(reason), nowNs);
   }
 
   /** Ends a running request that no one wants any more, and stops its upstream. */
   void cancelled(Request request, FailureReason reason, long nowNs) {
     UpstreamTarget target = request.target().orElseThrow();
-    parts.out.add(
+    parts.actions.add(
         request.isAdopted()
             ? new EntryAction.CloseUpstream(request.id())
             : new EntryAction.CancelUpstream(request.id(), target));
@@ -57,7 +57,7 @@
 
   private void ended(Request request, EndKind kind, Usage usage, Outcome outcome, long nowNs) {
     if (!request.isAdopted() || kind == EndKind.COMPLETED) {
-      parts.ends.send(
+      parts.endedReports.send(
           new EntryMessage.Ended(
               request.stream(),
               request.target().orElseThrow().upstream(),
@@ -66,7 +66,7 @@
               request.sinceDispatchMs(nowNs)));
     }
     conclude(request, outcome);
-    parts.out.log(EntryDecisionKind.END, request, describe(outcome, usage, request, nowNs));
+    parts.actions.log(EntryDecisionKind.END, request, describe(outcome, usage, request, nowNs));
   }
 
   private static String describe(Outcome outcome, Usage usage, Request request, long nowNs) {
@@ -88,6 +88,6 @@
     request.end(outcome);
     parts.timers.cancel(TimerQueue.deadline(request.deadlineNs(), request.id()));
     parts.requests.moveToEnded(request);
-    parts.out.add(new EntryAction.Conclude(request.id(), outcome));
+    parts.actions.add(new EntryAction.Conclude(request.id(), outcome));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/entry/StallWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/StallDetector.java
@@ -8,7 +8,7 @@
  * shows as serving, and a new leader that hears this VM first gives it work seconds later. What is
  * read within the catch-up may be as old as the stall, so it counts as heard when the stall began.
  */
-final class StallWatch {
+final class StallDetector {
 
   /** Time without any event that counts as a stall; a VM without work says hello more often. */
   private static final long STALL_NS = 700_000_000L;
@@ -33,7 +33,7 @@
   }
 
   /** Returns the earliest time at which a message that is read now can have come. */
-  long earliestNs(long nowNs) {
+  long earliestArrivalNs(long nowNs) {
     return nowNs < caughtUpNs ? stalledSinceNs : nowNs;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/entry/StreamHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/StreamHandler.java
@@ -16,10 +16,10 @@
 /** Follows an answer from its first frame to its end mark. */
 final class StreamHandler {
 
-  private final EntryParts parts;
+  private final EntryContext parts;
   private final RequestCloser closer;
 
-  StreamHandler(EntryParts parts, RequestCloser closer) {
+  StreamHandler(EntryContext parts, RequestCloser closer) {
     this.parts = parts;
     this.closer = closer;
   }
@@ -35,7 +35,7 @@
       pass(request, frame, nowNs);
       return;
     }
-    parts.out.log(
+    parts.actions.log(
         EntryDecisionKind.DROP, request, "frame=" + frame.sequence() + " verdict=" + verdict);
     if (verdict.breaksConnection()) {
       broken(request, nowNs);
@@ -44,7 +44,7 @@
 
   private void reportFirstToken(Request request, boolean first, long nowNs) {
     if (first) {
-      parts.session.tell(
+      parts.session.sendToLeader(
           new EntryMessage.FirstToken(
               request.id(),
               request.target().orElseThrow().upstream(),
@@ -54,7 +54,7 @@
 
   private void pass(Request request, StreamFrame frame, long nowNs) {
     if (frame instanceof StreamFrame.Text text) {
-      parts.out.add(new EntryAction.Deliver(request.id(), text));
+      parts.actions.add(new EntryAction.Deliver(request.id(), text));
       reportProgress(request, nowNs);
     } else if (frame instanceof StreamFrame.End end) {
       closer.completed(request, end.usage(), nowNs);
@@ -66,7 +66,7 @@
   private void reportProgress(Request request, long nowNs) {
     long intervalNs = Millis.toNanos(parts.settings.progressIntervalMs());
     if (!request.isAdopted() && request.isProgressDue(nowNs, intervalNs)) {
-      parts.session.tell(
+      parts.session.sendToLeader(
           new EntryMessage.Progress(
               request.id(),
               request.target().orElseThrow().upstream(),
@@ -86,7 +86,7 @@
     if (!request.state().isDispatched()) {
       return;
     }
-    parts.out.add(new EntryAction.CloseUpstream(request.id()));
+    parts.actions.add(new EntryAction.CloseUpstream(request.id()));
     if (!request.tryResume()) {
       closer.failed(request, FailureReason.STREAM_BROKEN, nowNs);
       return;
@@ -101,10 +101,10 @@
   /** Asks for the rest of a stream after the wait. */
   void resume(Request request) {
     UpstreamTarget target = request.target().orElseThrow();
-    parts.out.add(
+    parts.actions.add(
         new EntryAction.Resume(
             request.id(), request.attempt(), request.stream(), target, request.nextSequence()));
-    parts.out.log(
+    parts.actions.log(
         EntryDecisionKind.RESUME,
         request,
         "from=" + request.nextSequence() + " try=" + request.resumesWithoutProgress());
--- a/core/src/main/java/org/teaseltrail/core/entry/GiveUpTimetable.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/TierSheddingPolicy.java
@@ -10,14 +10,14 @@
  * show as a higher tier refused by one VM while another keeps a lower one. All VMs saw the same
  * last lease within one hello interval, which is small against the step between tiers.
  */
-final class GiveUpTimetable {
+final class TierSheddingPolicy {
 
   private final long holdNs;
   private final long stepNs;
 
-  GiveUpTimetable(EntrySettings settings) {
-    this.holdNs = Millis.toNanos(settings.giveUpHoldMs());
-    this.stepNs = Millis.toNanos(settings.giveUpStepMs());
+  TierSheddingPolicy(EntrySettings settings) {
+    this.holdNs = Millis.toNanos(settings.sheddingDelayMs());
+    this.stepNs = Millis.toNanos(settings.sheddingStepMs());
   }
 
   /**
@@ -27,7 +27,7 @@
    * @param lowestRank the greatest rank that is configured
    * @return a rank; zero if all are given up
    */
-  int keptRank(long sinceLeaseNs, int lowestRank) {
+  int lowestKeptRank(long sinceLeaseNs, int lowestRank) {
     if (sinceLeaseNs < holdNs) {
       return Integer.MAX_VALUE;
     }
--- a/core/src/main/java/org/teaseltrail/core/entry/ScheduledWork.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/TimerHandler.java
@@ -12,21 +12,21 @@
 import org.teaseltrail.core.request.Request;
 
 /** Does what falls due with time: deadlines, resumes, and giving up without a scheduler. */
-final class ScheduledWork {
+final class TimerHandler {
 
   /** When a caller may come back whose request was given up: the time an election needs, twice. */
   static final long NO_SCHEDULER_RETRY_AFTER_MS = 5_000;
 
-  private final EntryParts parts;
+  private final EntryContext parts;
   private final RequestCloser closer;
   private final StreamHandler streams;
-  private final GiveUpTimetable timetable;
+  private final TierSheddingPolicy timetable;
 
-  ScheduledWork(EntryParts parts, RequestCloser closer, StreamHandler streams) {
+  TimerHandler(EntryContext parts, RequestCloser closer, StreamHandler streams) {
     this.parts = parts;
     this.closer = closer;
     this.streams = streams;
-    this.timetable = new GiveUpTimetable(parts.settings);
+    this.timetable = new TierSheddingPolicy(parts.settings);
   }
 
   void advance(long nowNs) {
@@ -55,14 +55,14 @@
   }
 
   private void giveUp(long nowNs) {
-    if (parts.session.isLeaseInReach(nowNs)) {
+    if (parts.session.isSchedulerReachable(nowNs)) {
       return;
     }
     int keptRank = keptRank(nowNs);
     List<Request> given =
         parts.requests.waiting().stream()
             .filter(request -> rank(request) > keptRank)
-            .sorted(Comparator.comparingInt(ScheduledWork::rank).reversed())
+            .sorted(Comparator.comparingInt(TimerHandler::rank).reversed())
             .toList();
     for (Request request : given) {
       closer.withdraw(
@@ -83,16 +83,16 @@
   }
 
   private int keptRank(long nowNs) {
-    return timetable.keptRank(
-        parts.session.sinceLeaseNs(nowNs), parts.configuration.lowestTierRank());
+    return timetable.lowestKeptRank(
+        parts.session.timeSinceLeaseNs(nowNs), parts.configuration.lowestTierRank());
   }
 
-  OptionalLong nextNs(long nowNs) {
-    OptionalLong timer = parts.timers.nextNs();
-    if (parts.session.isLeaseInReach(nowNs) || !parts.requests.isAnyWaiting()) {
+  OptionalLong nextWakeupNs(long nowNs) {
+    OptionalLong timer = parts.timers.nextDueNs();
+    if (parts.session.isSchedulerReachable(nowNs) || !parts.requests.isAnyWaiting()) {
       return timer;
     }
-    long sinceNs = parts.session.sinceLeaseNs(nowNs);
+    long sinceNs = parts.session.timeSinceLeaseNs(nowNs);
     long stepNs = parts.session.lastLeaseNs() + timetable.nextStepNs(sinceNs);
     return OptionalLong.of(timer.isPresent() ? Math.min(timer.getAsLong(), stepNs) : stepNs);
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/TimerQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/TimerQueue.java
@@ -40,7 +40,7 @@
     return due ? Optional.of(timers.pollFirst()) : Optional.empty();
   }
 
-  OptionalLong nextNs() {
+  OptionalLong nextDueNs() {
     return timers.isEmpty() ? OptionalLong.empty() : OptionalLong.of(timers.first().atNs());
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/ControlTies.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ControlTies.java
@@ -96,7 +96,7 @@
     List<VmId> asked = leader(nowNs).map(List::of).orElseGet(this::members);
     List<ForwardAction> syncs = new ArrayList<>();
     for (VmId member : asked) {
-      long sequence = session.sending(member, nowNs);
+      long sequence = session.recordSync(member, nowNs);
       syncs.add(new ForwardAction.SendControl(member, sync(node, sequence, nowNs)));
     }
     return syncs;
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardNode.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardNode.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.plan.PlanIndex;
 import org.teaseltrail.core.plan.PlanService;
 import org.teaseltrail.core.plan.ServingPlan;
-import org.teaseltrail.core.quota.QuotaUse;
+import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
@@ -211,51 +211,51 @@
       ties.session().notLeading(other);
       learnMembers(other);
     } else if (reply instanceof ServingReply.Contention contention) {
-      if (ties.session().isNewest(contention.fencing())) {
+      if (ties.session().isCurrentLeadership(contention.fencing())) {
         slots.contended(contention.fencing(), contention.services(), nowNs);
         requests.serveLines(nowNs);
       }
     } else if (reply instanceof ServingReply.SlotGrant grant) {
-      if (ties.session().isNewest(grant.fencing())) {
+      if (ties.session().isCurrentLeadership(grant.fencing())) {
         slots.granted(grant.fencing(), grant.sequence(), nowNs);
         requests.granted(grant, nowNs);
       }
     } else if (reply instanceof ServingReply.PlanUpdate update) {
-      if (ties.session().isNewest(update.fencing())) {
+      if (ties.session().isCurrentLeadership(update.fencing())) {
         apply(update.plan(), nowNs);
       }
     } else if (reply instanceof ServingReply.RegistryUpdate update) {
-      if (ties.session().isNewest(update.fencing())) {
+      if (ties.session().isCurrentLeadership(update.fencing())) {
         upstreams.update(update.revision(), update.present());
         requests.serveLines(nowNs);
       }
     } else if (reply instanceof ServingReply.RolloutUpdate update) {
-      if (ties.session().isNewest(update.fencing())) {
+      if (ties.session().isCurrentLeadership(update.fencing())) {
         gate.told(update);
         requests.serveLines(nowNs);
       }
     } else if (reply instanceof ServingReply.CanaryLoans loans) {
-      if (ties.session().isNewest(loans.fencing())) {
+      if (ties.session().isCurrentLeadership(loans.fencing())) {
         gate.lent(loans);
       }
     } else if (reply instanceof ServingReply.LimitUpdate update) {
-      if (ties.session().isNewest(update.fencing())) {
+      if (ties.session().isCurrentLeadership(update.fencing())) {
         limits.told(update, nowNs);
         requests.serveLines(nowNs);
       }
     } else if (reply instanceof ServingReply.SendPermits permits) {
-      if (ties.session().isNewest(permits.fencing())) {
+      if (ties.session().isCurrentLeadership(permits.fencing())) {
         limits.permitted(permits);
         requests.serveLines(nowNs);
       }
     } else if (reply instanceof ServingReply.QuarantineUpdate update) {
-      if (ties.session().isNewest(update.fencing())) {
+      if (ties.session().isCurrentLeadership(update.fencing())) {
         quarantine.told(update, nowNs);
         requests.giveUpHeld(nowNs);
         requests.serveLines(nowNs);
       }
     } else if (reply instanceof ServingReply.Trial trial) {
-      if (ties.session().isNewest(trial.fencing())) {
+      if (ties.session().isCurrentLeadership(trial.fencing())) {
         quarantine.allowed(trial, nowNs);
       }
     }
@@ -346,7 +346,7 @@
     return upstreams.inFlight();
   }
 
-  List<QuotaUse> quotaUses(long sequence, long nowNs) {
+  List<QuotaReport> quotaUses(long sequence, long nowNs) {
     return quotas.uses(sequence, ties.session().isValid(nowNs), nowNs);
   }
 
@@ -377,7 +377,7 @@
     }
     quotas.configure(newer);
     reception.configure(new PlanIndex(newer));
-    ties.session().inForce(newer.version());
+    ties.session().recordPlanVersion(newer.version());
     reception.lookAgain(nowNs);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardSettings.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 
 /**
  * Sets how an entry VM forwards.
@@ -28,7 +28,7 @@
     double retryRatio,
     long retryWindowMs,
     double retrySlack,
-    QuotaBounds quotas,
+    QuotaPolicy quotas,
     long seed) {
   /** Copies the list. */
   public ForwardSettings {
--- a/core/src/main/java/org/teaseltrail/core/forward/LeaderReports.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LeaderReports.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 
 /** Tells the leader, beside syncs, what it needs to know of this VM to decide for all. */
@@ -64,7 +64,7 @@
     if (!changed) {
       return;
     }
-    List<LineState> lines = requests.lines().states(nowNs);
+    List<QueueState> lines = requests.lines().states(nowNs);
     if (!lines.isEmpty() || slots.isAnyContended()) {
       toldChanges = requests.changes();
       ServingMessage.Lines told =
--- a/core/src/main/java/org/teaseltrail/core/forward/LimitTies.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LimitTies.java
@@ -8,15 +8,15 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.teaseltrail.core.backpressure.LimitBook;
-import org.teaseltrail.core.backpressure.LimitSighting;
+import org.teaseltrail.core.backpressure.RateLimitRegistry;
+import org.teaseltrail.core.backpressure.RateLimitObservation;
 import org.teaseltrail.core.backpressure.RateLimit;
 import org.teaseltrail.core.backpressure.SendPermit;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.registry.UpstreamLife;
-import org.teaseltrail.core.serving.PermitsWanted;
+import org.teaseltrail.core.serving.PermitDemand;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
@@ -42,7 +42,7 @@
 
   private final VmId vm;
   private final UpstreamBook upstreams;
-  private final LimitBook book = new LimitBook();
+  private final RateLimitRegistry book = new RateLimitRegistry();
   private final Map<UpstreamLife, Long> newsUntilNs = new HashMap<>();
   private final TreeMap<Long, Long> askedNs = new TreeMap<>();
   private FencingNumber toldTo = new FencingNumber(0);
@@ -62,7 +62,7 @@
    * the need would let all VMs send freely.
    */
   boolean saw(UpstreamLife upstream, RateLimit limit, long dispatchedNs, long nowNs) {
-    if (!limit.isLimited() && dispatchedNs <= book.seenNs(upstream)) {
+    if (!limit.isLimited() && dispatchedNs <= book.observedNs(upstream)) {
       return false;
     }
     boolean changed = note(upstream, limit, nowNs);
@@ -74,7 +74,7 @@
 
   /** Takes what answers to other VMs said. */
   void told(ServingReply.LimitUpdate update, long nowNs) {
-    for (LimitSighting sighting : update.sightings()) {
+    for (RateLimitObservation sighting : update.sightings()) {
       note(sighting.upstream(), sighting.limit(), nowNs - sighting.agoMs() * NS_PER_MS);
     }
   }
@@ -95,13 +95,13 @@
     if (book.isEmpty()) {
       return Optional.empty();
     }
-    book.forget(upstreams.lives(), nowNs).forEach(gone -> upstreams.markLimited(gone, false));
+    book.removeStale(upstreams.lives(), nowNs).forEach(gone -> upstreams.markLimited(gone, false));
     newsUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
     boolean all = !leadership.equals(toldTo) || nowNs - allToldNs > TELL_AGAIN_NS;
     allToldNs = all ? nowNs : allToldNs;
     toldTo = leadership;
-    List<LimitSighting> told = book.sightings(life -> all || newsUntilNs.containsKey(life), nowNs);
-    List<PermitsWanted> wanted = wanted(lines, nowNs);
+    List<RateLimitObservation> told = book.sightings(life -> all || newsUntilNs.containsKey(life), nowNs);
+    List<PermitDemand> wanted = wanted(lines, nowNs);
     if (told.isEmpty() && wanted.isEmpty()) {
       return Optional.empty();
     }
@@ -111,7 +111,7 @@
   }
 
   private boolean note(UpstreamLife upstream, RateLimit limit, long seenNs) {
-    boolean changed = book.note(upstream, limit, seenNs);
+    boolean changed = book.record(upstream, limit, seenNs);
     if (changed) {
       upstreams.markLimited(upstream, limit.isLimited());
     }
@@ -119,10 +119,10 @@
   }
 
   /** Wants as many permits as there are requests here, less those in hand. */
-  private List<PermitsWanted> wanted(WaitingLines lines, long nowNs) {
+  private List<PermitDemand> wanted(WaitingLines lines, long nowNs) {
     Set<ServiceId> services = new HashSet<>();
     upstreams.limited().forEach(view -> services.add(view.registration().service()));
-    List<PermitsWanted> wanted = new ArrayList<>();
+    List<PermitDemand> wanted = new ArrayList<>();
     for (ServiceId service : services) {
       int here = lines.of(service).size();
       for (UpstreamView view : upstreams.of(service)) {
@@ -130,7 +130,7 @@
       }
       if (here > 0) {
         int requests = Math.min(MOST_WANTED, here);
-        wanted.add(new PermitsWanted(service, requests, lines.of(service).mostUrgent()));
+        wanted.add(new PermitDemand(service, requests, lines.of(service).mostUrgent()));
       }
     }
     return wanted;
--- a/core/src/main/java/org/teaseltrail/core/forward/PlaceCount.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/PlaceCount.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import org.teaseltrail.core.id.ServiceId;
-import org.teaseltrail.core.serving.HeldPlaces;
+import org.teaseltrail.core.serving.SlotUsage;
 
 /** Counts the places that requests of each kind hold. */
 final class PlaceCount {
@@ -21,11 +21,11 @@
     places.computeIfPresent(kind(request), (kind, count) -> count > 1 ? count - 1 : null);
   }
 
-  List<HeldPlaces> all() {
+  List<SlotUsage> all() {
     return places.entrySet().stream()
         .map(
             entry ->
-                new HeldPlaces(
+                new SlotUsage(
                     entry.getKey().service(), entry.getKey().routeRank(), entry.getValue()))
         .toList();
   }
--- a/core/src/main/java/org/teaseltrail/core/forward/Placer.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/Placer.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.teaseltrail.core.id.ServiceId;
-import org.teaseltrail.core.serving.HeldPlaces;
+import org.teaseltrail.core.serving.SlotUsage;
 
 /** Sends requests to upstreams that have room, and counts the places that they hold there. */
 final class Placer {
@@ -89,7 +89,7 @@
   }
 
   /** Tells which kinds of requests hold the places that are in use. */
-  List<HeldPlaces> held() {
+  List<SlotUsage> held() {
     return places.all();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaDesk.java
@@ -10,9 +10,9 @@
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.plan.PlanCustomer;
 import org.teaseltrail.core.plan.ServingPlan;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaGrant;
-import org.teaseltrail.core.quota.QuotaUse;
+import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.serving.ServingReply;
 
 /** Keeps customers' quotas at this VM. */
@@ -32,7 +32,7 @@
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private final QuotaBounds bounds;
+  private final QuotaPolicy bounds;
   private final long memoryNs;
   private final Map<CustomerId, QuotaWindow> windows = new HashMap<>();
   private final TreeMap<Long, Map<CustomerId, Double>> usedBefore = new TreeMap<>();
@@ -45,7 +45,7 @@
    * @param bounds how quotas are counted
    * @param sessionLifetimeMs how long other VMs may use what they were allowed, in milliseconds
    */
-  QuotaDesk(QuotaBounds bounds, long sessionLifetimeMs) {
+  QuotaDesk(QuotaPolicy bounds, long sessionLifetimeMs) {
     this.bounds = bounds;
     memoryNs = (bounds.windowMs() + sessionLifetimeMs) * NS_PER_MS;
   }
@@ -124,7 +124,7 @@
    * @param mayTake whether requests may be admitted; if not, allowances are given back
    * @param nowNs time
    */
-  List<QuotaUse> uses(long sequence, boolean mayTake, long nowNs) {
+  List<QuotaReport> uses(long sequence, boolean mayTake, long nowNs) {
     Map<CustomerId, Double> used = new HashMap<>();
     windows.forEach((id, window) -> used.put(id, window.used(nowNs)));
     usedBefore.put(sequence, used);
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.core.forward;
 
 import org.teaseltrail.core.id.CustomerId;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaGrant;
-import org.teaseltrail.core.quota.QuotaUse;
-import org.teaseltrail.core.quota.SlidingSum;
+import org.teaseltrail.core.quota.QuotaReport;
+import org.teaseltrail.core.quota.SlidingWindowSum;
 
 /**
  * Is a customer's quota as one VM sees it: what was used here within the window, what the leader
@@ -23,8 +23,8 @@
   private static final double DEMAND_WINDOW_S = 2;
 
   private final CustomerId customer;
-  private final QuotaBounds bounds;
-  private final SlidingSum history;
+  private final QuotaPolicy bounds;
+  private final SlidingWindowSum history;
   private QuotaGrant grant;
   private double holdable;
   private double reserved;
@@ -36,10 +36,10 @@
   private long lastNs;
   private boolean begun;
 
-  QuotaWindow(CustomerId customer, QuotaBounds bounds) {
+  QuotaWindow(CustomerId customer, QuotaPolicy bounds) {
     this.customer = customer;
     this.bounds = bounds;
-    history = new SlidingSum(bounds.windowMs());
+    history = new SlidingWindowSum(bounds.windowMs());
     grant = new QuotaGrant(customer, 0, 0, 0, 0, 0);
   }
 
@@ -129,7 +129,7 @@
 
   /** Returns what was used here within the window or is set aside for requests that wait. */
   double used(long nowNs) {
-    return history.at(nowNs) + reserved;
+    return history.total(nowNs) + reserved;
   }
 
   /**
@@ -139,9 +139,9 @@
    * @param remembers whether what a leader counted for others may still matter
    * @param nowNs time
    */
-  QuotaUse use(boolean mayTake, boolean remembers, long nowNs) {
+  QuotaReport use(boolean mayTake, boolean remembers, long nowNs) {
     pass(nowNs);
-    return new QuotaUse(
+    return new QuotaReport(
         customer,
         used(nowNs),
         takenEver,
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestDesk.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.teaseltrail.core.id.ServiceId;
-import org.teaseltrail.core.serving.HeldPlaces;
+import org.teaseltrail.core.serving.SlotUsage;
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
@@ -352,7 +352,7 @@
   }
 
   /** Tells which kinds of requests hold the places that are in use. */
-  List<HeldPlaces> held() {
+  List<SlotUsage> held() {
     return placer.held();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamBook.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamBook.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.UpstreamLife;
-import org.teaseltrail.core.serving.UpstreamPlaces;
+import org.teaseltrail.core.serving.UpstreamSlots;
 
 /** Holds this VM's views of all registered upstreams. */
 final class UpstreamBook {
@@ -131,7 +131,7 @@
   }
 
   /** Takes what the leader tells of the places at the upstreams of a revision. */
-  void placesTold(UpstreamPlaces places, long ofRevision, long nowNs) {
+  void placesTold(UpstreamSlots places, long ofRevision, long nowNs) {
     boolean ofThese = ofRevision == revision && places.elsewhere().size() == inOrder.size();
     if (places.isNone() || !ofThese) {
       return;
--- a/core/src/main/java/org/teaseltrail/core/forward/WaitingLine.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/WaitingLine.java
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 import java.util.stream.Stream;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.Urgency;
 
 /**
@@ -88,14 +88,14 @@
   }
 
   /** Tells what waits by urgency, the most urgent first. */
-  List<LineState.Waiting> byUrgency(long nowNs) {
+  List<QueueState.WaitTimes> byUrgency(long nowNs) {
     TreeMap<Urgency, List<Long>> waits = new TreeMap<>();
     for (TrackedForward tracked : waiting) {
       long waitedMs = (nowNs - tracked.arrivedNs()) / NS_PER_MS;
       waits.computeIfAbsent(tracked.urgency(), key -> new ArrayList<>()).add(waitedMs);
     }
     return waits.entrySet().stream()
-        .map(entry -> new LineState.Waiting(entry.getKey(), entry.getValue()))
+        .map(entry -> new QueueState.WaitTimes(entry.getKey(), entry.getValue()))
         .toList();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/WaitingLines.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/WaitingLines.java
@@ -7,7 +7,7 @@
 import java.util.function.Predicate;
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamId;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.QueueState;
 
 /** Holds the lines of all services, and knows who serves them: this VM or the leader. */
 final class WaitingLines {
@@ -59,13 +59,13 @@
   }
 
   /** Tells what waits for engines. */
-  List<LineState> states(long nowNs) {
-    List<LineState> states = new ArrayList<>();
+  List<QueueState> states(long nowNs) {
+    List<QueueState> states = new ArrayList<>();
     lines.forEach(
         (service, waiting) -> {
           if (isEngine.test(service) && !waiting.isEmpty()) {
             states.add(
-                new LineState(
+                new QueueState(
                     service,
                     waiting.byUrgency(nowNs),
                     unwanted(service, nowNs),
--- a/core/src/main/java/org/teaseltrail/core/quota/QuotaBounds.java
+++ b/core/src/main/java/org/teaseltrail/core/quota/QuotaPolicy.java
@@ -6,13 +6,13 @@
  * Says how quotas are counted over all entry VMs, by the users' rules.
  *
  * @param windowMs time over which a quota is counted, in milliseconds
- * @param over part of a quota by which it may be passed by mistake
- * @param tokenSlack tokens that may pass a quota in tokens besides
+ * @param toleranceRatio part of a quota by which it may be passed by mistake
+ * @param toleranceTokens tokens that may pass a quota in tokens besides
  */
-public record QuotaBounds(long windowMs, double over, double tokenSlack) {
+public record QuotaPolicy(long windowMs, double toleranceRatio, double toleranceTokens) {
 
   /** The users' window, without any tolerance. */
-  public static final QuotaBounds DEFAULT = new QuotaBounds(8_000, 0, 0);
+  public static final QuotaPolicy DEFAULT = new QuotaPolicy(8_000, 0, 0);
 
   private static final double MS_PER_S = 1_000;
 
@@ -33,7 +33,7 @@
    * @return requests or tokens, by the customer's unit
    */
   public double tolerance(PlanCustomer customer) {
-    double slack = customer.quotaInTokens() ? tokenSlack : 0;
-    return limit(customer) * over + slack;
+    double slack = customer.quotaInTokens() ? toleranceTokens : 0;
+    return limit(customer) * toleranceRatio + slack;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/quota/QuotaUse.java
+++ b/core/src/main/java/org/teaseltrail/core/quota/QuotaReport.java
@@ -17,7 +17,7 @@
  * @param heldByEnded the same for ended lives of VMs
  * @param endedForMs the same for how long that counts on
  */
-public record QuotaUse(
+public record QuotaReport(
     CustomerId customer,
     double used,
     double takenEver,
--- a/core/src/main/java/org/teaseltrail/core/quota/SlidingSum.java
+++ b/core/src/main/java/org/teaseltrail/core/quota/SlidingWindowSum.java
@@ -5,7 +5,7 @@
 import java.util.Iterator;
 
 /** Adds up amounts, each for the length of a window from its time on. */
-public final class SlidingSum {
+public final class SlidingWindowSum {
 
   private record Entry(long atNs, double amount) {}
 
@@ -18,7 +18,7 @@
    *
    * @param windowMs how long an amount counts, in milliseconds
    */
-  public SlidingSum(long windowMs) {
+  public SlidingWindowSum(long windowMs) {
     windowNs = windowMs * 1_000_000L;
   }
 
@@ -60,7 +60,7 @@
    * @param nowNs time
    * @return their sum
    */
-  public double at(long nowNs) {
+  public double total(long nowNs) {
     while (!entries.isEmpty() && nowNs - entries.peekFirst().atNs() > windowNs) {
       sum -= entries.removeFirst().amount();
     }
@@ -76,7 +76,7 @@
    * @param nowNs time
    * @return nanoseconds, 0 if there is none
    */
-  public long lastsNs(long nowNs) {
+  public long timeUntilEmptyNs(long nowNs) {
     return entries.isEmpty() ? 0 : Math.max(0, entries.peekLast().atNs() + windowNs - nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/serving/PermitsWanted.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/PermitDemand.java
@@ -10,7 +10,7 @@
  * @param requests how many permits are of use
  * @param waiting urgency of the most urgent request that waits there, if any does
  */
-public record PermitsWanted(ServiceId service, int requests, Optional<Urgency> waiting) {
+public record PermitDemand(ServiceId service, int requests, Optional<Urgency> waiting) {
 
   /**
    * Tells whether this goes before what another VM wants.
@@ -18,7 +18,7 @@
    * @param other what the other wants of the same service
    * @return true if a more urgent request waits here
    */
-  public boolean goesBefore(PermitsWanted other) {
+  public boolean hasPriorityOver(PermitDemand other) {
     return waiting.isPresent()
         && (other.waiting().isEmpty() || waiting.get().compareTo(other.waiting().get()) < 0);
   }
--- a/core/src/main/java/org/teaseltrail/core/serving/LineState.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/QueueState.java
@@ -12,11 +12,11 @@
  * @param unwanted upstreams that none of them can use at present
  * @param slow upstreams where one prompt after the other is to be read
  */
-public record LineState(
-    ServiceId service, List<Waiting> waiting, List<UpstreamId> unwanted, List<UpstreamId> slow) {
+public record QueueState(
+    ServiceId service, List<WaitTimes> waiting, List<UpstreamId> unwanted, List<UpstreamId> slow) {
 
   /** Copies the lists. */
-  public LineState {
+  public QueueState {
     waiting = List.copyOf(waiting);
     unwanted = List.copyOf(unwanted);
     slow = List.copyOf(slow);
@@ -37,10 +37,10 @@
    * @param urgency the urgency
    * @param waitedMs how long each request has waited, in milliseconds, the longest first
    */
-  public record Waiting(Urgency urgency, List<Long> waitedMs) {
+  public record WaitTimes(Urgency urgency, List<Long> waitedMs) {
 
     /** Copies the list. */
-    public Waiting {
+    public WaitTimes {
       waitedMs = List.copyOf(waitedMs);
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 import java.util.Map;
-import org.teaseltrail.core.backpressure.LimitSighting;
+import org.teaseltrail.core.backpressure.RateLimitObservation;
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.quarantine.Loss;
-import org.teaseltrail.core.quota.QuotaUse;
+import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.rollout.RolloutUse;
 
 /** Is a message from an entry VM that places requests itself to a control member. */
@@ -44,7 +44,7 @@
       long quarantineRevision,
       long rolloutRevision,
       Map<UpstreamId, Integer> inFlight,
-      List<QuotaUse> quotas)
+      List<QuotaReport> quotas)
       implements ServingMessage {
     /** Copies the map and the list. */
     public Sync {
@@ -95,7 +95,7 @@
    * @param sightings what the upstreams said; now and then all that is known
    * @param wanted what the VM could send, for each service
    */
-  record Limits(VmId vm, long sequence, List<LimitSighting> sightings, List<PermitsWanted> wanted)
+  record Limits(VmId vm, long sequence, List<RateLimitObservation> sightings, List<PermitDemand> wanted)
       implements ServingMessage {
     /** Copies the lists. */
     public Limits {
@@ -119,8 +119,8 @@
       long grantsSeen,
       Map<UpstreamId, Integer> inFlight,
       Map<UpstreamId, Integer> unread,
-      List<HeldPlaces> held,
-      List<LineState> lines)
+      List<SlotUsage> held,
+      List<QueueState> lines)
       implements ServingMessage {
     /** Copies the maps and the lists. */
     public Lines {
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.teaseltrail.core.backpressure.LimitSighting;
+import org.teaseltrail.core.backpressure.RateLimitObservation;
 import org.teaseltrail.core.backpressure.SendPermit;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.ServiceId;
@@ -44,7 +44,7 @@
    * @param vmCount entry VMs with a session
    * @param members VMs of all members
    * @param places what the others have at upstreams, and which places are the VM's own; {@link
-   *     UpstreamPlaces#NONE} for as long as the leader doesn't know
+   *     UpstreamSlots#NONE} for as long as the leader doesn't know
    * @param contended services whose places the leader hands out
    * @param quotas what the VM may take of customers' quotas
    */
@@ -55,7 +55,7 @@
       long registryRevision,
       int vmCount,
       List<VmId> members,
-      UpstreamPlaces places,
+      UpstreamSlots places,
       List<ServiceId> contended,
       List<QuotaGrant> quotas)
       implements ServingReply {
@@ -171,7 +171,7 @@
    * @param fencing the leadership that tells
    * @param sightings what the upstreams said last, to whichever VM
    */
-  record LimitUpdate(FencingNumber fencing, List<LimitSighting> sightings) implements ServingReply {
+  record LimitUpdate(FencingNumber fencing, List<RateLimitObservation> sightings) implements ServingReply {
     /** Copies the list. */
     public LimitUpdate {
       sightings = List.copyOf(sightings);
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingSession.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingSession.java
@@ -48,7 +48,7 @@
    * @param nowNs time on the clock that counts freezes
    * @return the sync's sequence
    */
-  public long sending(VmId member, long nowNs) {
+  public long recordSync(VmId member, long nowNs) {
     lastSequence++;
     open.values().removeIf(sent -> nowNs - sent.atNs() > lifetimeNs);
     open.put(lastSequence, new Sent(member, nowNs));
@@ -64,7 +64,7 @@
    */
   public boolean confirmed(ServingReply.Confirmed reply, long nowNs) {
     Sent sent = open.remove(reply.sequence());
-    if (sent == null || !isNewest(reply.fencing())) {
+    if (sent == null || !isCurrentLeadership(reply.fencing())) {
       return false;
     }
     newestFencing = reply.fencing();
@@ -92,7 +92,7 @@
    *
    * @param version its version
    */
-  public void inForce(long version) {
+  public void recordPlanVersion(long version) {
     planVersion = version;
     countIfInForce();
   }
@@ -103,7 +103,7 @@
    * @param fencing the leadership
    * @return false if a newer one was seen
    */
-  public boolean isNewest(FencingNumber fencing) {
+  public boolean isCurrentLeadership(FencingNumber fencing) {
     return fencing.compareTo(newestFencing) >= 0;
   }
 
@@ -130,11 +130,11 @@
    * Returns the leader's VM if it has answered lately.
    *
    * @param nowNs time on the clock that counts freezes
-   * @param patienceNs how long ago it may have answered, in nanoseconds
+   * @param timeoutNs how long ago it may have answered, in nanoseconds
    * @return the VM to send syncs to, or empty to ask all members
    */
-  public Optional<VmId> leader(long nowNs, long patienceNs) {
-    boolean silent = leader == null || nowNs - leaderAnsweredNs > patienceNs;
+  public Optional<VmId> leader(long nowNs, long timeoutNs) {
+    boolean silent = leader == null || nowNs - leaderAnsweredNs > timeoutNs;
     return silent ? Optional.empty() : Optional.of(leader);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/serving/HeldPlaces.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/SlotUsage.java
@@ -9,4 +9,4 @@
  * @param routeRank rank of their routes, 0 the highest
  * @param places requests at the service's upstreams
  */
-public record HeldPlaces(ServiceId service, int routeRank, int places) {}
+public record SlotUsage(ServiceId service, int routeRank, int places) {}
--- a/core/src/main/java/org/teaseltrail/core/serving/UpstreamPlaces.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/UpstreamSlots.java
@@ -13,13 +13,13 @@
  * @param elsewhere requests that the other entry VMs have at each upstream
  * @param ownParts places at each upstream that the VM may fill while it hears nothing from a leader
  */
-public record UpstreamPlaces(List<Integer> elsewhere, List<Integer> ownParts) {
+public record UpstreamSlots(List<Integer> elsewhere, List<Integer> ownParts) {
 
   /** The leader doesn't know yet; what an entry VM was told before goes on. */
-  public static final UpstreamPlaces NONE = new UpstreamPlaces(List.of(), List.of());
+  public static final UpstreamSlots NONE = new UpstreamSlots(List.of(), List.of());
 
   /** Copies the lists. */
-  public UpstreamPlaces {
+  public UpstreamSlots {
     elsewhere = List.copyOf(elsewhere);
     ownParts = List.copyOf(ownParts);
   }
@@ -32,11 +32,11 @@
    * @param ownParts places of the VM, by upstream; those without any left out
    * @return the places
    */
-  public static UpstreamPlaces of(
+  public static UpstreamSlots of(
       List<Registration> present,
       Map<UpstreamId, Integer> elsewhere,
       Map<UpstreamId, Integer> ownParts) {
-    return new UpstreamPlaces(inOrder(present, elsewhere), inOrder(present, ownParts));
+    return new UpstreamSlots(inOrder(present, elsewhere), inOrder(present, ownParts));
   }
 
   /** Tells whether the leader doesn't know yet. */
--- a/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.teaseltrail.core.claim.ClaimBook;
+import org.teaseltrail.core.claim.ClaimStore;
 import org.teaseltrail.core.claim.ClaimRecord;
 import org.teaseltrail.core.configuration.Configuration;
 import org.teaseltrail.core.configuration.ConfigurationEditor;
@@ -47,7 +47,7 @@
   public static final long NO_PLAN = -1;
 
   private final ChangeHistory changes;
-  private final ClaimBook claims;
+  private final ClaimStore claims;
   private Configuration configuration;
   private final RegistryBook registry;
   private final HeldBook held;
@@ -64,7 +64,7 @@
     logTimeMs = snapshot.logTimeMs();
     configuration = snapshot.configuration();
     changes = new ChangeHistory(snapshot.changes());
-    claims = ClaimBook.restore(snapshot.claims(), snapshot.claimLimits());
+    claims = ClaimStore.restore(snapshot.claims(), snapshot.claimLimits());
     ServingState serving = snapshot.serving().orElse(ServingState.empty());
     plan = serving.plan();
     registry = new RegistryBook(serving.registryRevision(), serving.registrations());
@@ -213,7 +213,7 @@
   }
 
   /** Returns the claims, to look up only. */
-  public ClaimBook claims() {
+  public ClaimStore claims() {
     return claims;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
+++ b/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.teaseltrail.core.claim.ClaimRecord;
-import org.teaseltrail.core.claim.OpenResult;
+import org.teaseltrail.core.claim.OpenClaimResult;
 import org.teaseltrail.core.rollout.RolloutAnswer;
 
 /** Is what a command came to. */
@@ -20,7 +20,7 @@
    *
    * @param result what it came to
    */
-  record OfOpen(OpenResult result) implements CommandResult {}
+  record OfOpen(OpenClaimResult result) implements CommandResult {}
 
   /**
    * The end or adoption of a claim.
--- a/core/src/test/java/org/teaseltrail/core/backpressure/PermitBucketTest.java
+++ b/core/src/test/java/org/teaseltrail/core/backpressure/PermitBucketTest.java
@@ -13,7 +13,7 @@
   private int taken(RateLimit limit, int wanted, int fromMs, int untilMs) {
     int taken = 0;
     for (int ms = fromMs; ms < untilMs; ms++) {
-      taken += bucket.take(limit, wanted, ms * NS_PER_MS);
+      taken += bucket.acquire(limit, wanted, ms * NS_PER_MS);
     }
     return taken;
   }
@@ -26,14 +26,14 @@
   /** A leader that begins with a full bucket adds to what the one before gave out. */
   @Test
   void beginsEmpty() {
-    assertThat(bucket.take(new RateLimit(100), 9, 0)).isZero();
+    assertThat(bucket.acquire(new RateLimit(100), 9, 0)).isZero();
   }
 
   /** Permits that nobody wanted for a minute are all sent at once. */
   @Test
   void gathersOnlyFewPermits() {
-    bucket.take(new RateLimit(1.6), 0, 60_000 * NS_PER_MS);
-    assertThat(bucket.take(new RateLimit(1.6), 100, 60_001 * NS_PER_MS)).isEqualTo(1);
+    bucket.acquire(new RateLimit(1.6), 0, 60_000 * NS_PER_MS);
+    assertThat(bucket.acquire(new RateLimit(1.6), 100, 60_001 * NS_PER_MS)).isEqualTo(1);
   }
 
   /** An upstream that takes nothing is never asked again whether it still does. */
@@ -45,6 +45,6 @@
   /** A number of requests that is beyond any wish overflows. */
   @Test
   void givesWhatIsWantedUnderHugeLimit() {
-    assertThat(bucket.take(new RateLimit(1e300), 7, NS_PER_MS)).isEqualTo(7);
+    assertThat(bucket.acquire(new RateLimit(1e300), 7, NS_PER_MS)).isEqualTo(7);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/claim/ClaimBookTest.java
+++ b/core/src/test/java/org/teaseltrail/core/claim/ClaimStoreTest.java
@@ -14,12 +14,12 @@
 import org.teaseltrail.core.message.ClaimState;
 import org.teaseltrail.core.message.EndKind;
 
-class ClaimBookTest {
+class ClaimStoreTest {
 
   private static final RequestId FIRST = new RequestId("r1");
   private static final RequestId SECOND = new RequestId("r2");
 
-  private final ClaimBook book = new ClaimBook();
+  private final ClaimStore book = new ClaimStore();
 
   static ClaimRecord wish(String key, String holder, boolean nonIdempotent, long nowMs) {
     return new ClaimRecord(
@@ -43,9 +43,9 @@
     book.open(wish("k", "r1", true, 0));
     book.open(wish("k", "r1", true, 10));
     assertThat(book.release(FIRST, 1)).isFalse();
-    assertThat(book.open(wish("k", "r2", true, 20))).isInstanceOf(OpenResult.Held.class);
+    assertThat(book.open(wish("k", "r2", true, 20))).isInstanceOf(OpenClaimResult.Held.class);
     assertThat(book.release(FIRST, 2)).isTrue();
-    assertThat(book.open(wish("k", "r2", true, 30))).isInstanceOf(OpenResult.Opened.class);
+    assertThat(book.open(wish("k", "r2", true, 30))).isInstanceOf(OpenClaimResult.Opened.class);
   }
 
   /** A release that comes after the end must not free the key of work that ran. */
@@ -54,7 +54,7 @@
     book.open(wish("k", "r1", true, 0));
     book.finish(FIRST, EndKind.FAILED, 5);
     assertThat(book.release(FIRST, 1)).isFalse();
-    assertThat(book.open(wish("k", "r2", true, 20))).isInstanceOf(OpenResult.Held.class);
+    assertThat(book.open(wish("k", "r2", true, 20))).isInstanceOf(OpenClaimResult.Held.class);
   }
 
   /**
@@ -79,8 +79,8 @@
     book.open(wish("b", "r2", true, 0));
     book.finish(FIRST, EndKind.COMPLETED, 1);
     book.finish(SECOND, EndKind.COMPLETED, 2);
-    assertThat(book.open(wish("c", "r3", true, 3))).isInstanceOf(OpenResult.Opened.class);
-    assertThat(book.open(wish("d", "r4", true, 4))).isInstanceOf(OpenResult.Full.class);
+    assertThat(book.open(wish("c", "r3", true, 3))).isInstanceOf(OpenClaimResult.Opened.class);
+    assertThat(book.open(wish("d", "r4", true, 4))).isInstanceOf(OpenClaimResult.Full.class);
     assertThat(book.byHolder(SECOND)).isPresent();
   }
 
@@ -104,7 +104,7 @@
   void assertsOneClaimForEachKey() {
     ClaimRecord one = wish("k", "r1", true, 0);
     ClaimRecord other = wish("k", "r2", true, 0);
-    assertThatThrownBy(() -> ClaimBook.restore(List.of(one, other), ClaimLimits.DEFAULT))
+    assertThatThrownBy(() -> ClaimStore.restore(List.of(one, other), ClaimLimits.DEFAULT))
         .isInstanceOf(InvariantViolation.class);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
@@ -12,10 +12,10 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.InstalledPlan;
 import org.teaseltrail.core.plan.Plans;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
-import org.teaseltrail.core.serving.UpstreamPlaces;
+import org.teaseltrail.core.serving.UpstreamSlots;
 import org.teaseltrail.core.serving.Urgency;
 
 /** Tells and hands out places only once a new leader knows who holds them. */
@@ -41,7 +41,7 @@
     leader = group.leader();
   }
 
-  private UpstreamPlaces toldPlaces() {
+  private UpstreamSlots toldPlaces() {
     sequence++;
     leader.handle(
         new ControlEvent.FromServingVm(
@@ -64,10 +64,10 @@
   }
 
   private long grantsAfterLine() {
-    LineState line =
-        new LineState(
+    QueueState line =
+        new QueueState(
             Plans.ENGINES,
-            List.of(new LineState.Waiting(new Urgency(1, false, 0), List.of(5L))),
+            List.of(new QueueState.WaitTimes(new Urgency(1, false, 0), List.of(5L))),
             List.of(),
             List.of());
     leader.handle(
@@ -83,7 +83,7 @@
    */
   @Test
   void newLeaderTellsNothingOfPlacesBeforeAllVmsCanHaveTold() {
-    assertThat(toldPlaces()).isEqualTo(UpstreamPlaces.NONE);
+    assertThat(toldPlaces()).isEqualTo(UpstreamSlots.NONE);
     group.run(SETTLED_MS);
     assertThat(toldPlaces().ownParts()).containsExactly(4);
   }
--- a/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
@@ -27,7 +27,7 @@
 import org.teaseltrail.core.registry.RegistryBook;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
-import org.teaseltrail.core.serving.UpstreamPlaces;
+import org.teaseltrail.core.serving.UpstreamSlots;
 
 /**
  * Plays a burst on several entry VMs while no member leads. The pattern: many users come at once
@@ -133,7 +133,7 @@
         1,
         VMS,
         List.of(ForwardSamples.MEMBER),
-        UpstreamPlaces.of(
+        UpstreamSlots.of(
             registry().present(), elsewhere, shares.of(sync.vm(), registry(), ms * MS)),
         List.of(),
         List.of());
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
@@ -17,8 +17,8 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.Plans;
-import org.teaseltrail.core.quota.QuotaBounds;
-import org.teaseltrail.core.quota.SlidingSum;
+import org.teaseltrail.core.quota.QuotaPolicy;
+import org.teaseltrail.core.quota.SlidingWindowSum;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
@@ -56,8 +56,8 @@
   private static final class Run {
     private final SplittableRandom random;
     private final List<Vm> vms = new ArrayList<>();
-    private final SlidingSum used = new SlidingSum(QuotaBounds.DEFAULT.windowMs());
-    private QuotaLedger ledger = new QuotaLedger(QuotaBounds.DEFAULT.windowMs(), SILENT_MS, 0);
+    private final SlidingWindowSum used = new SlidingWindowSum(QuotaPolicy.DEFAULT.windowMs());
+    private QuotaLedger ledger = new QuotaLedger(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, 0);
     private FencingNumber term = new FencingNumber(1);
     private long lastNumber;
     private double usedEver;
@@ -81,7 +81,7 @@
         for (Vm vm : vms) {
           step(vm, ms);
         }
-        assertThat(used.at(ms * MS)).as("used at %s ms", ms).isLessThanOrEqualTo(LIMIT + 1);
+        assertThat(used.total(ms * MS)).as("used at %s ms", ms).isLessThanOrEqualTo(LIMIT + 1);
       }
       assertThat(usedEver).as("used in all").isGreaterThan(LIMIT / 4);
     }
@@ -117,7 +117,7 @@
     private void changeLeader(long ms) {
       if (vms.stream().anyMatch(vm -> isSound(vm, ms))) {
         term = new FencingNumber(term.value() + 1);
-        ledger = new QuotaLedger(QuotaBounds.DEFAULT.windowMs(), SILENT_MS, ms * MS);
+        ledger = new QuotaLedger(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, ms * MS);
       }
     }
 
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.quarantine.RequestContent;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.serving.ServingReply;
-import org.teaseltrail.core.serving.UpstreamPlaces;
+import org.teaseltrail.core.serving.UpstreamSlots;
 
 /** Makes entry VMs and requests for tests of a quota over several VMs. */
 final class QuotaSamples {
@@ -25,7 +25,7 @@
   private static final int MANY = 1_000_000;
 
   /** What the leader tells of the upstream: there is room for whatever a VM sends. */
-  static final UpstreamPlaces PLACES = new UpstreamPlaces(List.of(0), List.of(MANY));
+  static final UpstreamSlots PLACES = new UpstreamSlots(List.of(0), List.of(MANY));
 
   private static final FencingNumber TERM = new FencingNumber(1);
 
--- a/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
@@ -13,8 +13,8 @@
 import org.teaseltrail.core.plan.Plans;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.serving.HeldPlaces;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.SlotUsage;
+import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.Urgency;
 
@@ -31,7 +31,7 @@
   private final SlotDesk desk = new SlotDesk();
   private List<UpstreamId> slow = List.of();
   private Map<UpstreamId, Integer> unread = Map.of();
-  private List<HeldPlaces> held = List.of();
+  private List<SlotUsage> held = List.of();
 
   private static Registration engine(String id, RegistrationPhase phase) {
     return engine(id, phase, 2);
@@ -48,12 +48,12 @@
   private void tell(
       VmId vm, long seen, int inFlight, Urgency urgency, int waiting, List<UpstreamId> unwanted) {
     List<Long> waitedMs = Collections.nCopies(waiting, 100L);
-    tell(vm, seen, inFlight, new LineState.Waiting(urgency, waitedMs), unwanted);
+    tell(vm, seen, inFlight, new QueueState.WaitTimes(urgency, waitedMs), unwanted);
   }
 
   private void tell(
-      VmId vm, long seen, int inFlight, LineState.Waiting waiting, List<UpstreamId> unwanted) {
-    LineState line = new LineState(Plans.ENGINES, List.of(waiting), unwanted, slow);
+      VmId vm, long seen, int inFlight, QueueState.WaitTimes waiting, List<UpstreamId> unwanted) {
+    QueueState line = new QueueState(Plans.ENGINES, List.of(waiting), unwanted, slow);
     Map<UpstreamId, Integer> there = Map.of(ENGINE.id(), inFlight);
     desk.lines(new ServingMessage.Lines(vm, seen, there, unread, held, List.of(line)), 0);
   }
@@ -111,10 +111,10 @@
     tell(ONE, 0, 0, URGENT, 2);
     assertThat(granted(0, ENGINE)).containsExactly(ONE, ONE);
     desk.heard(OTHER, Map.of(), 700 * MS);
-    LineState line =
-        new LineState(
+    QueueState line =
+        new QueueState(
             Plans.ENGINES,
-            List.of(new LineState.Waiting(LESS, List.of(10L, 10L))),
+            List.of(new QueueState.WaitTimes(LESS, List.of(10L, 10L))),
             List.of(),
             List.of());
     desk.lines(
@@ -173,10 +173,10 @@
    */
   @Test
   void equallyUrgentRequestsGoInTheOrderInWhichTheyCame() {
-    tell(ONE, 0, 1, new LineState.Waiting(LESS, List.of(30L, 10L)), List.of());
-    tell(OTHER, 0, 0, new LineState.Waiting(LESS, List.of(90L, 20L)), List.of());
+    tell(ONE, 0, 1, new QueueState.WaitTimes(LESS, List.of(30L, 10L)), List.of());
+    tell(OTHER, 0, 0, new QueueState.WaitTimes(LESS, List.of(90L, 20L)), List.of());
     assertThat(granted(0, ENGINE)).containsExactly(OTHER);
-    tell(OTHER, 1, 0, new LineState.Waiting(LESS, List.of(20L)), List.of());
+    tell(OTHER, 1, 0, new QueueState.WaitTimes(LESS, List.of(20L)), List.of());
     assertThat(granted(0, ENGINE)).containsExactly(ONE);
   }
 
@@ -215,8 +215,8 @@
       longEndsMs.removeIf(endMs -> endMs <= now);
       held =
           List.of(
-              new HeldPlaces(Plans.ENGINES, URGENT.routeRank(), urgentEndsMs.size()),
-              new HeldPlaces(Plans.ENGINES, LESS.routeRank(), longEndsMs.size()));
+              new SlotUsage(Plans.ENGINES, URGENT.routeRank(), urgentEndsMs.size()),
+              new SlotUsage(Plans.ENGINES, LESS.routeRank(), longEndsMs.size()));
       tellBoth(seen, urgentEndsMs.size() + longEndsMs.size(), ms);
       for (SlotDesk.Grant grant : desk.distribute(Plans.ENGINES, List.of(engine), ms * MS)) {
         seen = grant.sequence();
@@ -230,10 +230,10 @@
 
   private void tellBoth(long seen, int inFlight, long nowMs) {
     List<Long> waitedMs = Collections.nCopies(50, 100L);
-    LineState line =
-        new LineState(
+    QueueState line =
+        new QueueState(
             Plans.ENGINES,
-            List.of(new LineState.Waiting(URGENT, waitedMs), new LineState.Waiting(LESS, waitedMs)),
+            List.of(new QueueState.WaitTimes(URGENT, waitedMs), new QueueState.WaitTimes(LESS, waitedMs)),
             List.of(),
             List.of());
     Map<UpstreamId, Integer> there = Map.of(ENGINE.id(), inFlight);
--- a/core/src/test/java/org/teaseltrail/core/entry/CallerOracle.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/CallerOracle.java
@@ -79,11 +79,11 @@
       assertThat(nowNs).isLessThan(validUntilNs);
     } else if (action instanceof EntryAction.AnswerUpstream answer
         && answer.verdict() == UpstreamVerdict.ACCEPTED) {
-      announced((EntryEvent.AnnouncementHeard) event);
+      announced((EntryEvent.AnnouncementReceived) event);
     }
   }
 
-  private void announced(EntryEvent.AnnouncementHeard heard) {
+  private void announced(EntryEvent.AnnouncementReceived heard) {
     if (heard.announcement().sequence() > newestAnnouncement) {
       newestAnnouncement = heard.announcement().sequence();
       leaving = heard.announcement().phase() == UpstreamPhase.LEAVING;
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryDeadlyRequestTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryDeadlyRequestTest.java
@@ -27,10 +27,10 @@
     for (int i = 0; i < TRIES; i++) {
       RequestId id = vm.arrive(1);
       vm.dispatch(id);
-      sent += vm.transmits(id);
+      sent += vm.transmitCount(id);
       for (int tries = 0; vm.outcome(id).isEmpty() && tries < 20; tries++) {
         vm.broken(id);
-        vm.pass(1_000);
+        vm.advance(1_000);
         vm.welcome(C1, 1, 5);
       }
     }
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryFixture.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryFixture.java
@@ -70,8 +70,8 @@
         defaults.dataCenter(),
         defaults.helloIntervalMs(),
         SILENCE_MS,
-        defaults.giveUpHoldMs(),
-        defaults.giveUpStepMs(),
+        defaults.sheddingDelayMs(),
+        defaults.sheddingStepMs(),
         defaults.resumeBackoffMs(),
         defaults.progressIntervalMs(),
         defaults.balancerDelayMs(),
@@ -107,7 +107,7 @@
     return done;
   }
 
-  void pass(long durationMs) {
+  void advance(long durationMs) {
     nowNs += durationMs * MILLI;
     send(new EntryEvent.Tick());
   }
@@ -236,7 +236,7 @@
   }
 
   void announce(UpstreamPhase phase, long sequence) {
-    send(new EntryEvent.AnnouncementHeard(1, announcement(phase, sequence), SECRET_HASH));
+    send(new EntryEvent.AnnouncementReceived(1, announcement(phase, sequence), SECRET_HASH));
   }
 
   static Announcement announcement(UpstreamPhase phase, long sequence) {
@@ -256,12 +256,12 @@
         3_000);
   }
 
-  <T extends EntryAction> List<T> all(Class<T> type) {
+  <T extends EntryAction> List<T> actionsOfType(Class<T> type) {
     return actions.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
-  <T extends EntryMessage> List<T> told(Class<T> type) {
-    return all(EntryAction.SendControl.class).stream()
+  <T extends EntryMessage> List<T> sentMessages(Class<T> type) {
+    return actionsOfType(EntryAction.SendControl.class).stream()
         .map(EntryAction.SendControl::message)
         .filter(type::isInstance)
         .map(type::cast)
@@ -269,20 +269,20 @@
   }
 
   Optional<Outcome> outcome(RequestId request) {
-    return all(EntryAction.Conclude.class).stream()
+    return actionsOfType(EntryAction.Conclude.class).stream()
         .filter(conclude -> conclude.request().equals(request))
         .map(EntryAction.Conclude::outcome)
         .findFirst();
   }
 
-  long transmits(RequestId request) {
-    return all(EntryAction.Transmit.class).stream()
+  long transmitCount(RequestId request) {
+    return actionsOfType(EntryAction.Transmit.class).stream()
         .filter(transmit -> transmit.request().equals(request))
         .count();
   }
 
   List<String> delivered(RequestId request) {
-    return all(EntryAction.Deliver.class).stream()
+    return actionsOfType(EntryAction.Deliver.class).stream()
         .filter(deliver -> deliver.request().equals(request))
         .map(deliver -> deliver.frame().text())
         .toList();
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryScript.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryNodeFuzzer.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /** Plays a random course of events on an entry VM and checks what its callers see. */
-final class EntryScript {
+final class EntryNodeFuzzer {
 
   private static final MemberId[] MEMBERS = {EntryFixture.C1, EntryFixture.C2};
 
@@ -27,7 +27,7 @@
   private long revision = 5;
   private long announcements;
 
-  EntryScript(Random random) {
+  EntryNodeFuzzer(Random random) {
     this.random = random;
   }
 
@@ -156,7 +156,7 @@
       case 2, 3 -> new EntryEvent.StreamBroken(id, vm.attempt(id));
       case 4 -> new EntryEvent.StreamUnknown(id, vm.attempt(id));
       default ->
-          new EntryEvent.AnnouncementHeard(
+          new EntryEvent.AnnouncementReceived(
               1,
               EntryFixture.announcement(
                   random.nextInt(5) == 0 ? UpstreamPhase.LEAVING : UpstreamPhase.SERVING,
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryNodeProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryNodeProperties.java
@@ -14,12 +14,12 @@
   // leaders change, links break, upstreams leave and callers hang up.
   @Property(seed = "4711", tries = 400, shrinking = ShrinkingMode.OFF)
   void callersAreToldTheTruth(@ForAll long seed) {
-    new EntryScript(new Random(seed)).run(STEPS);
+    new EntryNodeFuzzer(new Random(seed)).run(STEPS);
   }
 
   @Tag("long-run")
   @Property(tries = 200_000, shrinking = ShrinkingMode.OFF)
   void callersAreToldTheTruthForLong(@ForAll long seed) {
-    new EntryScript(new Random(seed)).run(STEPS);
+    new EntryNodeFuzzer(new Random(seed)).run(STEPS);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryNodeTest.java
@@ -28,7 +28,7 @@
   }
 
   private DeclineReason lastDecline() {
-    var declined = vm.told(EntryMessage.Declined.class);
+    var declined = vm.sentMessages(EntryMessage.Declined.class);
     return declined.get(declined.size() - 1).reason();
   }
 
@@ -41,9 +41,9 @@
 
     assertThat(vm.delivered(id)).containsExactly("r-1/0");
     assertThat(vm.outcome(id)).contains(new Outcome.Completed(new Usage(2, 0, 1)));
-    assertThat(vm.told(EntryMessage.Offer.class)).hasSize(1);
-    assertThat(vm.told(EntryMessage.FirstToken.class)).hasSize(1);
-    assertThat(vm.told(EntryMessage.Ended.class))
+    assertThat(vm.sentMessages(EntryMessage.Offer.class)).hasSize(1);
+    assertThat(vm.sentMessages(EntryMessage.FirstToken.class)).hasSize(1);
+    assertThat(vm.sentMessages(EntryMessage.Ended.class))
         .singleElement()
         .extracting(EntryMessage.Ended::kind)
         .isEqualTo(EndKind.COMPLETED);
@@ -61,9 +61,9 @@
     vm.frame(id, end(id, 0));
     vm.grant(C1, id, 1);
 
-    assertThat(vm.all(EntryAction.Connect.class)).hasSize(1);
-    assertThat(vm.transmits(id)).isEqualTo(1);
-    assertThat(vm.told(EntryMessage.Declined.class)).isEmpty();
+    assertThat(vm.actionsOfType(EntryAction.Connect.class)).hasSize(1);
+    assertThat(vm.transmitCount(id)).isEqualTo(1);
+    assertThat(vm.sentMessages(EntryMessage.Declined.class)).isEmpty();
   }
 
   // An engine leaves while a VM is frozen; the VM thaws and offers its request again. The grant
@@ -78,12 +78,12 @@
     vm.grant(C1, missed, 1);
     vm.recall(C1, missed, 1);
     vm.connected(missed);
-    assertThat(vm.transmits(missed)).isZero();
+    assertThat(vm.transmitCount(missed)).isZero();
 
     RequestId running = vm.arrive(1);
     vm.dispatch(running);
     vm.recall(C1, running, 1);
-    assertThat(vm.transmits(running)).isEqualTo(1);
+    assertThat(vm.transmitCount(running)).isEqualTo(1);
     assertThat(vm.outcome(running)).isEmpty();
   }
 
@@ -95,10 +95,10 @@
     vm.join(C2, 2, 5);
     vm.grant(C1, id, 1);
 
-    assertThat(vm.all(EntryAction.Connect.class)).isEmpty();
+    assertThat(vm.actionsOfType(EntryAction.Connect.class)).isEmpty();
     assertThat(lastDecline()).isEqualTo(DeclineReason.STALE_GRANT);
     vm.grant(C2, id, 2);
-    assertThat(vm.all(EntryAction.Connect.class)).hasSize(1);
+    assertThat(vm.actionsOfType(EntryAction.Connect.class)).hasSize(1);
   }
 
   // A grant lies in a cut link for a minute and arrives when the link heals, before any newer
@@ -107,10 +107,10 @@
   @Test
   void grantAfterSessionsEndIsDeclined() {
     RequestId id = vm.arrive(1);
-    vm.pass(3_001);
+    vm.advance(3_001);
     vm.grant(C1, id, 1);
 
-    assertThat(vm.all(EntryAction.Connect.class)).isEmpty();
+    assertThat(vm.actionsOfType(EntryAction.Connect.class)).isEmpty();
     assertThat(lastDecline()).isEqualTo(DeclineReason.NO_SESSION);
   }
 
@@ -124,14 +124,14 @@
     RequestId id = vm.arrive(1);
     vm.dispatch(id);
     vm.frame(id, end(id, 0));
-    vm.pass(500);
+    vm.advance(500);
     vm.welcome(C1, 1, 5);
     vm.join(C2, 2, 5);
     vm.grant(C2, id, 2);
 
-    assertThat(vm.transmits(id)).isEqualTo(1);
-    assertThat(vm.told(EntryMessage.Ended.class)).hasSize(2);
-    assertThat(vm.told(EntryMessage.Ended.class).get(1).kind()).isEqualTo(EndKind.COMPLETED);
+    assertThat(vm.transmitCount(id)).isEqualTo(1);
+    assertThat(vm.sentMessages(EntryMessage.Ended.class)).hasSize(2);
+    assertThat(vm.sentMessages(EntryMessage.Ended.class).get(1).kind()).isEqualTo(EndKind.COMPLETED);
   }
 
   @Test
@@ -150,7 +150,7 @@
     vm.announce(UpstreamPhase.LEAVING, 2);
     vm.connected(id);
 
-    assertThat(vm.transmits(id)).isZero();
+    assertThat(vm.transmitCount(id)).isZero();
     assertThat(lastDecline()).isEqualTo(DeclineReason.LEAVING);
     assertThat(vm.outcome(id)).isEmpty();
     vm.grant(C1, id, 1);
@@ -165,7 +165,7 @@
 
     assertThat(lastDecline()).isEqualTo(DeclineReason.CONNECT_FAILED);
     vm.dispatch(id);
-    assertThat(vm.transmits(id)).isEqualTo(1);
+    assertThat(vm.transmitCount(id)).isEqualTo(1);
   }
 
   @Test
--- a/core/src/test/java/org/teaseltrail/core/entry/EntrySessionTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntrySessionTest.java
@@ -37,9 +37,9 @@
   void cutOffVmStopsAdmittingAfterThreeSeconds() {
     RequestId running = vm.arrive(1);
     vm.dispatch(running);
-    vm.pass(2_999);
+    vm.advance(2_999);
     RequestId before = vm.arrive(1);
-    vm.pass(2);
+    vm.advance(2);
     RequestId after = vm.arrive(1);
 
     assertThat(vm.outcome(before)).isEmpty();
@@ -53,13 +53,13 @@
   // seconds from that hello's sending.
   @Test
   void lateWelcomeDoesNotLengthenSession() {
-    vm.pass(500);
+    vm.advance(500);
     final long early = vm.lastHello(C1);
-    vm.pass(2_400);
+    vm.advance(2_400);
     vm.receive(
         C1,
         new ControlMessage.Welcome(C1, new FencingNumber(1), new Revision(5), 3_000, false, early));
-    vm.pass(601);
+    vm.advance(601);
 
     assertThat(vm.outcome(vm.arrive(1))).isPresent();
   }
@@ -68,9 +68,9 @@
   // revision doesn't lengthen the session until the update is applied.
   @Test
   void welcomeCountsOnlyWithItsConfigurationApplied() {
-    vm.pass(2_500);
+    vm.advance(2_500);
     vm.welcome(C1, 1, 6);
-    vm.pass(501);
+    vm.advance(501);
     assertThat(vm.node.isReady(vm.nowNs)).isFalse();
 
     vm.receive(C1, EntryFixture.update(1, 6));
@@ -115,17 +115,17 @@
     vm.send(new EntryEvent.ControlDisconnected(C1));
     vm.join(C2, 2, 5);
 
-    assertThat(vm.told(EntryMessage.UpstreamSeen.class)).hasSize(1);
-    assertThat(vm.told(EntryMessage.Offer.class))
+    assertThat(vm.sentMessages(EntryMessage.UpstreamSeen.class)).hasSize(1);
+    assertThat(vm.sentMessages(EntryMessage.Offer.class))
         .extracting(offer -> offer.ticket().request())
         .containsExactly(waiting);
-    assertThat(vm.told(EntryMessage.StillRunning.class))
+    assertThat(vm.sentMessages(EntryMessage.StillRunning.class))
         .extracting(still -> still.ticket().request())
         .containsExactly(running);
-    assertThat(vm.told(EntryMessage.Ended.class))
+    assertThat(vm.sentMessages(EntryMessage.Ended.class))
         .extracting(EntryMessage.Ended::request)
         .containsExactly(done);
-    assertThat(vm.told(EntryMessage.ReportsComplete.class)).hasSize(1);
+    assertThat(vm.sentMessages(EntryMessage.ReportsComplete.class)).hasSize(1);
   }
 
   // A report of an end is lost with its connection: the upstream's window would stay taken. It is
@@ -137,13 +137,13 @@
     vm.frame(id, end(id, 0));
     vm.send(new EntryEvent.ControlDisconnected(C1));
     vm.join(C1, 1, 5);
-    assertThat(vm.told(EntryMessage.Ended.class)).hasSize(2);
+    assertThat(vm.sentMessages(EntryMessage.Ended.class)).hasSize(2);
 
-    vm.pass(500);
+    vm.advance(500);
     vm.welcome(C1, 1, 5);
     vm.send(new EntryEvent.ControlDisconnected(C1));
     vm.join(C1, 1, 5);
-    assertThat(vm.told(EntryMessage.Ended.class)).hasSize(2);
+    assertThat(vm.sentMessages(EntryMessage.Ended.class)).hasSize(2);
   }
 
   // All schedulers of a region are gone. Every VM gives its waiting requests up at the same times,
@@ -153,16 +153,16 @@
     final RequestId top = vm.arrive(1);
     final RequestId middle = vm.arrive(2);
     final RequestId low = vm.arrive(3);
-    vm.pass(9_999);
-    assertThat(vm.all(EntryAction.Conclude.class)).isEmpty();
+    vm.advance(9_999);
+    assertThat(vm.actionsOfType(EntryAction.Conclude.class)).isEmpty();
 
-    vm.pass(1);
+    vm.advance(1);
     assertThat(vm.outcome(low)).contains(new Outcome.NotRun(NotRunReason.NO_SCHEDULER, 5_000));
     assertThat(vm.outcome(middle)).isEmpty();
-    vm.pass(5_000);
+    vm.advance(5_000);
     assertThat(vm.outcome(middle)).isPresent();
     assertThat(vm.outcome(top)).isEmpty();
-    vm.pass(5_000);
+    vm.advance(5_000);
     assertThat(vm.outcome(top)).isPresent();
   }
 
@@ -170,10 +170,10 @@
   void passedDeadlineEndsWaitingRequestAtOnce() {
     RequestId id = vm.arrive(1, Optional.empty(), 200, Optional.empty());
     assertThat(vm.node.nextWakeupNs().orElseThrow()).isEqualTo(vm.nowNs + 200_000_000L);
-    vm.pass(200);
+    vm.advance(200);
 
     assertThat(vm.outcome(id)).contains(new Outcome.NotRun(NotRunReason.DEADLINE, 0));
-    assertThat(vm.told(EntryMessage.Withdraw.class))
+    assertThat(vm.sentMessages(EntryMessage.Withdraw.class))
         .singleElement()
         .extracting(EntryMessage.Withdraw::reason)
         .isEqualTo(WithdrawReason.DEADLINE);
@@ -191,7 +191,7 @@
     vm.send(new EntryEvent.CallerGone(keyed));
 
     assertThat(vm.outcome(waiting)).contains(new Outcome.NotRun(NotRunReason.CANCELLED, 0));
-    assertThat(vm.all(EntryAction.CancelUpstream.class))
+    assertThat(vm.actionsOfType(EntryAction.CancelUpstream.class))
         .singleElement()
         .extracting(EntryAction.CancelUpstream::request)
         .isEqualTo(plain);
@@ -219,7 +219,7 @@
     assertThat(vm.outcome(without)).contains(new Outcome.NotRun(NotRunReason.KEY_REQUIRED, 0));
     assertThat(vm.outcome(with)).isEmpty();
     assertThat(vm.outcome(get)).isEmpty();
-    assertThat(vm.told(EntryMessage.Offer.class).get(0).ticket().claim().orElseThrow())
+    assertThat(vm.sentMessages(EntryMessage.Offer.class).get(0).ticket().claim().orElseThrow())
         .matches(claim -> claim.nonIdempotent());
   }
 
@@ -240,23 +240,23 @@
     vm.dispatch(late);
     vm.frame(late, end(late, 0));
 
-    vm.pass(2_500);
+    vm.advance(2_500);
     vm.welcome(C1, 1, 5);
-    vm.pass(2_500);
+    vm.advance(2_500);
     vm.welcome(C1, 1, 5);
-    assertThat(vm.all(EntryAction.CloseListener.class)).hasSize(1);
-    assertThat(vm.all(EntryAction.Exit.class)).isEmpty();
+    assertThat(vm.actionsOfType(EntryAction.CloseListener.class)).hasSize(1);
+    assertThat(vm.actionsOfType(EntryAction.Exit.class)).isEmpty();
     vm.frame(running, end(running, 0));
     assertThat(vm.outcome(running).orElseThrow()).isInstanceOf(Outcome.Completed.class);
-    vm.pass(500);
+    vm.advance(500);
     vm.welcome(C1, 1, 5);
-    assertThat(vm.all(EntryAction.Exit.class)).hasSize(1);
+    assertThat(vm.actionsOfType(EntryAction.Exit.class)).hasSize(1);
   }
 
   @Test
   void silentMemberIsReconnected() {
-    vm.pass(EntryFixture.SILENCE_MS + 1);
+    vm.advance(EntryFixture.SILENCE_MS + 1);
 
-    assertThat(vm.all(EntryAction.ReconnectControl.class)).hasSize(1);
+    assertThat(vm.actionsOfType(EntryAction.ReconnectControl.class)).hasSize(1);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryStallTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryStallTest.java
@@ -35,7 +35,7 @@
     vm.join(EntryFixture.C1, 1, 1);
     vm.announce(UpstreamPhase.SERVING, 1);
     assertThat(ageOfLastAnnouncementMs()).isZero();
-    vm.pass(FREEZE_MS);
+    vm.advance(FREEZE_MS);
     vm.announce(UpstreamPhase.SERVING, 2);
     assertThat(ageOfLastAnnouncementMs()).isEqualTo(FREEZE_MS);
   }
@@ -43,8 +43,8 @@
   @Test
   void announcementReadLaterIsNew() {
     vm.join(EntryFixture.C1, 1, 1);
-    vm.pass(FREEZE_MS);
-    vm.pass(400);
+    vm.advance(FREEZE_MS);
+    vm.advance(400);
     vm.announce(UpstreamPhase.SERVING, 1);
     assertThat(ageOfLastAnnouncementMs()).isZero();
   }
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryStreamTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryStreamTest.java
@@ -35,9 +35,9 @@
     vm.dispatch(id);
     vm.frame(id, text(id, 0));
     vm.broken(id);
-    vm.pass(50);
+    vm.advance(50);
 
-    assertThat(vm.all(EntryAction.Resume.class))
+    assertThat(vm.actionsOfType(EntryAction.Resume.class))
         .singleElement()
         .extracting(EntryAction.Resume::fromSequence)
         .isEqualTo(1L);
@@ -46,7 +46,7 @@
     vm.frame(id, end(id, 2));
     assertThat(vm.delivered(id)).containsExactly("r-1/0", "r-1/1");
     assertThat(vm.outcome(id).orElseThrow()).isInstanceOf(Outcome.Completed.class);
-    assertThat(vm.transmits(id)).isEqualTo(1);
+    assertThat(vm.transmitCount(id)).isEqualTo(1);
   }
 
   // The end of a connection that was given up is heard late, after the stream was resumed over a
@@ -57,11 +57,11 @@
     vm.dispatch(id);
     final int old = vm.attempt(id);
     vm.broken(id);
-    vm.pass(50);
+    vm.advance(50);
     vm.send(new EntryEvent.StreamBroken(id, old));
-    vm.pass(1_000);
+    vm.advance(1_000);
 
-    assertThat(vm.all(EntryAction.Resume.class)).hasSize(1);
+    assertThat(vm.actionsOfType(EntryAction.Resume.class)).hasSize(1);
   }
 
   // A stream ends without its end mark, again and again. The caller must not take the short answer
@@ -73,13 +73,13 @@
     vm.frame(id, text(id, 0));
     for (int tries = 0; vm.outcome(id).isEmpty() && tries < 20; tries++) {
       vm.broken(id);
-      vm.pass(1_000);
+      vm.advance(1_000);
       vm.welcome(C1, 1, 5);
     }
 
-    assertThat(vm.all(EntryAction.Resume.class)).hasSize(5);
+    assertThat(vm.actionsOfType(EntryAction.Resume.class)).hasSize(5);
     assertThat(vm.outcome(id)).contains(new Outcome.MayHaveRun(FailureReason.STREAM_BROKEN));
-    assertThat(vm.told(EntryMessage.Ended.class)).hasSize(1);
+    assertThat(vm.sentMessages(EntryMessage.Ended.class)).hasSize(1);
   }
 
   // A caller reads another's words: an engine mixes two streams up. The foreign frame is dropped,
@@ -93,8 +93,8 @@
     vm.frame(id, text(other, 0));
 
     assertThat(vm.delivered(id)).isEmpty();
-    vm.pass(50);
-    assertThat(vm.all(EntryAction.Resume.class)).hasSize(1);
+    vm.advance(50);
+    assertThat(vm.actionsOfType(EntryAction.Resume.class)).hasSize(1);
   }
 
   // An entry VM dies under a long report. The caller comes back over this VM with the key and the
@@ -108,14 +108,14 @@
         new ControlMessage.ClaimExists(
             id, holder, ClaimState.RUNNING, Optional.of(U1), Optional.of(ADDRESS)));
 
-    EntryAction.Resume resume = vm.all(EntryAction.Resume.class).get(0);
+    EntryAction.Resume resume = vm.actionsOfType(EntryAction.Resume.class).get(0);
     assertThat(resume.stream()).isEqualTo(holder);
     assertThat(resume.fromSequence()).isEqualTo(5);
     vm.frame(id, text(holder, 5));
     vm.frame(id, end(holder, 6));
     assertThat(vm.delivered(id)).containsExactly("holder/5");
-    assertThat(vm.transmits(id)).isZero();
-    assertThat(vm.told(EntryMessage.Ended.class))
+    assertThat(vm.transmitCount(id)).isZero();
+    assertThat(vm.sentMessages(EntryMessage.Ended.class))
         .singleElement()
         .extracting(EntryMessage.Ended::request)
         .isEqualTo(holder);
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeCase.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeCase.java
@@ -24,7 +24,7 @@
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
-import org.teaseltrail.core.serving.UpstreamPlaces;
+import org.teaseltrail.core.serving.UpstreamSlots;
 
 /** Is a forwarding node with what tests ask and see of it. */
 abstract class ForwardNodeCase {
@@ -36,7 +36,7 @@
   final ForwardNode node = new ForwardNode(ForwardSamples.settings(new VmId("entry-1"), 1));
 
   List<ServiceId> contended = List.of();
-  UpstreamPlaces places = UpstreamPlaces.NONE;
+  UpstreamSlots places = UpstreamSlots.NONE;
   long nowNs = MS;
   long lastNumber;
   long lastSequence;
@@ -54,7 +54,7 @@
   void serveWith(ServingPlan plan, Registration... present) {
     Map<UpstreamId, Integer> all = new HashMap<>();
     Stream.of(present).forEach(upstream -> all.put(upstream.id(), upstream.slots()));
-    places = UpstreamPlaces.of(List.of(present), Map.of(), all);
+    places = UpstreamSlots.of(List.of(present), Map.of(), all);
     node.fromControl(new ServingReply.PlanUpdate(TERM, plan), nowNs);
     node.fromControl(new ServingReply.RegistryUpdate(TERM, 1, List.of(present)), nowNs);
     confirm(plan.version());
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.plan.Plans;
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.quarantine.RequestContent;
-import org.teaseltrail.core.serving.LineState;
+import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.Urgency;
@@ -99,7 +99,7 @@
     assertThat(lines()).isEmpty();
   }
 
-  private List<LineState> lines() {
+  private List<QueueState> lines() {
     return actions.stream()
         .filter(ForwardAction.SendControl.class::isInstance)
         .map(action -> ((ForwardAction.SendControl) action).message())
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardSamples.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardSamples.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
 import org.teaseltrail.core.upstream.SocketAddress;
@@ -36,7 +36,7 @@
         0.2,
         10_000,
         50,
-        QuotaBounds.DEFAULT,
+        QuotaPolicy.DEFAULT,
         seed);
   }
 
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.plan.Plans;
-import org.teaseltrail.core.quota.QuotaBounds;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaGrant;
 
 /** Holds a quota over several VMs that hear of each other late, or not at all. */
@@ -22,7 +22,7 @@
   private final List<QuotaWindow> windows = new ArrayList<>();
 
   private QuotaWindow window() {
-    QuotaWindow window = new QuotaWindow(Plans.CUSTOMER, QuotaBounds.DEFAULT);
+    QuotaWindow window = new QuotaWindow(Plans.CUSTOMER, QuotaPolicy.DEFAULT);
     window.configure(LIMIT, 0);
     tell(window, 0, LIMIT / VMS, 0);
     windows.add(window);
--- a/core/src/test/java/org/teaseltrail/core/serving/ServingSessionTest.java
+++ b/core/src/test/java/org/teaseltrail/core/serving/ServingSessionTest.java
@@ -24,7 +24,7 @@
         1,
         1,
         List.of(MEMBER),
-        UpstreamPlaces.NONE,
+        UpstreamSlots.NONE,
         List.of(),
         List.of());
   }
@@ -35,8 +35,8 @@
    */
   @Test
   void countsFromTheSendingOfTheSync() {
-    session.inForce(7);
-    long sequence = session.sending(MEMBER, 0);
+    session.recordPlanVersion(7);
+    long sequence = session.recordSync(MEMBER, 0);
     session.confirmed(confirmed(1, sequence, 7), 2_000 * MS);
     assertThat(session.isValid(2_999 * MS)).isTrue();
     assertThat(session.isValid(3_000 * MS)).isFalse();
@@ -45,11 +45,11 @@
   /** A confirmation names a plan that hasn't come yet: the VM's own one is known to be old. */
   @Test
   void waitsForThePlanThatIsConfirmed() {
-    session.inForce(7);
-    long sequence = session.sending(MEMBER, 0);
+    session.recordPlanVersion(7);
+    long sequence = session.recordSync(MEMBER, 0);
     session.confirmed(confirmed(1, sequence, 8), 1 * MS);
     assertThat(session.isValid(2 * MS)).isFalse();
-    session.inForce(8);
+    session.recordPlanVersion(8);
     assertThat(session.isValid(2 * MS)).isTrue();
   }
 
@@ -58,9 +58,9 @@
    */
   @Test
   void hearsNoOlderLeader() {
-    session.inForce(8);
-    long newer = session.sending(OTHER, 0);
-    long older = session.sending(MEMBER, 1_000 * MS);
+    session.recordPlanVersion(8);
+    long newer = session.recordSync(OTHER, 0);
+    long older = session.recordSync(MEMBER, 1_000 * MS);
     session.confirmed(confirmed(5, newer, 8), 2 * MS);
     assertThat(session.confirmed(confirmed(4, older, 7), 1_001 * MS)).isFalse();
     assertThat(session.isValid(3_500 * MS)).isFalse();
@@ -69,8 +69,8 @@
   /** The same confirmation comes twice, or answers a sync that was never sent. */
   @Test
   void takesOnlyAnswersToOpenSyncs() {
-    session.inForce(7);
-    long sequence = session.sending(MEMBER, 0);
+    session.recordPlanVersion(7);
+    long sequence = session.recordSync(MEMBER, 0);
     assertThat(session.confirmed(confirmed(1, sequence, 7), MS)).isTrue();
     assertThat(session.confirmed(confirmed(1, sequence, 7), 2 * MS)).isFalse();
     assertThat(session.confirmed(confirmed(1, 99, 7), 2 * MS)).isFalse();
@@ -78,7 +78,7 @@
 
   @Test
   void forgetsLeaderThatIsSilent() {
-    long sequence = session.sending(MEMBER, 0);
+    long sequence = session.recordSync(MEMBER, 0);
     session.confirmed(confirmed(1, sequence, 7), 0);
     assertThat(session.leader(700 * MS, 750 * MS)).contains(MEMBER);
     assertThat(session.leader(800 * MS, 750 * MS)).isEmpty();
--- a/core/src/test/java/org/teaseltrail/core/state/ClusterStateProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/state/ClusterStateProperties.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.Tuple;
 import org.teaseltrail.core.claim.ClaimKey;
 import org.teaseltrail.core.claim.ClaimLimits;
-import org.teaseltrail.core.claim.OpenResult;
+import org.teaseltrail.core.claim.OpenClaimResult;
 import org.teaseltrail.core.configuration.ConfigurationChange;
 import org.teaseltrail.core.control.Samples;
 import org.teaseltrail.core.id.ChangeId;
@@ -83,7 +83,7 @@
       CommandResult result = state.apply(command);
       holders.keySet().removeIf(key -> state.claims().find(key).isEmpty());
       if (command instanceof OpenClaim open
-          && ((CommandResult.OfOpen) result).result() instanceof OpenResult.Opened) {
+          && ((CommandResult.OfOpen) result).result() instanceof OpenClaimResult.Opened) {
         RequestId before = holders.put(open.key(), open.holder());
         assertThat(before == null || before.equals(open.holder())).isTrue();
       }
--- a/entry/src/main/java/org/teaseltrail/entry/EntryOptions.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryOptions.java
@@ -61,7 +61,7 @@
         defaults.incarnation(),
         defaults.dataCenter(),
         defaults.helloIntervalMs(),
-        defaults.silenceMs(),
+        defaults.silenceTimeoutMs(),
         settings.get(EntryProgramSettings.GIVE_UP_HOLD).toMillis(),
         settings.get(EntryProgramSettings.GIVE_UP_STEP).toMillis(),
         defaults.resumeBackoffMs(),
--- a/entry/src/main/java/org/teaseltrail/entry/StatusHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/StatusHandler.java
@@ -57,7 +57,7 @@
     }
     RequestStatus request =
         loop.node()
-            .findOwn(id, keyHash)
+            .findOwnedRequest(id, keyHash)
             .orElseThrow(
                 () ->
                     new RefusedRequestException(
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamHandler.java
@@ -33,7 +33,7 @@
     Announcement announcement = AnnouncementParser.announcement(body);
     checkSameUpstream(request, announcement.upstream());
     return answers.ask(
-        number -> new EntryEvent.AnnouncementHeard(number, announcement, secretHash));
+        number -> new EntryEvent.AnnouncementReceived(number, announcement, secretHash));
   }
 
   Publisher<Void> cacheEvents(HttpServerRequest request, HttpServerResponse response) {
@@ -45,7 +45,7 @@
       HttpServerRequest request, String secretHash, byte[] body) {
     CacheEvent event = AnnouncementParser.cacheEvent(body);
     checkSameUpstream(request, event.upstream());
-    return answers.ask(number -> new EntryEvent.CacheEventHeard(number, event, secretHash));
+    return answers.ask(number -> new EntryEvent.CacheEventReceived(number, event, secretHash));
   }
 
   private Mono<Void> handle(
--- a/session/src/test/java/org/teaseltrail/session/EntryProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/EntryProcess.java
@@ -101,13 +101,13 @@
   void hear(Announcement announcement) {
     later(
         world.network().delayNs(),
-        () -> handle(new EntryEvent.AnnouncementHeard(0, announcement, SessionWorld.SECRET_HASH)));
+        () -> handle(new EntryEvent.AnnouncementReceived(0, announcement, SessionWorld.SECRET_HASH)));
   }
 
   void hear(CacheEvent event) {
     later(
         world.network().delayNs(),
-        () -> handle(new EntryEvent.CacheEventHeard(0, event, SessionWorld.SECRET_HASH)));
+        () -> handle(new EntryEvent.CacheEventReceived(0, event, SessionWorld.SECRET_HASH)));
   }
 
   void received(ControlProcess member, ControlMessage message) {
--- a/wire/src/main/java/org/teaseltrail/wire/MessageCodec.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessageCodec.java
@@ -16,7 +16,7 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 import org.teaseltrail.core.quota.QuotaGrant;
-import org.teaseltrail.core.quota.QuotaUse;
+import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.rollout.Observation;
 
 /**
@@ -40,7 +40,7 @@
    * components, and grow at their end only.
    */
   private static final List<Class<?>> COUNTED =
-      List.of(QuotaUse.class, QuotaGrant.class, Observation.class);
+      List.of(QuotaReport.class, QuotaGrant.class, Observation.class);
 
   private final ObjectMapper mapper;
   private final Map<Class<?>, ObjectWriter> writers = new ConcurrentHashMap<>();
