--- a/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitObservation.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitObservation.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.backpressure;
 
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
  * Is what an answer of an upstream said of its limit.
@@ -9,4 +9,4 @@
  * @param limit the limit, {@link RateLimit#UNLIMITED} if the answer named none
  * @param agoMs how long ago the answer came, in milliseconds
  */
-public record RateLimitObservation(UpstreamLife upstream, RateLimit limit, long agoMs) {}
+public record RateLimitObservation(UpstreamIncarnation upstream, RateLimit limit, long agoMs) {}
--- a/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitRegistry.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitRegistry.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
  * Remembers what upstreams said last of their limits, whoever heard it.
@@ -26,7 +26,7 @@
 
   private record Entry(RateLimit limit, long seenNs) {}
 
-  private final Map<UpstreamLife, Entry> entries = new HashMap<>();
+  private final Map<UpstreamIncarnation, Entry> entries = new HashMap<>();
 
   /**
    * Takes what an answer said, unless a newer one is known.
@@ -36,7 +36,7 @@
    * @param observedNs when the answer came
    * @return whether the limit in force is another one now
    */
-  public boolean record(UpstreamLife upstream, RateLimit limit, long observedNs) {
+  public boolean record(UpstreamIncarnation upstream, RateLimit limit, long observedNs) {
     Entry known = entries.get(upstream);
     boolean nothingNew = known == null ? !limit.isLimited() : observedNs <= known.seenNs();
     if (nothingNew) {
@@ -52,7 +52,7 @@
    * @param upstream the upstream
    * @return the limit in force
    */
-  public RateLimit limit(UpstreamLife upstream) {
+  public RateLimit limit(UpstreamIncarnation upstream) {
     Entry known = entries.get(upstream);
     return known == null ? RateLimit.UNLIMITED : known.limit();
   }
@@ -63,7 +63,7 @@
    * @param upstream the upstream
    * @return the time, {@link Long#MIN_VALUE} if nothing is known
    */
-  public long observedNs(UpstreamLife upstream) {
+  public long observedNs(UpstreamIncarnation upstream) {
     Entry known = entries.get(upstream);
     return known == null ? Long.MIN_VALUE : known.seenNs();
   }
@@ -84,7 +84,7 @@
    * @param nowNs time
    * @return what they said last
    */
-  public List<RateLimitObservation> sightings(Predicate<UpstreamLife> wanted, long nowNs) {
+  public List<RateLimitObservation> sightings(Predicate<UpstreamIncarnation> wanted, long nowNs) {
     List<RateLimitObservation> sightings = new ArrayList<>();
     entries.forEach(
         (upstream, entry) -> {
@@ -103,8 +103,8 @@
    * @param nowNs time
    * @return what was forgotten
    */
-  public List<UpstreamLife> removeStale(Set<UpstreamLife> present, long nowNs) {
-    List<UpstreamLife> forgotten = new ArrayList<>();
+  public List<UpstreamIncarnation> removeStale(Set<UpstreamIncarnation> present, long nowNs) {
+    List<UpstreamIncarnation> forgotten = new ArrayList<>();
     entries.forEach(
         (upstream, entry) -> {
           boolean lifted = !entry.limit().isLimited();
--- a/core/src/main/java/org/teaseltrail/core/backpressure/SendPermit.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/SendPermit.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.backpressure;
 
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
  * Lets an entry VM send some requests to an upstream that has named a limit.
@@ -8,4 +8,4 @@
  * @param upstream the upstream's life
  * @param requests how many
  */
-public record SendPermit(UpstreamLife upstream, int requests) {}
+public record SendPermit(UpstreamIncarnation upstream, int requests) {}
--- a/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationEditor.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationEditor.java
@@ -78,7 +78,7 @@
             pools,
             routes,
             upstreams);
-    Optional<ConfigurationFailure> failure = ReferenceCheck.firstFailure(before, after);
+    Optional<ConfigurationFailure> failure = ReferenceValidator.firstFailure(before, after);
     if (failure.isPresent()) {
       return new ConfigurationResult.Refused(failure.get());
     }
@@ -88,23 +88,23 @@
   private Optional<ConfigurationFailure> edit(ConfigurationChange item) {
     if (item instanceof PutTier put) {
       tiers.put(put.tier().tier(), put.tier());
-      return invalid(EntityRef.of(put.tier().tier()), ValueCheck.check(put.tier()));
+      return invalid(EntityRef.of(put.tier().tier()), ValueValidator.validate(put.tier()));
     }
     if (item instanceof PutCustomer put) {
       customers.put(put.customer().id(), put.customer());
-      return invalid(EntityRef.of(put.customer().id()), ValueCheck.check(put.customer()));
+      return invalid(EntityRef.of(put.customer().id()), ValueValidator.validate(put.customer()));
     }
     if (item instanceof PutPool put) {
       pools.put(put.pool().id(), put.pool());
-      return invalid(EntityRef.of(put.pool().id()), ValueCheck.check(put.pool()));
+      return invalid(EntityRef.of(put.pool().id()), ValueValidator.validate(put.pool()));
     }
     if (item instanceof PutRoute put) {
       routes.put(put.route().id(), put.route());
-      return invalid(EntityRef.of(put.route().id()), ValueCheck.check(put.route()));
+      return invalid(EntityRef.of(put.route().id()), ValueValidator.validate(put.route()));
     }
     if (item instanceof PutUpstream put) {
       upstreams.put(put.upstream().id(), put.upstream());
-      return invalid(EntityRef.of(put.upstream().id()), ValueCheck.check(put.upstream()));
+      return invalid(EntityRef.of(put.upstream().id()), ValueValidator.validate(put.upstream()));
     }
     return take(item);
   }
@@ -142,6 +142,6 @@
   }
 
   private static <K extends StringId, V> Map<K, V> byText(Map<K, V> source) {
-    return IdOrder.sorted(source);
+    return IdSorter.sorted(source);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/configuration/IdOrder.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/IdSorter.java
@@ -6,9 +6,9 @@
 import org.teaseltrail.core.id.StringId;
 
 /** Orders ids by their text, so that every member looks at them in the same order. */
-final class IdOrder {
+final class IdSorter {
 
-  private IdOrder() {}
+  private IdSorter() {}
 
   /**
    * Copies a map into the order of its ids.
--- a/core/src/main/java/org/teaseltrail/core/configuration/ReferenceCheck.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ReferenceValidator.java
@@ -9,25 +9,25 @@
 import org.teaseltrail.core.id.PoolId;
 
 /** Checks that all parts of a configuration fit each other. */
-final class ReferenceCheck {
+final class ReferenceValidator {
 
   private final Configuration before;
   private final Configuration after;
 
-  private ReferenceCheck(Configuration before, Configuration after) {
+  private ReferenceValidator(Configuration before, Configuration after) {
     this.before = before;
     this.after = after;
   }
 
   /** Returns the first rule that the configuration breaks, the same on every member. */
   static Optional<ConfigurationFailure> firstFailure(Configuration before, Configuration after) {
-    ReferenceCheck check = new ReferenceCheck(before, after);
+    ReferenceValidator check = new ReferenceValidator(before, after);
     return check.customers().or(check::routes).or(check::upstreams);
   }
 
   private Optional<ConfigurationFailure> customers() {
     Map<String, Customer> byKey = new HashMap<>();
-    for (Customer customer : IdOrder.sorted(after.customers()).values()) {
+    for (Customer customer : IdSorter.sorted(after.customers()).values()) {
       if (!after.tiers().containsKey(customer.tier())) {
         boolean existed = before.tiers().containsKey(customer.tier());
         return unmet(EntityRef.of(customer.id()), EntityRef.of(customer.tier()), existed);
@@ -44,7 +44,7 @@
 
   private Optional<ConfigurationFailure> routes() {
     Map<Object, Route> byTarget = new HashMap<>();
-    for (Route route : IdOrder.sorted(after.routes()).values()) {
+    for (Route route : IdSorter.sorted(after.routes()).values()) {
       Optional<ConfigurationFailure> failure = pool(EntityRef.of(route.id()), route.pool());
       if (failure.isPresent()) {
         return failure;
@@ -58,7 +58,7 @@
   }
 
   private Optional<ConfigurationFailure> upstreams() {
-    for (AllowedUpstream upstream : IdOrder.sorted(after.upstreams()).values()) {
+    for (AllowedUpstream upstream : IdSorter.sorted(after.upstreams()).values()) {
       Optional<ConfigurationFailure> failure = pool(EntityRef.of(upstream.id()), upstream.pool());
       if (failure.isPresent()) {
         return failure;
--- a/core/src/main/java/org/teaseltrail/core/control/EntryDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryDesk.java
@@ -14,8 +14,8 @@
 import org.teaseltrail.core.message.RefusalKind;
 import org.teaseltrail.core.message.Ticket;
 import org.teaseltrail.core.schedule.SchedulerEvent;
-import org.teaseltrail.core.session.HelloOutcome;
-import org.teaseltrail.core.session.HelloOutcome.Life;
+import org.teaseltrail.core.session.HelloResult;
+import org.teaseltrail.core.session.HelloResult.SessionChange;
 import org.teaseltrail.core.session.Session;
 
 /** Takes what entry VMs say: hellos to their sessions, all else to the scheduler of its pool. */
@@ -41,27 +41,27 @@
 
   void hello(EntryMessage.Hello hello) {
     var accepted = leadership.configuration().revision();
-    HelloOutcome outcome = leadership.sessions().hello(hello, accepted, leadership.nowNs());
-    if (outcome.life() == Life.STALE) {
+    HelloResult outcome = leadership.sessions().handleHello(hello, accepted, leadership.nowNs());
+    if (outcome.sessionChange() == SessionChange.STALE) {
       return;
     }
-    if (outcome.life() == Life.HELD_OFF) {
-      if (outcome.push()) {
+    if (outcome.sessionChange() == SessionChange.HELD_OFF) {
+      if (outcome.needsConfiguration()) {
         leadership.sendConfiguration(hello.vm());
       }
       return;
     }
-    if (outcome.life() == Life.REPLACED) {
+    if (outcome.sessionChange() == SessionChange.REPLACED) {
       lapsed(hello.vm());
     }
-    if (outcome.life() != Life.KEPT && awaited.contains(UNHEARD_VMS)) {
+    if (outcome.sessionChange() != SessionChange.KEPT && awaited.contains(UNHEARD_VMS)) {
       awaited.add(hello.vm());
       tellAwaited();
     }
-    if (outcome.welcome()) {
+    if (outcome.renewed()) {
       welcome(hello);
     }
-    if (outcome.push()) {
+    if (outcome.needsConfiguration()) {
       leadership.sendConfiguration(hello.vm());
     }
     leadership.forceWatch().check(leadership.nowNs());
@@ -85,8 +85,8 @@
 
   /** Ends the sessions whose time is over. */
   void lapse() {
-    leadership.sessions().lapse(leadership.nowNs()).forEach(this::lapsed);
-    if (leadership.sessions().isSettled(leadership.nowNs()) && awaited.remove(UNHEARD_VMS)) {
+    leadership.sessions().removeExpired(leadership.nowNs()).forEach(this::lapsed);
+    if (leadership.sessions().havePriorSessionsExpired(leadership.nowNs()) && awaited.remove(UNHEARD_VMS)) {
       broadcast(new SchedulerEvent.VmLapsed(UNHEARD_VMS));
     }
   }
@@ -146,7 +146,7 @@
     if (session.isEmpty() || !complete.fencing().equals(leadership.fencing())) {
       return;
     }
-    session.get().markReported();
+    session.get().markReportsComplete();
     awaited.remove(vm);
     broadcast(new SchedulerEvent.FromEntry(vm, complete));
   }
--- a/core/src/main/java/org/teaseltrail/core/control/ForceWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ForceWatch.java
@@ -5,7 +5,7 @@
 import java.util.OptionalLong;
 import org.teaseltrail.core.id.Revision;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.session.Sessions;
+import org.teaseltrail.core.session.SessionRegistry;
 
 /**
  * Answers operators who wait until a configuration is in force everywhere. It is once each VM with
@@ -18,16 +18,16 @@
   private record Wait(long callId, Revision revision, List<VmId> waitedFor, long endsAtNs) {}
 
   private final Outbox out;
-  private final Sessions sessions;
+  private final SessionRegistry sessions;
   private final List<Wait> waits = new ArrayList<>();
 
-  ForceWatch(Outbox out, Sessions sessions) {
+  ForceWatch(Outbox out, SessionRegistry sessions) {
     this.out = out;
     this.sessions = sessions;
   }
 
   void await(long callId, OperatorRequest.AwaitInForce request, long nowNs) {
-    List<VmId> waitedFor = sessions.behind(request.revision());
+    List<VmId> waitedFor = sessions.findLagging(request.revision());
     long endsAtNs = nowNs + request.timeoutMs() * NS_PER_MS;
     waits.add(new Wait(callId, request.revision(), waitedFor, endsAtNs));
     check(nowNs);
@@ -48,8 +48,8 @@
   }
 
   private boolean answered(Wait wait, long nowNs) {
-    List<VmId> missing = sessions.behind(wait.revision());
-    if (missing.isEmpty() && sessions.isSettled(nowNs)) {
+    List<VmId> missing = sessions.findLagging(wait.revision());
+    if (missing.isEmpty() && sessions.havePriorSessionsExpired(nowNs)) {
       out.reply(wait.callId(), new OperatorResult.InForce(wait.revision(), wait.waitedFor()));
       return true;
     }
--- a/core/src/main/java/org/teaseltrail/core/control/Leadership.java
+++ b/core/src/main/java/org/teaseltrail/core/control/Leadership.java
@@ -17,7 +17,7 @@
 import org.teaseltrail.core.schedule.SchedulerAction;
 import org.teaseltrail.core.schedule.SchedulerEvent;
 import org.teaseltrail.core.serving.ServingReply;
-import org.teaseltrail.core.session.Sessions;
+import org.teaseltrail.core.session.SessionRegistry;
 import org.teaseltrail.core.state.Command;
 import org.teaseltrail.core.state.CommandResult;
 
@@ -33,7 +33,7 @@
   private final FencingNumber fencing;
   private final LeaseGate gate;
   private final LogClock clock;
-  private final Sessions sessions;
+  private final SessionRegistry sessions;
   private final RequestBook requests = new RequestBook();
   private final FleetView fleet = new FleetView();
   private final PoolSchedulers schedulers;
@@ -56,7 +56,7 @@
     ControlSettings settings = context.settings();
     gate = new LeaseGate(() -> context.replicated().replica().leaseHolds(this.nowNs));
     clock = new LogClock(context.replicated().state().logTimeMs(), nowNs);
-    sessions = new Sessions(settings.sessions(), nowNs);
+    sessions = new SessionRegistry(settings.sessions(), nowNs);
     schedulers = new PoolSchedulers(context.factory(), fencing, settings.seed(), this::carryOut);
     claimDesk = new ClaimDesk(this);
     entryDesk = new EntryDesk(this);
@@ -112,7 +112,7 @@
         () -> {
           Configuration configuration = configuration();
           fleet.retain(configuration);
-          sessions.accepted(configuration.revision(), nowNs).forEach(vm -> sendConfiguration(vm));
+          sessions.selectPushTargets(configuration.revision(), nowNs).forEach(vm -> sendConfiguration(vm));
           schedulers.configure(configuration, nowNs);
         });
   }
@@ -201,7 +201,7 @@
 
   /** Returns whether a VM may still serve, as far as this leadership can know. */
   boolean mayBeAlive(VmId vm, long atNs) {
-    return !sessions.isSettled(atNs) || sessions.find(vm).isPresent();
+    return !sessions.havePriorSessionsExpired(atNs) || sessions.find(vm).isPresent();
   }
 
   /**
@@ -251,7 +251,7 @@
     return schedulers;
   }
 
-  Sessions sessions() {
+  SessionRegistry sessions() {
     return sessions;
   }
 
@@ -294,7 +294,7 @@
     entryDesk.lapse();
     schedulers.tick(nowNs);
     forceWatch.check(nowNs);
-    if (sessions.isSettled(nowNs)) {
+    if (sessions.havePriorSessionsExpired(nowNs)) {
       placement.plan(configuration(), nowNs);
     }
     claimExpiry.tick(nowNs);
--- a/core/src/main/java/org/teaseltrail/core/control/LimitDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/LimitDesk.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.PermitDemand;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
@@ -47,7 +47,7 @@
   private final Leadership leadership;
 
   private final RateLimitRegistry book = new RateLimitRegistry();
-  private final Map<UpstreamLife, PermitBucket> buckets = new HashMap<>();
+  private final Map<UpstreamIncarnation, PermitBucket> buckets = new HashMap<>();
   private final Map<VmId, Map<ServiceId, Want>> wants = new HashMap<>();
   private final Map<VmId, Told> told = new HashMap<>();
   private long revision;
@@ -57,7 +57,7 @@
   }
 
   boolean isLimited(Registration upstream) {
-    return book.limit(upstream.life()).isLimited();
+    return book.limit(upstream.upstreamIncarnation()).isLimited();
   }
 
   /** Tells a VM which upstreams have limits, unless this life of it was told. */
@@ -101,7 +101,7 @@
   private void heard(List<RateLimitObservation> sightings) {
     boolean changed = false;
     for (RateLimitObservation sighting : sightings) {
-      UpstreamLife upstream = sighting.upstream();
+      UpstreamIncarnation upstream = sighting.upstream();
       final boolean wasLimited = book.limit(upstream).isLimited();
       book.record(upstream, sighting.limit(), leadership.nowNs() - sighting.agoMs() * NS_PER_MS);
       changed |= wasLimited != book.limit(upstream).isLimited();
@@ -135,7 +135,7 @@
 
   /** Forgets limits of upstreams that are gone. */
   void retain(Collection<Registration> present) {
-    Set<UpstreamLife> lives = present.stream().map(Registration::life).collect(Collectors.toSet());
+    Set<UpstreamIncarnation> lives = present.stream().map(Registration::upstreamIncarnation).collect(Collectors.toSet());
     book.removeStale(lives, leadership.nowNs());
     buckets.keySet().removeIf(upstream -> !book.limit(upstream).isLimited());
   }
@@ -162,7 +162,7 @@
               && upstream.phase() == RegistrationPhase.READY
               && isLimited(upstream);
       if (fits && left > 0) {
-        UpstreamLife life = upstream.life();
+        UpstreamIncarnation life = upstream.upstreamIncarnation();
         PermitBucket bucket = buckets.computeIfAbsent(life, key -> new PermitBucket(nowNs));
         int taken = bucket.acquire(book.limit(life), left, nowNs);
         left -= taken;
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorDesk.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.replication.ProposalRejection;
 import org.teaseltrail.core.replication.ReplicaEvent;
 import org.teaseltrail.core.rollout.Rollout;
-import org.teaseltrail.core.rollout.RolloutAnswer;
+import org.teaseltrail.core.rollout.RolloutOrderResult;
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.core.rollout.RolloutReason;
 import org.teaseltrail.core.state.Command;
@@ -86,7 +86,7 @@
   private void abort(long callId, ServiceId service, long logTimeMs, long nowNs) {
     Optional<Rollout> newest = replicated.state().rollouts().find(service);
     if (newest.isEmpty()) {
-      out.reply(callId, new OperatorResult.RolloutAnswered(RolloutAnswer.NONE_RUNNING));
+      out.reply(callId, new OperatorResult.RolloutAnswered(RolloutOrderResult.NONE_RUNNING));
       return;
     }
     Command.TurnRollout turn =
@@ -102,7 +102,7 @@
   /** Commits a heartbeat that changes something; the others only show that the upstream lives. */
   private void heartbeat(long callId, Registration heard, Leadership leadership) {
     leadership.servingDesk().heartbeat(heard);
-    if (replicated.state().registry().wouldChange(heard)) {
+    if (replicated.state().registry().needsCommit(heard)) {
       long nowNs = leadership.nowNs();
       propose(callId, new Command.RegisterUpstream(heard, leadership.logTimeMs(nowNs)), nowNs);
     } else {
@@ -237,7 +237,7 @@
 
     @Override
     public void committed(CommandResult result, long nowNs) {
-      RolloutAnswer answer = ((CommandResult.OfRollout) result).answer();
+      RolloutOrderResult answer = ((CommandResult.OfRollout) result).answer();
       out.reply(callId, new OperatorResult.RolloutAnswered(answer));
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorResult.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorResult.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.replication.Membership;
 import org.teaseltrail.core.replication.ProposalRejection;
 import org.teaseltrail.core.rollout.Rollout;
-import org.teaseltrail.core.rollout.RolloutAnswer;
+import org.teaseltrail.core.rollout.RolloutOrderResult;
 import org.teaseltrail.core.state.ChangeResult;
 
 /** Is what an operator's request came to. */
@@ -121,7 +121,7 @@
    *
    * @param answer taken, or why not
    */
-  record RolloutAnswered(RolloutAnswer answer) implements OperatorResult {}
+  record RolloutAnswered(RolloutOrderResult answer) implements OperatorResult {}
 
   /**
    * A service's newest rollout.
--- a/core/src/main/java/org/teaseltrail/core/control/PlaceShares.java
+++ b/core/src/main/java/org/teaseltrail/core/control/PlaceShares.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.registry.RegistryBook;
+import org.teaseltrail.core.registry.UpstreamRegistry;
 
 /**
  * Deals the places of all upstreams out to the entry VMs, by what each has lately wanted, for the
@@ -65,7 +65,7 @@
    * @param nowNs time
    * @return places by upstream, those without any left out
    */
-  Map<UpstreamId, Integer> of(VmId vm, RegistryBook registry, long nowNs) {
+  Map<UpstreamId, Integer> of(VmId vm, UpstreamRegistry registry, long nowNs) {
     boolean outdated = registry.revision() != dealtRevision || wants.size() != dealtVms;
     if (outdated || nowNs - dealtNs >= DEAL_EVERY_NS || !parts.containsKey(vm)) {
       deal(registry.present());
--- a/core/src/main/java/org/teaseltrail/core/control/QuarantineDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuarantineDesk.java
@@ -9,12 +9,12 @@
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.quarantine.Fingerprint;
-import org.teaseltrail.core.quarantine.HeldBook;
+import org.teaseltrail.core.quarantine.HeldRequestStore;
 import org.teaseltrail.core.quarantine.HeldRequest;
 import org.teaseltrail.core.quarantine.Loss;
-import org.teaseltrail.core.quarantine.LossBook;
+import org.teaseltrail.core.quarantine.LossTracker;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.state.Command;
@@ -63,8 +63,8 @@
   private static final long VMS_TELL_NS = 500 * NS_PER_MS;
 
   private final Leadership leadership;
-  private final LossBook losses = new LossBook(MEMORY_MS);
-  private final Map<UpstreamLife, Long> beatsNs = new LinkedHashMap<>();
+  private final LossTracker losses = new LossTracker(MEMORY_MS);
+  private final Map<UpstreamIncarnation, Long> beatsNs = new LinkedHashMap<>();
   private final long allToldNs;
   private Map<Fingerprint, Optional<CustomerId>> held = Map.of();
   private Set<Fingerprint> watched = Set.of();
@@ -85,7 +85,7 @@
   boolean message(ServingMessage.Losses message) {
     for (Loss loss : message.losses()) {
       long atNs = leadership.nowNs() - loss.agoMs() * NS_PER_MS;
-      losses.lost(loss.request(), loss.customer(), loss.upstream(), atNs);
+      losses.recordLoss(loss.request(), loss.customer(), loss.upstream(), atNs);
       Long beatNs = beatsNs.get(loss.upstream());
       if (beatNs != null) {
         losses.alive(loss.upstream(), beatNs - BEAT_ON_ITS_WAY_NS);
@@ -102,17 +102,17 @@
    * @return whether what the VMs are told has changed
    */
   boolean heartbeat(Registration heard) {
-    beatsNs.put(heard.life(), leadership.nowNs());
-    boolean known = losses.alive(heard.life(), leadership.nowNs() - BEAT_ON_ITS_WAY_NS);
+    beatsNs.put(heard.upstreamIncarnation(), leadership.nowNs());
+    boolean known = losses.alive(heard.upstreamIncarnation(), leadership.nowNs() - BEAT_ON_ITS_WAY_NS);
     return known && decide();
   }
 
   /** Does what is due each second; returns whether what the VMs are told has changed. */
   boolean tick() {
     long nowNs = leadership.nowNs();
-    losses.forgetOld(nowNs);
+    losses.removeExpired(nowNs);
     beatsNs.values().removeIf(atNs -> nowNs - atNs > MEMORY_MS * NS_PER_MS);
-    for (Map.Entry<Fingerprint, Optional<CustomerId>> one : losses.allToHold().entrySet()) {
+    for (Map.Entry<Fingerprint, Optional<CustomerId>> one : losses.findRequestsToHold().entrySet()) {
       boolean settled = nowNs - losses.newestLossNs(one.getKey()) >= SETTLED_NS;
       if (settled && !heldBook().contains(one.getKey())) {
         long logTimeMs = leadership.logTimeMs(nowNs);
@@ -133,9 +133,9 @@
   boolean decide() {
     Map<Fingerprint, Optional<CustomerId>> nowHeld = new LinkedHashMap<>();
     heldBook().all().forEach(one -> nowHeld.put(one.request(), one.customer()));
-    nowHeld.putAll(losses.allToHold());
+    nowHeld.putAll(losses.findRequestsToHold());
     long watchedFromNs = leadership.nowNs() - WATCHED_NS;
-    Set<Fingerprint> nowWatched = new HashSet<>(losses.lostSince(watchedFromNs));
+    Set<Fingerprint> nowWatched = new HashSet<>(losses.findLostAfter(watchedFromNs));
     nowWatched.removeAll(nowHeld.keySet());
     if (nowHeld.equals(held) && nowWatched.equals(watched)) {
       return false;
@@ -163,7 +163,7 @@
 
   /** A request that ends upstreams is never answered whole, so one that is harms nobody. */
   private void servedWhole(Fingerprint request) {
-    losses.servedWhole(request);
+    losses.recordSuccess(request);
     if (heldBook().contains(request)) {
       release(request);
     }
@@ -193,7 +193,7 @@
   private void releaseCleared() {
     long logTimeMs = leadership.logTimeMs(leadership.nowNs());
     for (HeldRequest one : heldBook().all()) {
-      if (one.isOver(logTimeMs) || losses.isCleared(one.request())) {
+      if (one.isExpired(logTimeMs) || losses.isCleared(one.request())) {
         release(one.request());
       }
     }
@@ -204,7 +204,7 @@
     leadership.proposeUnanswered(new Command.ReleaseRequest(request, logTimeMs));
   }
 
-  private HeldBook heldBook() {
+  private HeldRequestStore heldBook() {
     return leadership.context().replicated().state().held();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/RolloutDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutDesk.java
@@ -10,11 +10,11 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.rollout.CanaryLoan;
-import org.teaseltrail.core.rollout.ExposureAccount;
+import org.teaseltrail.core.rollout.CanaryAllowance;
+import org.teaseltrail.core.rollout.ExposureCounters;
 import org.teaseltrail.core.rollout.Rollout;
 import org.teaseltrail.core.rollout.RolloutPhase;
-import org.teaseltrail.core.rollout.RolloutUse;
+import org.teaseltrail.core.rollout.RolloutReport;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.state.ClusterState;
@@ -63,8 +63,8 @@
 
   /** Takes what a VM has done, and lends it more. */
   void message(ServingMessage.Rollouts told) {
-    List<CanaryLoan> loans = new ArrayList<>();
-    for (RolloutUse use : told.uses()) {
+    List<CanaryAllowance> loans = new ArrayList<>();
+    for (RolloutReport use : told.uses()) {
       watchOf(use).ifPresent(watch -> loans.add(answer(told, use, watch)));
     }
     leadership.sendServing(
@@ -93,7 +93,7 @@
   }
 
   void forget(VmId vm) {
-    open.values().forEach(watch -> watch.ledger().forget(vm));
+    open.values().forEach(watch -> watch.ledger().removeVm(vm));
   }
 
   void tick() {
@@ -137,15 +137,15 @@
     return state().rollouts().find(watch.rollout().order().service()).orElseThrow();
   }
 
-  private Optional<RolloutWatch> watchOf(RolloutUse use) {
+  private Optional<RolloutWatch> watchOf(RolloutReport use) {
     return Optional.ofNullable(open.get(use.service()))
         .filter(watch -> watch.rollout().orderedMs() == use.orderedMs());
   }
 
-  private CanaryLoan answer(ServingMessage.Rollouts told, RolloutUse use, RolloutWatch watch) {
-    watch.ledger().told(told.vm(), told.incarnation(), use);
+  private CanaryAllowance answer(ServingMessage.Rollouts told, RolloutReport use, RolloutWatch watch) {
+    watch.ledger().recordReport(told.vm(), told.incarnation(), use);
     long heard =
-        watch.judge().told(told.vm(), told.incarnation(), use.firstNumber(), use.observations());
+        watch.judge().recordReport(told.vm(), told.incarnation(), use.firstNumber(), use.observations());
     Rollout rollout = watch.rollout();
     boolean lends = rollout.phase() == RolloutPhase.RUNNING && watch.verdict().isEmpty();
     List<UpstreamId> targets =
@@ -153,9 +153,9 @@
     long ceiling = use.ceiling();
     if (!targets.isEmpty()) {
       writeAhead(watch);
-      ceiling = watch.ledger().lend(told.vm(), freePlaces(targets));
+      ceiling = watch.ledger().allocate(told.vm(), freePlaces(targets));
     }
-    return new CanaryLoan(rollout.order().service(), rollout.orderedMs(), ceiling, targets, heard);
+    return new CanaryAllowance(rollout.order().service(), rollout.orderedMs(), ceiling, targets, heard);
   }
 
   /** Guards against a canary that is slow because its few upstreams were given too much at once. */
@@ -170,7 +170,7 @@
 
   /** Lets the log allow more before it is lent, once for some requests. */
   private void writeAhead(RolloutWatch watch) {
-    ExposureAccount wanted = watch.ledger().wanted();
+    ExposureCounters wanted = watch.ledger().wanted();
     if (!watch.mayWrite(wanted)) {
       return;
     }
--- a/core/src/main/java/org/teaseltrail/core/control/RolloutWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutWatch.java
@@ -6,14 +6,14 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.rollout.ExposureAccount;
-import org.teaseltrail.core.rollout.ExposureLedger;
+import org.teaseltrail.core.rollout.ExposureCounters;
+import org.teaseltrail.core.rollout.CanaryBudgetAllocator;
 import org.teaseltrail.core.rollout.Rollout;
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.core.rollout.RolloutReason;
 import org.teaseltrail.core.rollout.RolloutSettings;
 import org.teaseltrail.core.rollout.Verdict;
-import org.teaseltrail.core.rollout.VersionJudge;
+import org.teaseltrail.core.rollout.CanaryAnalyzer;
 
 /** Watches, on the leader, one rollout that has not ended: whom to lend to, and when it turns. */
 final class RolloutWatch {
@@ -61,8 +61,8 @@
   record Turn(RolloutPhase phase, RolloutReason reason) {}
 
   private final RolloutSettings settings;
-  private final VersionJudge judge;
-  private final ExposureLedger ledger;
+  private final CanaryAnalyzer judge;
+  private final CanaryBudgetAllocator ledger;
   private final long beganNs;
   private Rollout rollout;
   private boolean writes;
@@ -71,30 +71,30 @@
     this.settings = settings;
     this.rollout = rollout;
     beganNs = nowNs;
-    judge = new VersionJudge(nowNs);
-    ledger = new ExposureLedger(settings.limit(), rollout.account());
+    judge = new CanaryAnalyzer(nowNs);
+    ledger = new CanaryBudgetAllocator(settings.limit(), rollout.account());
   }
 
   Rollout rollout() {
     return rollout;
   }
 
-  VersionJudge judge() {
+  CanaryAnalyzer judge() {
     return judge;
   }
 
-  ExposureLedger ledger() {
+  CanaryBudgetAllocator ledger() {
     return ledger;
   }
 
   /** Takes over what is in the log by now. */
   void logged(Rollout newer) {
     rollout = newer;
-    ledger.logged(newer.account());
+    ledger.updateCommitted(newer.account());
   }
 
   /** Tells whether an account is to be written down, and nothing is being written yet. */
-  boolean mayWrite(ExposureAccount wanted) {
+  boolean mayWrite(ExposureCounters wanted) {
     return !writes && !wanted.equals(rollout.account());
   }
 
@@ -117,12 +117,12 @@
   List<UpstreamId> targets(List<Registration> upstreams, WarmUpstreams warm, long nowNs) {
     List<UpstreamId> ready = new ArrayList<>();
     for (Registration upstream : upstreams) {
-      if (rollout.isOrdered(upstream.version()) && warm.isWarm(upstream, nowNs)) {
+      if (rollout.isTargetVersion(upstream.version()) && warm.isWarm(upstream, nowNs)) {
         ready.add(upstream.id());
       }
     }
     long old = upstreams.stream().filter(this::isOldAndReady).count();
-    int wanted = (int) Math.max(1, Math.ceil(settings.limit().usedShare() * old));
+    int wanted = (int) Math.max(1, Math.ceil(settings.limit().effectiveShare() * old));
     int turn = (int) ((nowNs - beganNs) / TARGETS_FOR_NS);
     List<UpstreamId> targets = new ArrayList<>();
     for (int i = 0; i < Math.min(wanted, ready.size()); i++) {
@@ -149,7 +149,7 @@
     if (verdict().isPresent()) {
       return Optional.of(new Turn(RolloutPhase.ROLLED_BACK, verdict().get().reason()));
     }
-    double passed = rollout.passedPart(logTimeMs);
+    double passed = rollout.elapsedFraction(logTimeMs);
     boolean roomy = hasPlaces(upstreams, warm, nowNs);
     if (rollout.phase() == RolloutPhase.SHIFTING) {
       return whileShifting(passed, roomy, handedOver);
@@ -180,14 +180,14 @@
 
   private boolean isLookedAtEnough() {
     double wanted = Math.min(LEAST_LOOKS, LEAST_LOOKS_PART * ledger.reached());
-    return judge.looks() >= wanted && !judge.isSuspicious();
+    return judge.targetAnswerCount() >= wanted && !judge.isSuspicious();
   }
 
   private boolean hasPlaces(List<Registration> upstreams, WarmUpstreams warm, long nowNs) {
     int ordered = 0;
     int old = 0;
     for (Registration upstream : upstreams) {
-      if (rollout.isOrdered(upstream.version())) {
+      if (rollout.isTargetVersion(upstream.version())) {
         ordered += takesAll(upstream, warm, nowNs) ? upstream.slots() : 0;
       } else if (isOldAndReady(upstream)) {
         old += upstream.slots();
@@ -206,6 +206,6 @@
   }
 
   private boolean isOldAndReady(Registration upstream) {
-    return upstream.phase() == RegistrationPhase.READY && rollout.isOfBefore(upstream.version());
+    return upstream.phase() == RegistrationPhase.READY && rollout.isPreviousVersion(upstream.version());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ServingDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ServingDesk.java
@@ -19,7 +19,7 @@
 import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.replication.Member;
-import org.teaseltrail.core.rollout.VersionUse;
+import org.teaseltrail.core.rollout.TrafficPolicy;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.UpstreamSlots;
@@ -217,20 +217,20 @@
 
   private List<Registration> notBarred() {
     return state().registry().present().stream()
-        .filter(upstream -> useOf(upstream) != VersionUse.BARRED)
+        .filter(upstream -> useOf(upstream) != TrafficPolicy.NONE)
         .toList();
   }
 
   private boolean isFree(Registration upstream) {
-    return useOf(upstream) == VersionUse.FREE;
+    return useOf(upstream) == TrafficPolicy.ALL;
   }
 
-  private VersionUse useOf(Registration upstream) {
+  private TrafficPolicy useOf(Registration upstream) {
     return state()
         .rollouts()
         .find(upstream.service())
-        .map(rollout -> rollout.use(upstream.version()))
-        .orElse(VersionUse.FREE);
+        .map(rollout -> rollout.trafficPolicy(upstream.version()))
+        .orElse(TrafficPolicy.ALL);
   }
 
   /** Pushes what was just committed to all VMs. */
@@ -391,7 +391,7 @@
       boolean finishing =
           state().registry().present().stream()
               .filter(upstream -> upstream.service().equals(service))
-              .filter(upstream -> useOf(upstream) == VersionUse.BARRED)
+              .filter(upstream -> useOf(upstream) == TrafficPolicy.NONE)
               .anyMatch(upstream -> inFlight(upstream.id()) > 0);
       return finishing ? RolloutWatch.HandOverState.FINISHING : RolloutWatch.HandOverState.FINISHED;
     }
--- a/core/src/main/java/org/teaseltrail/core/entry/AdmissionHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/AdmissionHandler.java
@@ -15,9 +15,9 @@
 import org.teaseltrail.core.message.Ticket;
 import org.teaseltrail.core.request.NotRunReason;
 import org.teaseltrail.core.request.Outcome;
-import org.teaseltrail.core.request.PrefixBlocks;
+import org.teaseltrail.core.request.PrefixBlockHasher;
 import org.teaseltrail.core.request.Request;
-import org.teaseltrail.core.request.TokenEstimate;
+import org.teaseltrail.core.request.TokenEstimator;
 
 /** Takes requests in: who asks, for what, whether it may run, and its ticket. */
 final class AdmissionHandler {
@@ -93,10 +93,10 @@
     RequestKind kind = RequestKind.SERVICE_CALL;
     if (call.target() instanceof CallTarget.Generation generation) {
       kind = RequestKind.GENERATION;
-      promptTokens = TokenEstimate.ofBytes(generation.promptUtf8().length);
+      promptTokens = TokenEstimator.estimateTokens(generation.promptUtf8().length);
       outputTokens =
           parts.estimator.estimateTokens(customer.id(), route.id(), generation.maxTokens());
-      blocks = PrefixBlocks.of((ModelTarget) route.target(), generation.promptUtf8());
+      blocks = PrefixBlockHasher.hashBlocks((ModelTarget) route.target(), generation.promptUtf8());
     }
     return new Ticket(
         id,
@@ -121,7 +121,7 @@
     if (request.deadlineNs() != 0) {
       parts.timers.add(TimerQueue.deadline(request.deadlineNs(), request.id()));
     }
-    request.offer();
+    request.markOffered();
     parts.session.sendToLeader(new EntryMessage.Offer(request.ticketAt(nowNs)));
     parts.actions.log(
         EntryDecisionKind.ADMIT,
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlMessageHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlMessageHandler.java
@@ -73,7 +73,7 @@
 
   private void reportOne(Request request, long nowNs) {
     if (request.state().isWaiting()) {
-      request.offer();
+      request.markOffered();
       parts.session.sendToLeader(new EntryMessage.Offer(request.ticketAt(nowNs)));
     } else if (!request.isAdopted() && request.state() != RequestState.ENDED) {
       UpstreamTarget target = request.target().orElseThrow();
--- a/core/src/main/java/org/teaseltrail/core/entry/Dispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/Dispatcher.java
@@ -86,7 +86,7 @@
         granted,
         kind,
         usage.orElse(new Usage(0, 0, 0)),
-        EntryMessage.Ended.UNKNOWN_MS);
+        EntryMessage.Ended.UNKNOWN_DURATION_MS);
   }
 
   private void follow(MemberId member, Grant grant, Request request, long nowNs) {
@@ -141,7 +141,7 @@
       return;
     }
     UpstreamTarget target = request.target().orElseThrow();
-    if (parts.upstreams.isLeaving(target.upstream(), request.grantedLife())) {
+    if (parts.upstreams.isLeaving(target.upstream(), request.grantedIncarnation())) {
       giveBack(request, DeclineReason.LEAVING);
     } else if (!parts.session.isValid(nowNs)) {
       giveBack(request, DeclineReason.NO_SESSION);
@@ -152,7 +152,7 @@
 
   private void dispatch(Request request, UpstreamTarget target, long nowNs) {
     Invariant.check(
-        !parts.upstreams.isLeaving(target.upstream(), request.grantedLife()),
+        !parts.upstreams.isLeaving(target.upstream(), request.grantedIncarnation()),
         InvariantName.NO_DISPATCH_TO_LEAVING);
     request.dispatch(nowNs);
     parts.actions.add(new EntryAction.Transmit(request.id(), request.attempt()));
@@ -172,7 +172,7 @@
     final UpstreamTarget target = request.target().orElseThrow();
     parts.actions.add(new EntryAction.CloseUpstream(request.id()));
     parts.actions.log(EntryDecisionKind.DECLINE, request, "reason=" + reason);
-    request.giveBack();
+    request.declineGrant();
     parts.session.sendToLeader(new EntryMessage.Declined(request.id(), target.upstream(), reason));
   }
 
@@ -184,7 +184,7 @@
     if (request.state() != RequestState.DISPATCHED) {
       return;
     }
-    request.refuseByUpstream();
+    request.markRefusedByUpstream();
     UpstreamTarget target = request.target().orElseThrow();
     parts.session.sendToLeader(
         new EntryMessage.Declined(
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryContext.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryContext.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.entry;
 
-import org.teaseltrail.core.request.OutputEstimator;
+import org.teaseltrail.core.request.OutputLengthEstimator;
 
 /** Holds the parts that the handlers of an entry VM share. */
 final class EntryContext {
@@ -11,7 +11,7 @@
   final AnnouncementStore upstreams = new AnnouncementStore(configuration);
   final RequestTable requests = new RequestTable();
   final TimerQueue timers = new TimerQueue();
-  final OutputEstimator estimator = new OutputEstimator();
+  final OutputLengthEstimator estimator = new OutputLengthEstimator();
   final ControlSession session;
   final EndedReportQueue endedReports;
 
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
@@ -135,10 +135,10 @@
    * come back for the answer over any VM.
    */
   private void callerGone(Request request) {
-    request.callerGone();
+    request.markCallerDisconnected();
     if (!request.state().isDispatched()) {
       closer.withdraw(request, WithdrawReason.CALLER_GONE, NotRunReason.CANCELLED, 0);
-    } else if (request.isAdopted() || !request.isKeyed()) {
+    } else if (request.isAdopted() || !request.hasIdempotencyKey()) {
       closer.cancelled(request, FailureReason.CANCELLED, nowNs);
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/StreamHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/StreamHandler.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.message.RequestKind;
 import org.teaseltrail.core.message.Usage;
 import org.teaseltrail.core.request.FailureReason;
-import org.teaseltrail.core.request.FrameVerdict;
+import org.teaseltrail.core.request.FrameDisposition;
 import org.teaseltrail.core.request.Millis;
 import org.teaseltrail.core.request.Request;
 import org.teaseltrail.core.request.RequestState;
@@ -29,15 +29,15 @@
       return;
     }
     boolean first = request.state() == RequestState.DISPATCHED;
-    FrameVerdict verdict = request.accept(frame);
-    if (verdict == FrameVerdict.NEXT) {
+    FrameDisposition verdict = request.accept(frame);
+    if (verdict == FrameDisposition.NEXT) {
       reportFirstToken(request, first, nowNs);
       pass(request, frame, nowNs);
       return;
     }
     parts.actions.log(
         EntryDecisionKind.DROP, request, "frame=" + frame.sequence() + " verdict=" + verdict);
-    if (verdict.breaksConnection()) {
+    if (verdict.requiresReconnect()) {
       broken(request, nowNs);
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/forward/BackpressureSignals.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/BackpressureSignals.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.forward;
 
 import org.teaseltrail.core.backpressure.RateLimit;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /** Takes in how much work upstreams ask for in their answers. */
 public final class BackpressureSignals {
@@ -23,7 +23,7 @@
    * @param nowNs time
    * @return whether it is another one than this VM knew
    */
-  public boolean limit(UpstreamLife upstream, RateLimit limit, long dispatchedNs, long nowNs) {
+  public boolean limit(UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
     return limits.saw(upstream, limit, dispatchedNs, nowNs);
   }
 
@@ -35,7 +35,7 @@
    * @param nowNs time
    * @return whether it was not backed off already
    */
-  public boolean backOff(UpstreamLife upstream, long backoffMs, long nowNs) {
+  public boolean backOff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
     return upstreams.backOff(upstream, backoffMs, nowNs);
   }
 
@@ -45,7 +45,7 @@
    * @param upstream the upstream's life
    * @return whether that is news
    */
-  public boolean leaving(UpstreamLife upstream) {
+  public boolean leaving(UpstreamIncarnation upstream) {
     return upstreams.leave(upstream);
   }
 
@@ -56,7 +56,7 @@
    * @param nowNs time
    * @return false if the upstream has asked to back off meanwhile, or is about to leave
    */
-  public boolean allowSending(UpstreamLife upstream, long nowNs) {
+  public boolean allowSending(UpstreamIncarnation upstream, long nowNs) {
     return !upstreams.backpressure(upstream).takesNone(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/CanaryPart.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/CanaryPart.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.UpstreamId;
-import org.teaseltrail.core.rollout.CanaryLoan;
+import org.teaseltrail.core.rollout.CanaryAllowance;
 import org.teaseltrail.core.rollout.Observation;
-import org.teaseltrail.core.rollout.ObservationLog;
+import org.teaseltrail.core.rollout.ObservationBuffer;
 import org.teaseltrail.core.rollout.Rollout;
-import org.teaseltrail.core.rollout.RolloutUse;
+import org.teaseltrail.core.rollout.RolloutReport;
 import org.teaseltrail.core.rollout.Symptom;
 
 /** Is this VM's part in one rollout: what it may send to the ordered version, and what it saw. */
 final class CanaryPart {
 
   private final Rollout rollout;
-  private final ObservationLog observations = new ObservationLog();
+  private final ObservationBuffer observations = new ObservationBuffer();
   private long reached;
   private long exposed;
   private long ceiling;
@@ -34,7 +34,7 @@
   }
 
   /** Takes what the leader lends until a time. */
-  void lent(CanaryLoan loan, FencingNumber leadership, long untilNs) {
+  void lent(CanaryAllowance loan, FencingNumber leadership, long untilNs) {
     if (loan.orderedMs() == rollout.orderedMs()) {
       heardBy = leadership;
       heard = loan.heard();
@@ -69,25 +69,25 @@
             view.registration().id(),
             isOrdered(view),
             symptom,
-            Observation.sizeOf(tokens),
+            Observation.sizeBucketOf(tokens),
             value));
   }
 
   /** Returns what the leader of a leadership is to be told. */
-  RolloutUse use(FencingNumber leadership, long nowNs) {
+  RolloutReport use(FencingNumber leadership, long nowNs) {
     long from = leadership.equals(heardBy) ? heard : 0;
     boolean lent = nowNs < lentUntilNs;
-    return new RolloutUse(
+    return new RolloutReport(
         rollout.order().service(),
         rollout.orderedMs(),
         reached,
         exposed,
         lent ? Math.max(ceiling, exposed) : exposed,
-        observations.firstFrom(from),
+        observations.firstAvailableFrom(from),
         observations.from(from));
   }
 
   private boolean isOrdered(UpstreamView view) {
-    return rollout.isOrdered(view.registration().version());
+    return rollout.isTargetVersion(view.registration().version());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/LimitTies.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LimitTies.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.PermitDemand;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
@@ -43,7 +43,7 @@
   private final VmId vm;
   private final UpstreamBook upstreams;
   private final RateLimitRegistry book = new RateLimitRegistry();
-  private final Map<UpstreamLife, Long> newsUntilNs = new HashMap<>();
+  private final Map<UpstreamIncarnation, Long> newsUntilNs = new HashMap<>();
   private final TreeMap<Long, Long> askedNs = new TreeMap<>();
   private FencingNumber toldTo = new FencingNumber(0);
   private long allToldNs;
@@ -61,7 +61,7 @@
    * answers that pass each other, or are read late and in any order after a freeze: one from before
    * the need would let all VMs send freely.
    */
-  boolean saw(UpstreamLife upstream, RateLimit limit, long dispatchedNs, long nowNs) {
+  boolean saw(UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
     if (!limit.isLimited() && dispatchedNs <= book.observedNs(upstream)) {
       return false;
     }
@@ -110,7 +110,7 @@
     return Optional.of(new ServingMessage.Limits(vm, sequence, told, wanted));
   }
 
-  private boolean note(UpstreamLife upstream, RateLimit limit, long seenNs) {
+  private boolean note(UpstreamIncarnation upstream, RateLimit limit, long seenNs) {
     boolean changed = book.record(upstream, limit, seenNs);
     if (changed) {
       upstreams.markLimited(upstream, limit.isLimited());
--- a/core/src/main/java/org/teaseltrail/core/forward/Quarantine.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/Quarantine.java
@@ -10,8 +10,8 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.quarantine.Fingerprint;
-import org.teaseltrail.core.quarantine.LossBook;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.quarantine.LossTracker;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
@@ -46,7 +46,7 @@
 
   private final VmId vm;
   private final LongPredicate leaderHeard;
-  private final LossBook own = new LossBook(MEMORY_MS);
+  private final LossTracker own = new LossTracker(MEMORY_MS);
   private final Map<Fingerprint, Long> servedNs = new LinkedHashMap<>();
   private final Map<Fingerprint, Long> trialsUntilNs = new HashMap<>();
   private Set<Fingerprint> held = Set.of();
@@ -68,7 +68,7 @@
       return false;
     }
     Fingerprint print = request.fingerprint();
-    return held.contains(print) || (!leaderHeard.test(nowNs) && own.isToHold(print));
+    return held.contains(print) || (!leaderHeard.test(nowNs) && own.mustHold(print));
   }
 
   /** Tells whether upstreams' connections lately ended under a request. */
@@ -97,8 +97,8 @@
   }
 
   /** Notes that the connection to an upstream ended while it had a request. */
-  void lost(TrackedForward request, UpstreamLife upstream, long nowNs) {
-    own.lost(request.fingerprint(), request.customer(), upstream, nowNs);
+  void lost(TrackedForward request, UpstreamIncarnation upstream, long nowNs) {
+    own.recordLoss(request.fingerprint(), request.customer(), upstream, nowNs);
     servedNs.remove(request.fingerprint());
     changed(nowNs);
   }
@@ -107,7 +107,7 @@
   void servedWhole(TrackedForward request, long nowNs) {
     if (suspects(request)) {
       Fingerprint print = request.fingerprint();
-      own.servedWhole(print);
+      own.recordSuccess(print);
       servedNs.put(print, nowNs);
       if (servedNs.size() > MOST_SERVED) {
         servedNs.remove(servedNs.keySet().iterator().next());
@@ -140,9 +140,9 @@
    * was cleared and is held by the next leader, which hears of the losses alone.
    */
   private void excuseCleared(long nowNs) {
-    for (Fingerprint print : own.lostBefore(nowNs - TOLD_BACK_NS)) {
+    for (Fingerprint print : own.findLostBefore(nowNs - TOLD_BACK_NS)) {
       if (!held.contains(print) && !watched.contains(print)) {
-        own.servedWhole(print);
+        own.recordSuccess(print);
       }
     }
   }
@@ -154,7 +154,7 @@
 
   /** Tells all anew to a leader that may not have heard it; forgets what is old. */
   void tellAgain(boolean newLeader, long nowNs) {
-    own.forgetOld(nowNs);
+    own.removeExpired(nowNs);
     boolean lately = nowNs - changedNs < TELL_AGAIN_NS;
     untold |= changedNs > 0 && (newLeader || lately);
   }
--- a/core/src/main/java/org/teaseltrail/core/forward/Repeats.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/Repeats.java
@@ -40,7 +40,7 @@
 
   /** Tells whether a request whose attempt has ended may be tried again, and counts that. */
   boolean take(TrackedForward request, AttemptEnd end, long nowNs) {
-    boolean mayRepeat = !end.maybeRan() || request.route().mayRepeat();
+    boolean mayRepeat = !end.maybeRan() || request.route().canRetry();
     boolean attemptsLeft =
         request.sends() < request.route().maxAttempts() && request.attempts() < MAX_ATTEMPTS;
     boolean timeLeft = nowNs < request.patientUntilNs();
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestDesk.java
@@ -137,7 +137,7 @@
 
   private void noteForQuarantine(TrackedForward request, AttemptEnd end, long nowNs) {
     switch (end) {
-      case BROKEN -> quarantine.lost(request, request.at().get().registration().life(), nowNs);
+      case BROKEN -> quarantine.lost(request, request.at().get().registration().upstreamIncarnation(), nowNs);
       case ANSWERED, FAILED_ANSWER -> quarantine.servedWhole(request, nowNs);
       default -> {
         // It didn't run there, so it tells nothing.
--- a/core/src/main/java/org/teaseltrail/core/forward/TrackedForward.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/TrackedForward.java
@@ -142,7 +142,7 @@
 
   /** Returns until when an answer, or a stream's first event, still finds the caller there. */
   long patientUntilNs() {
-    return begun ? dueNs() : Math.min(dueNs(), arrivedNs + route.patienceMs() * NS_PER_MS);
+    return begun ? dueNs() : Math.min(dueNs(), arrivedNs + route.callerTimeoutMs() * NS_PER_MS);
   }
 
   /** Returns until when it waits for a place. */
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamBook.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamBook.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.UpstreamSlots;
 
 /** Holds this VM's views of all registered upstreams. */
@@ -24,7 +24,7 @@
   private static final int MOST_LAPSED = 1_000;
 
   private final Map<UpstreamId, UpstreamView> views = new LinkedHashMap<>();
-  private final Map<UpstreamLife, Backpressure> asked = new LinkedHashMap<>();
+  private final Map<UpstreamIncarnation, Backpressure> asked = new LinkedHashMap<>();
   private Map<ServiceId, List<UpstreamView>> byService = Map.of();
   private List<UpstreamView> inOrder = List.of();
   private long revision = -1;
@@ -52,8 +52,8 @@
     newer.forEach(
         (id, registration) -> {
           UpstreamView view = views.get(id);
-          if (view == null || !view.registration().life().equals(registration.life())) {
-            view = new UpstreamView(registration, backpressure(registration.life()));
+          if (view == null || !view.registration().upstreamIncarnation().equals(registration.upstreamIncarnation())) {
+            view = new UpstreamView(registration, backpressure(registration.upstreamIncarnation()));
             views.put(id, view);
           }
           view.update(registration);
@@ -65,11 +65,11 @@
   }
 
   private void forgetLapsed() {
-    Set<UpstreamLife> present = lives();
+    Set<UpstreamIncarnation> present = lives();
     int most = present.size() + MOST_LAPSED;
-    Iterator<UpstreamLife> eldestFirst = asked.keySet().iterator();
+    Iterator<UpstreamIncarnation> eldestFirst = asked.keySet().iterator();
     while (asked.size() > most && eldestFirst.hasNext()) {
-      UpstreamLife eldest = eldestFirst.next();
+      UpstreamIncarnation eldest = eldestFirst.next();
       if (!present.contains(eldest)) {
         limitedLives -= asked.get(eldest).isLimited() ? 1 : 0;
         eldestFirst.remove();
@@ -78,7 +78,7 @@
   }
 
   /** Takes that an upstream wants nothing for a while; returns whether it wasn't so already. */
-  boolean backOff(UpstreamLife upstream, long backoffMs, long nowNs) {
+  boolean backOff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
     Backpressure asking = backpressure(upstream);
     boolean news = asking.backOff(backoffMs, nowNs);
     latestBackoffEndNs = Math.max(latestBackoffEndNs, asking.backoffUntilNs());
@@ -86,7 +86,7 @@
   }
 
   /** Takes that an upstream is about to leave; returns whether that is news. */
-  boolean leave(UpstreamLife upstream) {
+  boolean leave(UpstreamIncarnation upstream) {
     anyLeaves = true;
     return backpressure(upstream).leave();
   }
@@ -102,7 +102,7 @@
   }
 
   /** Takes whether an upstream names a limit. */
-  void markLimited(UpstreamLife upstream, boolean isLimited) {
+  void markLimited(UpstreamIncarnation upstream, boolean isLimited) {
     Backpressure asking = backpressure(upstream);
     if (asking.isLimited() != isLimited) {
       limitedLives += isLimited ? 1 : -1;
@@ -116,13 +116,13 @@
   }
 
   /** Returns what a life of an upstream has asked for. */
-  Backpressure backpressure(UpstreamLife upstream) {
+  Backpressure backpressure(UpstreamIncarnation upstream) {
     return asked.computeIfAbsent(upstream, key -> new Backpressure());
   }
 
   /** Returns the lives of all registered upstreams. */
-  Set<UpstreamLife> lives() {
-    return inOrder.stream().map(view -> view.registration().life()).collect(Collectors.toSet());
+  Set<UpstreamIncarnation> lives() {
+    return inOrder.stream().map(view -> view.registration().upstreamIncarnation()).collect(Collectors.toSet());
   }
 
   /** Returns the registered upstreams that have named limits. */
--- a/core/src/main/java/org/teaseltrail/core/forward/VersionGate.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/VersionGate.java
@@ -10,13 +10,13 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.rollout.CanaryLoan;
+import org.teaseltrail.core.rollout.CanaryAllowance;
 import org.teaseltrail.core.rollout.Observation;
 import org.teaseltrail.core.rollout.Rollout;
-import org.teaseltrail.core.rollout.RolloutUse;
+import org.teaseltrail.core.rollout.RolloutReport;
 import org.teaseltrail.core.rollout.Symptom;
 import org.teaseltrail.core.rollout.TimeBuckets;
-import org.teaseltrail.core.rollout.VersionUse;
+import org.teaseltrail.core.rollout.TrafficPolicy;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
@@ -76,7 +76,7 @@
       return;
     }
     long untilNs = askedNs + loans.forMs() * NS_PER_MS;
-    for (CanaryLoan loan : loans.loans()) {
+    for (CanaryAllowance loan : loans.loans()) {
       Optional.ofNullable(parts.get(loan.service()))
           .ifPresent(part -> part.lent(loan, loans.fencing(), untilNs));
     }
@@ -89,7 +89,7 @@
     }
     askedSequence++;
     askedNs = nowNs;
-    List<RolloutUse> uses =
+    List<RolloutReport> uses =
         parts.values().stream().map(part -> part.use(leadership, nowNs)).toList();
     return Optional.of(new ServingMessage.Rollouts(vm, incarnation, askedSequence, uses));
   }
@@ -146,7 +146,7 @@
     return part.targets(nowNs).stream()
         .flatMap(id -> upstreams.find(id).stream())
         .filter(view -> view.registration().service().equals(service))
-        .filter(view -> useOf(view) == VersionUse.CANARY)
+        .filter(view -> useOf(view) == TrafficPolicy.CANARY)
         .toList();
   }
 
@@ -231,11 +231,11 @@
 
   private List<UpstreamView> free(ServiceId service, Rollout rollout) {
     return upstreams.of(service).stream()
-        .filter(view -> rollout.use(view.registration().version()) == VersionUse.FREE)
+        .filter(view -> rollout.trafficPolicy(view.registration().version()) == TrafficPolicy.ALL)
         .toList();
   }
 
-  private VersionUse useOf(UpstreamView view) {
-    return rollouts.get(view.registration().service()).use(view.registration().version());
+  private TrafficPolicy useOf(UpstreamView view) {
+    return rollouts.get(view.registration().service()).trafficPolicy(view.registration().version());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/message/EntryMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/message/EntryMessage.java
@@ -92,11 +92,11 @@
       implements EntryMessage {
 
     /** Stands for a time since the dispatch that is no longer known. */
-    public static final long UNKNOWN_MS = 0;
+    public static final long UNKNOWN_DURATION_MS = 0;
 
     /** Returns whether the time since the dispatch is known. */
-    public boolean knowsTime() {
-      return sinceDispatchMs > UNKNOWN_MS;
+    public boolean hasKnownDuration() {
+      return sinceDispatchMs > UNKNOWN_DURATION_MS;
     }
   }
 
--- a/core/src/main/java/org/teaseltrail/core/plan/PlanRoute.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanRoute.java
@@ -47,8 +47,8 @@
    *
    * @return true if a second run harms nobody
    */
-  public boolean mayRepeat() {
-    return kind.mayRepeat(resumable);
+  public boolean canRetry() {
+    return kind.canRetry(resumable);
   }
 
   /**
@@ -57,7 +57,7 @@
    *
    * @return milliseconds
    */
-  public long patienceMs() {
+  public long callerTimeoutMs() {
     if (kind != RouteKind.STREAMING) {
       return timeoutMs;
     }
--- a/core/src/main/java/org/teaseltrail/core/plan/PlanCheck.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanValidator.java
@@ -11,11 +11,11 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /** Checks that a plan fits together before it is taken. */
-public final class PlanCheck {
+public final class PlanValidator {
 
   private record Place(String host, String pathPrefix) {}
 
-  private PlanCheck() {}
+  private PlanValidator() {}
 
   /**
    * Checks a plan.
@@ -23,12 +23,12 @@
    * @param plan the plan
    * @return what is wrong, or empty if it may be taken
    */
-  public static Optional<PlanFailure> failureOf(ServingPlan plan) {
+  public static Optional<PlanFailure> validate(ServingPlan plan) {
     Set<ServiceId> known =
         plan.services().stream().map(PlanService::id).collect(Collectors.toSet());
     Set<Place> places = new HashSet<>();
     for (PlanRoute route : plan.routes()) {
-      Optional<PlanFailure> failure = failureOf(route, known);
+      Optional<PlanFailure> failure = validate(route, known);
       if (failure.isPresent()) {
         return failure;
       }
@@ -39,7 +39,7 @@
     return sharesKey(plan.customers()) ? Optional.of(PlanFailure.SHARED_KEY) : Optional.empty();
   }
 
-  private static Optional<PlanFailure> failureOf(PlanRoute route, Set<ServiceId> known) {
+  private static Optional<PlanFailure> validate(PlanRoute route, Set<ServiceId> known) {
     if (!route.targets().stream().map(WeightedService::service).allMatch(known::contains)) {
       return Optional.of(PlanFailure.UNKNOWN_SERVICE);
     }
--- a/core/src/main/java/org/teaseltrail/core/plan/RouteKind.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/RouteKind.java
@@ -5,21 +5,21 @@
   /** Running it again changes nothing: the request is idempotent. */
   SAFE {
     @Override
-    public boolean mayRepeat(boolean resumable) {
+    public boolean canRetry(boolean resumable) {
       return true;
     }
   },
   /** Running it again changes something: it is sent to an upstream at most once. */
   UNSAFE {
     @Override
-    public boolean mayRepeat(boolean resumable) {
+    public boolean canRetry(boolean resumable) {
       return false;
     }
   },
   /** The answer is a row of numbered events. */
   STREAMING {
     @Override
-    public boolean mayRepeat(boolean resumable) {
+    public boolean canRetry(boolean resumable) {
       return resumable;
     }
   };
@@ -30,5 +30,5 @@
    * @param resumable whether the route's streams may be resumed at another upstream
    * @return true if a second run harms nobody
    */
-  public abstract boolean mayRepeat(boolean resumable);
+  public abstract boolean canRetry(boolean resumable);
 }
--- a/core/src/main/java/org/teaseltrail/core/plan/ServingPlan.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/ServingPlan.java
@@ -32,7 +32,7 @@
    * @param service the service
    * @return true if it has
    */
-  public boolean names(ServiceId service) {
+  public boolean hasService(ServiceId service) {
     return services.stream().anyMatch(each -> each.id().equals(service));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/quarantine/Fingerprint.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/Fingerprint.java
@@ -48,7 +48,7 @@
     MessageDigest sha256 = Sha256.create();
     feedText(sha256, customer.map(CustomerId::value).orElse(""));
     feedText(sha256, host);
-    content.feed(sha256);
+    content.updateDigest(sha256);
     return new Fingerprint(scope, ByteBuffer.wrap(sha256.digest()).getLong());
   }
 
--- a/core/src/main/java/org/teaseltrail/core/quarantine/HeldRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/HeldRequest.java
@@ -27,7 +27,7 @@
    * @param logTimeMs log time, in milliseconds
    * @return true if it may go to upstreams again
    */
-  public boolean isOver(long logTimeMs) {
+  public boolean isExpired(long logTimeMs) {
     return logTimeMs - heldAtMs > HELD_MS;
   }
 
@@ -41,7 +41,7 @@
     return trials < TRIALS_AFTER_MS.size() && logTimeMs - heldAtMs >= TRIALS_AFTER_MS.get(trials);
   }
 
-  HeldRequest triedOnceMore() {
+  HeldRequest withTrialCounted() {
     return new HeldRequest(request, customer, heldAtMs, trials + 1);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/quarantine/HeldBook.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/HeldRequestStore.java
@@ -13,7 +13,7 @@
  * <p>Guards against a request that ends upstreams anew each time another member leads or all lose
  * power: whoever begins anew would have to lose some upstreams first to know of it.
  */
-public final class HeldBook {
+public final class HeldRequestStore {
 
   /** Held requests of one customer at most; no customer can push another's out of the book. */
   private static final int MOST_OF_CUSTOMER = 64;
@@ -25,7 +25,7 @@
    *
    * @param content the held requests, oldest first
    */
-  public HeldBook(List<HeldRequest> content) {
+  public HeldRequestStore(List<HeldRequest> content) {
     content.forEach(one -> held.put(one.request(), one));
   }
 
@@ -47,8 +47,8 @@
    *
    * @param request the request
    */
-  public void tried(Fingerprint request) {
-    held.computeIfPresent(request, (key, one) -> one.triedOnceMore());
+  public void recordTrial(Fingerprint request) {
+    held.computeIfPresent(request, (key, one) -> one.withTrialCounted());
   }
 
   /**
--- a/core/src/main/java/org/teaseltrail/core/quarantine/Loss.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/Loss.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import org.teaseltrail.core.id.CustomerId;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
  * Tells that an upstream's connection ended while it had a request.
@@ -13,4 +13,4 @@
  * @param agoMs how long ago the connection ended, in milliseconds
  */
 public record Loss(
-    Fingerprint request, Optional<CustomerId> customer, UpstreamLife upstream, long agoMs) {}
+    Fingerprint request, Optional<CustomerId> customer, UpstreamIncarnation upstream, long agoMs) {}
--- a/core/src/main/java/org/teaseltrail/core/quarantine/LossBook.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/LossTracker.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.teaseltrail.core.id.CustomerId;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
  * Remembers under which requests upstreams were lost, at an entry VM what it saw itself, at the
@@ -20,7 +20,7 @@
  * A loss is excused if the upstream is seen alive afterwards (a broken connection only), and all
  * losses of a request are if it gets a whole answer anywhere.
  */
-public final class LossBook {
+public final class LossTracker {
 
   /** Losses from which on a request is held; all that the users allow. */
   public static final int LOSSES_TO_HOLD = 3;
@@ -31,17 +31,17 @@
   private static final int MOST_OF_CUSTOMER = 64;
 
   private final long memoryNs;
-  private final Map<Optional<CustomerId>, LinkedHashMap<Fingerprint, Suspect>> byCustomer =
+  private final Map<Optional<CustomerId>, LinkedHashMap<Fingerprint, SuspectRequest>> byCustomer =
       new HashMap<>();
-  private final Map<Fingerprint, Suspect> suspects = new HashMap<>();
-  private final Map<UpstreamLife, Set<Fingerprint>> byUpstream = new HashMap<>();
+  private final Map<Fingerprint, SuspectRequest> suspects = new HashMap<>();
+  private final Map<UpstreamIncarnation, Set<Fingerprint>> byUpstream = new HashMap<>();
 
   /**
    * Creates an empty book.
    *
    * @param memoryMs how long a suspect is remembered after its newest loss, in milliseconds
    */
-  public LossBook(long memoryMs) {
+  public LossTracker(long memoryMs) {
     memoryNs = memoryMs * NS_PER_MS;
   }
 
@@ -53,17 +53,17 @@
    * @param upstream the upstream
    * @param atNs when
    */
-  public void lost(
-      Fingerprint request, Optional<CustomerId> customer, UpstreamLife upstream, long atNs) {
-    LinkedHashMap<Fingerprint, Suspect> ofCustomer =
+  public void recordLoss(
+      Fingerprint request, Optional<CustomerId> customer, UpstreamIncarnation upstream, long atNs) {
+    LinkedHashMap<Fingerprint, SuspectRequest> ofCustomer =
         byCustomer.computeIfAbsent(customer, key -> new LinkedHashMap<>());
-    Suspect suspect = ofCustomer.remove(request);
+    SuspectRequest suspect = ofCustomer.remove(request);
     if (suspect == null) {
-      suspect = new Suspect(request, customer);
+      suspect = new SuspectRequest(request, customer);
       suspects.put(request, suspect);
     }
     ofCustomer.put(request, suspect);
-    suspect.lost(upstream, atNs);
+    suspect.recordLoss(upstream, atNs);
     byUpstream.computeIfAbsent(upstream, life -> new HashSet<>()).add(request);
     if (ofCustomer.size() > MOST_OF_CUSTOMER) {
       forget(ofCustomer.values().iterator().next());
@@ -75,8 +75,8 @@
    *
    * @param request the request
    */
-  public void servedWhole(Fingerprint request) {
-    Suspect suspect = suspects.get(request);
+  public void recordSuccess(Fingerprint request) {
+    SuspectRequest suspect = suspects.get(request);
     if (suspect != null) {
       suspect.excuseAll();
     }
@@ -89,7 +89,7 @@
    * @param lostBeforeNs the time
    * @return whether the book has any loss of it
    */
-  public boolean alive(UpstreamLife upstream, long lostBeforeNs) {
+  public boolean alive(UpstreamIncarnation upstream, long lostBeforeNs) {
     Set<Fingerprint> requests = byUpstream.getOrDefault(upstream, Set.of());
     requests.forEach(request -> suspects.get(request).alive(upstream, lostBeforeNs));
     return !requests.isEmpty();
@@ -102,7 +102,7 @@
    * @return false also for a request that isn't in the book
    */
   public boolean isCleared(Fingerprint request) {
-    Suspect suspect = suspects.get(request);
+    SuspectRequest suspect = suspects.get(request);
     return suspect != null && suspect.losses() == 0;
   }
 
@@ -113,7 +113,7 @@
    * @return losses that are not excused
    */
   public int losses(Fingerprint request) {
-    Suspect suspect = suspects.get(request);
+    SuspectRequest suspect = suspects.get(request);
     return suspect == null ? 0 : suspect.losses();
   }
 
@@ -148,7 +148,7 @@
    * @param request the request
    * @return true if upstreams were lost under it too often
    */
-  public boolean isToHold(Fingerprint request) {
+  public boolean mustHold(Fingerprint request) {
     return losses(request) >= LOSSES_TO_HOLD;
   }
 
@@ -157,7 +157,7 @@
    *
    * @return the requests with their customers
    */
-  public Map<Fingerprint, Optional<CustomerId>> allToHold() {
+  public Map<Fingerprint, Optional<CustomerId>> findRequestsToHold() {
     Map<Fingerprint, Optional<CustomerId>> found = new LinkedHashMap<>();
     suspects.forEach(
         (request, suspect) -> {
@@ -174,7 +174,7 @@
    * @param sinceNs the time
    * @return the requests with a loss that counts
    */
-  public Set<Fingerprint> lostSince(long sinceNs) {
+  public Set<Fingerprint> findLostAfter(long sinceNs) {
     Set<Fingerprint> found = new HashSet<>();
     suspects.forEach(
         (request, suspect) -> {
@@ -191,7 +191,7 @@
    * @param beforeNs the time
    * @return the requests
    */
-  public Set<Fingerprint> lostBefore(long beforeNs) {
+  public Set<Fingerprint> findLostBefore(long beforeNs) {
     Set<Fingerprint> found = new HashSet<>();
     suspects.forEach(
         (request, suspect) -> {
@@ -220,7 +220,7 @@
    */
   public List<Loss> all(long nowNs) {
     List<Loss> all = new ArrayList<>();
-    for (Suspect suspect : suspects.values()) {
+    for (SuspectRequest suspect : suspects.values()) {
       suspect
           .counted()
           .forEach(
@@ -240,14 +240,14 @@
    *
    * @param nowNs time
    */
-  public void forgetOld(long nowNs) {
+  public void removeExpired(long nowNs) {
     suspects.values().stream()
         .filter(suspect -> nowNs - suspect.newestNs() > memoryNs)
         .toList()
         .forEach(this::forget);
   }
 
-  private void forget(Suspect suspect) {
+  private void forget(SuspectRequest suspect) {
     suspects.remove(suspect.request());
     byCustomer.computeIfPresent(
         suspect.customer(),
@@ -255,7 +255,7 @@
           ofCustomer.remove(suspect.request());
           return ofCustomer.isEmpty() ? null : ofCustomer;
         });
-    for (UpstreamLife upstream : suspect.upstreams()) {
+    for (UpstreamIncarnation upstream : suspect.upstreams()) {
       byUpstream.computeIfPresent(
           upstream,
           (life, requests) -> {
--- a/core/src/main/java/org/teaseltrail/core/quarantine/RequestContent.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/RequestContent.java
@@ -14,5 +14,5 @@
    *
    * @param digest takes the bytes
    */
-  void feed(MessageDigest digest);
+  void updateDigest(MessageDigest digest);
 }
--- a/core/src/main/java/org/teaseltrail/core/quarantine/Suspect.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/SuspectRequest.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 import java.util.Optional;
 import org.teaseltrail.core.id.CustomerId;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /** Is a request under which upstreams were lost. */
-final class Suspect {
+final class SuspectRequest {
 
   /** Time within which two reports of a loss are one, told twice with some delay. */
   private static final long SAME_LOSS_NS = 500_000_000L;
@@ -22,10 +22,10 @@
 
   private final Fingerprint request;
   private final Optional<CustomerId> customer;
-  private final Map<UpstreamLife, Mark> marks = new HashMap<>();
+  private final Map<UpstreamIncarnation, Mark> marks = new HashMap<>();
   private long newestNs;
 
-  Suspect(Fingerprint request, Optional<CustomerId> customer) {
+  SuspectRequest(Fingerprint request, Optional<CustomerId> customer) {
     this.request = request;
     this.customer = customer;
   }
@@ -43,7 +43,7 @@
     return newestNs;
   }
 
-  void lost(UpstreamLife upstream, long atNs) {
+  void recordLoss(UpstreamIncarnation upstream, long atNs) {
     newestNs = Math.max(newestNs, atNs);
     Mark before = marks.get(upstream);
     if (before == null || atNs - before.atNs() > SAME_LOSS_NS) {
@@ -52,7 +52,7 @@
   }
 
   /** Excuses the loss of an upstream that was seen alive at a time after it. */
-  void alive(UpstreamLife upstream, long lostBeforeNs) {
+  void alive(UpstreamIncarnation upstream, long lostBeforeNs) {
     marks.computeIfPresent(
         upstream,
         (life, mark) -> new Mark(mark.atNs(), mark.excused() || mark.atNs() < lostBeforeNs));
@@ -78,8 +78,8 @@
   }
 
   /** Returns the losses that count, with their times. */
-  Map<UpstreamLife, Long> counted() {
-    Map<UpstreamLife, Long> counted = new HashMap<>();
+  Map<UpstreamIncarnation, Long> counted() {
+    Map<UpstreamIncarnation, Long> counted = new HashMap<>();
     marks.forEach(
         (life, mark) -> {
           if (!mark.excused()) {
@@ -90,7 +90,7 @@
   }
 
   /** Returns the upstreams whose losses are remembered. */
-  Iterable<UpstreamLife> upstreams() {
+  Iterable<UpstreamIncarnation> upstreams() {
     return marks.keySet();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/registry/Registration.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/Registration.java
@@ -39,8 +39,8 @@
    *
    * @return the life
    */
-  public UpstreamLife life() {
-    return new UpstreamLife(id, bornMs);
+  public UpstreamIncarnation upstreamIncarnation() {
+    return new UpstreamIncarnation(id, bornMs);
   }
 
   /**
@@ -49,7 +49,7 @@
    * @param later the phase
    * @return the changed registration
    */
-  public Registration in(RegistrationPhase later) {
+  public Registration withPhase(RegistrationPhase later) {
     return new Registration(
         id, bornMs, service, address, dataCenter, slots, later, sequence, version, coldMs);
   }
@@ -60,7 +60,7 @@
    * @param other the other
    * @return true if nothing that decides has changed
    */
-  public boolean saysSameAs(Registration other) {
+  public boolean hasSameContentAs(Registration other) {
     return lasting().equals(other.lasting());
   }
 
--- a/core/src/main/java/org/teaseltrail/core/registry/UpstreamLife.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/UpstreamIncarnation.java
@@ -8,11 +8,11 @@
  * @param id the upstream
  * @param bornMs its start in Unix milliseconds by its own clock, 0 if it doesn't tell
  */
-public record UpstreamLife(UpstreamId id, long bornMs) {
+public record UpstreamIncarnation(UpstreamId id, long bornMs) {
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof UpstreamLife life && bornMs == life.bornMs && id.equals(life.id);
+    return other instanceof UpstreamIncarnation life && bornMs == life.bornMs && id.equals(life.id);
   }
 
   @Override
--- a/core/src/main/java/org/teaseltrail/core/registry/RegistryBook.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/UpstreamRegistry.java
@@ -16,7 +16,7 @@
  * one life phases only move on and an older sequence changes nothing, those that have left are
  * remembered, and an earlier life changes nothing of a later one.
  */
-public final class RegistryBook {
+public final class UpstreamRegistry {
 
   /** Upstreams that have left and are remembered; bounds the state's size over many releases. */
   private static final int MAX_GONE = 2_000;
@@ -33,7 +33,7 @@
    * @param revision number of changes so far
    * @param content the registrations, oldest first
    */
-  public RegistryBook(long revision, List<Registration> content) {
+  public UpstreamRegistry(long revision, List<Registration> content) {
     this.revision = revision;
     content.forEach(registration -> registrations.put(registration.id(), registration));
   }
@@ -44,13 +44,13 @@
    * @param heard the heartbeat
    * @return true if it must be committed
    */
-  public boolean wouldChange(Registration heard) {
+  public boolean needsCommit(Registration heard) {
     Registration held = registrations.get(heard.id());
     if (isNewLife(held, heard)) {
       return true;
     }
     boolean outdated = heard.bornMs() < held.bornMs() || heard.sequence() < held.sequence();
-    return !outdated && !merged(held, heard).saysSameAs(held);
+    return !outdated && !merged(held, heard).hasSameContentAs(held);
   }
 
   /**
@@ -59,7 +59,7 @@
    * @param heard the heartbeat
    */
   public void register(Registration heard) {
-    if (!wouldChange(heard)) {
+    if (!needsCommit(heard)) {
       return;
     }
     Registration held = registrations.get(heard.id());
@@ -73,7 +73,7 @@
    *
    * @param leaving what is known of it
    */
-  public void leave(Registration leaving) {
+  public void deregister(Registration leaving) {
     Registration held = registrations.get(leaving.id());
     boolean sameLife = held != null && held.bornMs() == leaving.bornMs();
     boolean outdated = held != null && leaving.bornMs() < held.bornMs();
@@ -82,7 +82,7 @@
     }
     Registration known = sameLife ? held : leaving;
     registrations.remove(leaving.id());
-    registrations.put(leaving.id(), known.in(RegistrationPhase.GONE));
+    registrations.put(leaving.id(), known.withPhase(RegistrationPhase.GONE));
     forgetOldest();
     changed();
   }
@@ -92,7 +92,7 @@
    *
    * @param id the upstream
    */
-  public void drop(UpstreamId id) {
+  public void removeSilent(UpstreamId id) {
     Registration held = registrations.get(id);
     if (held != null && held.phase() != RegistrationPhase.GONE) {
       registrations.remove(id);
@@ -157,7 +157,7 @@
 
   private static Registration merged(Registration held, Registration heard) {
     boolean later = held.phase().compareTo(heard.phase()) > 0;
-    return later ? heard.in(held.phase()) : heard;
+    return later ? heard.withPhase(held.phase()) : heard;
   }
 
   private void forgetOldest() {
--- a/core/src/main/java/org/teaseltrail/core/request/Ran.java
+++ b/core/src/main/java/org/teaseltrail/core/request/ExecutionStatus.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.request;
 
 /** Says whether a request ran. */
-public enum Ran {
+public enum ExecutionStatus {
   /** It ran to its end. */
   YES("yes"),
   /** No part of it ran. */
@@ -11,7 +11,7 @@
 
   private final String text;
 
-  Ran(String text) {
+  ExecutionStatus(String text) {
     this.text = text;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/request/FrameVerdict.java
+++ b/core/src/main/java/org/teaseltrail/core/request/FrameDisposition.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.request;
 
 /** Says what becomes of a frame. */
-public enum FrameVerdict {
+public enum FrameDisposition {
   /** It is the next one. */
   NEXT,
   /** It was seen before, or comes after the end; dropped. */
@@ -12,7 +12,7 @@
   FOREIGN;
 
   /** Returns whether the connection must be given up and the stream resumed. */
-  public boolean breaksConnection() {
+  public boolean requiresReconnect() {
     return this == GAP || this == FOREIGN;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/request/FrameSequence.java
+++ b/core/src/main/java/org/teaseltrail/core/request/FrameSequenceValidator.java
@@ -11,23 +11,23 @@
  * with parts missing, doubled or another's. Only the one expected number of the one expected stream
  * passes, whatever connection it comes over.
  */
-final class FrameSequence {
+final class FrameSequenceValidator {
 
   private final RequestId stream;
   private long nextSequence;
   private long lastDelivered;
   private boolean ended;
 
-  FrameSequence(RequestId stream, long firstSequence) {
+  FrameSequenceValidator(RequestId stream, long firstSequence) {
     this.stream = stream;
     this.nextSequence = firstSequence;
     this.lastDelivered = firstSequence - 1;
   }
 
   /** Judges a frame and moves on if it is the next one. */
-  FrameVerdict accept(StreamFrame frame) {
-    FrameVerdict verdict = judge(frame);
-    if (verdict == FrameVerdict.NEXT) {
+  FrameDisposition accept(StreamFrame frame) {
+    FrameDisposition verdict = judge(frame);
+    if (verdict == FrameDisposition.NEXT) {
       Invariant.check(frame.sequence() == lastDelivered + 1, InvariantName.FRAMES_IN_ORDER);
       Invariant.check(frame.stream().equals(stream), InvariantName.FRAMES_IN_ORDER);
       lastDelivered = frame.sequence();
@@ -37,14 +37,14 @@
     return verdict;
   }
 
-  private FrameVerdict judge(StreamFrame frame) {
+  private FrameDisposition judge(StreamFrame frame) {
     if (!frame.stream().equals(stream)) {
-      return FrameVerdict.FOREIGN;
+      return FrameDisposition.FOREIGN;
     }
     if (ended || frame.sequence() < nextSequence) {
-      return FrameVerdict.DUPLICATE;
+      return FrameDisposition.DUPLICATE;
     }
-    return frame.sequence() > nextSequence ? FrameVerdict.GAP : FrameVerdict.NEXT;
+    return frame.sequence() > nextSequence ? FrameDisposition.GAP : FrameDisposition.NEXT;
   }
 
   RequestId stream() {
--- a/core/src/main/java/org/teaseltrail/core/request/Outcome.java
+++ b/core/src/main/java/org/teaseltrail/core/request/Outcome.java
@@ -8,7 +8,7 @@
 public sealed interface Outcome {
 
   /** Returns whether the request ran. */
-  Ran ran();
+  ExecutionStatus ran();
 
   /**
    * The whole answer has been delivered.
@@ -18,8 +18,8 @@
   record Completed(Usage usage) implements Outcome {
 
     @Override
-    public Ran ran() {
-      return Ran.YES;
+    public ExecutionStatus ran() {
+      return ExecutionStatus.YES;
     }
   }
 
@@ -32,8 +32,8 @@
   record NotRun(NotRunReason reason, long retryAfterMs) implements Outcome {
 
     @Override
-    public Ran ran() {
-      return Ran.NO;
+    public ExecutionStatus ran() {
+      return ExecutionStatus.NO;
     }
   }
 
@@ -45,8 +45,8 @@
   record MayHaveRun(FailureReason reason) implements Outcome {
 
     @Override
-    public Ran ran() {
-      return Ran.MAYBE;
+    public ExecutionStatus ran() {
+      return ExecutionStatus.MAYBE;
     }
   }
 
@@ -59,8 +59,8 @@
   record HeldByEarlier(RequestId holder, ClaimState state) implements Outcome {
 
     @Override
-    public Ran ran() {
-      return state == ClaimState.COMPLETED ? Ran.YES : Ran.MAYBE;
+    public ExecutionStatus ran() {
+      return state == ClaimState.COMPLETED ? ExecutionStatus.YES : ExecutionStatus.MAYBE;
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/request/OutputEstimator.java
+++ b/core/src/main/java/org/teaseltrail/core/request/OutputLengthEstimator.java
@@ -9,7 +9,7 @@
  * Estimates how long an answer will be, from the answers that the same customer got on the same
  * route: a moving average, never above what the caller allows.
  */
-public final class OutputEstimator {
+public final class OutputLengthEstimator {
 
   /** Estimate where nothing is known yet; a quick answer's length. */
   static final int INITIAL_TOKENS = 128;
@@ -50,7 +50,7 @@
    * @param route its route
    * @param outputTokens the answer's length
    */
-  public void learn(CustomerId customer, RouteId route, int outputTokens) {
+  public void recordAnswer(CustomerId customer, RouteId route, int outputTokens) {
     averages.merge(
         new Source(customer, route),
         (double) outputTokens,
--- a/core/src/main/java/org/teaseltrail/core/request/PrefixBlocks.java
+++ b/core/src/main/java/org/teaseltrail/core/request/PrefixBlockHasher.java
@@ -13,12 +13,12 @@
  * Makes the hash chain of a prompt's blocks, by which a scheduler tells which engine has a prompt's
  * beginning in its cache. The internals page defines the chain.
  */
-public final class PrefixBlocks {
+public final class PrefixBlockHasher {
 
   /** Size of a block in bytes: 256 tokens of four bytes. */
   public static final int BLOCK_BYTES = 1024;
 
-  private PrefixBlocks() {}
+  private PrefixBlockHasher() {}
 
   /**
    * Returns the hashes of the whole blocks of a prompt.
@@ -27,7 +27,7 @@
    * @param promptUtf8 the prompt
    * @return one hash a block, first block first
    */
-  public static List<Long> of(ModelTarget target, byte[] promptUtf8) {
+  public static List<Long> hashBlocks(ModelTarget target, byte[] promptUtf8) {
     MessageDigest digest = Sha256.create();
     byte[] origin = origin(target).getBytes(StandardCharsets.UTF_8);
     long previous = link(digest, 0, origin, 0, origin.length);
--- a/core/src/main/java/org/teaseltrail/core/request/Request.java
+++ b/core/src/main/java/org/teaseltrail/core/request/Request.java
@@ -32,12 +32,12 @@
 
   private RequestState state = RequestState.RECEIVED;
   private UpstreamTarget target;
-  private Incarnation grantedLife;
-  private FrameSequence frames;
+  private Incarnation grantedIncarnation;
+  private FrameSequenceValidator frames;
   private int dispatches;
   private boolean refusedByUpstream;
   private ClaimState holderState;
-  private boolean callerGone;
+  private boolean markCallerDisconnected;
   private int attempt;
   private int resumesWithoutProgress;
   private long dispatchedNs;
@@ -65,7 +65,7 @@
   }
 
   /** Notes that the request was offered to its pool's scheduler. */
-  public void offer() {
+  public void markOffered() {
     if (state == RequestState.RECEIVED) {
       become(RequestState.WAITING);
     }
@@ -75,20 +75,20 @@
    * Gives the request its upstream.
    *
    * @param upstream the upstream
-   * @param life which life of the upstream is meant
+   * @param upstreamIncarnation which life of the upstream is meant
    * @param nowNs monotonic time
    * @return the number of the connection attempt that may now be made
    */
-  public int grant(UpstreamTarget upstream, Incarnation life, long nowNs) {
+  public int grant(UpstreamTarget upstream, Incarnation upstreamIncarnation, long nowNs) {
     become(RequestState.GRANTED);
     target = upstream;
-    grantedLife = life;
+    grantedIncarnation = upstreamIncarnation;
     grantedNs = nowNs;
     return ++attempt;
   }
 
   /** Takes the upstream away again; nothing was written to it. */
-  public void giveBack() {
+  public void declineGrant() {
     Invariant.check(dispatches == 0, InvariantName.DISPATCHED_AT_MOST_ONCE);
     become(RequestState.WAITING);
     target = null;
@@ -106,7 +106,7 @@
     dispatches++;
     dispatchedNs = nowNs;
     lastProgressNs = nowNs;
-    frames = new FrameSequence(ticket.request(), 0);
+    frames = new FrameSequenceValidator(ticket.request(), 0);
   }
 
   /**
@@ -127,12 +127,12 @@
     target = upstream;
     dispatchedNs = nowNs;
     lastProgressNs = nowNs;
-    frames = new FrameSequence(holder, firstSequence);
+    frames = new FrameSequenceValidator(holder, firstSequence);
     return ++attempt;
   }
 
   /** Notes the upstream's explicit word that it refused the request before it ran. */
-  public void refuseByUpstream() {
+  public void markRefusedByUpstream() {
     Invariant.check(state == RequestState.DISPATCHED, InvariantName.NOT_RUN_IS_TRUE);
     refusedByUpstream = true;
   }
@@ -143,10 +143,10 @@
    * @param frame the frame
    * @return what becomes of it; only the next frame may reach the caller
    */
-  public FrameVerdict accept(StreamFrame frame) {
+  public FrameDisposition accept(StreamFrame frame) {
     Invariant.check(state.isDispatched(), InvariantName.FRAMES_IN_ORDER);
-    FrameVerdict verdict = frames.accept(frame);
-    if (verdict == FrameVerdict.NEXT) {
+    FrameDisposition verdict = frames.accept(frame);
+    if (verdict == FrameDisposition.NEXT) {
       startStreaming();
       resumesWithoutProgress = 0;
       outputFrames += frame instanceof StreamFrame.Text ? 1 : 0;
@@ -177,8 +177,8 @@
   }
 
   /** Notes that no one reads the answer any more. */
-  public void callerGone() {
-    callerGone = true;
+  public void markCallerDisconnected() {
+    markCallerDisconnected = true;
   }
 
   /**
@@ -203,7 +203,7 @@
   }
 
   private void become(RequestState next) {
-    Invariant.check(state.mayBecome(next), InvariantName.REQUEST_STATE_FORWARD);
+    Invariant.check(state.canTransitionTo(next), InvariantName.REQUEST_STATE_FORWARD);
     state = next;
   }
 
@@ -255,8 +255,8 @@
   }
 
   /** Returns the life of the upstream that was granted; meaningful after a grant only. */
-  public Incarnation grantedLife() {
-    return grantedLife;
+  public Incarnation grantedIncarnation() {
+    return grantedIncarnation;
   }
 
   /** Returns the stream that its frames belong to: its own, or the one that it adopted. */
@@ -329,12 +329,12 @@
   }
 
   /** Returns whether no one reads the answer any more. */
-  public boolean isCallerGone() {
-    return callerGone;
+  public boolean isCallerDisconnected() {
+    return markCallerDisconnected;
   }
 
   /** Returns whether it carries a key, so that its caller may come back for the answer. */
-  public boolean isKeyed() {
+  public boolean hasIdempotencyKey() {
     return ticket.claim().isPresent();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/request/RequestState.java
+++ b/core/src/main/java/org/teaseltrail/core/request/RequestState.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns whether the state may change to the other. */
-  boolean mayBecome(RequestState next) {
+  boolean canTransitionTo(RequestState next) {
     return successors().contains(next);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/request/TokenEstimate.java
+++ b/core/src/main/java/org/teaseltrail/core/request/TokenEstimator.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.core.request;
 
 /** Estimates tokens from bytes: four bytes of UTF-8 count as one token, rounded up. */
-public final class TokenEstimate {
+public final class TokenEstimator {
 
   /** Bytes of UTF-8 that count as one token, as the internals page sets it. */
   public static final int BYTES_PER_TOKEN = 4;
 
-  private TokenEstimate() {}
+  private TokenEstimator() {}
 
   /**
    * Estimates the tokens of a text.
@@ -14,7 +14,7 @@
    * @param sizeBytes size of the text in UTF-8
    * @return tokens
    */
-  public static int ofBytes(int sizeBytes) {
+  public static int estimateTokens(int sizeBytes) {
     return (int) (((long) sizeBytes + BYTES_PER_TOKEN - 1) / BYTES_PER_TOKEN);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/CanaryLoan.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryAllowance.java
@@ -13,11 +13,11 @@
  * @param upstreams which upstreams they may go to; none if nothing is lent
  * @param heard number of the first of the VM's observations that the leader hasn't heard
  */
-public record CanaryLoan(
+public record CanaryAllowance(
     ServiceId service, long orderedMs, long ceiling, List<UpstreamId> upstreams, long heard) {
 
   /** Copies the list. */
-  public CanaryLoan {
+  public CanaryAllowance {
     upstreams = List.copyOf(upstreams);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/VersionJudge.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryAnalyzer.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.VmId;
 
 /** Judges an ordered version by what all entry VMs saw, against the versions before. */
-public final class VersionJudge {
+public final class CanaryAnalyzer {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -18,11 +18,11 @@
   private record Heard(Incarnation incarnation, long next) {}
 
   private final Map<VmId, Heard> heard = new HashMap<>();
-  private final FailureWatch failures;
-  private final SlownessWatch starts;
-  private final SlownessWatch streams;
+  private final FailureMonitor failures;
+  private final LatencyMonitor starts;
+  private final LatencyMonitor streams;
   private long sliceEndNs;
-  private int looks;
+  private int targetAnswerCount;
   private Optional<Verdict> verdict = Optional.empty();
 
   /**
@@ -30,10 +30,10 @@
    *
    * @param nowNs time
    */
-  public VersionJudge(long nowNs) {
-    failures = new FailureWatch();
-    starts = new SlownessWatch(Symptom.LATE_START);
-    streams = new SlownessWatch(Symptom.SLOW_STREAM);
+  public CanaryAnalyzer(long nowNs) {
+    failures = new FailureMonitor();
+    starts = new LatencyMonitor(Symptom.LATE_START);
+    streams = new LatencyMonitor(Symptom.SLOW_STREAM);
     sliceEndNs = nowNs + SLICE_NS;
   }
 
@@ -46,7 +46,7 @@
    * @param observations what it saw
    * @return number of the first of the VM's observations that wasn't heard yet
    */
-  public long told(
+  public long recordReport(
       VmId vm, Incarnation incarnation, long firstNumber, List<Observation> observations) {
     Heard before = heard.get(vm);
     boolean sameLife = before != null && before.incarnation().equals(incarnation);
@@ -67,9 +67,9 @@
       return;
     }
     sliceEndNs = nowNs + SLICE_NS;
-    Optional<Verdict> failing = failures.weigh();
-    Optional<Verdict> startingLate = starts.weigh();
-    Optional<Verdict> running = streams.weigh();
+    Optional<Verdict> failing = failures.evaluate();
+    Optional<Verdict> startingLate = starts.evaluate();
+    Optional<Verdict> running = streams.evaluate();
     verdict = failing.or(() -> startingLate).or(() -> running);
   }
 
@@ -78,8 +78,8 @@
    *
    * @return the number
    */
-  public int looks() {
-    return looks;
+  public int targetAnswerCount() {
+    return targetAnswerCount;
   }
 
   /**
@@ -102,12 +102,12 @@
 
   private void take(Observation seen) {
     if (seen.symptom() == Symptom.FAILURE) {
-      failures.take(seen);
-      looks += seen.ordered() ? 1 : 0;
+      failures.observe(seen);
+      targetAnswerCount += seen.ordered() ? 1 : 0;
     } else if (seen.symptom() == Symptom.LATE_START) {
-      starts.take(seen);
+      starts.observe(seen);
     } else {
-      streams.take(seen);
+      streams.observe(seen);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/ExposureLedger.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryBudgetAllocator.java
@@ -12,7 +12,7 @@
  * anew with each leader: a leader takes all that the log allowed as sent, and lends only what the
  * log allows on top. What a VM has in hand counts as sent until the VM says otherwise.
  */
-public final class ExposureLedger {
+public final class CanaryBudgetAllocator {
 
   /** Requests by which the log's bound grows at a time, so that each needn't be written for. */
   private static final long LOGGED_AHEAD = 16;
@@ -28,9 +28,9 @@
   }
 
   private final CanaryLimit limit;
-  private final ExposureAccount base;
+  private final ExposureCounters base;
   private final Map<VmId, Vm> vms = new HashMap<>();
-  private ExposureAccount logged;
+  private ExposureCounters updateCommitted;
   private long spentByGone;
   private long reachedByGone;
 
@@ -40,10 +40,10 @@
    * @param limit the bound
    * @param logged the rollout's account
    */
-  public ExposureLedger(CanaryLimit limit, ExposureAccount logged) {
+  public CanaryBudgetAllocator(CanaryLimit limit, ExposureCounters logged) {
     this.limit = limit;
     this.base = logged;
-    this.logged = logged;
+    this.updateCommitted = logged;
   }
 
   /**
@@ -51,24 +51,24 @@
    *
    * @param id the VM
    * @param incarnation which life of its process
-   * @param use what it has done
+   * @param report what it has done
    */
-  public void told(VmId id, Incarnation incarnation, RolloutUse use) {
+  public void recordReport(VmId id, Incarnation incarnation, RolloutReport report) {
     Vm vm = vms.get(id);
     boolean sameLife = vm != null && vm.incarnation.equals(incarnation);
-    long upper = Math.max(use.exposed(), use.ceiling());
+    long upper = Math.max(report.exposed(), report.ceiling());
     if (!sameLife) {
-      forget(id);
+      removeVm(id);
       vm = new Vm();
       vm.incarnation = incarnation;
-      vm.firstReached = use.reached();
+      vm.firstReached = report.reached();
       vm.firstExposed = upper;
       vms.put(id, vm);
     }
-    vm.arrivals = use.reached() - (sameLife ? vm.reached : 0);
-    vm.reached = use.reached();
+    vm.arrivals = report.reached() - (sameLife ? vm.reached : 0);
+    vm.reached = report.reached();
     vm.upper = upper;
-    vm.exposed = use.exposed();
+    vm.exposed = report.exposed();
   }
 
   /**
@@ -76,7 +76,7 @@
    *
    * @param id the VM
    */
-  public void forget(VmId id) {
+  public void removeVm(VmId id) {
     Vm gone = vms.remove(id);
     if (gone != null) {
       spentByGone += gone.upper - gone.firstExposed;
@@ -92,10 +92,10 @@
    *     takes some of them
    * @return requests that it may have sent in all
    */
-  public long lend(VmId id, long places) {
+  public long allocate(VmId id, long places) {
     Vm vm = vms.get(id);
     long unsent = vms.values().stream().mapToLong(one -> one.upper - one.exposed).sum();
-    long allowed = Math.min(limit.allowed(reached()), logged.lent()) - spent();
+    long allowed = Math.min(limit.allowedRequests(reached()), updateCommitted.lent()) - spent();
     long free = Math.min(allowed, places - unsent);
     if (vm.arrivals <= 0 || free <= 0) {
       return vm.upper;
@@ -111,8 +111,8 @@
    *
    * @param account the rollout's account
    */
-  public void logged(ExposureAccount account) {
-    logged = account;
+  public void updateCommitted(ExposureCounters account) {
+    updateCommitted = account;
   }
 
   /**
@@ -120,14 +120,14 @@
    *
    * @return the account, the log's own if that is enough
    */
-  public ExposureAccount wanted() {
-    long allowed = limit.allowed(reached());
-    boolean enough = logged.lent() - spent() >= LOGGED_AHEAD / 2 || allowed <= logged.lent();
+  public ExposureCounters wanted() {
+    long allowed = limit.allowedRequests(reached());
+    boolean enough = updateCommitted.lent() - spent() >= LOGGED_AHEAD / 2 || allowed <= updateCommitted.lent();
     if (enough) {
-      return logged;
+      return updateCommitted;
     }
     long lent = Math.min(allowed, spent() + LOGGED_AHEAD);
-    return logged.max(new ExposureAccount(lent, reached()));
+    return updateCommitted.max(new ExposureCounters(lent, reached()));
   }
 
   /**
--- a/core/src/main/java/org/teaseltrail/core/rollout/CanaryLimit.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryLimit.java
@@ -23,12 +23,12 @@
    * @param reached requests known to have reached the service since the order
    * @return the bound
    */
-  public long allowed(long reached) {
+  public long allowedRequests(long reached) {
     return (long) (USED_SHARE * share * reached + USED_SLACK * slack);
   }
 
   /** Returns the part of the requests that goes to the ordered version over a longer time. */
-  public double usedShare() {
+  public double effectiveShare() {
     return USED_SHARE * share;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/EvidenceMeter.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/ChangeDetector.java
@@ -8,7 +8,7 @@
  * what was there at once (Shiryaev-Roberts statistic over likelihood ratios; Shin, Ramdas and
  * Rinaldo, E-detectors, 2022).
  */
-final class EvidenceMeter {
+final class ChangeDetector {
 
   /** Parts of the way from the tolerated share to all that a bad version is thought to be at. */
   private static final List<Double> BAD_PARTS = List.of(0.15, 0.35, 0.6, 0.9);
@@ -33,7 +33,7 @@
    * @param trials the answers
    * @param tolerated share that would be no sign against the version
    */
-  void take(Trials trials, double tolerated) {
+  void update(AnswerCounts trials, double tolerated) {
     int good = trials.answers() - trials.bad();
     for (int i = 0; i < evidence.length; i++) {
       double assumed = tolerated + (1 - tolerated) * BAD_PARTS.get(i);
@@ -45,7 +45,7 @@
   }
 
   /** Tells whether the version is bad. */
-  boolean isAlarmed() {
+  boolean hasDetectedChange() {
     return mean() >= ALARM;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/rollout/ExposureAccount.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/ExposureCounters.java
@@ -6,12 +6,12 @@
  * @param lent requests that the ordered version may have got, at most
  * @param reached requests that have reached the service since the order, at least
  */
-public record ExposureAccount(long lent, long reached) {
+public record ExposureCounters(long lent, long reached) {
 
   /** Nothing yet. */
-  public static final ExposureAccount NONE = new ExposureAccount(0, 0);
+  public static final ExposureCounters NONE = new ExposureCounters(0, 0);
 
-  ExposureAccount max(ExposureAccount other) {
-    return new ExposureAccount(Math.max(lent, other.lent), Math.max(reached, other.reached));
+  ExposureCounters max(ExposureCounters other) {
+    return new ExposureCounters(Math.max(lent, other.lent), Math.max(reached, other.reached));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/FailureWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/FailureMonitor.java
@@ -12,29 +12,29 @@
  * <p>Guards against an upstream that ends and takes all with it that it worked on: the connections
  * that end at one upstream within a slice of time count once for each route.
  */
-final class FailureWatch {
+final class FailureMonitor {
 
   private record End(RouteId route, UpstreamId upstream) {}
 
-  private final SymptomWatch watch;
+  private final SymptomMonitor watch;
   private final Set<End> ended = new HashSet<>();
 
-  FailureWatch() {
-    watch = new SymptomWatch(Symptom.FAILURE);
+  FailureMonitor() {
+    watch = new SymptomMonitor(Symptom.FAILURE);
   }
 
-  void take(Observation seen) {
+  void observe(Observation seen) {
     boolean countedAlready =
         seen.value() == Observation.BROKEN && !ended.add(new End(seen.route(), seen.upstream()));
     if (!countedAlready) {
       boolean failed = seen.value() != Observation.GOOD;
-      watch.take(seen.route(), seen.upstream(), seen.ordered(), Trials.one(failed));
+      watch.observe(seen.route(), seen.upstream(), seen.ordered(), AnswerCounts.one(failed));
     }
   }
 
-  Optional<Verdict> weigh() {
+  Optional<Verdict> evaluate() {
     ended.clear();
-    return watch.weigh();
+    return watch.evaluate();
   }
 
   boolean isSuspicious() {
--- a/core/src/main/java/org/teaseltrail/core/rollout/SlownessWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/LatencyMonitor.java
@@ -21,7 +21,7 @@
  * both versions, so that chance shows alike in both. A version all of whose answers are slow shows
  * by its upstreams' own levels, each of which counts once.
  */
-final class SlownessWatch {
+final class LatencyMonitor {
 
   /** Answers of an upstream that are looked at together. */
   private static final int BLOCK = 6;
@@ -55,18 +55,18 @@
   private record Timed(RouteId route, int buckets) {}
 
   private final Symptom symptom;
-  private final SymptomWatch watch;
+  private final SymptomMonitor watch;
   private final Map<Kind, Deque<Integer>> usual = new HashMap<>();
   private final Map<UpstreamId, List<Timed>> blocks = new HashMap<>();
   private final Map<UpstreamId, Integer> levelsOrdered = new HashMap<>();
   private final Map<UpstreamId, Integer> levelsBefore = new HashMap<>();
 
-  SlownessWatch(Symptom symptom) {
+  LatencyMonitor(Symptom symptom) {
     this.symptom = symptom;
-    watch = new SymptomWatch(symptom);
+    watch = new SymptomMonitor(symptom);
   }
 
-  void take(Observation seen) {
+  void observe(Observation seen) {
     Deque<Integer> known =
         usual.computeIfAbsent(new Kind(seen.route(), seen.size()), key -> new ArrayDeque<>());
     if (known.size() >= LEAST_USUAL) {
@@ -86,8 +86,8 @@
     }
   }
 
-  Optional<Verdict> weigh() {
-    return watch.weigh().or(this::weighLevels);
+  Optional<Verdict> evaluate() {
+    return watch.evaluate().or(this::weighLevels);
   }
 
   boolean isSuspicious() {
@@ -100,7 +100,7 @@
     (ordered ? levelsOrdered : levelsBefore).put(upstream, level);
     for (Timed timed : block.subList(LEVEL_AT + 1, BLOCK)) {
       boolean slow = timed.buckets() - level >= SLOW_BUCKETS;
-      watch.take(timed.route(), upstream, ordered, Trials.one(slow));
+      watch.observe(timed.route(), upstream, ordered, AnswerCounts.one(slow));
     }
   }
 
@@ -113,8 +113,8 @@
     if (middle(levelsOrdered.values()) < slowBefore + SLOW_LEVEL_BUCKETS) {
       return Optional.empty();
     }
-    Trials ordered = new Trials(levelsOrdered.size(), levelsOrdered.size());
-    Trials before = new Trials(levelsBefore.size(), 0);
+    AnswerCounts ordered = new AnswerCounts(levelsOrdered.size(), levelsOrdered.size());
+    AnswerCounts before = new AnswerCounts(levelsBefore.size(), 0);
     return Optional.of(new Verdict(symptom.reason(), Optional.empty(), ordered, before));
   }
 
--- a/core/src/main/java/org/teaseltrail/core/rollout/Observation.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/Observation.java
@@ -31,7 +31,7 @@
    * @param promptTokens tokens of its prompt, 0 if that isn't known
    * @return its size
    */
-  public static int sizeOf(int promptTokens) {
+  public static int sizeBucketOf(int promptTokens) {
     return Integer.SIZE - Integer.numberOfLeadingZeros(promptTokens);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/ObservationLog.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/ObservationBuffer.java
@@ -8,7 +8,7 @@
  * Keeps, at an entry VM, what it has seen in a rollout until the leader has heard of it, and the
  * newest of it for a leader that begins anew.
  */
-public final class ObservationLog {
+public final class ObservationBuffer {
 
   /** Observations kept for the next leader. */
   private static final int KEPT = 64;
@@ -55,7 +55,7 @@
    * @param number number of the first that the leader hasn't heard
    * @return that number, or that of the oldest kept
    */
-  public long firstFrom(long number) {
+  public long firstAvailableFrom(long number) {
     return Math.max(number, firstNumber);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/rollout/Rollout.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/Rollout.java
@@ -20,7 +20,7 @@
     long orderedMs,
     RolloutPhase phase,
     RolloutReason reason,
-    ExposureAccount account) {
+    ExposureCounters account) {
 
   /** Time after the order in which the same order again is the same one, resent. */
   private static final long RESENT_MS = 10_000;
@@ -38,7 +38,7 @@
         logTimeMs,
         RolloutPhase.RUNNING,
         RolloutReason.ORDERED,
-        ExposureAccount.NONE);
+        ExposureCounters.NONE);
   }
 
   /**
@@ -48,11 +48,11 @@
    * @param version the upstream's version, if it tells one
    * @return what it may get
    */
-  public VersionUse use(Optional<UpstreamVersion> version) {
-    if (isOrdered(version)) {
-      return phase.ofOrdered();
+  public TrafficPolicy trafficPolicy(Optional<UpstreamVersion> version) {
+    if (isTargetVersion(version)) {
+      return phase.targetTraffic();
     }
-    return isOfBefore(version) ? phase.ofBefore() : VersionUse.BARRED;
+    return isPreviousVersion(version) ? phase.previousTraffic() : TrafficPolicy.NONE;
   }
 
   /**
@@ -61,9 +61,9 @@
    * @param version the upstream's version, if it tells one
    * @return true if it has
    */
-  public boolean isOfBefore(Optional<UpstreamVersion> version) {
+  public boolean isPreviousVersion(Optional<UpstreamVersion> version) {
     boolean known = version.isEmpty() || before.isEmpty() || before.contains(version.get());
-    return known && !isOrdered(version);
+    return known && !isTargetVersion(version);
   }
 
   /**
@@ -72,7 +72,7 @@
    * @param version the upstream's version, if it tells one
    * @return true if it has
    */
-  public boolean isOrdered(Optional<UpstreamVersion> version) {
+  public boolean isTargetVersion(Optional<UpstreamVersion> version) {
     return version.equals(Optional.of(order.to()));
   }
 
@@ -91,20 +91,20 @@
    * @param logTimeMs log time in milliseconds
    * @return 0 at the order, 1 at the deadline
    */
-  public double passedPart(long logTimeMs) {
+  public double elapsedFraction(long logTimeMs) {
     return (double) (logTimeMs - orderedMs) / order.durationMs();
   }
 
   /** Tells whether an order is this one, sent again since its answer was lost. */
-  boolean isResentAs(RolloutOrder other, long logTimeMs) {
+  boolean isDuplicateOrder(RolloutOrder other, long logTimeMs) {
     return order.equals(other) && logTimeMs - orderedMs <= RESENT_MS;
   }
 
-  Rollout turnedTo(RolloutPhase next, RolloutReason why) {
+  Rollout withPhase(RolloutPhase next, RolloutReason why) {
     return new Rollout(order, before, orderedMs, next, why, account);
   }
 
-  Rollout withAccount(ExposureAccount grown) {
+  Rollout withAccount(ExposureCounters grown) {
     return new Rollout(order, before, orderedMs, phase, reason, account.max(grown));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutOrder.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutOrder.java
@@ -20,7 +20,7 @@
    *
    * @return false if it has none, or an absurd one
    */
-  public boolean hasSoundDuration() {
+  public boolean hasValidDuration() {
     return durationMs > 0 && durationMs <= MOST_DURATION_MS;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutAnswer.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutOrderResult.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.rollout;
 
 /** Says what became of an operator's order. */
-public enum RolloutAnswer {
+public enum RolloutOrderResult {
   /** It is in the log. */
   ACCEPTED,
   /** It was accepted before; nothing has changed. */
@@ -22,7 +22,7 @@
    *
    * @return false for refusals
    */
-  public boolean isTaken() {
+  public boolean isAccepted() {
     return this == ACCEPTED || this == REPEATED;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutPhase.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutPhase.java
@@ -3,29 +3,29 @@
 /** Says how far a rollout has come, and with it which versions requests may go to. */
 public enum RolloutPhase {
   /** The ordered version gets its canary's part. */
-  RUNNING(VersionUse.FREE, VersionUse.CANARY),
+  RUNNING(TrafficPolicy.ALL, TrafficPolicy.CANARY),
   /** The ordered version gets all new requests; the versions before finish what they have. */
-  SHIFTING(VersionUse.BARRED, VersionUse.FREE),
+  SHIFTING(TrafficPolicy.NONE, TrafficPolicy.ALL),
   /** The ordered version is in force. */
-  COMPLETED(VersionUse.BARRED, VersionUse.FREE),
+  COMPLETED(TrafficPolicy.NONE, TrafficPolicy.ALL),
   /** The versions before are in force. */
-  ROLLED_BACK(VersionUse.FREE, VersionUse.BARRED);
+  ROLLED_BACK(TrafficPolicy.ALL, TrafficPolicy.NONE);
 
-  private final VersionUse before;
-  private final VersionUse ordered;
+  private final TrafficPolicy before;
+  private final TrafficPolicy ordered;
 
-  RolloutPhase(VersionUse before, VersionUse ordered) {
+  RolloutPhase(TrafficPolicy before, TrafficPolicy ordered) {
     this.before = before;
     this.ordered = ordered;
   }
 
   /** Returns what upstreams of the versions before may get. */
-  VersionUse ofBefore() {
+  TrafficPolicy previousTraffic() {
     return before;
   }
 
   /** Returns what upstreams of the ordered version may get. */
-  VersionUse ofOrdered() {
+  TrafficPolicy targetTraffic() {
     return ordered;
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** Tells whether a phase may follow this one. */
-  boolean mayTurnTo(RolloutPhase next) {
+  boolean canTransitionTo(RolloutPhase next) {
     return isOpen() && next.compareTo(this) > 0 && (next != COMPLETED || this == SHIFTING);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutUse.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutReport.java
@@ -14,7 +14,7 @@
  * @param firstNumber number of the first of the observations; they count on from there
  * @param observations what it has seen and the leader may not have heard
  */
-public record RolloutUse(
+public record RolloutReport(
     ServiceId service,
     long orderedMs,
     long reached,
@@ -24,7 +24,7 @@
     List<Observation> observations) {
 
   /** Copies the list. */
-  public RolloutUse {
+  public RolloutReport {
     observations = List.copyOf(observations);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutBook.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutStore.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.UpstreamVersion;
 
 /** Holds the newest rollout of each service; part of the replicated state. */
-public final class RolloutBook {
+public final class RolloutStore {
 
   private final Map<ServiceId, Rollout> rollouts = new LinkedHashMap<>();
   private long revision;
@@ -19,7 +19,7 @@
    * @param revision number of changes of phase so far
    * @param content the rollouts
    */
-  public RolloutBook(long revision, List<Rollout> content) {
+  public RolloutStore(long revision, List<Rollout> content) {
     this.revision = revision;
     content.forEach(rollout -> rollouts.put(rollout.order().service(), rollout));
   }
@@ -32,19 +32,19 @@
    * @param logTimeMs log time
    * @return what became of it
    */
-  public RolloutAnswer order(RolloutOrder order, List<UpstreamVersion> inForce, long logTimeMs) {
+  public RolloutOrderResult order(RolloutOrder order, List<UpstreamVersion> inForce, long logTimeMs) {
     Rollout newest = rollouts.get(order.service());
     if (newest != null && newest.phase().isOpen()) {
-      return RolloutAnswer.ALREADY_RUNNING;
+      return RolloutOrderResult.ALREADY_RUNNING;
     }
-    if (newest != null && newest.isResentAs(order, logTimeMs)) {
-      return RolloutAnswer.REPEATED;
+    if (newest != null && newest.isDuplicateOrder(order, logTimeMs)) {
+      return RolloutOrderResult.REPEATED;
     }
-    if (!order.hasSoundDuration()) {
-      return RolloutAnswer.BAD_DURATION;
+    if (!order.hasValidDuration()) {
+      return RolloutOrderResult.BAD_DURATION;
     }
     if (inForce.equals(List.of(order.to())) || isInForce(newest, order.to())) {
-      return RolloutAnswer.ALREADY_IN_FORCE;
+      return RolloutOrderResult.ALREADY_IN_FORCE;
     }
     List<UpstreamVersion> before =
         inForce.stream()
@@ -52,7 +52,7 @@
             .filter(version -> isFree(newest, version))
             .toList();
     put(Rollout.ordered(order, before, logTimeMs));
-    return RolloutAnswer.ACCEPTED;
+    return RolloutOrderResult.ACCEPTED;
   }
 
   /**
@@ -66,9 +66,9 @@
    */
   public boolean turn(ServiceId service, long orderedMs, RolloutPhase next, RolloutReason reason) {
     Optional<Rollout> open = find(service).filter(known -> known.orderedMs() == orderedMs);
-    boolean turns = open.isPresent() && open.get().phase().mayTurnTo(next);
+    boolean turns = open.isPresent() && open.get().phase().canTransitionTo(next);
     if (turns) {
-      put(open.get().turnedTo(next, reason));
+      put(open.get().withPhase(next, reason));
     }
     return turns;
   }
@@ -80,7 +80,7 @@
    * @param orderedMs log time of its order
    * @param account the account
    */
-  public void account(ServiceId service, long orderedMs, ExposureAccount account) {
+  public void account(ServiceId service, long orderedMs, ExposureCounters account) {
     find(service)
         .filter(known -> known.orderedMs() == orderedMs)
         .ifPresent(known -> rollouts.put(service, known.withAccount(account)));
@@ -127,6 +127,6 @@
 
   /** Guards against a version that was rolled back and comes into force by the next order. */
   private static boolean isFree(Rollout newest, UpstreamVersion version) {
-    return newest == null || newest.use(Optional.of(version)) == VersionUse.FREE;
+    return newest == null || newest.trafficPolicy(Optional.of(version)) == TrafficPolicy.ALL;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/SymptomWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/SymptomMonitor.java
@@ -17,7 +17,7 @@
  * answers of the others; and a wave of crashes or a burst, which hits both, looks like a bad
  * version, so what the versions before show in the same seconds is tolerated.
  */
-final class SymptomWatch {
+final class SymptomMonitor {
 
   /** Slices of time in which the versions before are looked at. */
   private static final int COMPARED_SLICES = 6;
@@ -39,26 +39,26 @@
 
   /** Is what came within a slice of time, by route; both versions' apart. */
   private static final class Slice {
-    private final Map<RouteId, Trials> ordered = new HashMap<>();
-    private final Map<RouteId, Trials> before = new HashMap<>();
+    private final Map<RouteId, AnswerCounts> ordered = new HashMap<>();
+    private final Map<RouteId, AnswerCounts> before = new HashMap<>();
   }
 
   private final Symptom symptom;
   private final Deque<Slice> slices = new ArrayDeque<>();
-  private final Map<RouteId, Trials> lastBefore = new HashMap<>();
-  private final Map<Optional<RouteId>, EvidenceMeter> meters = new HashMap<>();
+  private final Map<RouteId, AnswerCounts> lastBefore = new HashMap<>();
+  private final Map<Optional<RouteId>, ChangeDetector> meters = new HashMap<>();
   private final Set<UpstreamId> seenAt = new HashSet<>();
   private final Set<UpstreamId> badAt = new HashSet<>();
   private Slice newest = new Slice();
   private int alarmedSlices;
 
-  SymptomWatch(Symptom symptom) {
+  SymptomMonitor(Symptom symptom) {
     this.symptom = symptom;
   }
 
   /** Takes answers in that tell whether they show the symptom. */
-  void take(RouteId route, UpstreamId upstream, boolean ordered, Trials trials) {
-    (ordered ? newest.ordered : newest.before).merge(route, trials, Trials::plus);
+  void observe(RouteId route, UpstreamId upstream, boolean ordered, AnswerCounts trials) {
+    (ordered ? newest.ordered : newest.before).merge(route, trials, AnswerCounts::plus);
     if (ordered) {
       seenAt.add(upstream);
       if (trials.bad() > 0) {
@@ -68,22 +68,22 @@
   }
 
   /** Weighs what has come since the last time. */
-  Optional<Verdict> weigh() {
+  Optional<Verdict> evaluate() {
     slices.addLast(newest);
     if (slices.size() > COMPARED_SLICES) {
       slices.removeFirst();
     }
     Optional<Verdict> found = Optional.empty();
-    Trials ordered = Trials.NONE;
-    Trials before = Trials.NONE;
-    for (Map.Entry<RouteId, Trials> entry : newest.ordered.entrySet()) {
-      Trials compared = before(entry.getKey());
+    AnswerCounts ordered = AnswerCounts.NONE;
+    AnswerCounts before = AnswerCounts.NONE;
+    for (Map.Entry<RouteId, AnswerCounts> entry : newest.ordered.entrySet()) {
+      AnswerCounts compared = before(entry.getKey());
       found = found.or(() -> weighed(Optional.of(entry.getKey()), entry.getValue(), compared));
       ordered = ordered.plus(entry.getValue());
       before = before.plus(compared);
     }
-    Trials allOrdered = ordered;
-    Trials allBefore = before;
+    AnswerCounts allOrdered = ordered;
+    AnswerCounts allBefore = before;
     found = found.or(() -> weighed(Optional.empty(), allOrdered, allBefore));
     newest = new Slice();
     return found.filter(verdict -> isOfVersion());
@@ -91,14 +91,14 @@
 
   /** Tells whether so much speaks against the version that it shouldn't get all requests yet. */
   boolean isSuspicious() {
-    return meters.values().stream().anyMatch(EvidenceMeter::isSuspicious);
+    return meters.values().stream().anyMatch(ChangeDetector::isSuspicious);
   }
 
-  private Optional<Verdict> weighed(Optional<RouteId> route, Trials ordered, Trials before) {
-    EvidenceMeter meter = meters.computeIfAbsent(route, key -> new EvidenceMeter());
+  private Optional<Verdict> weighed(Optional<RouteId> route, AnswerCounts ordered, AnswerCounts before) {
+    ChangeDetector meter = meters.computeIfAbsent(route, key -> new ChangeDetector());
     double tolerated = TOLERATED_TIMES * before.share() + symptom.toleratedShare();
-    meter.take(ordered, Math.min(MOST_TOLERATED, tolerated));
-    return meter.isAlarmed()
+    meter.update(ordered, Math.min(MOST_TOLERATED, tolerated));
+    return meter.hasDetectedChange()
         ? Optional.of(new Verdict(symptom.reason(), route, ordered, before))
         : Optional.empty();
   }
@@ -107,15 +107,15 @@
    * Returns what the versions before showed lately; once they get no requests any longer, what they
    * showed last.
    */
-  private Trials before(RouteId route) {
-    Trials sum = Trials.NONE;
+  private AnswerCounts before(RouteId route) {
+    AnswerCounts sum = AnswerCounts.NONE;
     for (Slice slice : slices) {
-      sum = sum.plus(slice.before.getOrDefault(route, Trials.NONE));
+      sum = sum.plus(slice.before.getOrDefault(route, AnswerCounts.NONE));
     }
     if (sum.answers() > 0) {
       lastBefore.put(route, sum);
     }
-    return lastBefore.getOrDefault(route, Trials.NONE);
+    return lastBefore.getOrDefault(route, AnswerCounts.NONE);
   }
 
   private boolean isOfVersion() {
--- a/core/src/main/java/org/teaseltrail/core/rollout/VersionUse.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/TrafficPolicy.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.core.rollout;
 
 /** Says what requests an upstream may get, by its version. */
-public enum VersionUse {
+public enum TrafficPolicy {
   /** All. */
-  FREE,
+  ALL,
   /** Only those that the leader has lent out for it. */
   CANARY,
   /** None. */
-  BARRED
+  NONE
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/Verdict.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/Verdict.java
@@ -12,4 +12,4 @@
  * @param before what those of the versions before showed in the same seconds
  */
 public record Verdict(
-    RolloutReason reason, Optional<RouteId> route, Trials ordered, Trials before) {}
+    RolloutReason reason, Optional<RouteId> route, AnswerCounts ordered, AnswerCounts before) {}
--- a/core/src/main/java/org/teaseltrail/core/schedule/GrantDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/GrantDesk.java
@@ -165,7 +165,7 @@
 
   private void learn(InFlight part, EntryMessage.Ended ended, long nowNs) {
     state.fleet().ended(part, ended, nowNs);
-    if (ended.kind() == EndKind.COMPLETED && ended.knowsTime()) {
+    if (ended.kind() == EndKind.COMPLETED && ended.hasKnownDuration()) {
       int tokens = ended.usage().outputTokens();
       state.estimator().observe(part.ticket(), tokens, ended.sinceDispatchMs());
     }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
@@ -237,7 +237,7 @@
     }
     if (ended.kind() == EndKind.COMPLETED) {
       part.upstream().presence().worked();
-      if (ended.knowsTime()) {
+      if (ended.hasKnownDuration()) {
         AnswerSamples.completed(part, ended, nowNs);
       }
     }
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.quarantine.Loss;
 import org.teaseltrail.core.quota.QuotaReport;
-import org.teaseltrail.core.rollout.RolloutUse;
+import org.teaseltrail.core.rollout.RolloutReport;
 
 /** Is a message from an entry VM that places requests itself to a control member. */
 public sealed interface ServingMessage {
@@ -78,7 +78,7 @@
    * @param sequence grows with each; the answer carries it back
    * @param uses what it has done, for each rollout
    */
-  record Rollouts(VmId vm, Incarnation incarnation, long sequence, List<RolloutUse> uses)
+  record Rollouts(VmId vm, Incarnation incarnation, long sequence, List<RolloutReport> uses)
       implements ServingMessage {
     /** Copies the list. */
     public Rollouts {
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.quota.QuotaGrant;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.rollout.CanaryLoan;
+import org.teaseltrail.core.rollout.CanaryAllowance;
 import org.teaseltrail.core.rollout.Rollout;
 
 /** Is a message from a control member to an entry VM that places requests itself. */
@@ -157,7 +157,7 @@
    * @param forMs how long they are good for from when the VM asked, in milliseconds
    * @param loans what is lent
    */
-  record CanaryLoans(FencingNumber fencing, long sequence, long forMs, List<CanaryLoan> loans)
+  record CanaryLoans(FencingNumber fencing, long sequence, long forMs, List<CanaryAllowance> loans)
       implements ServingReply {
     /** Copies the list. */
     public CanaryLoans {
--- a/core/src/main/java/org/teaseltrail/core/session/HelloOutcome.java
+++ b/core/src/main/java/org/teaseltrail/core/session/HelloResult.java
@@ -3,14 +3,14 @@
 /**
  * Says how a leader answers a hello.
  *
- * @param life what the hello does to the VM's session
- * @param welcome whether the session is renewed
- * @param push whether the VM needs the accepted configuration
+ * @param sessionChange what the hello does to the VM's session
+ * @param renewed whether the session is renewed
+ * @param needsConfiguration whether the VM needs the accepted configuration
  */
-public record HelloOutcome(Life life, boolean welcome, boolean push) {
+public record HelloResult(SessionChange sessionChange, boolean renewed, boolean needsConfiguration) {
 
   /** Says what a hello does to a session. */
-  public enum Life {
+  public enum SessionChange {
     /** It opens the first session of the VM. */
     OPENED,
     /** It comes from a later life of the process, whose session replaces that of the one before. */
--- a/core/src/main/java/org/teaseltrail/core/session/Session.java
+++ b/core/src/main/java/org/teaseltrail/core/session/Session.java
@@ -13,7 +13,7 @@
   private final Incarnation incarnation;
   private final DataCenterId dataCenter;
   private Revision appliedRevision;
-  private long lapsesAtNs;
+  private long expiresAtNs;
   private long helloAtNs;
   private boolean behind;
   private long behindSinceNs;
@@ -27,7 +27,7 @@
     dataCenter = hello.dataCenter();
     appliedRevision = hello.appliedRevision();
     pushedRevision = new Revision(0);
-    this.lapsesAtNs = lapsesAtNs;
+    this.expiresAtNs = lapsesAtNs;
   }
 
   /** Returns the VM. */
@@ -56,12 +56,12 @@
   }
 
   /** Notes that the VM has told all. */
-  public void markReported() {
+  public void markReportsComplete() {
     reported = true;
   }
 
   /** Returns whether the VM applies the revision or a newer one. */
-  public boolean applies(Revision revision) {
+  public boolean hasApplied(Revision revision) {
     return appliedRevision.compareTo(revision) >= 0;
   }
 
@@ -75,8 +75,8 @@
   }
 
   /** Returns when the session lapses, in nanoseconds. */
-  long lapsesAtNs() {
-    return lapsesAtNs;
+  long expiresAtNs() {
+    return expiresAtNs;
   }
 
   /**
@@ -91,7 +91,7 @@
   }
 
   void renew(long newLapsesAtNs) {
-    lapsesAtNs = newLapsesAtNs;
+    expiresAtNs = newLapsesAtNs;
   }
 
   /**
@@ -101,9 +101,9 @@
    * @param nowNs monotonic time
    * @return nanoseconds since this was first seen, zero if it applies the accepted one
    */
-  long behindNs(Revision accepted, long nowNs) {
+  long lagNs(Revision accepted, long nowNs) {
     boolean wasBehind = behind;
-    behind = !applies(accepted);
+    behind = !hasApplied(accepted);
     if (!behind) {
       return 0;
     }
@@ -114,23 +114,23 @@
   }
 
   /** Goes on counting where the same life's lapsed session stopped. */
-  void behindLike(Session lapsed) {
+  void inheritLag(Session lapsed) {
     behind = lapsed.behind;
     behindSinceNs = lapsed.behindSinceNs;
     pushedRevision = lapsed.pushedRevision;
     pushedAtNs = lapsed.pushedAtNs;
   }
 
-  boolean isBehind() {
+  boolean isLagging() {
     return behind;
   }
 
-  boolean wantsPush(Revision accepted, long nowNs, long repeatNs) {
+  boolean needsPush(Revision accepted, long nowNs, long repeatNs) {
     boolean pushed = pushedRevision.equals(accepted) && nowNs - pushedAtNs < repeatNs;
-    return !applies(accepted) && !pushed;
+    return !hasApplied(accepted) && !pushed;
   }
 
-  void pushed(Revision accepted, long nowNs) {
+  void markPushed(Revision accepted, long nowNs) {
     pushedRevision = accepted;
     pushedAtNs = nowNs;
   }
--- a/core/src/main/java/org/teaseltrail/core/session/Sessions.java
+++ b/core/src/main/java/org/teaseltrail/core/session/SessionRegistry.java
@@ -13,14 +13,14 @@
 import org.teaseltrail.core.id.Revision;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.EntryMessage.Hello;
-import org.teaseltrail.core.session.HelloOutcome.Life;
+import org.teaseltrail.core.session.HelloResult.SessionChange;
 
 /**
  * Holds the sessions of one leadership. A new leadership begins with none; VMs that an older leader
  * has welcomed may serve on under it for a session's lifetime, so what is said of all VMs is true
  * only after that.
  */
-public final class Sessions {
+public final class SessionRegistry {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -35,9 +35,9 @@
    * @param settings the times
    * @param nowNs when the leadership begins
    */
-  public Sessions(SessionSettings settings, long nowNs) {
+  public SessionRegistry(SessionSettings settings, long nowNs) {
     this.settings = settings;
-    settledAtNs = nowNs + settings.lapseNs();
+    settledAtNs = nowNs + settings.expiryNs();
   }
 
   /**
@@ -48,25 +48,25 @@
    * @param nowNs monotonic time
    * @return how to answer it
    */
-  public HelloOutcome hello(Hello hello, Revision accepted, long nowNs) {
+  public HelloResult handleHello(Hello hello, Revision accepted, long nowNs) {
     Session present = sessions.get(hello.vm());
-    Life life = life(present, hello);
-    if (life == Life.STALE) {
-      return new HelloOutcome(life, false, false);
+    SessionChange life = life(present, hello);
+    if (life == SessionChange.STALE) {
+      return new HelloResult(life, false, false);
     }
-    Session session = life == Life.KEPT ? present : opened(hello, nowNs);
+    Session session = life == SessionChange.KEPT ? present : opened(hello, nowNs);
     session.heard(nowNs);
     session.apply(hello.appliedRevision());
-    boolean welcome = session.behindNs(accepted, nowNs) <= settings.behindMs() * NS_PER_MS;
+    boolean welcome = session.lagNs(accepted, nowNs) <= settings.maxLagMs() * NS_PER_MS;
     boolean push = push(session, accepted, nowNs);
     if (welcome) {
-      session.renew(nowNs + settings.lapseNs());
-    } else if (life == Life.OPENED) {
+      session.renew(nowNs + settings.expiryNs());
+    } else if (life == SessionChange.OPENED) {
       heldOff.put(hello.vm(), session);
-      return new HelloOutcome(Life.HELD_OFF, false, push);
+      return new HelloResult(SessionChange.HELD_OFF, false, push);
     }
     sessions.put(hello.vm(), session);
-    return new HelloOutcome(life, welcome, push);
+    return new HelloResult(life, welcome, push);
   }
 
   /**
@@ -76,10 +76,10 @@
    * @param nowNs monotonic time
    * @return the VMs to send it to
    */
-  public List<VmId> accepted(Revision accepted, long nowNs) {
+  public List<VmId> selectPushTargets(Revision accepted, long nowNs) {
     List<VmId> targets = new ArrayList<>();
     for (Session session : sessions.values()) {
-      session.behindNs(accepted, nowNs);
+      session.lagNs(accepted, nowNs);
       if (push(session, accepted, nowNs)) {
         targets.add(session.vm());
       }
@@ -93,15 +93,15 @@
    * @param nowNs monotonic time
    * @return their VMs
    */
-  public List<VmId> lapse(long nowNs) {
+  public List<VmId> removeExpired(long nowNs) {
     List<VmId> lapsed = new ArrayList<>();
     Iterator<Session> all = sessions.values().iterator();
     while (all.hasNext()) {
       Session session = all.next();
-      if (session.lapsesAtNs() <= nowNs) {
+      if (session.expiresAtNs() <= nowNs) {
         lapsed.add(session.vm());
         all.remove();
-        if (session.isBehind()) {
+        if (session.isLagging()) {
           heldOff.put(session.vm(), session);
         }
       }
@@ -115,9 +115,9 @@
    * @param revision the configuration
    * @return the VMs with a session that haven't applied it
    */
-  public List<VmId> behind(Revision revision) {
+  public List<VmId> findLagging(Revision revision) {
     return sessions.values().stream()
-        .filter(session -> !session.applies(revision))
+        .filter(session -> !session.hasApplied(revision))
         .map(Session::vm)
         .toList();
   }
@@ -128,7 +128,7 @@
    * @param nowNs monotonic time
    * @return whether this leadership knows each VM that serves
    */
-  public boolean isSettled(long nowNs) {
+  public boolean havePriorSessionsExpired(long nowNs) {
     return nowNs >= settledAtNs;
   }
 
@@ -149,8 +149,8 @@
    * @return the next lapse or the settling, or empty if there is none
    */
   public OptionalLong nextWakeupNs(long nowNs) {
-    OptionalLong lapse = sessions.values().stream().mapToLong(Session::lapsesAtNs).min();
-    if (isSettled(nowNs)) {
+    OptionalLong lapse = sessions.values().stream().mapToLong(Session::expiresAtNs).min();
+    if (havePriorSessionsExpired(nowNs)) {
       return lapse;
     }
     return OptionalLong.of(Math.min(lapse.orElse(settledAtNs), settledAtNs));
@@ -162,30 +162,30 @@
    * counts on over the lapse, until it applies the accepted one or its process starts again.
    */
   private Session opened(Hello hello, long nowNs) {
-    Session session = new Session(hello, nowNs + settings.lapseNs());
+    Session session = new Session(hello, nowNs + settings.expiryNs());
     Session before = heldOff.remove(hello.vm());
     if (before != null && before.incarnation().equals(hello.incarnation())) {
-      session.behindLike(before);
+      session.inheritLag(before);
     }
     return session;
   }
 
   private boolean push(Session session, Revision accepted, long nowNs) {
-    if (!session.wantsPush(accepted, nowNs, settings.pushRepeatMs() * NS_PER_MS)) {
+    if (!session.needsPush(accepted, nowNs, settings.pushRetryMs() * NS_PER_MS)) {
       return false;
     }
-    session.pushed(accepted, nowNs);
+    session.markPushed(accepted, nowNs);
     return true;
   }
 
-  private static Life life(Session present, Hello hello) {
+  private static SessionChange life(Session present, Hello hello) {
     if (present == null) {
-      return Life.OPENED;
+      return SessionChange.OPENED;
     }
     int order = hello.incarnation().compareTo(present.incarnation());
     if (order == 0) {
-      return Life.KEPT;
+      return SessionChange.KEPT;
     }
-    return order > 0 ? Life.REPLACED : Life.STALE;
+    return order > 0 ? SessionChange.REPLACED : SessionChange.STALE;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
@@ -14,11 +14,11 @@
 import org.teaseltrail.core.invariant.InvariantName;
 import org.teaseltrail.core.message.ClaimState;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.quarantine.HeldBook;
+import org.teaseltrail.core.quarantine.HeldRequestStore;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.registry.RegistryBook;
-import org.teaseltrail.core.rollout.RolloutAnswer;
-import org.teaseltrail.core.rollout.RolloutBook;
+import org.teaseltrail.core.registry.UpstreamRegistry;
+import org.teaseltrail.core.rollout.RolloutOrderResult;
+import org.teaseltrail.core.rollout.RolloutStore;
 import org.teaseltrail.core.rollout.RolloutOrder;
 import org.teaseltrail.core.state.Command.AccountExposure;
 import org.teaseltrail.core.state.Command.AdoptClaim;
@@ -49,9 +49,9 @@
   private final ChangeHistory changes;
   private final ClaimStore claims;
   private Configuration configuration;
-  private final RegistryBook registry;
-  private final HeldBook held;
-  private final RolloutBook rollouts;
+  private final UpstreamRegistry registry;
+  private final HeldRequestStore held;
+  private final RolloutStore rollouts;
   private Optional<InstalledPlan> plan;
   private long logTimeMs;
 
@@ -67,9 +67,9 @@
     claims = ClaimStore.restore(snapshot.claims(), snapshot.claimLimits());
     ServingState serving = snapshot.serving().orElse(ServingState.empty());
     plan = serving.plan();
-    registry = new RegistryBook(serving.registryRevision(), serving.registrations());
-    held = new HeldBook(serving.held().orElse(List.of()));
-    rollouts = new RolloutBook(serving.rolloutRevision(), serving.rollouts().orElse(List.of()));
+    registry = new UpstreamRegistry(serving.registryRevision(), serving.registrations());
+    held = new HeldRequestStore(serving.held().orElse(List.of()));
+    rollouts = new RolloutStore(serving.rolloutRevision(), serving.rollouts().orElse(List.of()));
   }
 
   /**
@@ -118,24 +118,24 @@
     } else if (command instanceof RegisterUpstream register) {
       registry.register(register.heard());
     } else if (command instanceof UpstreamLeaves leaves) {
-      registry.leave(leaves.leaving());
+      registry.deregister(leaves.leaving());
     } else if (command instanceof DropUpstream drop) {
-      registry.drop(drop.upstream());
+      registry.removeSilent(drop.upstream());
     } else if (command instanceof HoldRequest hold) {
       held.hold(hold.held());
     } else if (command instanceof TryRequest trial) {
-      held.tried(trial.request());
+      held.recordTrial(trial.request());
     } else if (command instanceof ReleaseRequest release) {
       held.release(release.request());
     }
     return new CommandResult.OfServing(planVersion(), registry.revision());
   }
 
-  private RolloutAnswer order(RolloutOrder order) {
-    boolean known = plan.filter(held -> held.plan().names(order.service())).isPresent();
+  private RolloutOrderResult order(RolloutOrder order) {
+    boolean known = plan.filter(held -> held.plan().hasService(order.service())).isPresent();
     return known
         ? rollouts.order(order, versionsInForce(order.service()), logTimeMs)
-        : RolloutAnswer.UNKNOWN_SERVICE;
+        : RolloutOrderResult.UNKNOWN_SERVICE;
   }
 
   private List<UpstreamVersion> versionsInForce(ServiceId service) {
@@ -147,9 +147,9 @@
         .toList();
   }
 
-  private RolloutAnswer turn(TurnRollout turn) {
+  private RolloutOrderResult turn(TurnRollout turn) {
     boolean turned = rollouts.turn(turn.service(), turn.orderedMs(), turn.phase(), turn.reason());
-    return turned ? RolloutAnswer.ACCEPTED : RolloutAnswer.NONE_RUNNING;
+    return turned ? RolloutOrderResult.ACCEPTED : RolloutOrderResult.NONE_RUNNING;
   }
 
   /**
@@ -182,17 +182,17 @@
   }
 
   /** Returns the registrations, to look up only. */
-  public RegistryBook registry() {
+  public UpstreamRegistry registry() {
     return registry;
   }
 
   /** Returns the requests that no upstream gets, to look up only. */
-  public HeldBook held() {
+  public HeldRequestStore held() {
     return held;
   }
 
   /** Returns the rollouts, to look up only. */
-  public RolloutBook rollouts() {
+  public RolloutStore rollouts() {
     return rollouts;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/state/Command.java
+++ b/core/src/main/java/org/teaseltrail/core/state/Command.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.quarantine.HeldRequest;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.rollout.ExposureAccount;
+import org.teaseltrail.core.rollout.ExposureCounters;
 import org.teaseltrail.core.rollout.RolloutOrder;
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.core.rollout.RolloutReason;
@@ -184,7 +184,7 @@
    * @param account the account
    * @param logTimeMs log time
    */
-  record AccountExposure(ServiceId service, long orderedMs, ExposureAccount account, long logTimeMs)
+  record AccountExposure(ServiceId service, long orderedMs, ExposureCounters account, long logTimeMs)
       implements ServingCommand {}
 
   /**
--- a/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
+++ b/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import org.teaseltrail.core.claim.ClaimRecord;
 import org.teaseltrail.core.claim.OpenClaimResult;
-import org.teaseltrail.core.rollout.RolloutAnswer;
+import org.teaseltrail.core.rollout.RolloutOrderResult;
 
 /** Is what a command came to. */
 public sealed interface CommandResult {
@@ -56,7 +56,7 @@
    *
    * @param answer what became of it
    */
-  record OfRollout(RolloutAnswer answer) implements CommandResult {}
+  record OfRollout(RolloutOrderResult answer) implements CommandResult {}
 
   /** Requests were written down that an ordered version may get; no VM need know. */
   record OfExposure() implements CommandResult {}
--- a/core/src/test/java/org/teaseltrail/core/backpressure/RateLimitRegistryTest.java
+++ b/core/src/test/java/org/teaseltrail/core/backpressure/RateLimitRegistryTest.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.id.UpstreamId;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 class RateLimitRegistryTest {
 
   private static final long NS_PER_MS = 1_000_000L;
-  private static final UpstreamLife UPSTREAM = new UpstreamLife(new UpstreamId("u"), 1);
+  private static final UpstreamIncarnation UPSTREAM = new UpstreamIncarnation(new UpstreamId("u"), 1);
   private static final RateLimit LIMIT = new RateLimit(1.6);
 
   private final RateLimitRegistry book = new RateLimitRegistry();
--- a/core/src/test/java/org/teaseltrail/core/control/AskingEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/AskingEngine.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.teaseltrail.core.backpressure.RateLimit;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
 
 /**
@@ -50,7 +50,7 @@
   private record Backoff(long fromNs, long untilNs) {}
 
   AskingEngine(int site) {
-    places = new BatchEngine(site, 1, Plans.ENGINES);
+    places = new BatchEngine(site, 1, TestPlans.ENGINES);
   }
 
   BatchEngine places() {
--- a/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.forward.ForwardRequest;
 import org.teaseltrail.core.forward.Refusal;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /**
@@ -64,7 +64,7 @@
     this.random = random;
     group.start();
     group.ask(
-        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(Plans.plan(1), "{}")));
+        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int site = 0; site < engineCount; site++) {
       engines.add(new AskingEngine(site));
     }
@@ -179,9 +179,9 @@
         new ForwardRequest(
             number,
             "id-" + number,
-            Plans.HOST,
+            TestPlans.HOST,
             random.nextInt(3) == 0 ? "/resumable/x" : "/stream/x",
-            Optional.of(Plans.KEY),
+            Optional.of(TestPlans.KEY),
             OptionalLong.of(DEADLINE_MS),
             OptionalInt.of(500),
             OptionalInt.of(100),
@@ -250,7 +250,7 @@
       engine.turnedAway(attempt.vm(), group.nowNs());
       vms.node(attempt.vm())
           .signals()
-          .backOff(engine.registration().life(), engine.backoffMs(), group.nowNs());
+          .backOff(engine.registration().upstreamIncarnation(), engine.backoffMs(), group.nowNs());
       end(attempt, AttemptEnd.REFUSED);
     }
   }
@@ -260,9 +260,9 @@
     AskingEngine engine = attempt.engine();
     ForwardNode node = vms.node(attempt.vm());
     node.signals()
-        .limit(engine.registration().life(), engine.limit(), attempt.dispatchedNs(), group.nowNs());
+        .limit(engine.registration().upstreamIncarnation(), engine.limit(), attempt.dispatchedNs(), group.nowNs());
     if (engine.isLeaving()) {
-      node.signals().leaving(engine.registration().life());
+      node.signals().leaving(engine.registration().upstreamIncarnation());
     }
     engine.told(attempt.vm(), group.nowNs());
   }
--- a/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.forward.ForwardRequest;
 import org.teaseltrail.core.forward.Refusal;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /**
@@ -116,10 +116,10 @@
     this.random = random;
     group.start();
     group.ask(
-        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(Plans.plan(1), "{}")));
+        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int site = 0; site < engineCount; site++) {
-      engines.add(new BatchEngine(site, 1, Plans.ENGINES));
-      engines.add(new BatchEngine(engineCount + site, 1, Plans.PLAIN));
+      engines.add(new BatchEngine(site, 1, TestPlans.ENGINES));
+      engines.add(new BatchEngine(engineCount + site, 1, TestPlans.PLAIN));
     }
     vms = new FakeEntryVms(group, vmCount, random, this::carryOut);
     vms.start();
@@ -280,9 +280,9 @@
         new ForwardRequest(
             number,
             "id-" + number,
-            Plans.HOST,
+            TestPlans.HOST,
             call.kind().path + "x",
-            Optional.of(Plans.KEY),
+            Optional.of(TestPlans.KEY),
             OptionalLong.of(DEADLINE_MS),
             OptionalInt.of(500),
             OptionalInt.of(100),
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeEngine.java
@@ -2,7 +2,7 @@
 
 import org.teaseltrail.core.forward.ForwardSamples;
 import org.teaseltrail.core.id.UpstreamId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
 
 /** Is an engine of a given speed that can fail in several ways and be sound again. */
@@ -36,7 +36,7 @@
   private int dispatched;
 
   FakeEngine(String id, double slowness) {
-    registration = ForwardSamples.upstream(id, Plans.ENGINES, PLACES);
+    registration = ForwardSamples.upstream(id, TestPlans.ENGINES, PLACES);
     this.slowness = slowness;
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/MembershipKeeperTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/MembershipKeeperTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.id.MemberId;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.replication.Member;
 import org.teaseltrail.core.replication.Membership;
 
@@ -49,7 +49,7 @@
   }
 
   private OperatorResult install(long version) {
-    InstalledPlan installed = new InstalledPlan(Plans.plan(version), "text of " + version);
+    InstalledPlan installed = new InstalledPlan(TestPlans.plan(version), "text of " + version);
     return group.ask(group.leader(), new OperatorRequest.InstallPlan(installed));
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
@@ -33,10 +33,10 @@
   void changeLeader() {
     FakeControl first = group.leader();
     group.run(500);
-    group.ask(first, new OperatorRequest.InstallPlan(new InstalledPlan(Plans.plan(1), "{}")));
+    group.ask(first, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     group.ask(
         first,
-        new OperatorRequest.Heartbeat(ForwardSamples.upstream(ENGINE.value(), Plans.ENGINES, 4)));
+        new OperatorRequest.Heartbeat(ForwardSamples.upstream(ENGINE.value(), TestPlans.ENGINES, 4)));
     first.kill();
     leader = group.leader();
   }
@@ -66,7 +66,7 @@
   private long grantsAfterLine() {
     QueueState line =
         new QueueState(
-            Plans.ENGINES,
+            TestPlans.ENGINES,
             List.of(new QueueState.WaitTimes(new Urgency(1, false, 0), List.of(5L))),
             List.of(),
             List.of());
--- a/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
@@ -21,10 +21,10 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.registry.RegistryBook;
+import org.teaseltrail.core.registry.UpstreamRegistry;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.UpstreamSlots;
@@ -62,11 +62,11 @@
   @BeforeEach
   void start() {
     for (int i = 0; i < ENGINES; i++) {
-      engines.add(ForwardSamples.upstream("e" + i, Plans.ENGINES, PLACES));
+      engines.add(ForwardSamples.upstream("e" + i, TestPlans.ENGINES, PLACES));
     }
     for (int i = 0; i < VMS; i++) {
       ForwardNode node = new ForwardNode(ForwardSamples.settings(vm(i), 1));
-      node.fromControl(new ServingReply.PlanUpdate(TERM, Plans.plan(1)), 0);
+      node.fromControl(new ServingReply.PlanUpdate(TERM, TestPlans.plan(1)), 0);
       node.fromControl(new ServingReply.RegistryUpdate(TERM, 1, engines), 0);
       nodes.add(node);
     }
@@ -76,8 +76,8 @@
     return new VmId("entry-" + number);
   }
 
-  private RegistryBook registry() {
-    return new RegistryBook(1, engines);
+  private UpstreamRegistry registry() {
+    return new UpstreamRegistry(1, engines);
   }
 
   private void play(long fromMs, long untilMs, int perSecond, boolean leads) {
@@ -118,7 +118,7 @@
 
   private ServingReply confirmation(ServingMessage.Sync sync, long ms) {
     int wanted = sync.inFlight().values().stream().mapToInt(Integer::intValue).sum();
-    shares.heard(sync.vm(), Map.of(Plans.ENGINES, wanted));
+    shares.heard(sync.vm(), Map.of(TestPlans.ENGINES, wanted));
     Map<UpstreamId, Integer> elsewhere = new HashMap<>();
     atVms.forEach(
         (id, there) -> {
@@ -155,9 +155,9 @@
     return new ForwardRequest(
         lastRequest,
         "id-" + lastRequest,
-        Plans.HOST,
+        TestPlans.HOST,
         "/stream/x",
-        Optional.of(Plans.KEY),
+        Optional.of(TestPlans.KEY),
         OptionalLong.of(4_000),
         OptionalInt.of(1_000),
         OptionalInt.of(100),
@@ -196,8 +196,8 @@
   @Test
   void eachVmGetsPlacesByWhatItWantsAndOneAtLeast() {
     for (int i = 0; i < 40; i++) {
-      shares.heard(vm(0), Map.of(Plans.ENGINES, 60));
-      shares.heard(vm(1), Map.of(Plans.ENGINES, 20));
+      shares.heard(vm(0), Map.of(TestPlans.ENGINES, 60));
+      shares.heard(vm(1), Map.of(TestPlans.ENGINES, 20));
       shares.heard(vm(2), Map.of());
     }
     Map<VmId, Integer> dealt = new HashMap<>();
--- a/core/src/test/java/org/teaseltrail/core/control/PlanAnswerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlanAnswerTest.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
@@ -42,7 +42,7 @@
                   List.of())));
     }
     leader.actions().clear();
-    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(Plans.plan(1), "{}")));
+    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     List<ControlAction> actions = leader.actions();
     int answered = index(actions, ControlAction.Reply.class);
     int pushed =
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.forward.ForwardSamples;
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.quarantine.Loss;
 import org.teaseltrail.core.registry.Registration;
@@ -37,7 +37,7 @@
     leader = group.leader();
     group.run(1_000);
     for (int i = 0; i < 3; i++) {
-      engines.add(ForwardSamples.upstream("e" + i, Plans.ENGINES, 4));
+      engines.add(ForwardSamples.upstream("e" + i, TestPlans.ENGINES, 4));
     }
     beat();
   }
@@ -54,7 +54,7 @@
     List<Loss> losses = new ArrayList<>();
     for (int engine : which) {
       long apartMs = (long) MOMENTS_APART_MS * engine;
-      losses.add(new Loss(DEADLY, Optional.empty(), engines.get(engine).life(), agoMs + apartMs));
+      losses.add(new Loss(DEADLY, Optional.empty(), engines.get(engine).upstreamIncarnation(), agoMs + apartMs));
     }
     tell(new ServingMessage.Losses(vm, losses, List.of()));
   }
@@ -92,7 +92,7 @@
   void upstreamsLostAtOneMomentCountOnce() {
     List<Loss> losses =
         engines.stream()
-            .map(engine -> new Loss(DEADLY, Optional.empty(), engine.life(), 0))
+            .map(engine -> new Loss(DEADLY, Optional.empty(), engine.upstreamIncarnation(), 0))
             .toList();
     tell(new ServingMessage.Losses(ONE, losses, List.of()));
     assertThat(held()).isEmpty();
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.forward.ForwardRequest;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quota.QuotaGrant;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
@@ -53,7 +53,7 @@
         List<QuotaGrant> grants =
             ledger.grants(
                 sync.vm(),
-                Map.of(Plans.CUSTOMER, new QuotaLimit(LIMIT, RATE, atOnce, kept)),
+                Map.of(TestPlans.CUSTOMER, new QuotaLimit(LIMIT, RATE, atOnce, kept)),
                 nowNs);
         ServingReply.Confirmed reply =
             new ServingReply.Confirmed(
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.forward.Refusal;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quota.QuotaGrant;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
@@ -118,7 +118,7 @@
         ledger.told(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
         QuotaLimit limit =
             new QuotaLimit(LIMIT + HANDED_OUT_TOLERANCE, RATE, RATE + HANDED_OUT_TOLERANCE, 50_000);
-        List<QuotaGrant> grants = ledger.grants(sync.vm(), Map.of(Plans.CUSTOMER, limit), nowNs);
+        List<QuotaGrant> grants = ledger.grants(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
         note(
             node.fromControl(
                 new ServingReply.Confirmed(
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.forward.ForwardRequest;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.SlidingWindowSum;
 import org.teaseltrail.core.serving.ServingMessage;
@@ -163,7 +163,7 @@
               List.of(),
               ledger.grants(
                   sync.vm(),
-                  Map.of(Plans.CUSTOMER, new QuotaLimit(LIMIT, RATE, RATE, 0)),
+                  Map.of(TestPlans.CUSTOMER, new QuotaLimit(LIMIT, RATE, RATE, 0)),
                   ms * MS));
       if (ms >= vm.deafUntilMs) {
         take(vm.node.fromControl(reply, ms * MS), vm, ms);
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.serving.ServingReply;
@@ -34,10 +34,10 @@
   /** Makes a VM whose one customer may use so many tokens a second, at an upstream without end. */
   static ForwardNode node(VmId vm, long incarnation, double tokensPerSecond) {
     ForwardNode node = new ForwardNode(ForwardSamples.settings(vm, incarnation));
-    Registration upstream = ForwardSamples.upstream(UPSTREAM.value(), Plans.PLAIN, MANY);
+    Registration upstream = ForwardSamples.upstream(UPSTREAM.value(), TestPlans.PLAIN, MANY);
     node.fromControl(
         new ServingReply.PlanUpdate(
-            TERM, Plans.plan(1, Plans.customer(Plans.KEY, tokensPerSecond))),
+            TERM, TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, tokensPerSecond))),
         0);
     node.fromControl(new ServingReply.RegistryUpdate(TERM, 1, List.of(upstream)), 0);
     return node;
@@ -48,9 +48,9 @@
     return new ForwardRequest(
         number,
         "id-" + number,
-        Plans.HOST,
+        TestPlans.HOST,
         "/unsafe/x",
-        Optional.of(Plans.KEY),
+        Optional.of(TestPlans.KEY),
         OptionalLong.empty(),
         OptionalInt.of(tokens),
         OptionalInt.of(0),
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutPushTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutPushTest.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.id.UpstreamVersion;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.rollout.RolloutOrder;
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
@@ -29,9 +29,9 @@
   @BeforeEach
   void order() {
     leader = group.leader();
-    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(Plans.plan(1), "{}")));
+    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     sync(0, 0);
-    RolloutOrder order = new RolloutOrder(Plans.ENGINES, new UpstreamVersion("v2"), 12_000);
+    RolloutOrder order = new RolloutOrder(TestPlans.ENGINES, new UpstreamVersion("v2"), 12_000);
     group.ask(leader, new OperatorRequest.StartRollout(order));
   }
 
@@ -55,7 +55,7 @@
   private void upstreamComes() {
     leader.actions().clear();
     group.ask(
-        leader, new OperatorRequest.Heartbeat(ForwardSamples.upstream("e1", Plans.ENGINES, 4)));
+        leader, new OperatorRequest.Heartbeat(ForwardSamples.upstream("e1", TestPlans.ENGINES, 4)));
   }
 
   private boolean pushed(Class<? extends ServingReply> type) {
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.forward.ForwardRequest;
 import org.teaseltrail.core.id.UpstreamVersion;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
 import org.teaseltrail.core.rollout.CanaryLimit;
 import org.teaseltrail.core.rollout.Rollout;
@@ -79,7 +79,7 @@
     enginesOfVersion = engineCount;
     group.start();
     group.ask(
-        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(Plans.plan(1), "{}")));
+        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     startEngines(OLD);
     vms = new FakeEntryVms(group, vmCount, random, this::carryOut);
     vms.start();
@@ -103,14 +103,14 @@
   }
 
   OperatorResult orderAgain() {
-    RolloutOrder order = new RolloutOrder(Plans.ENGINES, ORDERED, durationMs);
+    RolloutOrder order = new RolloutOrder(TestPlans.ENGINES, ORDERED, durationMs);
     return group.ask(group.leader(), new OperatorRequest.StartRollout(order));
   }
 
   /** Returns the record of whoever leads. */
   Rollout rollout() {
     OperatorResult result =
-        group.ask(group.leader(), new OperatorRequest.ReadRollout(Plans.ENGINES));
+        group.ask(group.leader(), new OperatorRequest.ReadRollout(TestPlans.ENGINES));
     return ((OperatorResult.RolloutRead) result).rollout().orElseThrow();
   }
 
@@ -220,7 +220,7 @@
     lives++;
     double doublings =
         random.nextDouble() * Math.log(MOST_SLOWNESS / LEAST_SLOWNESS) + Math.log(LEAST_SLOWNESS);
-    return new VersionedEngine(version + "-" + lives, Plans.ENGINES, version, Math.exp(doublings));
+    return new VersionedEngine(version + "-" + lives, TestPlans.ENGINES, version, Math.exp(doublings));
   }
 
   private void send() {
@@ -232,9 +232,9 @@
         new ForwardRequest(
             number,
             "id-" + number,
-            Plans.HOST,
+            TestPlans.HOST,
             route + "x",
-            Optional.of(Plans.KEY),
+            Optional.of(TestPlans.KEY),
             OptionalLong.of(DEADLINE_MS),
             OptionalInt.of(500),
             OptionalInt.of(100),
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamVersion;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.rollout.Rollout;
-import org.teaseltrail.core.rollout.RolloutAnswer;
+import org.teaseltrail.core.rollout.RolloutOrderResult;
 import org.teaseltrail.core.rollout.RolloutOrder;
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.core.rollout.RolloutReason;
@@ -74,7 +74,7 @@
   @Test
   void orderOutlivesLeaderAndLossOfPower() {
     RolloutRun run = small(BadVersion.GOOD);
-    assertThat(run.order()).isEqualTo(new OperatorResult.RolloutAnswered(RolloutAnswer.ACCEPTED));
+    assertThat(run.order()).isEqualTo(new OperatorResult.RolloutAnswered(RolloutOrderResult.ACCEPTED));
     run.group().leader().kill();
     run.play(1_000, FEW_PER_SECOND);
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.RUNNING);
@@ -130,8 +130,8 @@
     run.order();
     run.play(2_000, FEW_PER_SECOND);
     OperatorResult answer =
-        run.group().ask(run.group().leader(), new OperatorRequest.AbortRollout(Plans.ENGINES));
-    assertThat(answer).isEqualTo(new OperatorResult.RolloutAnswered(RolloutAnswer.ACCEPTED));
+        run.group().ask(run.group().leader(), new OperatorRequest.AbortRollout(TestPlans.ENGINES));
+    assertThat(answer).isEqualTo(new OperatorResult.RolloutAnswered(RolloutOrderResult.ACCEPTED));
     assertThat(run.rollout().reason()).isEqualTo(RolloutReason.ABORTED);
     run.play(50, FEW_PER_SECOND);
     long lastMs = run.lastExposedMs();
@@ -154,18 +154,18 @@
   void ordersThatCannotBeTakenAreRefusedAndChangeNothing() {
     RolloutRun run = small(BadVersion.GOOD);
     assertThat(answer(run, new ServiceId("unknown"), RolloutRun.ORDERED, 1_000))
-        .isEqualTo(RolloutAnswer.UNKNOWN_SERVICE);
-    assertThat(answer(run, Plans.ENGINES, RolloutRun.ORDERED, 0))
-        .isEqualTo(RolloutAnswer.BAD_DURATION);
-    assertThat(answer(run, Plans.ENGINES, RolloutRun.OLD, 1_000))
-        .isEqualTo(RolloutAnswer.ALREADY_IN_FORCE);
+        .isEqualTo(RolloutOrderResult.UNKNOWN_SERVICE);
+    assertThat(answer(run, TestPlans.ENGINES, RolloutRun.ORDERED, 0))
+        .isEqualTo(RolloutOrderResult.BAD_DURATION);
+    assertThat(answer(run, TestPlans.ENGINES, RolloutRun.OLD, 1_000))
+        .isEqualTo(RolloutOrderResult.ALREADY_IN_FORCE);
     assertThat(read(run)).isEmpty();
     run.order();
     assertThat(run.orderAgain())
-        .isEqualTo(new OperatorResult.RolloutAnswered(RolloutAnswer.ALREADY_RUNNING));
+        .isEqualTo(new OperatorResult.RolloutAnswered(RolloutOrderResult.ALREADY_RUNNING));
   }
 
-  private static RolloutAnswer answer(
+  private static RolloutOrderResult answer(
       RolloutRun run, ServiceId service, UpstreamVersion to, long durationMs) {
     RolloutOrder order = new RolloutOrder(service, to, durationMs);
     OperatorResult result =
@@ -175,7 +175,7 @@
 
   private static Optional<Rollout> read(RolloutRun run) {
     OperatorResult result =
-        run.group().ask(run.group().leader(), new OperatorRequest.ReadRollout(Plans.ENGINES));
+        run.group().ask(run.group().leader(), new OperatorRequest.ReadRollout(TestPlans.ENGINES));
     return ((OperatorResult.RolloutRead) result).rollout();
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.forward.Refusal;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.plan.InstalledPlan;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /**
@@ -53,7 +53,7 @@
     this.random = random;
     group.start();
     FakeControl leader = group.leader();
-    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(Plans.plan(1), "{}")));
+    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int i = 0; i < SLOWNESS.length; i++) {
       engines.add(new FakeEngine("e" + i, SLOWNESS[i]));
     }
@@ -174,9 +174,9 @@
         new ForwardRequest(
             number,
             "id-" + number,
-            Plans.HOST,
+            TestPlans.HOST,
             random.nextInt(3) == 0 ? "/resumable/x" : "/stream/x",
-            Optional.of(Plans.KEY),
+            Optional.of(TestPlans.KEY),
             OptionalLong.of(4_000),
             OptionalInt.of(500 + random.nextInt(9_000)),
             OptionalInt.of(100),
--- a/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.forward.ForwardSamples;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
 import org.teaseltrail.core.serving.SlotUsage;
@@ -38,7 +38,7 @@
   }
 
   private static Registration engine(String id, RegistrationPhase phase, int places) {
-    return ForwardSamples.upstream(id, Plans.ENGINES, places).in(phase);
+    return ForwardSamples.upstream(id, TestPlans.ENGINES, places).withPhase(phase);
   }
 
   private void tell(VmId vm, long seen, int inFlight, Urgency urgency, int waiting) {
@@ -53,13 +53,13 @@
 
   private void tell(
       VmId vm, long seen, int inFlight, QueueState.WaitTimes waiting, List<UpstreamId> unwanted) {
-    QueueState line = new QueueState(Plans.ENGINES, List.of(waiting), unwanted, slow);
+    QueueState line = new QueueState(TestPlans.ENGINES, List.of(waiting), unwanted, slow);
     Map<UpstreamId, Integer> there = Map.of(ENGINE.id(), inFlight);
     desk.lines(new ServingMessage.Lines(vm, seen, there, unread, held, List.of(line)), 0);
   }
 
   private List<VmId> granted(long nowMs, Registration... upstreams) {
-    return desk.distribute(Plans.ENGINES, List.of(upstreams), nowMs * MS).stream()
+    return desk.distribute(TestPlans.ENGINES, List.of(upstreams), nowMs * MS).stream()
         .map(SlotDesk.Grant::vm)
         .toList();
   }
@@ -113,7 +113,7 @@
     desk.heard(OTHER, Map.of(), 700 * MS);
     QueueState line =
         new QueueState(
-            Plans.ENGINES,
+            TestPlans.ENGINES,
             List.of(new QueueState.WaitTimes(LESS, List.of(10L, 10L))),
             List.of(),
             List.of());
@@ -138,7 +138,7 @@
   @Test
   void contentionEndsAfterTheLastWaitingRequest() {
     tell(ONE, 0, 0, LESS, 1);
-    assertThat(desk.contended(499 * MS)).containsExactly(Plans.ENGINES);
+    assertThat(desk.contended(499 * MS)).containsExactly(TestPlans.ENGINES);
     assertThat(desk.contended(500 * MS)).isEmpty();
   }
 
@@ -215,10 +215,10 @@
       longEndsMs.removeIf(endMs -> endMs <= now);
       held =
           List.of(
-              new SlotUsage(Plans.ENGINES, URGENT.routeRank(), urgentEndsMs.size()),
-              new SlotUsage(Plans.ENGINES, LESS.routeRank(), longEndsMs.size()));
+              new SlotUsage(TestPlans.ENGINES, URGENT.routeRank(), urgentEndsMs.size()),
+              new SlotUsage(TestPlans.ENGINES, LESS.routeRank(), longEndsMs.size()));
       tellBoth(seen, urgentEndsMs.size() + longEndsMs.size(), ms);
-      for (SlotDesk.Grant grant : desk.distribute(Plans.ENGINES, List.of(engine), ms * MS)) {
+      for (SlotDesk.Grant grant : desk.distribute(TestPlans.ENGINES, List.of(engine), ms * MS)) {
         seen = grant.sequence();
         boolean isLong = grant.urgency().equals(LESS);
         (isLong ? longEndsMs : urgentEndsMs).add(ms + (isLong ? 1_200 : 300));
@@ -232,7 +232,7 @@
     List<Long> waitedMs = Collections.nCopies(50, 100L);
     QueueState line =
         new QueueState(
-            Plans.ENGINES,
+            TestPlans.ENGINES,
             List.of(new QueueState.WaitTimes(URGENT, waitedMs), new QueueState.WaitTimes(LESS, waitedMs)),
             List.of(),
             List.of());
--- a/core/src/test/java/org/teaseltrail/core/example/EmbeddedSchedulerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/example/EmbeddedSchedulerTest.java
@@ -34,7 +34,7 @@
 import org.teaseltrail.core.message.RequestKind;
 import org.teaseltrail.core.message.Ticket;
 import org.teaseltrail.core.message.Usage;
-import org.teaseltrail.core.request.FrameVerdict;
+import org.teaseltrail.core.request.FrameDisposition;
 import org.teaseltrail.core.request.Outcome;
 import org.teaseltrail.core.request.Request;
 import org.teaseltrail.core.request.StreamFrame;
@@ -75,7 +75,7 @@
     tell(new EntryMessage.UpstreamSeen(announcement(), 0));
 
     Request request = new Request(ticket(), MODEL, nowNs, 0);
-    request.offer();
+    request.markOffered();
     List<SchedulerAction> actions = tell(new EntryMessage.Offer(request.ticket()));
     Grant grant = grantsIn(actions).get(0);
 
@@ -83,9 +83,9 @@
         new UpstreamTarget(grant.upstream(), grant.address()), grant.upstreamIncarnation(), nowNs);
     request.dispatch(nowNs);
     final RequestId id = request.id();
-    assertThat(request.accept(new StreamFrame.Text(id, 0, "Yes."))).isEqualTo(FrameVerdict.NEXT);
+    assertThat(request.accept(new StreamFrame.Text(id, 0, "Yes."))).isEqualTo(FrameDisposition.NEXT);
     Usage usage = new Usage(12, 0, 1);
-    assertThat(request.accept(new StreamFrame.End(id, 1, usage))).isEqualTo(FrameVerdict.NEXT);
+    assertThat(request.accept(new StreamFrame.End(id, 1, usage))).isEqualTo(FrameDisposition.NEXT);
     request.end(new Outcome.Completed(usage));
     tell(new EntryMessage.Ended(id, grant.upstream(), EndKind.COMPLETED, usage, 30));
 
--- a/core/src/test/java/org/teaseltrail/core/forward/BackpressureSignalsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/BackpressureSignalsTest.java
@@ -7,9 +7,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.backpressure.RateLimit;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.ServingMessage;
 
 /** What upstreams ask for in their answers, as one VM takes it in. */
@@ -19,12 +19,12 @@
   private static final int PLACES = 4;
   private static final int BACKOFF_MS = 1_000;
 
-  private final Registration upstream = upstream("e1", Plans.ENGINES, PLACES);
-  private final UpstreamLife life = upstream.life();
+  private final Registration upstream = upstream("e1", TestPlans.ENGINES, PLACES);
+  private final UpstreamIncarnation life = upstream.upstreamIncarnation();
 
   @BeforeEach
   void serve() {
-    serveWith(Plans.plan(1), upstream);
+    serveWith(TestPlans.plan(1), upstream);
   }
 
   /** An answer to a request from before the need is read after one that names the limit. */
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeCase.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeCase.java
@@ -17,7 +17,7 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.PlanCustomer;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.plan.ServingPlan;
 import org.teaseltrail.core.quarantine.RequestContent;
 import org.teaseltrail.core.quota.QuotaGrant;
@@ -62,7 +62,7 @@
 
   /** Returns what the leader grants. */
   List<QuotaGrant> grants() {
-    return List.of(new QuotaGrant(Plans.CUSTOMER, 1e9, 0, 0, 0, 0));
+    return List.of(new QuotaGrant(TestPlans.CUSTOMER, 1e9, 0, 0, 0, 0));
   }
 
   void confirm(long version) {
@@ -85,7 +85,7 @@
             new ForwardRequest(
                 lastNumber,
                 "id-" + lastNumber,
-                Plans.HOST,
+                TestPlans.HOST,
                 path,
                 key,
                 OptionalLong.of(4_000),
@@ -98,11 +98,11 @@
   }
 
   long arrive(String path) {
-    return arrive(path, Optional.of(Plans.KEY));
+    return arrive(path, Optional.of(TestPlans.KEY));
   }
 
   long arriveWithPrompt(int promptTokens) {
-    return arrive("/stream/x", Optional.of(Plans.KEY), promptTokens);
+    return arrive("/stream/x", Optional.of(TestPlans.KEY), promptTokens);
   }
 
   void end(long number, AttemptEnd end) {
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.serving.ServingReply;
 
 /** Admits, repeats and ends requests. */
@@ -30,14 +30,14 @@
     arrive("/safe/x");
     waitMs(300);
     assertThat(refusals()).isEmpty();
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     assertThat(dispatches()).containsExactly("p1");
   }
 
   /** A VM thaws; it asks the leader at once, and callers that came meanwhile needn't be refused. */
   @Test
   void requestsThatComeAtThawWaitForTheLeadersWord() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     nowNs += 4_000 * MS;
     arrive("/safe/x");
     nowNs += 20 * MS;
@@ -48,7 +48,7 @@
   /** A VM that is cut off for long must let its callers go on to others, while they have time. */
   @Test
   void vmWithoutSessionLetsCallersGoSoon() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     nowNs += 4_000 * MS;
     arrive("/safe/x");
     waitMs(100);
@@ -58,7 +58,7 @@
 
   @Test
   void refusesByThePlan() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     arrive("/nowhere/x");
     assertThat(refusals()).containsExactly(Refusal.NO_ROUTE);
     arrive("/safe/x", Optional.of("forged"));
@@ -73,7 +73,7 @@
    */
   @Test
   void afterFreezeNoKeyRuns() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     nowNs += 4_000 * MS;
     arrive("/safe/x");
     assertThat(dispatches()).isEmpty();
@@ -90,14 +90,14 @@
   /** A plan that an operator replaced comes once more, over a slow link. */
   @Test
   void neverGoesBackToAnOlderPlan() {
-    serveWith(Plans.plan(5), upstream("p1", Plans.PLAIN, 6));
-    node.fromControl(new ServingReply.PlanUpdate(TERM, Plans.plan(4)), nowNs);
+    serveWith(TestPlans.plan(5), upstream("p1", TestPlans.PLAIN, 6));
+    node.fromControl(new ServingReply.PlanUpdate(TERM, TestPlans.plan(4)), nowNs);
     assertThat(node.plan().orElseThrow().version()).isEqualTo(5);
   }
 
   @Test
   void repeatsSafeRequestElsewhere() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6), upstream("p2", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
     List<String> first = dispatches();
     end(number, AttemptEnd.BROKEN);
@@ -109,7 +109,7 @@
   /** A doubled quiz submission muddles a record: what may have run is not sent again. */
   @Test
   void sendsUnsafeRequestOnce() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6), upstream("p2", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
     end(number, AttemptEnd.BROKEN);
     assertThat(dispatches()).isEmpty();
@@ -119,7 +119,7 @@
   /** No connection was made, so nothing was sent: even an unsafe request may go elsewhere. */
   @Test
   void sendsUnsafeRequestElsewhereIfNothingWasSent() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6), upstream("p2", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
     end(number, AttemptEnd.NOT_CONNECTED);
     assertThat(dispatches()).hasSize(1);
@@ -128,7 +128,7 @@
   /** An upstream that refused is told to the caller as "not run", which must be true. */
   @Test
   void refusedRequestHasNotRun() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
     end(number, AttemptEnd.REFUSED);
     assertThat(refusals()).containsExactly(Refusal.NOT_RUN);
@@ -140,7 +140,7 @@
   /** A first attempt may have run and the second was refused: "not run" would be false. */
   @Test
   void refusalAfterBrokenAttemptIsNoPromise() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6), upstream("p2", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
     end(number, AttemptEnd.BROKEN);
     end(number, AttemptEnd.REFUSED);
@@ -150,7 +150,7 @@
   @Test
   void waitsForPlaceInOrderOfRank() {
     serveWith(
-        Plans.plan(1, Plans.customer(Plans.KEY, 0), second()), upstream("e1", Plans.ENGINES, 1));
+        TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 0), second()), upstream("e1", TestPlans.ENGINES, 1));
     long running = arrive("/stream/x");
     final long low = arrive("/stream/x", Optional.of("key-2"));
     assertThatNothingHappensToRequests();
@@ -165,7 +165,7 @@
   /** A request that found no place is told so while the caller can still do something else. */
   @Test
   void givesUpWaitingInTime() {
-    serveWith(Plans.plan(1), upstream("e1", Plans.ENGINES, 1));
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 1));
     arrive("/stream/x");
     arrive("/stream/x");
     nowNs += 1_300 * MS;
@@ -175,7 +175,7 @@
 
   @Test
   void answersAtTheRoutesTimeout() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     arrive("/unsafe/x");
     nowNs += 4_000 * MS;
     actions = node.tick(nowNs);
@@ -189,7 +189,7 @@
    */
   @Test
   void takesNothingShortlyBeforeItsEnd() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     node.end();
     arrive("/safe/x");
     assertThat(refusals()).containsExactly(Refusal.ENDING);
@@ -197,7 +197,7 @@
 
   @Test
   void stopsWorkWhenTheCallerLeaves() {
-    serveWith(Plans.plan(1), upstream("p1", Plans.PLAIN, 6));
+    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
     actions = node.callerLeft(number, nowNs);
     assertThat(actions).containsExactly(new ForwardAction.Cancel(number));
@@ -207,7 +207,7 @@
 
   @Test
   void refusesOverQuota() {
-    serveWith(Plans.plan(1, Plans.customer(Plans.KEY, 100)), upstream("p1", Plans.PLAIN, 100));
+    serveWith(TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 100)), upstream("p1", TestPlans.PLAIN, 100));
     arrive("/safe/x");
     assertThat(refusals()).isEmpty();
     arrive("/safe/x");
@@ -217,7 +217,7 @@
   /** Thousands of refusals named neither route nor customer, and nobody could tell who was hit. */
   @Test
   void refusalOfRequestThatWaitedNamesRouteAndCustomer() {
-    serveWith(Plans.plan(1), upstream("e1", Plans.ENGINES, 1));
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 1));
     arrive("/stream/x");
     arrive("/stream/x");
     waitMs(2_500);
@@ -228,6 +228,6 @@
             .findFirst()
             .orElseThrow();
     assertThat(refused.route().orElseThrow().id().value()).isEqualTo("stream");
-    assertThat(refused.customer()).contains(Plans.CUSTOMER);
+    assertThat(refused.customer()).contains(TestPlans.CUSTOMER);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.id.UpstreamId;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
 import org.teaseltrail.core.serving.ServingMessage;
@@ -19,12 +19,12 @@
   /** An upstream acknowledged as leaving must get nothing more, waiting requests included. */
   @Test
   void sendsNothingToDrainingUpstream() {
-    Registration ready = upstream("e1", Plans.ENGINES, 1);
-    serveWith(Plans.plan(1), ready);
+    Registration ready = upstream("e1", TestPlans.ENGINES, 1);
+    serveWith(TestPlans.plan(1), ready);
     long running = arrive("/stream/x");
     arrive("/stream/x");
     node.fromControl(
-        new ServingReply.RegistryUpdate(TERM, 2, List.of(ready.in(RegistrationPhase.DRAINING))),
+        new ServingReply.RegistryUpdate(TERM, 2, List.of(ready.withPhase(RegistrationPhase.DRAINING))),
         nowNs);
     end(running, AttemptEnd.ANSWERED);
     assertThat(dispatches()).isEmpty();
@@ -36,14 +36,14 @@
    */
   @Test
   void triesUpstreamAgainThatHadFailed() {
-    Registration failing = upstream("e1", Plans.ENGINES, 8);
-    serveWith(Plans.plan(1), failing);
+    Registration failing = upstream("e1", TestPlans.ENGINES, 8);
+    serveWith(TestPlans.plan(1), failing);
     for (int i = 0; i < 60; i++) {
       long number = arrive("/stream/x");
       nowNs += 10 * MS;
       end(number, AttemptEnd.FAILED_ANSWER);
     }
-    Registration other = upstream("e2", Plans.ENGINES, 8);
+    Registration other = upstream("e2", TestPlans.ENGINES, 8);
     node.fromControl(new ServingReply.RegistryUpdate(TERM, 2, List.of(failing, other)), nowNs);
     nowNs += 10_000 * MS;
     confirm(1);
@@ -61,7 +61,7 @@
    */
   @Test
   void oldCountsOfOthersFade() {
-    serveWith(Plans.plan(1), upstream("e1", Plans.ENGINES, 4));
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 4));
     node.loadTold(new UpstreamId("e1"), 4, nowNs);
     arrive("/stream/x");
     assertThat(dispatches()).isEmpty();
@@ -76,9 +76,9 @@
    */
   @Test
   void sendsLongPromptsToQuickUpstreams() {
-    Registration slow = upstream("e1", Plans.ENGINES, 8);
-    Registration quick = upstream("e2", Plans.ENGINES, 8);
-    serveWith(Plans.plan(1), slow, quick);
+    Registration slow = upstream("e1", TestPlans.ENGINES, 8);
+    Registration quick = upstream("e2", TestPlans.ENGINES, 8);
+    serveWith(TestPlans.plan(1), slow, quick);
     node.pace(slow.id(), 90, nowNs);
     node.pace(quick.id(), 30, nowNs);
     for (int i = 0; i < 8; i++) {
@@ -94,9 +94,9 @@
   /** Two prompts at once hold up all streams of a slow upstream longer than callers accept. */
   @Test
   void sendsSlowUpstreamOnePromptAfterTheOther() {
-    Registration slow = upstream("e1", Plans.ENGINES, 8);
-    Registration quick = upstream("e2", Plans.ENGINES, 1);
-    serveWith(Plans.plan(1), slow, quick);
+    Registration slow = upstream("e1", TestPlans.ENGINES, 8);
+    Registration quick = upstream("e2", TestPlans.ENGINES, 1);
+    serveWith(TestPlans.plan(1), slow, quick);
     node.pace(slow.id(), 90, nowNs);
     node.pace(quick.id(), 30, nowNs);
     arriveWithPrompt(10_000);
@@ -114,9 +114,9 @@
    */
   @Test
   void waitsForTheLeadersGrantWhileOthersWait() {
-    contended = List.of(Plans.ENGINES);
-    Registration engine = upstream("e1", Plans.ENGINES, 8);
-    serveWith(Plans.plan(1), engine);
+    contended = List.of(TestPlans.ENGINES);
+    Registration engine = upstream("e1", TestPlans.ENGINES, 8);
+    serveWith(TestPlans.plan(1), engine);
     arrive("/stream/x");
     assertThat(dispatches()).isEmpty();
     assertThat(toldWaiting()).isEqualTo(1);
@@ -128,8 +128,8 @@
   /** The leader is lost while requests wait for its grants; they must not wait on. */
   @Test
   void placesByItselfOnceTheLeaderIsSilent() {
-    contended = List.of(Plans.ENGINES);
-    serveWith(Plans.plan(1), upstream("e1", Plans.ENGINES, 8));
+    contended = List.of(TestPlans.ENGINES);
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 8));
     arrive("/stream/x");
     nowNs += 200 * MS;
     actions = node.tick(nowNs);
@@ -141,9 +141,9 @@
 
   @Test
   void tellsOfGrantThatNothingCanUse() {
-    contended = List.of(Plans.ENGINES);
-    Registration leaving = upstream("e1", Plans.ENGINES, 8).in(RegistrationPhase.DRAINING);
-    serveWith(Plans.plan(1), leaving);
+    contended = List.of(TestPlans.ENGINES);
+    Registration leaving = upstream("e1", TestPlans.ENGINES, 8).withPhase(RegistrationPhase.DRAINING);
+    serveWith(TestPlans.plan(1), leaving);
     arrive("/stream/x");
     grant(leaving);
     assertThat(dispatches()).isEmpty();
@@ -182,8 +182,8 @@
    */
   @Test
   void laterLifeOfAnUpstreamBeginsEmpty() {
-    Registration first = upstream("e1", Plans.ENGINES, 1);
-    serveWith(Plans.plan(1), first);
+    Registration first = upstream("e1", TestPlans.ENGINES, 1);
+    serveWith(TestPlans.plan(1), first);
     arrive("/stream/x");
     assertThat(dispatches()).containsExactly("e1");
     arrive("/stream/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.id.FencingNumber;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.quarantine.RequestContent;
 import org.teaseltrail.core.serving.QueueState;
@@ -23,9 +23,9 @@
   private long revision;
 
   private static Fingerprint fingerprintOf(String path) {
-    Optional<CustomerId> customer = Optional.of(Plans.CUSTOMER);
-    int scope = Fingerprint.scope(customer, Plans.HOST, path);
-    return Fingerprint.of(scope, customer, Plans.HOST, RequestContent.EMPTY);
+    Optional<CustomerId> customer = Optional.of(TestPlans.CUSTOMER);
+    int scope = Fingerprint.scope(customer, TestPlans.HOST, path);
+    return Fingerprint.of(scope, customer, TestPlans.HOST, RequestContent.EMPTY);
   }
 
   private void hold(String... paths) {
@@ -37,7 +37,7 @@
   }
 
   private void serveWithOnePlace() {
-    serveWith(Plans.plan(1), upstream("e1", Plans.ENGINES, PLACES));
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, PLACES));
   }
 
   private List<Refusal> refused(long number) {
@@ -80,7 +80,7 @@
   @Test
   void grantIsNotUsedForCopy() {
     serveWithOnePlace();
-    contended = List.of(Plans.ENGINES);
+    contended = List.of(TestPlans.ENGINES);
     waitMs(250);
     confirm(1);
     final long copy = arrive("/stream/x");
@@ -91,8 +91,8 @@
             new ServingReply.SlotGrant(
                 TERM,
                 1,
-                Plans.ENGINES,
-                upstream("e1", Plans.ENGINES, PLACES).id(),
+                TestPlans.ENGINES,
+                upstream("e1", TestPlans.ENGINES, PLACES).id(),
                 new Urgency(1, false, 1)),
             nowNs);
     assertThat(isDispatched(copy)).isFalse();
@@ -146,7 +146,7 @@
   @Test
   void heldRequestGetsNoSecondTry() {
     serveWith(
-        Plans.plan(1), upstream("p1", Plans.PLAIN, PLACES), upstream("p2", Plans.PLAIN, PLACES));
+        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, PLACES), upstream("p2", TestPlans.PLAIN, PLACES));
     final long copy = arrive("/resumable/x");
     final long safe = arrive("/safe/x");
     assertThat(isDispatched(safe)).isTrue();
@@ -162,7 +162,7 @@
   @Test
   void trialSendsOneCopyOnce() {
     serveWith(
-        Plans.plan(1), upstream("p1", Plans.PLAIN, PLACES), upstream("p2", Plans.PLAIN, PLACES));
+        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, PLACES), upstream("p2", TestPlans.PLAIN, PLACES));
     hold("/safe/x");
     node.fromControl(new ServingReply.Trial(TERM, fingerprintOf("/safe/x"), 1_000), nowNs);
     final long copy = arrive("/safe/x");
@@ -204,11 +204,11 @@
   @Test
   void withoutLeaderOwnLossesHold() {
     serveWith(
-        Plans.plan(1),
-        upstream("e1", Plans.ENGINES, PLACES),
-        upstream("e2", Plans.ENGINES, PLACES),
-        upstream("e3", Plans.ENGINES, PLACES),
-        upstream("e4", Plans.ENGINES, PLACES));
+        TestPlans.plan(1),
+        upstream("e1", TestPlans.ENGINES, PLACES),
+        upstream("e2", TestPlans.ENGINES, PLACES),
+        upstream("e3", TestPlans.ENGINES, PLACES),
+        upstream("e4", TestPlans.ENGINES, PLACES));
     waitMs(1_000);
     for (int i = 0; i < 3; i++) {
       long copy = arrive("/stream/x");
