--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.UpstreamVersion;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.rollout.CanaryLoan;
-import org.teaseltrail.core.rollout.ExposureAccount;
+import org.teaseltrail.core.rollout.CanaryAllowance;
+import org.teaseltrail.core.rollout.ExposureCounters;
 import org.teaseltrail.core.rollout.Rollout;
 import org.teaseltrail.core.rollout.RolloutOrder;
 import org.teaseltrail.core.rollout.RolloutPhase;
@@ -31,12 +31,12 @@
 
   @BeforeEach
   void order() {
-    serveWith(Plans.plan(1), version("old", OLD), version("new", ORDERED));
+    serveWith(TestPlans.plan(1), version("old", OLD), version("new", ORDERED));
     tell(RolloutPhase.RUNNING);
   }
 
   private static Registration version(String id, UpstreamVersion version) {
-    Registration plain = upstream(id, Plans.ENGINES, PLACES);
+    Registration plain = upstream(id, TestPlans.ENGINES, PLACES);
     return new Registration(
         plain.id(),
         plain.bornMs(),
@@ -54,12 +54,12 @@
     revision++;
     Rollout rollout =
         new Rollout(
-            new RolloutOrder(Plans.ENGINES, ORDERED, 12_000),
+            new RolloutOrder(TestPlans.ENGINES, ORDERED, 12_000),
             List.of(OLD),
             ORDERED_MS,
             phase,
             RolloutReason.ORDERED,
-            ExposureAccount.NONE);
+            ExposureCounters.NONE);
     node.fromControl(new ServingReply.RolloutUpdate(TERM, revision, List.of(rollout)), nowNs);
   }
 
@@ -83,8 +83,8 @@
   }
 
   private void lend(long sequence, long ceiling) {
-    CanaryLoan loan =
-        new CanaryLoan(Plans.ENGINES, ORDERED_MS, ceiling, List.of(new UpstreamId("new")), 0);
+    CanaryAllowance loan =
+        new CanaryAllowance(TestPlans.ENGINES, ORDERED_MS, ceiling, List.of(new UpstreamId("new")), 0);
     node.fromControl(
         new ServingReply.CanaryLoans(TERM, sequence, LENT_FOR_MS, List.of(loan)), nowNs);
   }
--- a/core/src/test/java/org/teaseltrail/core/forward/LineUnderLoadTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/LineUnderLoadTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 
 /**
  * Plays more requests than places at one entry VM. The patterns: a short overload, and callers that
@@ -42,7 +42,7 @@
   /** A short overload ends: those that wait are served, though late, and nobody is refused. */
   @Test
   void shortOverloadCostsNobodyTheAnswer() {
-    serveWith(Plans.plan(1), upstream("e1", Plans.ENGINES, 4));
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 4));
     for (int i = 0; i < 6; i++) {
       arrivedMs.put(lastNumber + 1, nowMs());
       arrive("/stream/x");
@@ -70,7 +70,7 @@
    */
   @Test
   void callersThatWaitedForStartAreNotShed() {
-    serveWith(Plans.plan(1), upstream("e1", Plans.ENGINES, 8));
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 8));
     for (int i = 0; i < 20; i++) {
       arrivedMs.put(lastNumber + 1, nowMs());
       arrive("/stream/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quota.QuotaGrant;
 
 /**
@@ -22,14 +22,14 @@
   @Override
   List<QuotaGrant> grants() {
     double allowance = REQUESTS_IN_QUOTA * TOKENS_OF_REQUEST;
-    return List.of(new QuotaGrant(Plans.CUSTOMER, allowance, 0, 0, 0, 0));
+    return List.of(new QuotaGrant(TestPlans.CUSTOMER, allowance, 0, 0, 0, 0));
   }
 
   private void serveOnePlace() {
     double tokensPerSecond = REQUESTS_IN_QUOTA * TOKENS_OF_REQUEST / 9.0;
     serveWith(
-        Plans.plan(1, Plans.customer(Plans.KEY, tokensPerSecond)),
-        upstream("e1", Plans.ENGINES, 1));
+        TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, tokensPerSecond)),
+        upstream("e1", TestPlans.ENGINES, 1));
     arriveWithPrompt(TOKENS);
     assertThat(dispatches()).containsExactly("e1");
   }
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.core.plan.Plans;
+import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaGrant;
 
@@ -22,7 +22,7 @@
   private final List<QuotaWindow> windows = new ArrayList<>();
 
   private QuotaWindow window() {
-    QuotaWindow window = new QuotaWindow(Plans.CUSTOMER, QuotaPolicy.DEFAULT);
+    QuotaWindow window = new QuotaWindow(TestPlans.CUSTOMER, QuotaPolicy.DEFAULT);
     window.configure(LIMIT, 0);
     tell(window, 0, LIMIT / VMS, 0);
     windows.add(window);
@@ -56,7 +56,7 @@
   }
 
   private static void tell(QuotaWindow window, double usedElsewhere, double allowance, long ms) {
-    QuotaGrant grant = new QuotaGrant(Plans.CUSTOMER, allowance, usedElsewhere, 0, 0, 0);
+    QuotaGrant grant = new QuotaGrant(TestPlans.CUSTOMER, allowance, usedElsewhere, 0, 0, 0);
     window.told(grant, window.used(ms * MS));
   }
 
--- a/core/src/test/java/org/teaseltrail/core/plan/PlanCheckTest.java
+++ b/core/src/test/java/org/teaseltrail/core/plan/PlanValidatorTest.java
@@ -11,44 +11,44 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /** Refuses each kind of plan that doesn't fit together. */
-class PlanCheckTest {
+class PlanValidatorTest {
 
-  private final ServingPlan good = Plans.plan(1);
+  private final ServingPlan good = TestPlans.plan(1);
 
   @Test
   void takesPlanThatFits() {
-    assertThat(PlanCheck.failureOf(good)).isEmpty();
+    assertThat(PlanValidator.validate(good)).isEmpty();
   }
 
   @Test
   void refusesUnknownService() {
-    PlanRoute lost = Plans.route("lost", RouteKind.SAFE, false, new ServiceId("nowhere"), 1);
-    assertThat(PlanCheck.failureOf(with(lost))).contains(PlanFailure.UNKNOWN_SERVICE);
+    PlanRoute lost = TestPlans.route("lost", RouteKind.SAFE, false, new ServiceId("nowhere"), 1);
+    assertThat(PlanValidator.validate(with(lost))).contains(PlanFailure.UNKNOWN_SERVICE);
   }
 
   @Test
   void refusesTwoRoutesAtOnePlace() {
-    PlanRoute twin = Plans.route("safe", RouteKind.UNSAFE, false, Plans.PLAIN, 1);
-    assertThat(PlanCheck.failureOf(with(twin))).contains(PlanFailure.SAME_PLACE);
+    PlanRoute twin = TestPlans.route("safe", RouteKind.UNSAFE, false, TestPlans.PLAIN, 1);
+    assertThat(PlanValidator.validate(with(twin))).contains(PlanFailure.SAME_PLACE);
   }
 
   @Test
   void refusesRouteWithoutWeight() {
-    assertThat(PlanCheck.failureOf(with(changed(0, 1_000)))).contains(PlanFailure.NO_WEIGHT);
+    assertThat(PlanValidator.validate(with(changed(0, 1_000)))).contains(PlanFailure.NO_WEIGHT);
   }
 
   @Test
   void refusesRouteWithoutTime() {
-    assertThat(PlanCheck.failureOf(with(changed(1, 0)))).contains(PlanFailure.NO_TIMEOUT);
+    assertThat(PlanValidator.validate(with(changed(1, 0)))).contains(PlanFailure.NO_TIMEOUT);
   }
 
   @Test
   void refusesKeyOfTwoCustomers() {
     PlanCustomer other =
         new PlanCustomer(
-            new CustomerId("other"), List.of(Plans.KEY), OptionalInt.empty(), true, 1, 0, 0);
-    ServingPlan shared = Plans.plan(1, Plans.customer(Plans.KEY, 0), other);
-    assertThat(PlanCheck.failureOf(shared)).contains(PlanFailure.SHARED_KEY);
+            new CustomerId("other"), List.of(TestPlans.KEY), OptionalInt.empty(), true, 1, 0, 0);
+    ServingPlan shared = TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 0), other);
+    assertThat(PlanValidator.validate(shared)).contains(PlanFailure.SHARED_KEY);
   }
 
   @Test
@@ -56,11 +56,11 @@
     PlanRoute deeper =
         new PlanRoute(
             new RouteId("deeper"),
-            Plans.HOST,
+            TestPlans.HOST,
             "/safe/deep/",
             RouteKind.SAFE,
             false,
-            List.of(new WeightedService(Plans.PLAIN, 1)),
+            List.of(new WeightedService(TestPlans.PLAIN, 1)),
             1,
             1,
             0,
@@ -68,20 +68,20 @@
             1,
             false);
     PlanIndex index = new PlanIndex(with(deeper));
-    assertThat(index.route(Plans.HOST + ":80", "/safe/deep/x")).contains(deeper);
-    assertThat(index.route(Plans.HOST, "/safe/x").orElseThrow().id().value()).isEqualTo("safe");
-    assertThat(index.route(Plans.HOST, "/safer/x")).isEmpty();
+    assertThat(index.route(TestPlans.HOST + ":80", "/safe/deep/x")).contains(deeper);
+    assertThat(index.route(TestPlans.HOST, "/safe/x").orElseThrow().id().value()).isEqualTo("safe");
+    assertThat(index.route(TestPlans.HOST, "/safer/x")).isEmpty();
     assertThat(index.route("other.example", "/safe/x")).isEmpty();
   }
 
   private static PlanRoute changed(int weight, long timeoutMs) {
     return new PlanRoute(
         new RouteId("changed"),
-        Plans.HOST,
+        TestPlans.HOST,
         "/changed/",
         RouteKind.SAFE,
         false,
-        List.of(new WeightedService(Plans.PLAIN, weight)),
+        List.of(new WeightedService(TestPlans.PLAIN, weight)),
         timeoutMs,
         1,
         0,
--- a/core/src/test/java/org/teaseltrail/core/plan/Plans.java
+++ b/core/src/test/java/org/teaseltrail/core/plan/TestPlans.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /** Makes plans for tests: a service of engines and a plain one, a route of each kind. */
-public final class Plans {
+public final class TestPlans {
 
   public static final ServiceId ENGINES = new ServiceId("engines");
   public static final ServiceId PLAIN = new ServiceId("plain");
@@ -15,7 +15,7 @@
   public static final String KEY = "key-1";
   public static final CustomerId CUSTOMER = new CustomerId("customer-1");
 
-  private Plans() {}
+  private TestPlans() {}
 
   /** Makes a plan without a quota. */
   public static ServingPlan plan(long version) {
--- a/core/src/test/java/org/teaseltrail/core/quarantine/HeldBookTest.java
+++ b/core/src/test/java/org/teaseltrail/core/quarantine/HeldRequestStoreTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.id.CustomerId;
 
-class HeldBookTest {
+class HeldRequestStoreTest {
 
   private static final long MINUTE_MS = 60_000;
   private static final Optional<CustomerId> NOISY = Optional.of(new CustomerId("noisy"));
   private static final Optional<CustomerId> QUIET = Optional.of(new CustomerId("quiet"));
 
-  private final HeldBook book = new HeldBook(List.of());
+  private final HeldRequestStore book = new HeldRequestStore(List.of());
 
   private static HeldRequest held(int number, Optional<CustomerId> customer) {
     return new HeldRequest(new Fingerprint(number, number), customer, 0, 0);
@@ -34,13 +34,13 @@
     book.hold(held(1, QUIET));
     assertThat(one().isTrialDue(MINUTE_MS)).isFalse();
     assertThat(one().isTrialDue(2 * MINUTE_MS)).isTrue();
-    book.tried(one().request());
+    book.recordTrial(one().request());
     assertThat(one().isTrialDue(3 * MINUTE_MS)).isFalse();
     assertThat(one().isTrialDue(20 * MINUTE_MS)).isTrue();
-    book.tried(one().request());
+    book.recordTrial(one().request());
     assertThat(one().isTrialDue(59 * MINUTE_MS)).isFalse();
-    assertThat(one().isOver(59 * MINUTE_MS)).isFalse();
-    assertThat(one().isOver(61 * MINUTE_MS)).isTrue();
+    assertThat(one().isExpired(59 * MINUTE_MS)).isFalse();
+    assertThat(one().isExpired(61 * MINUTE_MS)).isTrue();
   }
 
   private HeldRequest one() {
--- a/core/src/test/java/org/teaseltrail/core/registry/RegistryBookTest.java
+++ b/core/src/test/java/org/teaseltrail/core/registry/UpstreamRegistryTest.java
@@ -11,9 +11,9 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /** Keeps upstreams that have left from coming back. */
-class RegistryBookTest {
+class UpstreamRegistryTest {
 
-  private final RegistryBook book = new RegistryBook(0, List.of());
+  private final UpstreamRegistry book = new UpstreamRegistry(0, List.of());
 
   private static Registration beat(RegistrationPhase phase, long sequence) {
     return new Registration(
@@ -56,9 +56,9 @@
   @Test
   void heartbeatAfterLeaveChangesNothing() {
     book.register(beat(RegistrationPhase.READY, 1));
-    book.leave(beat(RegistrationPhase.READY, 1));
+    book.deregister(beat(RegistrationPhase.READY, 1));
     final long revision = book.revision();
-    assertThat(book.wouldChange(beat(RegistrationPhase.READY, 9))).isFalse();
+    assertThat(book.needsCommit(beat(RegistrationPhase.READY, 9))).isFalse();
     book.register(beat(RegistrationPhase.READY, 9));
     assertThat(book.present()).isEmpty();
     assertThat(book.revision()).isEqualTo(revision);
@@ -67,7 +67,7 @@
   /** The leave comes first, as the upstream's first heartbeat was lost on its way. */
   @Test
   void leaveOfUnknownUpstreamIsRemembered() {
-    book.leave(beat(RegistrationPhase.GONE, Long.MAX_VALUE));
+    book.deregister(beat(RegistrationPhase.GONE, Long.MAX_VALUE));
     book.register(beat(RegistrationPhase.READY, 1));
     assertThat(book.present()).isEmpty();
   }
@@ -75,14 +75,14 @@
   @Test
   void heartbeatWithNothingNewNeedsNoCommit() {
     book.register(beat(RegistrationPhase.READY, 1));
-    assertThat(book.wouldChange(beat(RegistrationPhase.READY, 2))).isFalse();
-    assertThat(book.wouldChange(beat(RegistrationPhase.DRAINING, 2))).isTrue();
+    assertThat(book.needsCommit(beat(RegistrationPhase.READY, 2))).isFalse();
+    assertThat(book.needsCommit(beat(RegistrationPhase.DRAINING, 2))).isTrue();
   }
 
   @Test
   void droppedUpstreamComesBackWithItsNextHeartbeat() {
     book.register(beat(RegistrationPhase.READY, 1));
-    book.drop(new UpstreamId("i-1"));
+    book.removeSilent(new UpstreamId("i-1"));
     assertThat(book.present()).isEmpty();
     book.register(beat(RegistrationPhase.READY, 2));
     assertThat(book.present()).hasSize(1);
@@ -91,8 +91,8 @@
   @Test
   void copyFromItsContentIsEqual() {
     book.register(beat(RegistrationPhase.READY, 1));
-    book.leave(beat(RegistrationPhase.READY, 1));
-    RegistryBook copy = new RegistryBook(book.revision(), List.copyOf(book.all()));
+    book.deregister(beat(RegistrationPhase.READY, 1));
+    UpstreamRegistry copy = new UpstreamRegistry(book.revision(), List.copyOf(book.all()));
     copy.register(beat(RegistrationPhase.READY, 2));
     assertThat(copy.present()).isEmpty();
   }
@@ -127,7 +127,7 @@
   @Test
   void lateHeartbeatOfEarlierLifeChangesNothing() {
     book.register(life(200, RegistrationPhase.READY, 1));
-    assertThat(book.wouldChange(life(100, RegistrationPhase.DRAINING, 90))).isFalse();
+    assertThat(book.needsCommit(life(100, RegistrationPhase.DRAINING, 90))).isFalse();
     book.register(life(100, RegistrationPhase.DRAINING, 90));
     assertThat(book.present()).containsExactly(life(200, RegistrationPhase.READY, 1));
   }
@@ -139,12 +139,12 @@
   @Test
   void leaveBindsItsOwnLifeOnly() {
     book.register(life(100, RegistrationPhase.READY, 5));
-    book.leave(life(100, RegistrationPhase.READY, 5));
+    book.deregister(life(100, RegistrationPhase.READY, 5));
     book.register(life(100, RegistrationPhase.READY, 6));
     assertThat(book.present()).isEmpty();
     book.register(life(200, RegistrationPhase.READY, 1));
     assertThat(book.present()).containsExactly(life(200, RegistrationPhase.READY, 1));
-    book.leave(life(100, RegistrationPhase.GONE, 7));
+    book.deregister(life(100, RegistrationPhase.GONE, 7));
     assertThat(book.present()).hasSize(1);
   }
 
@@ -152,8 +152,8 @@
   @Test
   void leaveOfOneLifeHoldsInSnapshot() {
     book.register(life(200, RegistrationPhase.READY, 1));
-    book.leave(life(200, RegistrationPhase.READY, 1));
-    RegistryBook copy = new RegistryBook(book.revision(), List.copyOf(book.all()));
+    book.deregister(life(200, RegistrationPhase.READY, 1));
+    UpstreamRegistry copy = new UpstreamRegistry(book.revision(), List.copyOf(book.all()));
     copy.register(life(200, RegistrationPhase.READY, 9));
     copy.register(life(100, RegistrationPhase.READY, 99));
     assertThat(copy.present()).isEmpty();
--- a/core/src/test/java/org/teaseltrail/core/rollout/VersionJudgeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/CanaryAnalyzerTest.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
 
-class VersionJudgeTest {
+class CanaryAnalyzerTest {
 
   private static final VmId VM = new VmId("vm");
   private static final Incarnation LIFE = new Incarnation(1);
@@ -21,7 +21,7 @@
   private static final int PAUSE_BUCKET = 10;
   private static final int FOUR_TIMES_BUCKETS = 6;
 
-  private final VersionJudge judge = new VersionJudge(0);
+  private final CanaryAnalyzer judge = new CanaryAnalyzer(0);
   private final SplittableRandom random = new SplittableRandom(5);
   private final List<Observation> seen = new ArrayList<>();
   private long told;
@@ -37,7 +37,7 @@
   }
 
   private void endSlice() {
-    told = judge.told(VM, LIFE, told, seen);
+    told = judge.recordReport(VM, LIFE, told, seen);
     seen.clear();
     nowNs += SLICE_NS;
     judge.tick(nowNs);
@@ -188,8 +188,8 @@
           new Observation(
               LONG, new UpstreamId("new"), true, Symptom.FAILURE, 1, Observation.FAILED));
     }
-    assertThat(judge.told(VM, LIFE, 0, three)).isEqualTo(3);
-    assertThat(judge.told(VM, LIFE, 0, three)).isEqualTo(3);
-    assertThat(judge.looks()).isEqualTo(3);
+    assertThat(judge.recordReport(VM, LIFE, 0, three)).isEqualTo(3);
+    assertThat(judge.recordReport(VM, LIFE, 0, three)).isEqualTo(3);
+    assertThat(judge.targetAnswerCount()).isEqualTo(3);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/rollout/ExposureLedgerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/CanaryBudgetAllocatorTest.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.VmId;
 
-class ExposureLedgerTest {
+class CanaryBudgetAllocatorTest {
 
   private static final CanaryLimit LIMIT = new CanaryLimit(0.1, 0);
   private static final Incarnation LIFE = new Incarnation(1);
@@ -17,17 +17,17 @@
   private static final VmId OTHER = new VmId("other");
   private static final long PLENTY = 1_000;
 
-  private final ExposureLedger ledger = new ExposureLedger(LIMIT, ExposureAccount.NONE);
+  private final CanaryBudgetAllocator ledger = new CanaryBudgetAllocator(LIMIT, ExposureCounters.NONE);
 
-  private static RolloutUse use(long reached, long exposed, long ceiling) {
-    return new RolloutUse(new ServiceId("s"), 1, reached, exposed, ceiling, 0, List.of());
+  private static RolloutReport use(long reached, long exposed, long ceiling) {
+    return new RolloutReport(new ServiceId("s"), 1, reached, exposed, ceiling, 0, List.of());
   }
 
   /** Lends as the leader does, with a log that writes at once. */
-  private long lend(ExposureLedger from, VmId vm, Incarnation life, RolloutUse use) {
-    from.told(vm, life, use);
-    from.logged(from.wanted());
-    return from.lend(vm, PLENTY);
+  private long lend(CanaryBudgetAllocator from, VmId vm, Incarnation life, RolloutReport use) {
+    from.recordReport(vm, life, use);
+    from.updateCommitted(from.wanted());
+    return from.allocate(vm, PLENTY);
   }
 
   @Test
@@ -48,7 +48,7 @@
     for (int vm = 0; vm < 64; vm++) {
       lent += lend(ledger, new VmId("vm-" + vm), LIFE, use(1, 0, 0));
     }
-    assertThat(lent).isLessThanOrEqualTo(LIMIT.allowed(64));
+    assertThat(lent).isLessThanOrEqualTo(LIMIT.allowedRequests(64));
   }
 
   /** A VM is lent requests and falls silent; another one would get the same ones again. */
@@ -56,7 +56,7 @@
   void whatSilentVmHadInHandStaysSpent() {
     lend(ledger, ONE, LIFE, use(0, 0, 0));
     lend(ledger, ONE, LIFE, use(100, 0, 0));
-    ledger.forget(ONE);
+    ledger.removeVm(ONE);
     lend(ledger, OTHER, LIFE, use(0, 0, 0));
     assertThat(lend(ledger, OTHER, LIFE, use(1, 0, 0))).isZero();
   }
@@ -75,7 +75,7 @@
   void whatVmDidNotUseInTimeIsLentAgain() {
     lend(ledger, ONE, LIFE, use(0, 0, 0));
     lend(ledger, ONE, LIFE, use(100, 0, 0));
-    ledger.told(ONE, LIFE, use(100, 2, 2));
+    ledger.recordReport(ONE, LIFE, use(100, 2, 2));
     assertThat(ledger.spent()).isEqualTo(2);
   }
 
@@ -84,7 +84,7 @@
   void nextLeaderTakesAllThatTheLogAllowedAsSpent() {
     lend(ledger, ONE, LIFE, use(0, 0, 0));
     lend(ledger, ONE, LIFE, use(100, 0, 0));
-    ExposureLedger next = new ExposureLedger(LIMIT, ledger.wanted());
+    CanaryBudgetAllocator next = new CanaryBudgetAllocator(LIMIT, ledger.wanted());
     assertThat(lend(next, ONE, LIFE, use(110, 3, 9))).isEqualTo(9);
     assertThat(next.spent()).isGreaterThanOrEqualTo(9);
   }
@@ -93,9 +93,9 @@
   @Test
   void lendsNoMoreThanThereArePlaces() {
     lend(ledger, ONE, LIFE, use(0, 0, 0));
-    ledger.told(ONE, LIFE, use(1_000, 0, 0));
-    ledger.logged(ledger.wanted());
-    assertThat(ledger.lend(ONE, 4)).isEqualTo(4);
-    assertThat(ledger.lend(ONE, 4)).isEqualTo(4);
+    ledger.recordReport(ONE, LIFE, use(1_000, 0, 0));
+    ledger.updateCommitted(ledger.wanted());
+    assertThat(ledger.allocate(ONE, 4)).isEqualTo(4);
+    assertThat(ledger.allocate(ONE, 4)).isEqualTo(4);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/rollout/RolloutBookTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/RolloutStoreTest.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamVersion;
 
-class RolloutBookTest {
+class RolloutStoreTest {
 
   private static final ServiceId SERVICE = new ServiceId("engines");
   private static final UpstreamVersion V1 = new UpstreamVersion("v1");
@@ -18,14 +18,14 @@
   private static final long DURATION_MS = 12_000;
   private static final long LATER_MS = 60_000;
 
-  private final RolloutBook book = new RolloutBook(0, List.of());
+  private final RolloutStore book = new RolloutStore(0, List.of());
 
-  private RolloutAnswer order(UpstreamVersion to, long logTimeMs, UpstreamVersion... inForce) {
+  private RolloutOrderResult order(UpstreamVersion to, long logTimeMs, UpstreamVersion... inForce) {
     return book.order(new RolloutOrder(SERVICE, to, DURATION_MS), List.of(inForce), logTimeMs);
   }
 
-  private VersionUse use(UpstreamVersion version) {
-    return book.find(SERVICE).orElseThrow().use(Optional.of(version));
+  private TrafficPolicy use(UpstreamVersion version) {
+    return book.find(SERVICE).orElseThrow().trafficPolicy(Optional.of(version));
   }
 
   private void turn(RolloutPhase phase) {
@@ -34,36 +34,36 @@
 
   @Test
   void orderedVersionIsCanaryAndOthersAreBarred() {
-    assertThat(order(V2, ORDERED_MS, V1)).isEqualTo(RolloutAnswer.ACCEPTED);
-    assertThat(use(V1)).isEqualTo(VersionUse.FREE);
-    assertThat(use(V2)).isEqualTo(VersionUse.CANARY);
-    assertThat(use(V3)).isEqualTo(VersionUse.BARRED);
+    assertThat(order(V2, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ACCEPTED);
+    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(use(V2)).isEqualTo(TrafficPolicy.CANARY);
+    assertThat(use(V3)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
   void upstreamWithoutVersionCountsAsOneOfBefore() {
     order(V2, ORDERED_MS, V1);
     Rollout rollout = book.find(SERVICE).orElseThrow();
-    assertThat(rollout.use(Optional.empty())).isEqualTo(VersionUse.FREE);
+    assertThat(rollout.trafficPolicy(Optional.empty())).isEqualTo(TrafficPolicy.ALL);
   }
 
   @Test
   void completedVersionAloneIsFree() {
     order(V2, ORDERED_MS, V1);
     turn(RolloutPhase.SHIFTING);
-    assertThat(use(V1)).isEqualTo(VersionUse.BARRED);
-    assertThat(use(V2)).isEqualTo(VersionUse.FREE);
+    assertThat(use(V1)).isEqualTo(TrafficPolicy.NONE);
+    assertThat(use(V2)).isEqualTo(TrafficPolicy.ALL);
     turn(RolloutPhase.COMPLETED);
-    assertThat(use(V1)).isEqualTo(VersionUse.BARRED);
-    assertThat(use(V2)).isEqualTo(VersionUse.FREE);
+    assertThat(use(V1)).isEqualTo(TrafficPolicy.NONE);
+    assertThat(use(V2)).isEqualTo(TrafficPolicy.ALL);
   }
 
   @Test
   void rolledBackVersionIsBarred() {
     order(V2, ORDERED_MS, V1);
     turn(RolloutPhase.ROLLED_BACK);
-    assertThat(use(V1)).isEqualTo(VersionUse.FREE);
-    assertThat(use(V2)).isEqualTo(VersionUse.BARRED);
+    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(use(V2)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
@@ -87,8 +87,8 @@
   @Test
   void secondOrderIsRefusedWhileOneRuns() {
     order(V2, ORDERED_MS, V1);
-    assertThat(order(V2, ORDERED_MS, V1)).isEqualTo(RolloutAnswer.ALREADY_RUNNING);
-    assertThat(order(V3, ORDERED_MS, V1)).isEqualTo(RolloutAnswer.ALREADY_RUNNING);
+    assertThat(order(V2, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ALREADY_RUNNING);
+    assertThat(order(V3, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ALREADY_RUNNING);
     assertThat(book.find(SERVICE).orElseThrow().order().to()).isEqualTo(V2);
   }
 
@@ -97,17 +97,17 @@
   void resentOrderBeginsNothingAnew() {
     order(V2, ORDERED_MS, V1);
     turn(RolloutPhase.ROLLED_BACK);
-    assertThat(order(V2, ORDERED_MS + 4_000, V1)).isEqualTo(RolloutAnswer.REPEATED);
-    assertThat(use(V2)).isEqualTo(VersionUse.BARRED);
+    assertThat(order(V2, ORDERED_MS + 4_000, V1)).isEqualTo(RolloutOrderResult.REPEATED);
+    assertThat(use(V2)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
   void versionThatWasRolledBackMayBeOrderedAnew() {
     order(V2, ORDERED_MS, V1);
     turn(RolloutPhase.ROLLED_BACK);
-    assertThat(order(V2, LATER_MS, V1, V2)).isEqualTo(RolloutAnswer.ACCEPTED);
-    assertThat(use(V1)).isEqualTo(VersionUse.FREE);
-    assertThat(use(V2)).isEqualTo(VersionUse.CANARY);
+    assertThat(order(V2, LATER_MS, V1, V2)).isEqualTo(RolloutOrderResult.ACCEPTED);
+    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(use(V2)).isEqualTo(TrafficPolicy.CANARY);
   }
 
   /** Upstreams of a version that was rolled back are still registered at the next order. */
@@ -116,24 +116,24 @@
     order(V2, ORDERED_MS, V1);
     turn(RolloutPhase.ROLLED_BACK);
     order(V3, LATER_MS, V1, V2);
-    assertThat(use(V1)).isEqualTo(VersionUse.FREE);
-    assertThat(use(V2)).isEqualTo(VersionUse.BARRED);
+    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(use(V2)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
   void versionInForceIsNotOrdered() {
-    assertThat(order(V1, ORDERED_MS, V1)).isEqualTo(RolloutAnswer.ALREADY_IN_FORCE);
+    assertThat(order(V1, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ALREADY_IN_FORCE);
     order(V2, ORDERED_MS, V1);
     turn(RolloutPhase.SHIFTING);
     turn(RolloutPhase.COMPLETED);
-    assertThat(order(V2, LATER_MS, V1, V2)).isEqualTo(RolloutAnswer.ALREADY_IN_FORCE);
+    assertThat(order(V2, LATER_MS, V1, V2)).isEqualTo(RolloutOrderResult.ALREADY_IN_FORCE);
   }
 
   @Test
   void absurdDurationsAreRefused() {
     for (long durationMs : new long[] {-1, 0, Long.MAX_VALUE}) {
       RolloutOrder order = new RolloutOrder(SERVICE, V2, durationMs);
-      assertThat(book.order(order, List.of(V1), ORDERED_MS)).isEqualTo(RolloutAnswer.BAD_DURATION);
+      assertThat(book.order(order, List.of(V1), ORDERED_MS)).isEqualTo(RolloutOrderResult.BAD_DURATION);
     }
     assertThat(book.all()).isEmpty();
   }
@@ -141,8 +141,8 @@
   @Test
   void accountNeverShrinks() {
     order(V2, ORDERED_MS, V1);
-    book.account(SERVICE, ORDERED_MS, new ExposureAccount(20, 100));
-    book.account(SERVICE, ORDERED_MS, new ExposureAccount(10, 120));
-    assertThat(book.find(SERVICE).orElseThrow().account()).isEqualTo(new ExposureAccount(20, 120));
+    book.account(SERVICE, ORDERED_MS, new ExposureCounters(20, 100));
+    book.account(SERVICE, ORDERED_MS, new ExposureCounters(10, 120));
+    assertThat(book.find(SERVICE).orElseThrow().account()).isEqualTo(new ExposureCounters(20, 120));
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/Problem.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Problem.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.request.NotRunReason;
 import org.teaseltrail.core.request.Outcome;
-import org.teaseltrail.core.request.Ran;
+import org.teaseltrail.core.request.ExecutionStatus;
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
@@ -27,7 +27,7 @@
     String name,
     String title,
     String detail,
-    Ran ran,
+    ExecutionStatus ran,
     Optional<RequestId> request,
     long retryAfterMs) {
 
@@ -39,7 +39,7 @@
 
   static Problem of(ProblemKind kind, String detail) {
     return new Problem(
-        kind.httpStatus(), kind.problemName(), kind.title(), detail, Ran.NO, Optional.empty(), 0);
+        kind.httpStatus(), kind.problemName(), kind.title(), detail, ExecutionStatus.NO, Optional.empty(), 0);
   }
 
   /** Returns the problem that stands for an outcome other than completed. */
@@ -51,7 +51,7 @@
           reason.problemName(),
           reason.title(),
           "The request did not run.",
-          Ran.NO,
+          ExecutionStatus.NO,
           Optional.of(request),
           notRun.retryAfterMs());
     }
@@ -64,7 +64,7 @@
         failed.reason().problemName(),
         failed.reason().title(),
         "The request may have run.",
-        Ran.MAYBE,
+        ExecutionStatus.MAYBE,
         Optional.of(request),
         0);
   }
--- a/forward/src/main/java/org/teaseltrail/forward/Exchange.java
+++ b/forward/src/main/java/org/teaseltrail/forward/Exchange.java
@@ -197,7 +197,7 @@
         server.pool().idle(made);
         return;
       }
-      if (!server.signals().allowSending(dispatch.upstream().life())) {
+      if (!server.signals().allowSending(dispatch.upstream().upstreamIncarnation())) {
         server.pool().idle(made);
         end(AttemptEnd.WITHHELD);
         return;
--- a/forward/src/main/java/org/teaseltrail/forward/ReceivedContent.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ReceivedContent.java
@@ -11,7 +11,7 @@
   private static final byte LINE_END = '\n';
 
   @Override
-  public void feed(MessageDigest digest) {
+  public void updateDigest(MessageDigest digest) {
     feedLine(digest, received.method().name());
     feedLine(digest, received.uri());
     for (var buffer : received.content().nioBuffers()) {
--- a/forward/src/main/java/org/teaseltrail/forward/SignalListener.java
+++ b/forward/src/main/java/org/teaseltrail/forward/SignalListener.java
@@ -3,7 +3,7 @@
 import org.teaseltrail.core.backpressure.RateLimit;
 import org.teaseltrail.core.forward.BackpressureSignals;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.runtime.clock.SuspendAwareClock;
 import org.teaseltrail.runtime.log.EventLog;
 import org.teaseltrail.runtime.log.LogEvent;
@@ -37,12 +37,12 @@
   }
 
   /** Tells whether a request may be sent now that there is a connection. */
-  boolean allowSending(UpstreamLife upstream) {
+  boolean allowSending(UpstreamIncarnation upstream) {
     return signals.allowSending(upstream, clock.nowNs());
   }
 
   private void limit(Registration upstream, RateLimit limit, long dispatchedNs) {
-    if (signals.limit(upstream.life(), limit, dispatchedNs, clock.nowNs())) {
+    if (signals.limit(upstream.upstreamIncarnation(), limit, dispatchedNs, clock.nowNs())) {
       line(LogEvent.LIMIT_TOLD, upstream)
           .with(LogField.LIMITED, limit.isLimited())
           .with(LogField.LIMIT_PER_S, limit.isLimited() ? limit.perSecond() : 0)
@@ -51,13 +51,13 @@
   }
 
   private void backOff(Registration upstream, long backoffMs) {
-    if (signals.backOff(upstream.life(), backoffMs, clock.nowNs())) {
+    if (signals.backOff(upstream.upstreamIncarnation(), backoffMs, clock.nowNs())) {
       line(LogEvent.BACKOFF_TOLD, upstream).with(LogField.BACKOFF_MS, backoffMs).write();
     }
   }
 
   private void leaving(Registration upstream) {
-    if (signals.leaving(upstream.life())) {
+    if (signals.leaving(upstream.upstreamIncarnation())) {
       line(LogEvent.LEAVING_TOLD, upstream).write();
     }
   }
--- a/forward/src/main/java/org/teaseltrail/forward/UpstreamPool.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamPool.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.teaseltrail.core.registry.Registration;
-import org.teaseltrail.core.registry.UpstreamLife;
+import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /** Keeps connections to upstreams that are idle, and makes new ones. */
 final class UpstreamPool {
@@ -30,8 +30,8 @@
 
   private static final int MAX_HEADER_BYTES = 32 * 1024;
 
-  private final Map<UpstreamLife, Deque<UpstreamConnection>> idle = new HashMap<>();
-  private final Map<UpstreamConnection, UpstreamLife> owners = new HashMap<>();
+  private final Map<UpstreamIncarnation, Deque<UpstreamConnection>> idle = new HashMap<>();
+  private final Map<UpstreamConnection, UpstreamIncarnation> owners = new HashMap<>();
   private final SharedEventLoop sharedLoop;
   private final HeaderDialect dialect;
 
@@ -48,7 +48,7 @@
    * @param failed hears that there is none; nothing was sent
    */
   void connect(Registration upstream, Consumer<UpstreamConnection> connected, Runnable failed) {
-    Deque<UpstreamConnection> ready = idle.get(upstream.life());
+    Deque<UpstreamConnection> ready = idle.get(upstream.upstreamIncarnation());
     long nowNs = System.nanoTime();
     while (ready != null && !ready.isEmpty()) {
       UpstreamConnection kept = ready.pollLast();
@@ -62,7 +62,7 @@
   }
 
   void idle(UpstreamConnection connection) {
-    UpstreamLife owner = owners.get(connection);
+    UpstreamIncarnation owner = owners.get(connection);
     if (owner == null) {
       connection.close();
       return;
@@ -75,7 +75,7 @@
   }
 
   void forget(UpstreamConnection connection) {
-    UpstreamLife owner = owners.remove(connection);
+    UpstreamIncarnation owner = owners.remove(connection);
     Deque<UpstreamConnection> ready = owner == null ? null : idle.get(owner);
     if (ready != null) {
       ready.remove(connection);
@@ -101,7 +101,7 @@
     connecting.addListener(
         done -> {
           if (done.isSuccess()) {
-            owners.put(connection, upstream.life());
+            owners.put(connection, upstream.upstreamIncarnation());
             connected.accept(connection);
           } else {
             failed.run();
--- a/forward/src/test/java/org/teaseltrail/forward/ReceivedContentTest.java
+++ b/forward/src/test/java/org/teaseltrail/forward/ReceivedContentTest.java
@@ -24,7 +24,7 @@
 
   private static byte[] digest(FullHttpRequest request) {
     MessageDigest digest = Sha256.create();
-    new ReceivedContent(request).feed(digest);
+    new ReceivedContent(request).updateDigest(digest);
     return digest.digest();
   }
 
--- a/session/src/test/java/org/teaseltrail/session/Call.java
+++ b/session/src/test/java/org/teaseltrail/session/Call.java
@@ -8,9 +8,9 @@
 import org.teaseltrail.core.entry.CallerCall;
 import org.teaseltrail.core.id.IdempotencyKey;
 import org.teaseltrail.core.id.RequestId;
-import org.teaseltrail.core.request.PrefixBlocks;
+import org.teaseltrail.core.request.PrefixBlockHasher;
 import org.teaseltrail.core.request.StreamFrame;
-import org.teaseltrail.core.request.TokenEstimate;
+import org.teaseltrail.core.request.TokenEstimator;
 import org.teaseltrail.standin.model.AnswerText;
 import org.teaseltrail.standin.model.EngineRequest;
 
@@ -65,8 +65,8 @@
     return new EngineRequest(
         id,
         SessionWorld.MODEL,
-        TokenEstimate.ofBytes(promptUtf8.length),
-        PrefixBlocks.of(SessionWorld.MODEL, promptUtf8),
+        TokenEstimator.estimateTokens(promptUtf8.length),
+        PrefixBlockHasher.hashBlocks(SessionWorld.MODEL, promptUtf8),
         spec.maxTokens(),
         answerSeed);
   }
--- a/session/src/test/java/org/teaseltrail/session/CallerBook.java
+++ b/session/src/test/java/org/teaseltrail/session/CallerBook.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.request.Outcome;
-import org.teaseltrail.core.request.Ran;
+import org.teaseltrail.core.request.ExecutionStatus;
 
 /** Keeps all that callers have asked for and been told. */
 final class CallerBook {
@@ -56,7 +56,7 @@
 
   private static void checkRan(Submission submission, int runs) {
     boolean toldNotRun =
-        submission.outcome().map(Outcome::ran).filter(ran -> ran == Ran.NO).isPresent();
+        submission.outcome().map(Outcome::ran).filter(ran -> ran == ExecutionStatus.NO).isPresent();
     if (toldNotRun) {
       assertThat(runs).describedAs("runs of %s, told not run", submission.id()).isZero();
     }
--- a/standin/src/main/java/org/teaseltrail/standin/StreamRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StreamRoutes.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.id.ModelId;
 import org.teaseltrail.core.id.ModelVersion;
 import org.teaseltrail.core.id.RequestId;
-import org.teaseltrail.core.request.PrefixBlocks;
+import org.teaseltrail.core.request.PrefixBlockHasher;
 import org.teaseltrail.standin.model.AnswerText;
 import org.teaseltrail.standin.model.EngineAction;
 import org.teaseltrail.standin.model.EngineEvent;
@@ -127,7 +127,7 @@
         new RequestId(body.requestId()),
         target,
         Math.max(1, promptTokens),
-        PrefixBlocks.of(target, prompt),
+        PrefixBlockHasher.hashBlocks(target, prompt),
         body.maxTokens(),
         AnswerText.seedOf(body.prompt()));
   }
--- a/wire/src/test/java/org/teaseltrail/wire/ServingPushTest.java
+++ b/wire/src/test/java/org/teaseltrail/wire/ServingPushTest.java
@@ -129,7 +129,7 @@
       pushedBytes += push(new ServingReply.RegistryUpdate(FENCING, number + 1, present));
     }
     assertThat(pushedBytes).isLessThan(UPSTREAMS * SMALL_BYTES);
-    present.set(5, present.get(5).in(RegistrationPhase.DRAINING));
+    present.set(5, present.get(5).withPhase(RegistrationPhase.DRAINING));
     present.remove(50);
     assertThat(push(new ServingReply.RegistryUpdate(FENCING, UPSTREAMS + 1, present)))
         .isLessThan(SMALL_BYTES);
