--- a/core/src/main/java/org/teaseltrail/core/forward/TrackedForward.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ActiveRequest.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /** Is a request that this VM has admitted and not answered yet. */
-final class TrackedForward {
+final class ActiveRequest {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -38,7 +38,7 @@
   private final Optional<PlanCustomer> customer;
   private final long arrivedNs;
   private final Set<UpstreamId> tried = new HashSet<>();
-  private Optional<UpstreamView> at = Optional.empty();
+  private Optional<UpstreamState> currentUpstream = Optional.empty();
   private int attempts;
   private int sends;
   private long sentNs;
@@ -49,10 +49,10 @@
   private boolean trial;
   private boolean canary;
   private boolean reached;
-  private QuotaHold quota = QuotaHold.NONE;
+  private QuotaReservation quota = QuotaReservation.NONE;
   private Optional<Fingerprint> fingerprint = Optional.empty();
 
-  TrackedForward(
+  ActiveRequest(
       ForwardRequest request,
       PlanRoute route,
       ServiceId service,
@@ -107,18 +107,18 @@
   }
 
   /** Returns the customer whose quota it counts against. */
-  Optional<PlanCustomer> payer() {
+  Optional<PlanCustomer> quotaCustomer() {
     return customer;
   }
 
   /** Takes what it holds of its customer's quota. */
-  void holds(QuotaHold held) {
+  void setQuotaReservation(QuotaReservation held) {
     quota = held;
   }
 
   /** Notes that it has got its final answer or needs none. */
-  void over() {
-    quota.over();
+  void close() {
+    quota.close();
   }
 
   Urgency urgency() {
@@ -141,38 +141,38 @@
   }
 
   /** Returns until when an answer, or a stream's first event, still finds the caller there. */
-  long patientUntilNs() {
+  long callerWaitsUntilNs() {
     return begun ? dueNs() : Math.min(dueNs(), arrivedNs + route.callerTimeoutMs() * NS_PER_MS);
   }
 
   /** Returns until when it waits for a place. */
-  long waitsUntilNs() {
-    return arrivedNs + (long) ((patientUntilNs() - arrivedNs) * WAIT_PART);
+  long queueDeadlineNs() {
+    return arrivedNs + (long) ((callerWaitsUntilNs() - arrivedNs) * WAIT_PART);
   }
 
   /** Returns when its time is over as things stand: that for a place, or that for the answer. */
-  long wakeNs() {
-    return at.isPresent() || begun ? dueNs() : waitsUntilNs();
+  long nextDeadlineNs() {
+    return currentUpstream.isPresent() || begun ? dueNs() : queueDeadlineNs();
   }
 
   /** Returns how long it waits for a place at most, in seconds. */
-  double longestWaitS() {
-    return (waitsUntilNs() - arrivedNs) / NS_PER_S;
+  double maxQueueWaitS() {
+    return (queueDeadlineNs() - arrivedNs) / NS_PER_S;
   }
 
-  long leftMs(long nowNs) {
+  long remainingMs(long nowNs) {
     return Math.max(1, (dueNs() - nowNs) / NS_PER_MS);
   }
 
-  void sentTo(UpstreamView view, long nowNs) {
-    at = Optional.of(view);
+  void startAttempt(UpstreamState view, long nowNs) {
+    currentUpstream = Optional.of(view);
     unread = true;
     reached = false;
     attempts++;
     sends++;
     sentNs = nowNs;
     tried.add(view.registration().id());
-    quota.sent(nowNs);
+    quota.commit(nowNs);
   }
 
   /** Notes that it goes to an ordered version that is still a canary. */
@@ -186,7 +186,7 @@
   }
 
   /** Notes that its attempt has reached an upstream; returns whether that is news. */
-  boolean noteReached() {
+  boolean markReached() {
     boolean news = !reached;
     reached = true;
     return news;
@@ -196,8 +196,8 @@
     return reached;
   }
 
-  Optional<UpstreamView> at() {
-    return at;
+  Optional<UpstreamState> currentUpstream() {
+    return currentUpstream;
   }
 
   long sentNs() {
@@ -205,9 +205,9 @@
   }
 
   /** Notes that the attempt has ended. */
-  void attemptEnded(AttemptEnd end) {
-    promptRead();
-    at = Optional.empty();
+  void endAttempt(AttemptOutcome end) {
+    markPromptRead();
+    currentUpstream = Optional.empty();
     canary = false;
     maybeRan |= end.maybeRan();
     if (!maybeRan) {
@@ -229,7 +229,7 @@
   }
 
   /** Tells whether it may still be sent elsewhere if the next upstream turns it away. */
-  boolean mayGoElsewhere() {
+  boolean canTryAnotherUpstream() {
     return sends + 1 < route.maxAttempts();
   }
 
@@ -241,7 +241,7 @@
     return maybeRan;
   }
 
-  boolean turnsLate(long nowNs) {
+  boolean isBecomingLate(long nowNs) {
     return !late && nowNs > onTimeUntilNs();
   }
 
@@ -254,20 +254,20 @@
   }
 
   /** Notes that the caller has got a part of the answer. */
-  void begin() {
+  void markResponseStarted() {
     begun = true;
-    promptRead();
+    markPromptRead();
   }
 
   /** Notes that its upstream has read the prompt, or needn't read it any more. */
-  void promptRead() {
+  void markPromptRead() {
     if (unread) {
-      at.ifPresent(UpstreamView::read);
+      currentUpstream.ifPresent(UpstreamState::recordPromptRead);
     }
     unread = false;
   }
 
-  boolean hasBegun() {
+  boolean hasResponseStarted() {
     return begun;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/Reception.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/AdmissionController.java
@@ -22,7 +22,7 @@
  * within the second after a start, are told to come back, and most try again too early or not at
  * all. A request that waits is answered on time if the session comes within its objective.
  */
-final class Reception {
+final class AdmissionController {
 
   /**
    * Part of a route's objective that a request waits for the first session; the rest is for the
@@ -62,16 +62,16 @@
   private record Waiting(ForwardRequest request, long arrivedNs, long untilNs) {}
 
   private final RandomGenerator random;
-  private final ControlTies ties;
-  private final QuotaGate quotaGate;
+  private final ControlClient ties;
+  private final QuotaAdmissionFilter quotaGate;
   private final Consumer<ForwardAction> out;
   private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
   private Optional<PlanIndex> plan = Optional.empty();
   private OptionalLong startedNs = OptionalLong.empty();
   private boolean hadSession;
 
-  Reception(
-      RandomGenerator random, ControlTies ties, QuotaGate quotaGate, Consumer<ForwardAction> out) {
+  AdmissionController(
+      RandomGenerator random, ControlClient ties, QuotaAdmissionFilter quotaGate, Consumer<ForwardAction> out) {
     this.random = random;
     this.ties = ties;
     this.quotaGate = quotaGate;
@@ -89,14 +89,14 @@
   }
 
   /** Takes a request that was read whole. */
-  void arrived(ForwardRequest request, long nowNs) {
+  void onRequest(ForwardRequest request, long nowNs) {
     if (!decide(request, nowNs, nowNs)) {
       waitOrRefuse(request, nowNs);
     }
   }
 
   /** Looks again at what waits, after a plan has come or the session was confirmed. */
-  void lookAgain(long nowNs) {
+  void retryWaiting(long nowNs) {
     if (!isCertain(nowNs)) {
       return;
     }
@@ -117,7 +117,7 @@
         waiting.values().stream().filter(each -> nowNs >= each.untilNs()).toList();
     for (Waiting each : overdue) {
       waiting.remove(each.request().number());
-      refuse(each.request(), Refusal.PLAN_UNCERTAIN, retryAfterMs(nowNs));
+      refuse(each.request(), RefusalReason.PLAN_UNCERTAIN, retryAfterMs(nowNs));
     }
   }
 
@@ -125,7 +125,7 @@
     return waiting.values().stream().mapToLong(Waiting::untilNs).min();
   }
 
-  void callerLeft(long number) {
+  void onCallerDisconnected(long number) {
     waiting.remove(number);
   }
 
@@ -139,7 +139,7 @@
     boolean certain = isCertain(nowNs);
     Optional<PlanRoute> route = route(request);
     if (route.isEmpty()) {
-      return certain && refuse(request, Refusal.NO_ROUTE, 0);
+      return certain && refuse(request, RefusalReason.NO_ROUTE, 0);
     }
     boolean keyed = route.get().needsKey() && plan.orElseThrow().hasCustomers();
     if (!keyed) {
@@ -151,7 +151,7 @@
       return false;
     }
     if (customer.isEmpty()) {
-      return refuse(request, Refusal.UNKNOWN_KEY, 0);
+      return refuse(request, RefusalReason.UNKNOWN_KEY, 0);
     }
     admit(request, route.get(), customer, arrivedNs, nowNs);
     return true;
@@ -171,9 +171,9 @@
       Optional<PlanCustomer> customer,
       long arrivedNs,
       long nowNs) {
-    TrackedForward admitted =
-        new TrackedForward(request, route, drawService(route), customer, arrivedNs);
-    quotaGate.arrived(admitted, nowNs);
+    ActiveRequest admitted =
+        new ActiveRequest(request, route, drawService(route), customer, arrivedNs);
+    quotaGate.onRequest(admitted, nowNs);
   }
 
   private ServiceId drawService(PlanRoute route) {
@@ -190,7 +190,7 @@
 
   private void waitOrRefuse(ForwardRequest request, long nowNs) {
     if (waiting.size() >= MOST_WAITING) {
-      refuse(request, Refusal.PLAN_UNCERTAIN, retryAfterMs(nowNs));
+      refuse(request, RefusalReason.PLAN_UNCERTAIN, retryAfterMs(nowNs));
       return;
     }
     long untilNs = nowNs + longestWaitMs(request) * NS_PER_MS;
@@ -215,8 +215,8 @@
     return Math.max(LEAST_RETRY_MS, leftMs);
   }
 
-  private boolean refuse(ForwardRequest request, Refusal refusal, long retryAfterMs) {
-    out.accept(ForwardAction.Refuse.unjudged(request.number(), refusal, retryAfterMs));
+  private boolean refuse(ForwardRequest request, RefusalReason refusal, long retryAfterMs) {
+    out.accept(ForwardAction.Refuse.beforeRouting(request.number(), refusal, retryAfterMs));
     return true;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/AttemptEnd.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.forward;
 
 /** Says how an attempt at an upstream ended. */
-public enum AttemptEnd {
+public enum AttemptOutcome {
   /** The whole answer came. */
   ANSWERED(true, false),
   /** The whole answer came and tells of a failure of the upstream's own. */
@@ -20,7 +20,7 @@
   private final boolean maybeRan;
   private final boolean failure;
 
-  AttemptEnd(boolean maybeRan, boolean failure) {
+  AttemptOutcome(boolean maybeRan, boolean failure) {
     this.maybeRan = maybeRan;
     this.failure = failure;
   }
--- a/core/src/main/java/org/teaseltrail/core/forward/BackpressureSignals.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/BackpressureHandler.java
@@ -4,12 +4,12 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /** Takes in how much work upstreams ask for in their answers. */
-public final class BackpressureSignals {
+public final class BackpressureHandler {
 
-  private final UpstreamBook upstreams;
-  private final LimitTies limits;
+  private final UpstreamTracker upstreams;
+  private final RateLimitClient limits;
 
-  BackpressureSignals(UpstreamBook upstreams, LimitTies limits) {
+  BackpressureHandler(UpstreamTracker upstreams, RateLimitClient limits) {
     this.upstreams = upstreams;
     this.limits = limits;
   }
@@ -24,7 +24,7 @@
    * @return whether it is another one than this VM knew
    */
   public boolean limit(UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
-    return limits.saw(upstream, limit, dispatchedNs, nowNs);
+    return limits.recordRateLimit(upstream, limit, dispatchedNs, nowNs);
   }
 
   /**
@@ -35,8 +35,8 @@
    * @param nowNs time
    * @return whether it was not backed off already
    */
-  public boolean backOff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
-    return upstreams.backOff(upstream, backoffMs, nowNs);
+  public boolean startBackoff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
+    return upstreams.startBackoff(upstream, backoffMs, nowNs);
   }
 
   /**
@@ -46,7 +46,7 @@
    * @return whether that is news
    */
   public boolean leaving(UpstreamIncarnation upstream) {
-    return upstreams.leave(upstream);
+    return upstreams.markLeaving(upstream);
   }
 
   /**
@@ -56,7 +56,7 @@
    * @param nowNs time
    * @return false if the upstream has asked to back off meanwhile, or is about to leave
    */
-  public boolean allowSending(UpstreamIncarnation upstream, long nowNs) {
-    return !upstreams.backpressure(upstream).takesNone(nowNs);
+  public boolean canSend(UpstreamIncarnation upstream, long nowNs) {
+    return !upstreams.backpressure(upstream).isUnavailable(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/Backpressure.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/BackpressureState.java
@@ -7,7 +7,7 @@
  * Is what one life of an upstream has asked of its callers, and what this VM may send there all the
  * same. It outlives the upstream's registration here, which may lapse and come back.
  */
-final class Backpressure {
+final class BackpressureState {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -27,27 +27,27 @@
   private static final long CAREFUL_NS = 1_000 * NS_PER_MS;
 
   private final Deque<Long> permitsUntilNs = new ArrayDeque<>();
-  private boolean limited;
-  private long backoffUntilNs = Long.MIN_VALUE;
+  private boolean setLimited;
+  private long backoffEndNs = Long.MIN_VALUE;
   private int backoffsInRow;
   private boolean uncertain;
   private boolean asking;
   private boolean leaving;
 
   /** Takes whether the upstream names a limit. */
-  void limited(boolean isLimited) {
-    limited = isLimited;
+  void setLimited(boolean isLimited) {
+    setLimited = isLimited;
     if (!isLimited) {
       permitsUntilNs.clear();
     }
   }
 
   boolean isLimited() {
-    return limited;
+    return setLimited;
   }
 
   /** Takes permits of the leader. */
-  void permitted(int requests, long untilNs) {
+  void addPermits(int requests, long untilNs) {
     for (int i = 0; i < requests; i++) {
       permitsUntilNs.addLast(untilNs);
     }
@@ -60,7 +60,7 @@
   }
 
   /** Takes that it wants nothing from this VM for a while; returns whether it wasn't so already. */
-  boolean backOff(long backoffMs, long nowNs) {
+  boolean startBackoff(long backoffMs, long nowNs) {
     if (backoffMs <= 0) {
       return false;
     }
@@ -68,23 +68,23 @@
     backoffsInRow += news ? 1 : 0;
     long askedMs = Math.min(MOST_BACKOFF_MS, backoffMs);
     long longerMs = Math.min(LONGEST_OWN_BACKOFF_MS, askedMs * backoffsInRow);
-    backoffUntilNs = Math.max(backoffUntilNs, nowNs + Math.max(askedMs, longerMs) * NS_PER_MS);
+    backoffEndNs = Math.max(backoffEndNs, nowNs + Math.max(askedMs, longerMs) * NS_PER_MS);
     uncertain = true;
     asking = false;
     return news;
   }
 
   boolean isBackedOff(long nowNs) {
-    return nowNs < backoffUntilNs;
+    return nowNs < backoffEndNs;
   }
 
   /** Returns until when it wants nothing; a time that is over if it doesn't ask for it. */
-  long backoffUntilNs() {
-    return backoffUntilNs;
+  long backoffEndNs() {
+    return backoffEndNs;
   }
 
   /** Takes that it is about to leave; returns whether that is news. */
-  boolean leave() {
+  boolean markLeaving() {
     boolean news = !leaving;
     leaving = true;
     return news;
@@ -95,13 +95,13 @@
   }
 
   /** Tells whether it takes nothing from this VM at present. */
-  boolean takesNone(long nowNs) {
+  boolean isUnavailable(long nowNs) {
     return leaving || isBackedOff(nowNs);
   }
 
   /** Tells whether it takes fewer requests than others of its size, or none. */
   boolean isThrottled(long nowNs) {
-    return limited || takesNone(nowNs);
+    return setLimited || isUnavailable(nowNs);
   }
 
   /**
@@ -110,11 +110,11 @@
    * @param mayGoElsewhere whether the request may be sent to another upstream if it is turned away
    * @param nowNs time
    */
-  boolean allows(boolean mayGoElsewhere, long nowNs) {
-    if (takesNone(nowNs) || (uncertain && !mayAsk(mayGoElsewhere, nowNs))) {
+  boolean canSend(boolean mayGoElsewhere, long nowNs) {
+    if (isUnavailable(nowNs) || (uncertain && !mayAsk(mayGoElsewhere, nowNs))) {
       return false;
     }
-    return !limited || permits(nowNs) > 0;
+    return !setLimited || permits(nowNs) > 0;
   }
 
   /**
@@ -122,26 +122,26 @@
    * sent at once to an upstream that still turns everything away: one request asks.
    */
   private boolean mayAsk(boolean mayGoElsewhere, long nowNs) {
-    return !asking && (mayGoElsewhere || nowNs >= backoffUntilNs + CAREFUL_NS);
+    return !asking && (mayGoElsewhere || nowNs >= backoffEndNs + CAREFUL_NS);
   }
 
   /** Takes in that a request is sent. */
-  void sent() {
+  void recordSent() {
     permitsUntilNs.pollFirst();
     asking = uncertain;
   }
 
   /** Takes in that the upstream works on a request, or has answered it, that was sent at a time. */
-  void took(long sentNs) {
-    if (sentNs >= backoffUntilNs) {
+  void recordAccepted(long sentNs) {
+    if (sentNs >= backoffEndNs) {
       uncertain = false;
       backoffsInRow = 0;
     }
   }
 
   /** Takes in that a request there is over that was sent at a time, however it ended. */
-  void over(long sentNs) {
-    if (sentNs >= backoffUntilNs) {
+  void recordEnded(long sentNs) {
+    if (sentNs >= backoffEndNs) {
       asking = false;
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/forward/CanaryPart.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/CanaryTracker.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.rollout.Symptom;
 
 /** Is this VM's part in one rollout: what it may send to the ordered version, and what it saw. */
-final class CanaryPart {
+final class CanaryTracker {
 
   private final Rollout rollout;
   private final ObservationBuffer observations = new ObservationBuffer();
@@ -23,12 +23,12 @@
   private FencingNumber heardBy = new FencingNumber(0);
   private long heard;
 
-  CanaryPart(Rollout rollout) {
+  CanaryTracker(Rollout rollout) {
     this.rollout = rollout;
   }
 
   /** Tells whether this is the part in a rollout, whatever its phase. */
-  boolean isOf(Rollout other) {
+  boolean belongsTo(Rollout other) {
     return rollout.order().service().equals(other.order().service())
         && rollout.orderedMs() == other.orderedMs();
   }
@@ -51,7 +51,7 @@
   }
 
   /** Counts a request that is sent to an upstream of the service. */
-  void sent(UpstreamView view) {
+  void recordSent(UpstreamState view) {
     exposed += isOrdered(view) ? 1 : 0;
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Notes what a request's answer showed. */
-  void saw(TrackedForward request, UpstreamView view, Symptom symptom, int value) {
+  void recordObservation(ActiveRequest request, UpstreamState view, Symptom symptom, int value) {
     int tokens = request.request().promptTokens().orElse(0);
     observations.add(
         new Observation(
@@ -74,7 +74,7 @@
   }
 
   /** Returns what the leader of a leadership is to be told. */
-  RolloutReport use(FencingNumber leadership, long nowNs) {
+  RolloutReport createReport(FencingNumber leadership, long nowNs) {
     long from = leadership.equals(heardBy) ? heard : 0;
     boolean lent = nowNs < lentUntilNs;
     return new RolloutReport(
@@ -87,7 +87,7 @@
         observations.from(from));
   }
 
-  private boolean isOrdered(UpstreamView view) {
+  private boolean isOrdered(UpstreamState view) {
     return rollout.isTargetVersion(view.registration().version());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/ControlTies.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ControlClient.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.serving.ServingSession;
 
 /** Keeps this VM's session with the control members: whom to ask, and when. */
-final class ControlTies {
+final class ControlClient {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -41,7 +41,7 @@
   private long lastSyncNs;
   private int vmCount = 1;
 
-  ControlTies(ForwardSettings settings) {
+  ControlClient(ForwardSettings settings) {
     this.settings = settings;
     session = new ServingSession(settings.sessionLifetimeMs());
     seeds = settings.seeds();
@@ -80,18 +80,18 @@
    * all VMs, and sixty of them sent 1,200 syncs a second. Places for engines are handed out by
    * other messages then, so a sync brings only what the others hold at plain services.
    */
-  void syncForPlaces() {
+  void syncForSlots() {
     long pauseNs = Math.max(LEAST_PAUSE_NS, vmCount * PAUSE_OF_VM_NS);
     nextSyncNs = Math.min(nextSyncNs, lastSyncNs + pauseNs);
   }
 
   /** Returns the syncs that are due: one to the leader, or one to each member if none is known. */
-  List<ForwardAction> due(ForwardNode node, long nowNs) {
+  List<ForwardAction> dueSyncs(ForwardNode node, long nowNs) {
     if (nowNs < nextSyncNs) {
       return List.of();
     }
     lastSyncNs = nowNs;
-    long usualPauseNs = settings.syncEveryMs() * NS_PER_MS;
+    long usualPauseNs = settings.syncIntervalMs() * NS_PER_MS;
     nextSyncNs = nowNs + (session.isValid(nowNs) ? usualPauseNs : SEARCH_PAUSE_NS);
     List<VmId> asked = leader(nowNs).map(List::of).orElseGet(this::members);
     List<ForwardAction> syncs = new ArrayList<>();
@@ -107,7 +107,7 @@
    *
    * @return whether the set has changed
    */
-  boolean learn(ServingReply reply) {
+  boolean updateMembers(ServingReply reply) {
     if (reply instanceof ServingReply.Confirmed confirmed) {
       vmCount = confirmed.vmCount();
       Set<VmId> told = new LinkedHashSet<>(confirmed.members());
@@ -120,22 +120,22 @@
   }
 
   /** Asks the seeds again too, once nobody has confirmed the session for its whole lifetime. */
-  boolean fallBackToSeeds(long nowNs) {
+  boolean addSeedsWithoutSession(long nowNs) {
     return !session.isValid(nowNs) && members.addAll(seeds);
   }
 
   /** Returns a message to the leader if one is known. */
-  Optional<ForwardAction> tell(ServingMessage message, long nowNs) {
+  Optional<ForwardAction> messageToLeader(ServingMessage message, long nowNs) {
     return leader(nowNs).map(leader -> new ForwardAction.SendControl(leader, message));
   }
 
   /** Tells whether a leader has answered lately. */
-  boolean hearsLeader(long nowNs) {
+  boolean hasLeader(long nowNs) {
     return leader(nowNs).isPresent();
   }
 
   private Optional<VmId> leader(long nowNs) {
-    return session.leader(nowNs, PATIENCE_SYNCS * settings.syncEveryMs() * NS_PER_MS);
+    return session.leader(nowNs, PATIENCE_SYNCS * settings.syncIntervalMs() * NS_PER_MS);
   }
 
   private ServingMessage.Sync sync(ForwardNode node, long sequence, long nowNs) {
@@ -148,6 +148,6 @@
         node.quarantineRevision(),
         node.rolloutRevision(),
         node.inFlight(),
-        node.quotaUses(sequence, nowNs));
+        node.quotaReports(sequence, nowNs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardAction.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardAction.java
@@ -18,7 +18,7 @@
    * @param upstream the upstream
    * @param route its route
    * @param customer whose key it carries
-   * @param leftMs time that the upstream may take, in milliseconds
+   * @param remainingMs time that the upstream may take, in milliseconds
    * @param canary whether it goes to an ordered version that is still a canary
    */
   record Dispatch(
@@ -27,7 +27,7 @@
       Registration upstream,
       PlanRoute route,
       Optional<CustomerId> customer,
-      long leftMs,
+      long remainingMs,
       boolean canary)
       implements ForwardAction {}
 
@@ -49,26 +49,26 @@
    * Tell the caller that there is no answer. A stream that has begun is broken off instead.
    *
    * @param request the request's number
-   * @param refusal why
+   * @param refusalReason why
    * @param retryAfterMs when the caller may come back, in milliseconds; 0 if no time can be told
    * @param route its route, if one was found
    * @param customer whose key it carries, if that is known
    */
   record Refuse(
       long request,
-      Refusal refusal,
+      RefusalReason refusalReason,
       long retryAfterMs,
       Optional<PlanRoute> route,
       Optional<CustomerId> customer)
       implements ForwardAction {
 
     /** Refuses a request that was not judged by the plan. */
-    static Refuse unjudged(long request, Refusal refusal, long retryAfterMs) {
+    static Refuse beforeRouting(long request, RefusalReason refusal, long retryAfterMs) {
       return new Refuse(request, refusal, retryAfterMs, Optional.empty(), Optional.empty());
     }
 
     /** Refuses a request that the plan allows. */
-    static Refuse of(TrackedForward request, Refusal refusal, long retryAfterMs) {
+    static Refuse of(ActiveRequest request, RefusalReason refusal, long retryAfterMs) {
       return new Refuse(
           request.number(),
           refusal,
@@ -91,5 +91,5 @@
    *
    * @param members their VMs
    */
-  record KeepConnected(java.util.List<VmId> members) implements ForwardAction {}
+  record ConnectToMembers(java.util.List<VmId> members) implements ForwardAction {}
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardNode.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardNode.java
@@ -28,18 +28,18 @@
   /** When a caller may come back that met a VM about to end; its next try goes to another VM. */
   private static final long ENDING_RETRY_MS = 20;
 
-  private final ControlTies ties;
-  private final UpstreamBook upstreams = new UpstreamBook();
-  private final SlotTies slots = new SlotTies();
-  private final LimitTies limits;
-  private final BackpressureSignals signals;
-  private final Quarantine quarantine;
-  private final VersionGate gate;
-  private final QuotaDesk quotas;
-  private final RequestDesk requests;
-  private final QuotaGate quotaGate;
-  private final Reception reception;
-  private final LeaderReports reports;
+  private final ControlClient ties;
+  private final UpstreamTracker upstreams = new UpstreamTracker();
+  private final SlotGrantTracker slots = new SlotGrantTracker();
+  private final RateLimitClient limits;
+  private final BackpressureHandler backpressure;
+  private final QuarantineTracker quarantine;
+  private final VersionRouter gate;
+  private final LocalQuotaTracker quotas;
+  private final RequestCoordinator requests;
+  private final QuotaAdmissionFilter quotaGate;
+  private final AdmissionController reception;
+  private final LeaderReporter reports;
   private boolean ending;
   private List<ForwardAction> out = new ArrayList<>();
 
@@ -50,26 +50,26 @@
    */
   public ForwardNode(ForwardSettings settings) {
     final RandomGenerator random = new SplittableRandom(settings.seed());
-    ties = new ControlTies(settings);
-    quarantine = new Quarantine(settings.vm(), ties::hearsLeader);
-    limits = new LimitTies(settings.vm(), upstreams);
-    signals = new BackpressureSignals(upstreams, limits);
-    gate = new VersionGate(settings.vm(), settings.incarnation(), upstreams);
+    ties = new ControlClient(settings);
+    quarantine = new QuarantineTracker(settings.vm(), ties::hasLeader);
+    limits = new RateLimitClient(settings.vm(), upstreams);
+    backpressure = new BackpressureHandler(upstreams, limits);
+    gate = new VersionRouter(settings.vm(), settings.incarnation(), upstreams);
     requests =
-        new RequestDesk(
+        new RequestCoordinator(
             settings,
-            new PlacementRule(random),
+            new LoadBalancingPolicy(random),
             upstreams,
             slots,
             quarantine,
             gate,
             this::isEngine,
             action -> out.add(action));
-    quotas = new QuotaDesk(settings.quotas(), settings.sessionLifetimeMs());
-    quotaGate = new QuotaGate(quotas, requests, ties, action -> out.add(action));
-    reception = new Reception(random, ties, quotaGate, action -> out.add(action));
+    quotas = new LocalQuotaTracker(settings.quotas(), settings.sessionLifetimeMs());
+    quotaGate = new QuotaAdmissionFilter(quotas, requests, ties, action -> out.add(action));
+    reception = new AdmissionController(random, ties, quotaGate, action -> out.add(action));
     reports =
-        new LeaderReports(
+        new LeaderReporter(
             ties, upstreams, slots, requests, quarantine, gate, limits, action -> out.add(action));
   }
 
@@ -78,8 +78,8 @@
    *
    * @return what is to be done
    */
-  public List<ForwardAction> begin() {
-    out.add(new ForwardAction.KeepConnected(ties.members()));
+  public List<ForwardAction> start() {
+    out.add(new ForwardAction.ConnectToMembers(ties.members()));
     return drain();
   }
 
@@ -107,12 +107,12 @@
    * @param nowNs time
    * @return what is to be done
    */
-  public List<ForwardAction> arrived(ForwardRequest request, long nowNs) {
+  public List<ForwardAction> onRequest(ForwardRequest request, long nowNs) {
     if (ending) {
-      refuse(request.number(), Refusal.ENDING, ENDING_RETRY_MS);
+      refuse(request.number(), RefusalReason.ENDING, ENDING_RETRY_MS);
       return take(nowNs);
     }
-    reception.arrived(request, nowNs);
+    reception.onRequest(request, nowNs);
     return take(nowNs);
   }
 
@@ -124,8 +124,8 @@
    * @param nowNs time
    * @return what is to be done
    */
-  public List<ForwardAction> attemptEnded(long number, AttemptEnd end, long nowNs) {
-    requests.attemptEnded(number, end, nowNs);
+  public List<ForwardAction> onAttemptEnded(long number, AttemptOutcome end, long nowNs) {
+    requests.onAttemptEnded(number, end, nowNs);
     return take(nowNs);
   }
 
@@ -136,8 +136,8 @@
    * @param nowNs time
    * @return what is to be done
    */
-  public List<ForwardAction> begun(long number, long nowNs) {
-    requests.begun(number, nowNs);
+  public List<ForwardAction> onResponseStarted(long number, long nowNs) {
+    requests.onResponseStarted(number, nowNs);
     return take(nowNs);
   }
 
@@ -148,8 +148,8 @@
    * @param requests requests that it works on or that wait there
    * @param nowNs time
    */
-  public void loadTold(UpstreamId upstream, int requests, long nowNs) {
-    upstreams.loadTold(upstream, requests, nowNs);
+  public void onLoadReport(UpstreamId upstream, int requests, long nowNs) {
+    upstreams.recordLoad(upstream, requests, nowNs);
   }
 
   /**
@@ -157,8 +157,8 @@
    *
    * @return the upstreams' signals
    */
-  public BackpressureSignals signals() {
-    return signals;
+  public BackpressureHandler backpressure() {
+    return backpressure;
   }
 
   /**
@@ -169,8 +169,8 @@
    * @param elapsedMs the time, in milliseconds
    * @param nowNs time
    */
-  public void pace(UpstreamId upstream, double elapsedMs, long nowNs) {
-    upstreams.pace(upstream, elapsedMs, nowNs);
+  public void recordEventLatency(UpstreamId upstream, double elapsedMs, long nowNs) {
+    upstreams.recordEventLatency(upstream, elapsedMs, nowNs);
   }
 
   /**
@@ -179,8 +179,8 @@
    * @param number the request's number
    * @param elapsedMs the time, in milliseconds
    */
-  public void streamPace(long number, double elapsedMs) {
-    requests.streamPace(number, elapsedMs);
+  public void recordEventInterval(long number, double elapsedMs) {
+    requests.recordEventInterval(number, elapsedMs);
   }
 
   /**
@@ -190,10 +190,10 @@
    * @param nowNs time
    * @return what is to be done
    */
-  public List<ForwardAction> callerLeft(long number, long nowNs) {
-    reception.callerLeft(number);
-    quotaGate.callerLeft(number);
-    requests.callerLeft(number, nowNs);
+  public List<ForwardAction> onCallerDisconnected(long number, long nowNs) {
+    reception.onCallerDisconnected(number);
+    quotaGate.onCallerDisconnected(number);
+    requests.onCallerDisconnected(number, nowNs);
     return take(nowNs);
   }
 
@@ -204,7 +204,7 @@
    * @param nowNs time
    * @return what is to be done
    */
-  public List<ForwardAction> fromControl(ServingReply reply, long nowNs) {
+  public List<ForwardAction> onControlMessage(ServingReply reply, long nowNs) {
     if (reply instanceof ServingReply.Confirmed confirmed) {
       confirmed(confirmed, nowNs);
     } else if (reply instanceof ServingReply.NotLeading other) {
@@ -213,7 +213,7 @@
     } else if (reply instanceof ServingReply.Contention contention) {
       if (ties.session().isCurrentLeadership(contention.fencing())) {
         slots.contended(contention.fencing(), contention.services(), nowNs);
-        requests.serveLines(nowNs);
+        requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.SlotGrant grant) {
       if (ties.session().isCurrentLeadership(grant.fencing())) {
@@ -227,12 +227,12 @@
     } else if (reply instanceof ServingReply.RegistryUpdate update) {
       if (ties.session().isCurrentLeadership(update.fencing())) {
         upstreams.update(update.revision(), update.present());
-        requests.serveLines(nowNs);
+        requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.RolloutUpdate update) {
       if (ties.session().isCurrentLeadership(update.fencing())) {
-        gate.told(update);
-        requests.serveLines(nowNs);
+        gate.applyUpdate(update);
+        requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.CanaryLoans loans) {
       if (ties.session().isCurrentLeadership(loans.fencing())) {
@@ -240,23 +240,23 @@
       }
     } else if (reply instanceof ServingReply.LimitUpdate update) {
       if (ties.session().isCurrentLeadership(update.fencing())) {
-        limits.told(update, nowNs);
-        requests.serveLines(nowNs);
+        limits.applyUpdate(update, nowNs);
+        requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.SendPermits permits) {
       if (ties.session().isCurrentLeadership(permits.fencing())) {
-        limits.permitted(permits);
-        requests.serveLines(nowNs);
+        limits.applyPermits(permits);
+        requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.QuarantineUpdate update) {
       if (ties.session().isCurrentLeadership(update.fencing())) {
-        quarantine.told(update, nowNs);
-        requests.giveUpHeld(nowNs);
-        requests.serveLines(nowNs);
+        quarantine.applyUpdate(update, nowNs);
+        requests.abortQuarantined(nowNs);
+        requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.Trial trial) {
       if (ties.session().isCurrentLeadership(trial.fencing())) {
-        quarantine.allowed(trial, nowNs);
+        quarantine.addTrialPermit(trial, nowNs);
       }
     }
     return take(nowNs);
@@ -269,13 +269,13 @@
    * @return what is to be done
    */
   public List<ForwardAction> tick(long nowNs) {
-    List<ForwardAction> syncs = ties.due(this, nowNs);
+    List<ForwardAction> syncs = ties.dueSyncs(this, nowNs);
     out.addAll(syncs);
     if (!syncs.isEmpty()) {
-      reports.withSync(nowNs);
+      reports.reportWithSync(nowNs);
     }
-    if (ties.fallBackToSeeds(nowNs)) {
-      out.add(new ForwardAction.KeepConnected(ties.members()));
+    if (ties.addSeedsWithoutSession(nowNs)) {
+      out.add(new ForwardAction.ConnectToMembers(ties.members()));
     }
     reception.tick(nowNs);
     quotaGate.tick(nowNs);
@@ -322,8 +322,8 @@
    *
    * @return those that wait and those at upstreams
    */
-  public int open() {
-    return requests.open() + quotaGate.waiting() + reception.waiting();
+  public int openRequests() {
+    return requests.openRequests() + quotaGate.waiting() + reception.waiting();
   }
 
   long planVersion() {
@@ -346,7 +346,7 @@
     return upstreams.inFlight();
   }
 
-  List<QuotaReport> quotaUses(long sequence, long nowNs) {
+  List<QuotaReport> quotaReports(long sequence, long nowNs) {
     return quotas.uses(sequence, ties.session().isValid(nowNs), nowNs);
   }
 
@@ -355,19 +355,19 @@
     if (!ties.session().confirmed(confirmed, nowNs)) {
       return;
     }
-    quarantine.tellAgain(!confirmed.fencing().equals(before), nowNs);
+    quarantine.scheduleResend(!confirmed.fencing().equals(before), nowNs);
     learnMembers(confirmed);
     requests.vmCount(confirmed.vmCount());
-    upstreams.placesTold(confirmed.places(), confirmed.registryRevision(), nowNs);
+    upstreams.updateSlots(confirmed.places(), confirmed.registryRevision(), nowNs);
     slots.contended(confirmed.fencing(), confirmed.contended(), nowNs);
-    quotaGate.told(confirmed, nowNs);
-    reception.lookAgain(nowNs);
-    requests.serveLines(nowNs);
+    quotaGate.onConfirmed(confirmed, nowNs);
+    reception.retryWaiting(nowNs);
+    requests.dispatchQueued(nowNs);
   }
 
   private void learnMembers(ServingReply reply) {
-    if (ties.learn(reply)) {
-      out.add(new ForwardAction.KeepConnected(ties.members()));
+    if (ties.updateMembers(reply)) {
+      out.add(new ForwardAction.ConnectToMembers(ties.members()));
     }
   }
 
@@ -378,7 +378,7 @@
     quotas.configure(newer);
     reception.configure(new PlanIndex(newer));
     ties.session().recordPlanVersion(newer.version());
-    reception.lookAgain(nowNs);
+    reception.retryWaiting(nowNs);
   }
 
   private boolean isEngine(ServiceId service) {
@@ -389,16 +389,16 @@
         .orElse(false);
   }
 
-  private void refuse(long number, Refusal refusal, long retryAfterMs) {
-    out.add(ForwardAction.Refuse.unjudged(number, refusal, retryAfterMs));
+  private void refuse(long number, RefusalReason refusal, long retryAfterMs) {
+    out.add(ForwardAction.Refuse.beforeRouting(number, refusal, retryAfterMs));
   }
 
   /** Takes what is to be done; the leader is told of changes to what waits. */
   private List<ForwardAction> take(long nowNs) {
     if (requests.lines().hasWaiting()) {
-      ties.syncForPlaces();
+      ties.syncForSlots();
     }
-    reports.ofChanges(nowNs);
+    reports.reportChanges(nowNs);
     return drain();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardSettings.java
@@ -12,7 +12,7 @@
  * @param incarnation which life of its process
  * @param seeds control members to ask first
  * @param sessionLifetimeMs how long a confirmation by the leader is good for, in milliseconds
- * @param syncEveryMs time between two syncs with the leader, in milliseconds
+ * @param syncIntervalMs time between two syncs with the leader, in milliseconds
  * @param retryRatio repeats that a service may get, in relation to its requests
  * @param retryWindowMs the time over which they are counted, in milliseconds
  * @param retrySlack repeats that may come besides, over all VMs
@@ -24,7 +24,7 @@
     Incarnation incarnation,
     List<VmId> seeds,
     long sessionLifetimeMs,
-    long syncEveryMs,
+    long syncIntervalMs,
     double retryRatio,
     long retryWindowMs,
     double retrySlack,
--- a/core/src/main/java/org/teaseltrail/core/forward/PlacementRule.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LoadBalancingPolicy.java
@@ -11,7 +11,7 @@
  * Chooses the upstream for a request: the one with the least work for its size, that which is known
  * to hold the prompt's parts before others.
  */
-final class PlacementRule {
+final class LoadBalancingPolicy {
 
   /** Prompt length whose prefill costs as much as a full upstream's queue, in tokens. */
   private static final double FULL_AFFINITY_TOKENS = 12_000;
@@ -39,7 +39,7 @@
 
   private final RandomGenerator random;
 
-  PlacementRule(RandomGenerator random) {
+  LoadBalancingPolicy(RandomGenerator random) {
     this.random = random;
   }
 
@@ -53,22 +53,22 @@
    * @param nowNs monotonic time
    * @return the upstream, or empty if the request must wait
    */
-  Optional<UpstreamView> choose(
-      TrackedForward tracked,
-      Collection<UpstreamView> views,
+  Optional<UpstreamState> select(
+      ActiveRequest tracked,
+      Collection<UpstreamState> views,
       boolean engine,
       double fill,
       long nowNs) {
-    List<UpstreamView> usable = usable(tracked, views, nowNs);
+    List<UpstreamState> usable = usable(tracked, views, nowNs);
     double allowedFill = engine ? fill : PLAIN_FILL;
     Optional<String> home =
         engine ? lastPart(tracked).flatMap(part -> homeOf(part, usable)) : Optional.empty();
     double usualPaceMs = usualPaceMs(usable);
     boolean avoidsSlow = engine && avoidsSlow(tracked, usable, usualPaceMs, nowNs);
-    UpstreamView best = null;
+    UpstreamState best = null;
     double bestScore = Double.POSITIVE_INFINITY;
-    for (UpstreamView view : usable) {
-      if (!view.hasRoom(allowedFill, nowNs)) {
+    for (UpstreamState view : usable) {
+      if (!view.hasCapacity(allowedFill, nowNs)) {
         continue;
       }
       double slowness = slowness(view, usualPaceMs, nowNs);
@@ -77,7 +77,7 @@
         continue;
       }
       int slots = Math.max(1, view.registration().slots());
-      double work = (view.load(nowNs) + 1.0) / slots * slowness / view.goodShare(nowNs);
+      double work = (view.load(nowNs) + 1.0) / slots * slowness / view.successRate(nowNs);
       double score = work + random.nextDouble() * JITTER;
       boolean isHome = home.isPresent() && home.get().equals(view.registration().id().value());
       score -= isHome ? affinity(tracked) : 0;
@@ -91,7 +91,7 @@
 
   /** Tells whether a request has a long prompt and there is a quicker upstream for it. */
   private static boolean avoidsSlow(
-      TrackedForward tracked, List<UpstreamView> views, double usualPaceMs, long nowNs) {
+      ActiveRequest tracked, List<UpstreamState> views, double usualPaceMs, long nowNs) {
     boolean isLong = tracked.request().promptTokens().orElse(0) >= LONG_PROMPT_TOKENS;
     return isLong && views.stream().anyMatch(view -> slowness(view, usualPaceMs, nowNs) < SLOW);
   }
@@ -100,7 +100,7 @@
    * Returns the upstreams where one prompt after the other is to be read, as two at once would hold
    * up all streams there longer than callers accept.
    */
-  List<UpstreamId> slow(Collection<UpstreamView> views, long nowNs) {
+  List<UpstreamId> slow(Collection<UpstreamState> views, long nowNs) {
     double usualPaceMs = usualPaceMs(List.copyOf(views));
     return views.stream()
         .filter(view -> slowness(view, usualPaceMs, nowNs) >= SLOW)
@@ -109,9 +109,9 @@
   }
 
   /** Tells whether a request may go to an upstream that was chosen for it. */
-  boolean accepts(
-      TrackedForward tracked, Collection<UpstreamView> views, UpstreamView chosen, long nowNs) {
-    List<UpstreamView> usable = usable(tracked, views, nowNs);
+  boolean canDispatchTo(
+      ActiveRequest tracked, Collection<UpstreamState> views, UpstreamState chosen, long nowNs) {
+    List<UpstreamState> usable = usable(tracked, views, nowNs);
     double usualPaceMs = usualPaceMs(usable);
     boolean tooSlow =
         slowness(chosen, usualPaceMs, nowNs) >= SLOW
@@ -120,81 +120,81 @@
   }
 
   /** Returns the mean pace of the upstreams that have one, or 0. */
-  private static double usualPaceMs(List<UpstreamView> views) {
+  private static double usualPaceMs(List<UpstreamState> views) {
     return views.stream()
-        .mapToDouble(UpstreamView::paceMs)
+        .mapToDouble(UpstreamState::eventLatencyMs)
         .filter(paceMs -> paceMs > 0)
         .average()
         .orElse(0);
   }
 
   /** Returns how much longer an upstream takes than usual; servers of a service differ in speed. */
-  private static double slowness(UpstreamView view, double usualPaceMs, long nowNs) {
-    if (view.paceMs() == 0 || usualPaceMs == 0) {
+  private static double slowness(UpstreamState view, double usualPaceMs, long nowNs) {
+    if (view.eventLatencyMs() == 0 || usualPaceMs == 0) {
       return 1;
     }
-    double ratio = view.paceMs() / usualPaceMs;
+    double ratio = view.eventLatencyMs() / usualPaceMs;
     double bounded = Math.max(1 / MOST_SLOWNESS, Math.min(MOST_SLOWNESS, ratio));
-    return 1 + (bounded - 1) * view.paceWeight(nowNs);
+    return 1 + (bounded - 1) * view.eventLatencyWeight(nowNs);
   }
 
   /** Tells whether any upstream could take the request, now or when it has room. */
-  boolean hasUsable(TrackedForward tracked, Collection<UpstreamView> views) {
+  boolean hasCandidate(ActiveRequest tracked, Collection<UpstreamState> views) {
     return !untried(tracked, views).isEmpty();
   }
 
-  private static List<UpstreamView> usable(
-      TrackedForward tracked, Collection<UpstreamView> views, long nowNs) {
-    List<UpstreamView> careful = allowing(tracked, views, tracked.mayGoElsewhere(), nowNs);
-    List<UpstreamView> allowing =
+  private static List<UpstreamState> usable(
+      ActiveRequest tracked, Collection<UpstreamState> views, long nowNs) {
+    List<UpstreamState> careful = allowing(tracked, views, tracked.canTryAnotherUpstream(), nowNs);
+    List<UpstreamState> allowing =
         careful.isEmpty() ? allowing(tracked, views, true, nowNs) : careful;
-    List<UpstreamView> trusted = allowing.stream().filter(view -> view.isTrusted(nowNs)).toList();
+    List<UpstreamState> trusted = allowing.stream().filter(view -> view.isEligible(nowNs)).toList();
     return trusted.isEmpty() ? allowing : trusted;
   }
 
   /** Returns those that a request may be sent to now, as one that may go elsewhere or not. */
-  private static List<UpstreamView> allowing(
-      TrackedForward tracked, Collection<UpstreamView> views, boolean mayGoElsewhere, long nowNs) {
+  private static List<UpstreamState> allowing(
+      ActiveRequest tracked, Collection<UpstreamState> views, boolean mayGoElsewhere, long nowNs) {
     return views.stream()
         .filter(view -> isUntried(tracked, view))
-        .filter(view -> view.backpressure().allows(mayGoElsewhere, nowNs))
+        .filter(view -> view.backpressure().canSend(mayGoElsewhere, nowNs))
         .toList();
   }
 
   /** Returns when the first of the upstreams that a request may go to takes requests at all. */
-  static long takenFromNs(TrackedForward tracked, Collection<UpstreamView> views, long nowNs) {
-    return takenFromNs(untried(tracked, views), nowNs);
+  static long availableFromNs(ActiveRequest tracked, Collection<UpstreamState> views, long nowNs) {
+    return availableFromNs(untried(tracked, views), nowNs);
   }
 
   /** Returns when the first of some upstreams takes requests at all: now, or after its backoff. */
-  static long takenFromNs(Collection<UpstreamView> views, long nowNs) {
+  static long availableFromNs(Collection<UpstreamState> views, long nowNs) {
     return views.stream()
         .filter(view -> !view.backpressure().isLeaving())
-        .mapToLong(view -> view.backpressure().backoffUntilNs())
+        .mapToLong(view -> view.backpressure().backoffEndNs())
         .map(untilNs -> Math.max(nowNs, untilNs))
         .min()
         .orElse(nowNs);
   }
 
-  private static List<UpstreamView> untried(
-      TrackedForward tracked, Collection<UpstreamView> views) {
+  private static List<UpstreamState> untried(
+      ActiveRequest tracked, Collection<UpstreamState> views) {
     return views.stream().filter(view -> isUntried(tracked, view)).toList();
   }
 
   /** Tells whether an upstream takes requests, as far as is known, and has not had this one. */
-  private static boolean isUntried(TrackedForward tracked, UpstreamView view) {
+  private static boolean isUntried(ActiveRequest tracked, UpstreamState view) {
     return view.registration().phase() == RegistrationPhase.READY
         && !view.isMisdirected()
         && !view.backpressure().isLeaving()
         && !tracked.hasTried(view.registration().id());
   }
 
-  private static Optional<String> lastPart(TrackedForward tracked) {
+  private static Optional<String> lastPart(ActiveRequest tracked) {
     List<PromptPart> prompt = tracked.request().prompt();
     return prompt.isEmpty() ? Optional.empty() : Optional.of(prompt.get(prompt.size() - 1).id());
   }
 
-  private static double affinity(TrackedForward tracked) {
+  private static double affinity(ActiveRequest tracked) {
     int tokens = tracked.request().promptTokens().orElse(0);
     return Math.min(MAX_AFFINITY, tokens / FULL_AFFINITY_TOKENS);
   }
@@ -204,10 +204,10 @@
    * speaking (rendezvous hashing, Thaler and Ravishankar, 1998), and little moves when an upstream
    * comes or goes.
    */
-  private static Optional<String> homeOf(String part, List<UpstreamView> usable) {
+  private static Optional<String> homeOf(String part, List<UpstreamState> usable) {
     String home = null;
     long greatest = Long.MIN_VALUE;
-    for (UpstreamView view : usable) {
+    for (UpstreamState view : usable) {
       String id = view.registration().id().value();
       long weight = mix(part.hashCode() * 31L + id.hashCode());
       if (weight > greatest) {
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LocalQuotaTracker.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /** Keeps customers' quotas at this VM. */
-final class QuotaDesk {
+final class LocalQuotaTracker {
 
   /**
    * Part of the tolerance that requests may use, so that callers near their quota are not refused
@@ -45,13 +45,13 @@
    * @param bounds how quotas are counted
    * @param sessionLifetimeMs how long other VMs may use what they were allowed, in milliseconds
    */
-  QuotaDesk(QuotaPolicy bounds, long sessionLifetimeMs) {
+  LocalQuotaTracker(QuotaPolicy bounds, long sessionLifetimeMs) {
     this.bounds = bounds;
     memoryNs = (bounds.windowMs() + sessionLifetimeMs) * NS_PER_MS;
   }
 
   /** Takes what the leader tells. */
-  void told(ServingReply.Confirmed confirmed, long nowNs) {
+  void applyGrants(ServingReply.Confirmed confirmed, long nowNs) {
     grants =
         confirmed.quotas().stream()
             .collect(Collectors.toMap(QuotaGrant::customer, Function.identity()));
@@ -92,23 +92,23 @@
   }
 
   /** Notes that a request waits until the leader allows more. */
-  void want(PlanCustomer customer, ForwardRequest request) {
+  void recordShortage(PlanCustomer customer, ForwardRequest request) {
     QuotaWindow window = windows.get(customer.id());
     if (window != null) {
-      window.want(amount(customer, request));
+      window.recordShortage(amount(customer, request));
     }
   }
 
   /** Sets aside what a request that is to be admitted counts for. */
-  QuotaHold reserve(PlanCustomer customer, ForwardRequest request) {
+  QuotaReservation reserve(PlanCustomer customer, ForwardRequest request) {
     QuotaWindow window = windows.get(customer.id());
-    return window == null ? QuotaHold.NONE : QuotaHold.of(window, amount(customer, request));
+    return window == null ? QuotaReservation.NONE : QuotaReservation.of(window, amount(customer, request));
   }
 
   /** Returns when a refused request may be within the quota, in milliseconds. */
-  long waitMs(PlanCustomer customer, ForwardRequest request, long nowNs) {
+  long retryAfterMs(PlanCustomer customer, ForwardRequest request, long nowNs) {
     QuotaWindow window = windows.get(customer.id());
-    long untilFreeMs = window == null ? 0 : window.waitMs(amount(customer, request), nowNs);
+    long untilFreeMs = window == null ? 0 : window.retryAfterMs(amount(customer, request), nowNs);
     return Math.max(ALLOWANCE_RETRY_MS, untilFreeMs);
   }
 
@@ -132,7 +132,7 @@
       usedBefore.pollFirstEntry();
     }
     boolean remembers = !grants.isEmpty() && nowNs - grantedNs < memoryNs;
-    return windows.values().stream().map(window -> window.use(mayTake, remembers, nowNs)).toList();
+    return windows.values().stream().map(window -> window.createReport(mayTake, remembers, nowNs)).toList();
   }
 
   private QuotaWindow window(CustomerId id) {
@@ -144,7 +144,7 @@
   private void tell(CustomerId id, QuotaWindow window, double used) {
     QuotaGrant grant = grants.get(id);
     if (grant != null) {
-      window.told(grant, used);
+      window.applyGrant(grant, used);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/Quarantine.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuarantineTracker.java
@@ -22,12 +22,12 @@
  * id, at any VM. The leader, which hears of all losses, says which are held; what it said last
  * holds on without it, and then what this VM saw itself counts too.
  */
-final class Quarantine {
+final class QuarantineTracker {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /** When a caller may ask again, in milliseconds; a hold that was wrong ends sooner. */
-  static final long RETRY_MS = 60_000;
+  static final long RETRY_AFTER_MS = 60_000;
 
   /**
    * How long this VM remembers what it saw, in milliseconds: for a leader that begins anew. The
@@ -45,7 +45,7 @@
   private static final int MOST_SERVED = 32;
 
   private final VmId vm;
-  private final LongPredicate leaderHeard;
+  private final LongPredicate hasLeader;
   private final LossTracker own = new LossTracker(MEMORY_MS);
   private final Map<Fingerprint, Long> servedNs = new LinkedHashMap<>();
   private final Map<Fingerprint, Long> trialsUntilNs = new HashMap<>();
@@ -57,22 +57,22 @@
   private long changedNs;
   private boolean untold;
 
-  Quarantine(VmId vm, LongPredicate leaderHeard) {
+  QuarantineTracker(VmId vm, LongPredicate leaderHeard) {
     this.vm = vm;
-    this.leaderHeard = leaderHeard;
+    this.hasLeader = leaderHeard;
   }
 
   /** Tells whether a request must not be sent to any upstream. */
-  boolean stops(TrackedForward request, long nowNs) {
+  boolean isQuarantined(ActiveRequest request, long nowNs) {
     if (knowsNone() || request.isTrial() || !isKnownScope(request.scope())) {
       return false;
     }
     Fingerprint print = request.fingerprint();
-    return held.contains(print) || (!leaderHeard.test(nowNs) && own.mustHold(print));
+    return held.contains(print) || (!hasLeader.test(nowNs) && own.mustHold(print));
   }
 
   /** Tells whether upstreams' connections lately ended under a request. */
-  boolean suspects(TrackedForward request) {
+  boolean isSuspect(ActiveRequest request) {
     if (knowsNone() || !isKnownScope(request.scope())) {
       return false;
     }
@@ -81,7 +81,7 @@
   }
 
   /** Uses the leader's leave to send a held request once; returns whether there is one. */
-  boolean takeTrial(TrackedForward request, long nowNs) {
+  boolean useTrialPermit(ActiveRequest request, long nowNs) {
     Long untilNs = trialsUntilNs.remove(request.fingerprint());
     boolean taken = untilNs != null && nowNs <= untilNs;
     if (taken) {
@@ -91,21 +91,21 @@
   }
 
   /** Takes the leader's leave to send a held request once. */
-  void allowed(ServingReply.Trial trial, long nowNs) {
+  void addTrialPermit(ServingReply.Trial trial, long nowNs) {
     trialsUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
     trialsUntilNs.put(trial.request(), nowNs + trial.forMs() * NS_PER_MS);
   }
 
   /** Notes that the connection to an upstream ended while it had a request. */
-  void lost(TrackedForward request, UpstreamIncarnation upstream, long nowNs) {
+  void recordLoss(ActiveRequest request, UpstreamIncarnation upstream, long nowNs) {
     own.recordLoss(request.fingerprint(), request.customer(), upstream, nowNs);
     servedNs.remove(request.fingerprint());
     changed(nowNs);
   }
 
   /** Notes that an upstream has answered a request whole and lives on: it harms nobody. */
-  void servedWhole(TrackedForward request, long nowNs) {
-    if (suspects(request)) {
+  void recordCompleted(ActiveRequest request, long nowNs) {
+    if (isSuspect(request)) {
       Fingerprint print = request.fingerprint();
       own.recordSuccess(print);
       servedNs.put(print, nowNs);
@@ -117,7 +117,7 @@
   }
 
   /** Takes what the leader says is held. */
-  void told(ServingReply.QuarantineUpdate update, long nowNs) {
+  void applyUpdate(ServingReply.QuarantineUpdate update, long nowNs) {
     fencing = update.fencing();
     revision = update.revision();
     Set<Fingerprint> newlyHeld = new HashSet<>(update.held());
@@ -153,19 +153,19 @@
   }
 
   /** Tells all anew to a leader that may not have heard it; forgets what is old. */
-  void tellAgain(boolean newLeader, long nowNs) {
+  void scheduleResend(boolean newLeader, long nowNs) {
     own.removeExpired(nowNs);
     boolean lately = nowNs - changedNs < TELL_AGAIN_NS;
     untold |= changedNs > 0 && (newLeader || lately);
   }
 
   /** Tells whether there is something that the leader hasn't been told. */
-  boolean hasReport() {
+  boolean hasPendingReport() {
     return untold;
   }
 
   /** Returns what the leader is to be told. */
-  ServingMessage.Losses report(long nowNs) {
+  ServingMessage.Losses createReport(long nowNs) {
     untold = false;
     servedNs.values().removeIf(atNs -> nowNs - atNs > TELL_AGAIN_NS);
     return new ServingMessage.Losses(vm, own.all(nowNs), List.copyOf(servedNs.keySet()));
--- a/core/src/main/java/org/teaseltrail/core/forward/LineBound.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QueueLengthLimiter.java
@@ -10,10 +10,10 @@
  * until its caller leaves, and told nothing it can act on. What can't be served at the line's pace
  * before its patience ends is told so at once, the least urgent first.
  */
-final class LineBound {
+final class QueueLengthLimiter {
 
   /** When a caller may come back that found no place: about a short answer's time. */
-  static final long PLACE_RETRY_MS = 400;
+  static final long NO_SLOT_RETRY_MS = 400;
 
   /** Longest such time; a third of the shortest deadline that callers honour it for. */
   private static final long LONGEST_RETRY_MS = 1_500;
@@ -32,7 +32,7 @@
 
   private static final double MS_PER_S = 1e3;
 
-  private final WaitingLine waiting;
+  private final RequestQueue waiting;
   private final IntSupplier ownPlaces;
 
   /**
@@ -42,27 +42,27 @@
    * @param ownPlaces counts the service's places that this VM may fill if it hears from no leader;
    *     asked only for a line that may be too long
    */
-  LineBound(WaitingLine waiting, IntSupplier ownPlaces) {
+  QueueLengthLimiter(RequestQueue waiting, IntSupplier ownPlaces) {
     this.waiting = waiting;
     this.ownPlaces = ownPlaces;
   }
 
   /** Returns the least urgent request of a line that is too long. */
-  Optional<TrackedForward> excess(long nowNs) {
+  Optional<ActiveRequest> findExcess(long nowNs) {
     if (waiting.size() <= LEAST_LINE) {
       return Optional.empty();
     }
-    return waiting.last().filter(last -> waiting.size() > pace(nowNs) * last.longestWaitS());
+    return waiting.leastUrgent().filter(last -> waiting.size() > pace(nowNs) * last.maxQueueWaitS());
   }
 
   /** Returns when a caller may come back for which the line is too long, in milliseconds. */
   long retryAfterMs(long nowNs) {
     long servedInMs = (long) (waiting.size() / pace(nowNs) * MS_PER_S);
-    return Math.max(PLACE_RETRY_MS, Math.min(LONGEST_RETRY_MS, servedInMs));
+    return Math.max(NO_SLOT_RETRY_MS, Math.min(LONGEST_RETRY_MS, servedInMs));
   }
 
   private double pace(long nowNs) {
     double usual = Math.max(LEAST_PACE_PER_S, PACE_OF_PLACE_PER_S * ownPlaces.getAsInt());
-    return Math.max(usual, waiting.pacePerSecond(nowNs));
+    return Math.max(usual, waiting.dispatchesPerSecond(nowNs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaHold.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaReservation.java
@@ -8,53 +8,53 @@
  * refused after a wait, their callers come back and spend it again, and the customer is refused as
  * over its quota though little of it was served.
  */
-abstract class QuotaHold {
+abstract class QuotaReservation {
 
   /** Holds nothing, for customers without a quota. */
-  static final QuotaHold NONE =
-      new QuotaHold() {
+  static final QuotaReservation NONE =
+      new QuotaReservation() {
         @Override
-        void sent(long nowNs) {}
+        void commit(long nowNs) {}
 
         @Override
         void notRun() {}
 
         @Override
-        void over() {}
+        void close() {}
       };
 
-  static QuotaHold of(QuotaWindow window, double amount) {
-    return new Held(window, amount);
+  static QuotaReservation of(QuotaWindow window, double amount) {
+    return new WindowReservation(window, amount);
   }
 
   /** Notes that the request is sent to an upstream. */
-  abstract void sent(long nowNs);
+  abstract void commit(long nowNs);
 
   /** Notes that it is known not to have run where it was sent. */
   abstract void notRun();
 
   /** Notes that the request is over: what was not used is free again. */
-  abstract void over();
+  abstract void close();
 
-  private static final class Held extends QuotaHold {
+  private static final class WindowReservation extends QuotaReservation {
     private final QuotaWindow window;
     private final double amount;
     private boolean used;
     private long usedNs;
 
-    Held(QuotaWindow window, double amount) {
+    WindowReservation(QuotaWindow window, double amount) {
       this.window = window;
       this.amount = amount;
       window.reserve(amount);
     }
 
     @Override
-    void sent(long nowNs) {
+    void commit(long nowNs) {
       if (!used) {
         used = true;
         usedNs = nowNs;
         window.release(amount);
-        window.take(amount, nowNs);
+        window.consume(amount, nowNs);
       }
     }
 
@@ -62,13 +62,13 @@
     void notRun() {
       if (used) {
         used = false;
-        window.giveBack(amount, usedNs);
+        window.refund(amount, usedNs);
         window.reserve(amount);
       }
     }
 
     @Override
-    void over() {
+    void close() {
       if (!used) {
         window.release(amount);
       }
--- a/core/src/main/java/org/teaseltrail/core/forward/ShortOfQuota.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaWaitQueue.java
@@ -13,7 +13,7 @@
  * <p>Guards against refusing callers that are within their quota: allowances are small, so that
  * little is set aside for a VM that dies, and a customer's requests don't come evenly.
  */
-final class ShortOfQuota {
+final class QuotaWaitQueue {
 
   /**
    * Least time that the leader's answer is waited for: some round trips between the users' regions.
@@ -28,9 +28,9 @@
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private final Map<Long, TrackedForward> waiting = new LinkedHashMap<>();
+  private final Map<Long, ActiveRequest> waiting = new LinkedHashMap<>();
 
-  void add(TrackedForward request) {
+  void add(ActiveRequest request) {
     waiting.put(request.number(), request);
   }
 
@@ -43,31 +43,31 @@
   }
 
   /** Takes all out, as they came. */
-  List<TrackedForward> takeAll() {
-    List<TrackedForward> taken = new ArrayList<>(waiting.values());
+  List<ActiveRequest> drain() {
+    List<ActiveRequest> taken = new ArrayList<>(waiting.values());
     waiting.clear();
     return taken;
   }
 
   /** Takes those out that have waited long enough. */
-  List<TrackedForward> takeOverdue(long nowNs) {
-    List<TrackedForward> overdue = new ArrayList<>();
-    waiting.values().stream().filter(request -> isOverdue(request, nowNs)).forEach(overdue::add);
+  List<ActiveRequest> pollExpired(long nowNs) {
+    List<ActiveRequest> overdue = new ArrayList<>();
+    waiting.values().stream().filter(request -> isExpired(request, nowNs)).forEach(overdue::add);
     overdue.forEach(request -> waiting.remove(request.number()));
     return overdue;
   }
 
   /** Tells whether a request has waited long enough. */
-  static boolean isOverdue(TrackedForward request, long nowNs) {
+  static boolean isExpired(ActiveRequest request, long nowNs) {
     return nowNs >= overdueNs(request);
   }
 
-  private static long overdueNs(TrackedForward request) {
+  private static long overdueNs(ActiveRequest request) {
     long objectiveNs = (long) (request.route().objectiveMs() * NS_PER_MS * OBJECTIVE_PART);
     return request.arrivedNs() + Math.max(LEAST_PATIENCE_NS, objectiveNs);
   }
 
   OptionalLong nextDueNs() {
-    return waiting.values().stream().mapToLong(ShortOfQuota::overdueNs).min();
+    return waiting.values().stream().mapToLong(QuotaWaitQueue::overdueNs).min();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
@@ -55,7 +55,7 @@
    * @param told the grant
    * @param usedBefore what was told as used in the sync that it answers
    */
-  void told(QuotaGrant told, double usedBefore) {
+  void applyGrant(QuotaGrant told, double usedBefore) {
     grant = told;
     holdable = usedBefore + told.allowance();
     wanted = 0;
@@ -77,13 +77,13 @@
       return QuotaVerdict.OVER;
     }
     if (amount > allowance(nowNs)) {
-      return within ? QuotaVerdict.SHORT_HERE : QuotaVerdict.OVER;
+      return within ? QuotaVerdict.NEEDS_ALLOWANCE : QuotaVerdict.OVER;
     }
-    return within ? QuotaVerdict.WITHIN : QuotaVerdict.TOLERATED;
+    return within ? QuotaVerdict.WITHIN : QuotaVerdict.WITHIN_TOLERANCE;
   }
 
   /** Notes that a request waits until the leader allows more. */
-  void want(double amount) {
+  void recordShortage(double amount) {
     wanted += amount;
   }
 
@@ -98,18 +98,18 @@
   }
 
   /** Counts an amount as used. */
-  void take(double amount, long nowNs) {
+  void consume(double amount, long nowNs) {
     history.add(amount, nowNs);
     takenEver += amount;
   }
 
   /** Takes back what was counted as used at a time, since the request did not run. */
-  void giveBack(double amount, long takenNs) {
+  void refund(double amount, long takenNs) {
     history.remove(amount, takenNs);
   }
 
   /** Returns the time until an amount may be within the quota, in milliseconds. */
-  long waitMs(double amount, long nowNs) {
+  long retryAfterMs(double amount, long nowNs) {
     double missing = used(nowNs) + grant.usedElsewhere() + amount - limit;
     double waitMs = missing * bounds.windowMs() / Math.max(1, limit);
     return Math.max(1, (long) Math.min(waitMs, bounds.windowMs()));
@@ -139,7 +139,7 @@
    * @param remembers whether what a leader counted for others may still matter
    * @param nowNs time
    */
-  QuotaReport use(boolean mayTake, boolean remembers, long nowNs) {
+  QuotaReport createReport(boolean mayTake, boolean remembers, long nowNs) {
     pass(nowNs);
     return new QuotaReport(
         customer,
--- a/core/src/main/java/org/teaseltrail/core/forward/LimitTies.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RateLimitClient.java
@@ -24,7 +24,7 @@
  * Tells the leader which limits upstreams name to this VM, asks for permits to send to them, and
  * takes over what other VMs heard.
  */
-final class LimitTies {
+final class RateLimitClient {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -41,7 +41,7 @@
   private static final int MOST_WANTED = 32;
 
   private final VmId vm;
-  private final UpstreamBook upstreams;
+  private final UpstreamTracker upstreams;
   private final RateLimitRegistry book = new RateLimitRegistry();
   private final Map<UpstreamIncarnation, Long> newsUntilNs = new HashMap<>();
   private final TreeMap<Long, Long> askedNs = new TreeMap<>();
@@ -49,7 +49,7 @@
   private long allToldNs;
   private long sequence;
 
-  LimitTies(VmId vm, UpstreamBook upstreams) {
+  RateLimitClient(VmId vm, UpstreamTracker upstreams) {
     this.vm = vm;
     this.upstreams = upstreams;
   }
@@ -61,7 +61,7 @@
    * answers that pass each other, or are read late and in any order after a freeze: one from before
    * the need would let all VMs send freely.
    */
-  boolean saw(UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
+  boolean recordRateLimit(UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
     if (!limit.isLimited() && dispatchedNs <= book.observedNs(upstream)) {
       return false;
     }
@@ -73,29 +73,29 @@
   }
 
   /** Takes what answers to other VMs said. */
-  void told(ServingReply.LimitUpdate update, long nowNs) {
+  void applyUpdate(ServingReply.LimitUpdate update, long nowNs) {
     for (RateLimitObservation sighting : update.sightings()) {
       note(sighting.upstream(), sighting.limit(), nowNs - sighting.agoMs() * NS_PER_MS);
     }
   }
 
   /** Takes permits, each for as long after the question as the leader says. */
-  void permitted(ServingReply.SendPermits permits) {
+  void applyPermits(ServingReply.SendPermits permits) {
     Long whenAskedNs = askedNs.remove(permits.sequence());
     if (whenAskedNs != null) {
       long untilNs = whenAskedNs + permits.forMs() * NS_PER_MS;
       for (SendPermit permit : permits.permits()) {
-        upstreams.backpressure(permit.upstream()).permitted(permit.requests(), untilNs);
+        upstreams.backpressure(permit.upstream()).addPermits(permit.requests(), untilNs);
       }
     }
   }
 
   /** Returns what the leader is to be told with a sync, if any limit is known. */
-  Optional<ServingMessage> report(FencingNumber leadership, WaitingLines lines, long nowNs) {
+  Optional<ServingMessage> createReport(FencingNumber leadership, RequestQueues lines, long nowNs) {
     if (book.isEmpty()) {
       return Optional.empty();
     }
-    book.removeStale(upstreams.lives(), nowNs).forEach(gone -> upstreams.markLimited(gone, false));
+    book.removeStale(upstreams.incarnations(), nowNs).forEach(gone -> upstreams.setLimited(gone, false));
     newsUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
     boolean all = !leadership.equals(toldTo) || nowNs - allToldNs > TELL_AGAIN_NS;
     allToldNs = all ? nowNs : allToldNs;
@@ -113,20 +113,20 @@
   private boolean note(UpstreamIncarnation upstream, RateLimit limit, long seenNs) {
     boolean changed = book.record(upstream, limit, seenNs);
     if (changed) {
-      upstreams.markLimited(upstream, limit.isLimited());
+      upstreams.setLimited(upstream, limit.isLimited());
     }
     return changed;
   }
 
   /** Wants as many permits as there are requests here, less those in hand. */
-  private List<PermitDemand> wanted(WaitingLines lines, long nowNs) {
+  private List<PermitDemand> wanted(RequestQueues lines, long nowNs) {
     Set<ServiceId> services = new HashSet<>();
     upstreams.limited().forEach(view -> services.add(view.registration().service()));
     List<PermitDemand> wanted = new ArrayList<>();
     for (ServiceId service : services) {
       int here = lines.of(service).size();
-      for (UpstreamView view : upstreams.of(service)) {
-        here += view.own() - view.backpressure().permits(nowNs);
+      for (UpstreamState view : upstreams.of(service)) {
+        here += view.ownInFlight() - view.backpressure().permits(nowNs);
       }
       if (here > 0) {
         int requests = Math.min(MOST_WANTED, here);
--- a/core/src/main/java/org/teaseltrail/core/forward/Refusal.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RefusalReason.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.forward;
 
 /** Says why a request ends without an upstream's answer, and whether it may have run. */
-public enum Refusal {
+public enum RefusalReason {
   /** No route takes it. */
   NO_ROUTE(false),
   /** Its key is missing or unknown. */
@@ -27,7 +27,7 @@
 
   private final boolean maybeRan;
 
-  Refusal(boolean maybeRan) {
+  RefusalReason(boolean maybeRan) {
     this.maybeRan = maybeRan;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/WaitingLine.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestQueue.java
@@ -18,7 +18,7 @@
  * Holds requests that wait for a place at a service's upstreams, by {@link Urgency}, then as they
  * came.
  */
-final class WaitingLine {
+final class RequestQueue {
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final long NS_PER_S = 1_000_000_000L;
@@ -26,17 +26,17 @@
   /** Time over which the pace of the line is measured; longer than a burst's first moment. */
   private static final long PACE_WINDOW_NS = 2 * NS_PER_S;
 
-  private static final Comparator<TrackedForward> ORDER =
-      Comparator.comparing(TrackedForward::urgency).thenComparingLong(TrackedForward::number);
+  private static final Comparator<ActiveRequest> ORDER =
+      Comparator.comparing(ActiveRequest::urgency).thenComparingLong(ActiveRequest::number);
 
-  private final TreeSet<TrackedForward> waiting = new TreeSet<>(ORDER);
+  private final TreeSet<ActiveRequest> waiting = new TreeSet<>(ORDER);
   private final Deque<Long> servedNs = new ArrayDeque<>();
 
-  void add(TrackedForward tracked) {
+  void add(ActiveRequest tracked) {
     waiting.add(tracked);
   }
 
-  void remove(TrackedForward tracked) {
+  void remove(ActiveRequest tracked) {
     waiting.remove(tracked);
   }
 
@@ -49,7 +49,7 @@
   }
 
   /** Returns what waits, the most urgent first. */
-  List<TrackedForward> all() {
+  List<ActiveRequest> all() {
     return List.copyOf(waiting);
   }
 
@@ -59,11 +59,11 @@
   }
 
   /** Takes out, the most urgent first, those that a place is found for. */
-  void serve(Predicate<TrackedForward> place, long nowNs) {
-    moveLate(nowNs);
-    Iterator<TrackedForward> inOrder = waiting.iterator();
+  void dispatchReady(Predicate<ActiveRequest> place, long nowNs) {
+    demoteLate(nowNs);
+    Iterator<ActiveRequest> inOrder = waiting.iterator();
     while (inOrder.hasNext()) {
-      TrackedForward request = inOrder.next();
+      ActiveRequest request = inOrder.next();
       if (place.test(request)) {
         inOrder.remove();
         served(nowNs);
@@ -76,11 +76,11 @@
    *
    * @return whether there is one
    */
-  boolean serveOne(Urgency meantFor, Predicate<TrackedForward> place, long nowNs) {
-    moveLate(nowNs);
-    Stream<TrackedForward> meant =
+  boolean dispatchOne(Urgency meantFor, Predicate<ActiveRequest> place, long nowNs) {
+    demoteLate(nowNs);
+    Stream<ActiveRequest> meant =
         waiting.stream().filter(tracked -> tracked.urgency().equals(meantFor));
-    Optional<TrackedForward> served =
+    Optional<ActiveRequest> served =
         Stream.concat(meant, waiting.stream()).filter(place).findFirst();
     served.ifPresent(waiting::remove);
     served.ifPresent(request -> served(nowNs));
@@ -88,9 +88,9 @@
   }
 
   /** Tells what waits by urgency, the most urgent first. */
-  List<QueueState.WaitTimes> byUrgency(long nowNs) {
+  List<QueueState.WaitTimes> waitTimesByUrgency(long nowNs) {
     TreeMap<Urgency, List<Long>> waits = new TreeMap<>();
-    for (TrackedForward tracked : waiting) {
+    for (ActiveRequest tracked : waiting) {
       long waitedMs = (nowNs - tracked.arrivedNs()) / NS_PER_MS;
       waits.computeIfAbsent(tracked.urgency(), key -> new ArrayList<>()).add(waitedMs);
     }
@@ -106,22 +106,22 @@
   }
 
   /** Returns how many requests find a place in a second. */
-  double pacePerSecond(long nowNs) {
+  double dispatchesPerSecond(long nowNs) {
     forget(nowNs);
     return servedNs.size() * (double) NS_PER_S / PACE_WINDOW_NS;
   }
 
   /** Returns the request to be given up first: the least urgent, the newest among its equals. */
-  Optional<TrackedForward> last() {
+  Optional<ActiveRequest> leastUrgent() {
     return waiting.isEmpty() ? Optional.empty() : Optional.of(waiting.last());
   }
 
   /** Puts those that can no longer be answered on time behind the others. */
-  void moveLate(long nowNs) {
-    List<TrackedForward> turned = new ArrayList<>();
-    waiting.stream().filter(tracked -> tracked.turnsLate(nowNs)).forEach(turned::add);
+  void demoteLate(long nowNs) {
+    List<ActiveRequest> turned = new ArrayList<>();
+    waiting.stream().filter(tracked -> tracked.isBecomingLate(nowNs)).forEach(turned::add);
     waiting.removeAll(turned);
-    turned.forEach(TrackedForward::markLate);
+    turned.forEach(ActiveRequest::markLate);
     waiting.addAll(turned);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/WaitingLines.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestQueues.java
@@ -10,47 +10,47 @@
 import org.teaseltrail.core.serving.QueueState;
 
 /** Holds the lines of all services, and knows who serves them: this VM or the leader. */
-final class WaitingLines {
+final class RequestQueues {
 
-  private final SlotTies slots;
-  private final PlacementRule placement;
-  private final VersionGate gate;
+  private final SlotGrantTracker slots;
+  private final LoadBalancingPolicy placement;
+  private final VersionRouter gate;
   private final Predicate<ServiceId> isEngine;
-  private final Map<ServiceId, WaitingLine> lines = new HashMap<>();
+  private final Map<ServiceId, RequestQueue> lines = new HashMap<>();
 
-  WaitingLines(
-      SlotTies slots, PlacementRule placement, VersionGate gate, Predicate<ServiceId> isEngine) {
+  RequestQueues(
+      SlotGrantTracker slots, LoadBalancingPolicy placement, VersionRouter gate, Predicate<ServiceId> isEngine) {
     this.slots = slots;
     this.placement = placement;
     this.gate = gate;
     this.isEngine = isEngine;
   }
 
-  WaitingLine of(ServiceId service) {
-    return lines.computeIfAbsent(service, key -> new WaitingLine());
+  RequestQueue of(ServiceId service) {
+    return lines.computeIfAbsent(service, key -> new RequestQueue());
   }
 
   List<ServiceId> services() {
     return List.copyOf(lines.keySet());
   }
 
-  void add(TrackedForward request) {
+  void add(ActiveRequest request) {
     of(request.service()).add(request);
-    slots.lineChanged(request.service());
+    slots.onQueueChanged(request.service());
   }
 
-  void remove(TrackedForward request) {
+  void remove(ActiveRequest request) {
     of(request.service()).remove(request);
   }
 
   /** Tells whether the leader hands out a service's places. */
-  boolean isArbitrated(ServiceId service, long nowNs) {
-    return slots.isArbitrated(service, nowNs);
+  boolean isLeaderAllocated(ServiceId service, long nowNs) {
+    return slots.isLeaderAllocated(service, nowNs);
   }
 
   /** Tells whether a request that comes must let others go first, here or at other VMs. */
-  boolean hasOthersFirst(ServiceId service, long nowNs) {
-    return !of(service).isEmpty() || isArbitrated(service, nowNs);
+  boolean hasQueuedAhead(ServiceId service, long nowNs) {
+    return !of(service).isEmpty() || isLeaderAllocated(service, nowNs);
   }
 
   /** Tells whether any request waits for a place. */
@@ -59,7 +59,7 @@
   }
 
   /** Tells what waits for engines. */
-  List<QueueState> states(long nowNs) {
+  List<QueueState> queueStates(long nowNs) {
     List<QueueState> states = new ArrayList<>();
     lines.forEach(
         (service, waiting) -> {
@@ -67,9 +67,9 @@
             states.add(
                 new QueueState(
                     service,
-                    waiting.byUrgency(nowNs),
+                    waiting.waitTimesByUrgency(nowNs),
                     unwanted(service, nowNs),
-                    placement.slow(gate.open(service), nowNs)));
+                    placement.slow(gate.routableUpstreams(service), nowNs)));
           }
         });
     return states;
@@ -80,7 +80,7 @@
    */
   private List<UpstreamId> unwanted(ServiceId service, long nowNs) {
     List<UpstreamId> unwanted = new ArrayList<>(slots.unwanted(service));
-    unwanted.addAll(gate.takingNone(service, nowNs));
+    unwanted.addAll(gate.unavailableUpstreams(service, nowNs));
     return unwanted;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/RetryBudget.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RetryBudget.java
@@ -29,7 +29,7 @@
   }
 
   /** Takes one repeat if the budget allows it. */
-  boolean take(double ownSlack, long nowNs) {
+  boolean tryAcquire(double ownSlack, long nowNs) {
     forget(nowNs);
     double allowed = USED_PART * (ratio * requestsNs.size() + ownSlack);
     if (repeatsNs.size() + 1 > allowed) {
--- a/core/src/main/java/org/teaseltrail/core/forward/Repeats.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RetryPolicy.java
@@ -8,20 +8,20 @@
  * Says which requests may be tried again at another upstream: where their route allows it, some
  * upstream is left, and the budget of repeats that all VMs share has room.
  */
-final class Repeats {
+final class RetryPolicy {
 
   /** Attempts at most, those that reached nobody among them. */
   private static final int MAX_ATTEMPTS = 5;
 
   private final ForwardSettings settings;
-  private final PlacementRule placement;
-  private final VersionGate gate;
-  private final Quarantine quarantine;
+  private final LoadBalancingPolicy placement;
+  private final VersionRouter gate;
+  private final QuarantineTracker quarantine;
   private final Map<ServiceId, RetryBudget> budgets = new HashMap<>();
   private int vmCount = 1;
 
-  Repeats(
-      ForwardSettings settings, PlacementRule placement, VersionGate gate, Quarantine quarantine) {
+  RetryPolicy(
+      ForwardSettings settings, LoadBalancingPolicy placement, VersionRouter gate, QuarantineTracker quarantine) {
     this.settings = settings;
     this.placement = placement;
     this.gate = gate;
@@ -34,23 +34,23 @@
   }
 
   /** Notes a request that is owed a place. */
-  void requested(ServiceId service, long nowNs) {
+  void recordRequest(ServiceId service, long nowNs) {
     budget(service).request(nowNs);
   }
 
   /** Tells whether a request whose attempt has ended may be tried again, and counts that. */
-  boolean take(TrackedForward request, AttemptEnd end, long nowNs) {
+  boolean tryAcquire(ActiveRequest request, AttemptOutcome end, long nowNs) {
     boolean mayRepeat = !end.maybeRan() || request.route().canRetry();
     boolean attemptsLeft =
         request.sends() < request.route().maxAttempts() && request.attempts() < MAX_ATTEMPTS;
-    boolean timeLeft = nowNs < request.patientUntilNs();
-    boolean elsewhere = placement.hasUsable(request, gate.open(request.service()));
-    boolean held = request.isTrial() || quarantine.stops(request, nowNs);
+    boolean timeLeft = nowNs < request.callerWaitsUntilNs();
+    boolean elsewhere = placement.hasCandidate(request, gate.routableUpstreams(request.service()));
+    boolean held = request.isTrial() || quarantine.isQuarantined(request, nowNs);
     if (!mayRepeat || !attemptsLeft || !timeLeft || !elsewhere || held) {
       return false;
     }
     double ownSlack = settings.retrySlack() / vmCount;
-    return !end.wasSent() || budget(request.service()).take(ownSlack, nowNs);
+    return !end.wasSent() || budget(request.service()).tryAcquire(ownSlack, nowNs);
   }
 
   private RetryBudget budget(ServiceId service) {
--- a/core/src/main/java/org/teaseltrail/core/forward/SlotTies.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/SlotGrantTracker.java
@@ -17,7 +17,7 @@
  * their objective though upstreams have room. Without a word from the leader for a short while the
  * VM places by itself again.
  */
-final class SlotTies {
+final class SlotGrantTracker {
 
   /**
    * Silence after which the leader's word no longer counts: six of the syncs of a VM that waits.
@@ -54,12 +54,12 @@
   }
 
   /** Tells whether requests of a service wait for the leader's grants. */
-  boolean isArbitrated(ServiceId service, long nowNs) {
+  boolean isLeaderAllocated(ServiceId service, long nowNs) {
     return contended.contains(service) && nowNs - heardNs <= HEARD_NS;
   }
 
   /** Tells whether the leader wants to know what waits here. */
-  boolean isAnyContended() {
+  boolean hasContendedService() {
     return !contended.isEmpty();
   }
 
@@ -73,7 +73,7 @@
   }
 
   /** Notes that what waits has changed, so that any upstream may be of use again. */
-  void lineChanged(ServiceId service) {
+  void onQueueChanged(ServiceId service) {
     unwanted.remove(service);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/PlaceCount.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/SlotUsageCounter.java
@@ -7,21 +7,21 @@
 import org.teaseltrail.core.serving.SlotUsage;
 
 /** Counts the places that requests of each kind hold. */
-final class PlaceCount {
+final class SlotUsageCounter {
 
   private record Kind(ServiceId service, int routeRank) {}
 
   private final Map<Kind, Integer> places = new HashMap<>();
 
-  void taken(TrackedForward request) {
+  void acquire(ActiveRequest request) {
     places.merge(kind(request), 1, Integer::sum);
   }
 
-  void freed(TrackedForward request) {
+  void release(ActiveRequest request) {
     places.computeIfPresent(kind(request), (kind, count) -> count > 1 ? count - 1 : null);
   }
 
-  List<SlotUsage> all() {
+  List<SlotUsage> snapshot() {
     return places.entrySet().stream()
         .map(
             entry ->
@@ -30,7 +30,7 @@
         .toList();
   }
 
-  private static Kind kind(TrackedForward request) {
+  private static Kind kind(ActiveRequest request) {
     return new Kind(request.service(), request.route().priority());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamView.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamState.java
@@ -7,7 +7,7 @@
  * Is what this VM believes of one upstream: what it has there itself, what the others have, and how
  * its answers went.
  */
-final class UpstreamView {
+final class UpstreamState {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -50,24 +50,24 @@
   /** Time in which what an upstream's answers showed loses two thirds of its weight. */
   private static final double FORGETTING_NS = 3_000 * NS_PER_MS;
 
-  private final Backpressure backpressure;
+  private final BackpressureState backpressure;
   private Registration registration;
-  private int own;
+  private int ownInFlight;
   private int unread;
   private int elsewhere;
   private long elsewhereToldNs;
-  private OptionalInt ownPart = OptionalInt.empty();
+  private OptionalInt ownShare = OptionalInt.empty();
   private long placesToldNs;
-  private double goodShare = 1;
+  private double successRate = 1;
   private int failuresInRow;
   private long avoidedUntilNs;
   private boolean avoided;
   private boolean misdirected;
-  private double paceMs;
+  private double eventLatencyMs;
   private long pacedNs;
   private long answeredNs;
 
-  UpstreamView(Registration registration, Backpressure backpressure) {
+  UpstreamState(Registration registration, BackpressureState backpressure) {
     this.registration = registration;
     this.backpressure = backpressure;
   }
@@ -76,7 +76,7 @@
     return registration;
   }
 
-  Backpressure backpressure() {
+  BackpressureState backpressure() {
     return backpressure;
   }
 
@@ -90,9 +90,9 @@
   }
 
   /** Takes what the leader tells: what the others have there, and this VM's part of the places. */
-  void placesTold(int othersHave, int part, long nowNs) {
+  void updateSlots(int othersHave, int part, long nowNs) {
     elsewhere(othersHave, nowNs);
-    ownPart = OptionalInt.of(part);
+    ownShare = OptionalInt.of(part);
     placesToldNs = nowNs;
   }
 
@@ -102,19 +102,19 @@
    * @param fill requests, in relation to places, beyond which it has none
    * @param nowNs time
    */
-  boolean hasRoom(double fill, long nowNs) {
-    boolean alone = ownPart.isEmpty() || nowNs - placesToldNs > ALONE_NS;
-    boolean beyondOwnPart = alone && own >= fill * ownPart();
+  boolean hasCapacity(double fill, long nowNs) {
+    boolean alone = ownShare.isEmpty() || nowNs - placesToldNs > ALONE_NS;
+    boolean beyondOwnPart = alone && ownInFlight >= fill * ownShare();
     return !beyondOwnPart && load(nowNs) < fill * Math.max(1, registration.slots());
   }
 
   /** Returns how many of its places this VM may fill if it hears from no leader. */
-  int ownPart() {
-    return ownPart.orElse(UNTOLD_PART);
+  int ownShare() {
+    return ownShare.orElse(UNTOLD_PART);
   }
 
-  int own() {
-    return own;
+  int ownInFlight() {
+    return ownInFlight;
   }
 
   /**
@@ -126,17 +126,17 @@
    */
   double load(long nowNs) {
     double ageNs = Math.max(0, nowNs - elsewhereToldNs - FRESH_NS);
-    return own + elsewhere * Math.exp(-ageNs / FADING_NS);
+    return ownInFlight + elsewhere * Math.exp(-ageNs / FADING_NS);
   }
 
-  void sent() {
-    backpressure.sent();
-    own++;
+  void recordSent() {
+    backpressure.recordSent();
+    ownInFlight++;
     unread++;
   }
 
   /** Takes in that a prompt was read, or that there is nothing more to read it for. */
-  void read() {
+  void recordPromptRead() {
     unread--;
   }
 
@@ -146,30 +146,30 @@
   }
 
   /** Takes an attempt's end in. */
-  void ended(AttemptEnd end, long nowNs) {
-    own--;
-    if (end == AttemptEnd.WITHHELD) {
+  void recordOutcome(AttemptOutcome end, long nowNs) {
+    ownInFlight--;
+    if (end == AttemptOutcome.WITHHELD) {
       return;
     }
-    if (end == AttemptEnd.MISDIRECTED) {
+    if (end == AttemptOutcome.MISDIRECTED) {
       misdirected = true;
       return;
     }
-    double before = goodShare(nowNs);
-    goodShare = before + OUTCOME_WEIGHT * ((end.isFailure() ? 0 : 1) - before);
-    goodShare = Math.max(LEAST_GOOD_SHARE, goodShare);
+    double before = successRate(nowNs);
+    successRate = before + OUTCOME_WEIGHT * ((end.isFailure() ? 0 : 1) - before);
+    successRate = Math.max(LEAST_GOOD_SHARE, successRate);
     answeredNs = nowNs;
-    boolean silent = end == AttemptEnd.NOT_CONNECTED || end == AttemptEnd.BROKEN;
+    boolean silent = end == AttemptOutcome.NOT_CONNECTED || end == AttemptOutcome.BROKEN;
     if (!silent) {
       failuresInRow = 0;
       avoided = false;
       return;
     }
-    avoid(nowNs);
+    eject(nowNs);
   }
 
   /** Takes a timeout or another doubt in: nothing is sent there for a while. */
-  void avoid(long nowNs) {
+  void eject(long nowNs) {
     long avoidanceMs =
         Math.min(LONGEST_AVOIDANCE_MS, FIRST_AVOIDANCE_MS << Math.min(failuresInRow, 4));
     failuresInRow++;
@@ -179,7 +179,7 @@
 
   /** Takes the end of an attempt that the caller or this VM broke off. */
   void cancelled() {
-    own--;
+    ownInFlight--;
   }
 
   boolean isMisdirected() {
@@ -187,24 +187,24 @@
   }
 
   /** Returns whether requests go there now unless there is nothing better. */
-  boolean isTrusted(long nowNs) {
+  boolean isEligible(long nowNs) {
     return !avoided || nowNs >= avoidedUntilNs;
   }
 
   /** Takes the time that a part of an answer took. */
-  void pace(double elapsedMs, long nowNs) {
-    paceMs = paceMs == 0 ? elapsedMs : paceMs + PACE_WEIGHT * (elapsedMs - paceMs);
+  void recordEventLatency(double elapsedMs, long nowNs) {
+    eventLatencyMs = eventLatencyMs == 0 ? elapsedMs : eventLatencyMs + PACE_WEIGHT * (elapsedMs - eventLatencyMs);
     pacedNs = nowNs;
   }
 
   /** Returns how far the measured pace still counts, from 1 when it is new down to 0. */
-  double paceWeight(long nowNs) {
+  double eventLatencyWeight(long nowNs) {
     return Math.exp(-Math.max(0, nowNs - pacedNs) / FORGETTING_NS);
   }
 
   /** Returns the time that a part of an answer takes, in milliseconds; 0 if none is known. */
-  double paceMs() {
-    return paceMs;
+  double eventLatencyMs() {
+    return eventLatencyMs;
   }
 
   /**
@@ -214,8 +214,8 @@
    * as a healthy upstream without work while the others are full. Without new answers the belief
    * goes back to good by itself, and a request tries the upstream again.
    */
-  double goodShare(long nowNs) {
+  double successRate(long nowNs) {
     double weight = Math.exp(-Math.max(0, nowNs - answeredNs) / FORGETTING_NS);
-    return 1 - (1 - goodShare) * weight;
+    return 1 - (1 - successRate) * weight;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamBook.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamTracker.java
@@ -18,15 +18,15 @@
 import org.teaseltrail.core.serving.UpstreamSlots;
 
 /** Holds this VM's views of all registered upstreams. */
-final class UpstreamBook {
+final class UpstreamTracker {
 
   /** Lives of which it is remembered what they asked for, though their registration has lapsed. */
   private static final int MOST_LAPSED = 1_000;
 
-  private final Map<UpstreamId, UpstreamView> views = new LinkedHashMap<>();
-  private final Map<UpstreamIncarnation, Backpressure> asked = new LinkedHashMap<>();
-  private Map<ServiceId, List<UpstreamView>> byService = Map.of();
-  private List<UpstreamView> inOrder = List.of();
+  private final Map<UpstreamId, UpstreamState> views = new LinkedHashMap<>();
+  private final Map<UpstreamIncarnation, BackpressureState> asked = new LinkedHashMap<>();
+  private Map<ServiceId, List<UpstreamState>> byService = Map.of();
+  private List<UpstreamState> inOrder = List.of();
   private long revision = -1;
   private long latestBackoffEndNs = Long.MIN_VALUE;
   private int limitedLives;
@@ -48,12 +48,12 @@
     Map<UpstreamId, Registration> newer = new LinkedHashMap<>();
     present.forEach(registration -> newer.put(registration.id(), registration));
     views.keySet().retainAll(newer.keySet());
-    Map<ServiceId, List<UpstreamView>> grouped = new HashMap<>();
+    Map<ServiceId, List<UpstreamState>> grouped = new HashMap<>();
     newer.forEach(
         (id, registration) -> {
-          UpstreamView view = views.get(id);
+          UpstreamState view = views.get(id);
           if (view == null || !view.registration().upstreamIncarnation().equals(registration.upstreamIncarnation())) {
-            view = new UpstreamView(registration, backpressure(registration.upstreamIncarnation()));
+            view = new UpstreamState(registration, backpressure(registration.upstreamIncarnation()));
             views.put(id, view);
           }
           view.update(registration);
@@ -65,7 +65,7 @@
   }
 
   private void forgetLapsed() {
-    Set<UpstreamIncarnation> present = lives();
+    Set<UpstreamIncarnation> present = incarnations();
     int most = present.size() + MOST_LAPSED;
     Iterator<UpstreamIncarnation> eldestFirst = asked.keySet().iterator();
     while (asked.size() > most && eldestFirst.hasNext()) {
@@ -78,101 +78,101 @@
   }
 
   /** Takes that an upstream wants nothing for a while; returns whether it wasn't so already. */
-  boolean backOff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
-    Backpressure asking = backpressure(upstream);
-    boolean news = asking.backOff(backoffMs, nowNs);
-    latestBackoffEndNs = Math.max(latestBackoffEndNs, asking.backoffUntilNs());
+  boolean startBackoff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
+    BackpressureState asking = backpressure(upstream);
+    boolean news = asking.startBackoff(backoffMs, nowNs);
+    latestBackoffEndNs = Math.max(latestBackoffEndNs, asking.backoffEndNs());
     return news;
   }
 
   /** Takes that an upstream is about to leave; returns whether that is news. */
-  boolean leave(UpstreamIncarnation upstream) {
+  boolean markLeaving(UpstreamIncarnation upstream) {
     anyLeaves = true;
-    return backpressure(upstream).leave();
+    return backpressure(upstream).markLeaving();
   }
 
   /** Tells whether any upstream may take nothing now, so that each must be looked at. */
-  boolean mayTakeNone(long nowNs) {
-    return anyLeaves || mayBeBackedOff(nowNs);
+  boolean mayHaveUnavailable(long nowNs) {
+    return anyLeaves || mayHaveBackedOff(nowNs);
   }
 
   /** Tells whether any upstream may be backed off now, so that each must be looked at. */
-  boolean mayBeBackedOff(long nowNs) {
+  boolean mayHaveBackedOff(long nowNs) {
     return nowNs < latestBackoffEndNs;
   }
 
   /** Takes whether an upstream names a limit. */
-  void markLimited(UpstreamIncarnation upstream, boolean isLimited) {
-    Backpressure asking = backpressure(upstream);
+  void setLimited(UpstreamIncarnation upstream, boolean isLimited) {
+    BackpressureState asking = backpressure(upstream);
     if (asking.isLimited() != isLimited) {
       limitedLives += isLimited ? 1 : -1;
-      asking.limited(isLimited);
+      asking.setLimited(isLimited);
     }
   }
 
   /** Tells whether any upstream names a limit, so that each must be looked at. */
-  boolean anyLimited() {
+  boolean hasLimited() {
     return limitedLives > 0;
   }
 
   /** Returns what a life of an upstream has asked for. */
-  Backpressure backpressure(UpstreamIncarnation upstream) {
-    return asked.computeIfAbsent(upstream, key -> new Backpressure());
+  BackpressureState backpressure(UpstreamIncarnation upstream) {
+    return asked.computeIfAbsent(upstream, key -> new BackpressureState());
   }
 
   /** Returns the lives of all registered upstreams. */
-  Set<UpstreamIncarnation> lives() {
+  Set<UpstreamIncarnation> incarnations() {
     return inOrder.stream().map(view -> view.registration().upstreamIncarnation()).collect(Collectors.toSet());
   }
 
   /** Returns the registered upstreams that have named limits. */
-  List<UpstreamView> limited() {
+  List<UpstreamState> limited() {
     return inOrder.stream().filter(view -> view.backpressure().isLimited()).toList();
   }
 
   /** Takes what the leader tells of the places at the upstreams of a revision. */
-  void placesTold(UpstreamSlots places, long ofRevision, long nowNs) {
+  void updateSlots(UpstreamSlots places, long ofRevision, long nowNs) {
     boolean ofThese = ofRevision == revision && places.elsewhere().size() == inOrder.size();
     if (places.isNone() || !ofThese) {
       return;
     }
     for (int i = 0; i < inOrder.size(); i++) {
-      inOrder.get(i).placesTold(places.elsewhere().get(i), places.ownParts().get(i), nowNs);
+      inOrder.get(i).updateSlots(places.elsewhere().get(i), places.ownParts().get(i), nowNs);
     }
   }
 
   /** Corrects what the others have at an upstream by what it has told itself. */
-  void loadTold(UpstreamId upstream, int requests, long nowNs) {
-    UpstreamView view = views.get(upstream);
+  void recordLoad(UpstreamId upstream, int requests, long nowNs) {
+    UpstreamState view = views.get(upstream);
     if (view != null) {
-      view.elsewhere(Math.max(0, requests - view.own()), nowNs);
+      view.elsewhere(Math.max(0, requests - view.ownInFlight()), nowNs);
     }
   }
 
-  void pace(UpstreamId upstream, double elapsedMs, long nowNs) {
-    UpstreamView view = views.get(upstream);
+  void recordEventLatency(UpstreamId upstream, double elapsedMs, long nowNs) {
+    UpstreamState view = views.get(upstream);
     if (view != null) {
-      view.pace(elapsedMs, nowNs);
+      view.recordEventLatency(elapsedMs, nowNs);
     }
   }
 
-  Optional<UpstreamView> find(UpstreamId upstream) {
+  Optional<UpstreamState> find(UpstreamId upstream) {
     return Optional.ofNullable(views.get(upstream));
   }
 
-  Collection<UpstreamView> of(ServiceId service) {
+  Collection<UpstreamState> of(ServiceId service) {
     return byService.getOrDefault(service, List.of());
   }
 
   Map<UpstreamId, Integer> inFlight() {
-    return positive(UpstreamView::own);
+    return positive(UpstreamState::ownInFlight);
   }
 
   Map<UpstreamId, Integer> unread() {
-    return positive(UpstreamView::unread);
+    return positive(UpstreamState::unread);
   }
 
-  private Map<UpstreamId, Integer> positive(ToIntFunction<UpstreamView> count) {
+  private Map<UpstreamId, Integer> positive(ToIntFunction<UpstreamState> count) {
     Map<UpstreamId, Integer> counts = new HashMap<>();
     views.forEach(
         (id, view) -> {
--- a/core/src/main/java/org/teaseltrail/core/forward/VersionGate.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/VersionRouter.java
@@ -24,23 +24,23 @@
  * Knows, at this VM, which upstreams requests may go to by their version, and takes part in the
  * rollouts that run. Without any rollout it costs a look into an empty map.
  */
-final class VersionGate {
+final class VersionRouter {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Open(long registryRevision, List<UpstreamView> views) {}
+  private record Open(long registryRevision, List<UpstreamState> views) {}
 
   private final VmId vm;
   private final Incarnation incarnation;
-  private final UpstreamBook upstreams;
+  private final UpstreamTracker upstreams;
   private final Map<ServiceId, Rollout> rollouts = new HashMap<>();
-  private final Map<ServiceId, CanaryPart> parts = new HashMap<>();
-  private final Map<ServiceId, Open> open = new HashMap<>();
+  private final Map<ServiceId, CanaryTracker> parts = new HashMap<>();
+  private final Map<ServiceId, Open> routableUpstreams = new HashMap<>();
   private long revision;
   private long askedSequence;
   private long askedNs;
 
-  VersionGate(VmId vm, Incarnation incarnation, UpstreamBook upstreams) {
+  VersionRouter(VmId vm, Incarnation incarnation, UpstreamTracker upstreams) {
     this.vm = vm;
     this.incarnation = incarnation;
     this.upstreams = upstreams;
@@ -51,21 +51,21 @@
   }
 
   /** Takes the newest rollouts over. */
-  void told(ServingReply.RolloutUpdate update) {
+  void applyUpdate(ServingReply.RolloutUpdate update) {
     if (update.revision() <= revision) {
       return;
     }
     revision = update.revision();
-    open.clear();
+    routableUpstreams.clear();
     rollouts.clear();
     for (Rollout rollout : update.rollouts()) {
       ServiceId service = rollout.order().service();
       rollouts.put(service, rollout);
-      CanaryPart part = parts.get(service);
+      CanaryTracker part = parts.get(service);
       if (!rollout.phase().isOpen()) {
         parts.remove(service);
-      } else if (part == null || !part.isOf(rollout)) {
-        parts.put(service, new CanaryPart(rollout));
+      } else if (part == null || !part.belongsTo(rollout)) {
+        parts.put(service, new CanaryTracker(rollout));
       }
     }
   }
@@ -83,63 +83,63 @@
   }
 
   /** Returns what the leader is to be told with a sync, if a rollout runs. */
-  Optional<ServingMessage> report(FencingNumber leadership, long nowNs) {
+  Optional<ServingMessage> createReport(FencingNumber leadership, long nowNs) {
     if (parts.isEmpty()) {
       return Optional.empty();
     }
     askedSequence++;
     askedNs = nowNs;
     List<RolloutReport> uses =
-        parts.values().stream().map(part -> part.use(leadership, nowNs)).toList();
+        parts.values().stream().map(part -> part.createReport(leadership, nowNs)).toList();
     return Optional.of(new ServingMessage.Rollouts(vm, incarnation, askedSequence, uses));
   }
 
   /** Returns a service's upstreams whose version all requests may go to. */
-  Collection<UpstreamView> open(ServiceId service) {
+  Collection<UpstreamState> routableUpstreams(ServiceId service) {
     Rollout rollout = rollouts.get(service);
     if (rollout == null) {
       return upstreams.of(service);
     }
-    Open known = open.get(service);
+    Open known = routableUpstreams.get(service);
     if (known == null || known.registryRevision() != upstreams.revision()) {
       known = new Open(upstreams.revision(), free(service, rollout));
-      open.put(service, known);
+      routableUpstreams.put(service, known);
     }
     return known.views();
   }
 
   /** Returns how many places of a service this VM may fill if it hears from no leader. */
-  int ownPlaces(ServiceId service, long nowNs) {
-    return open(service).stream()
+  int ownSlots(ServiceId service, long nowNs) {
+    return routableUpstreams(service).stream()
         .filter(view -> !view.backpressure().isThrottled(nowNs))
-        .mapToInt(UpstreamView::ownPart)
+        .mapToInt(UpstreamState::ownShare)
         .sum();
   }
 
   /** Returns those of the open upstreams that take nothing now, as they are backed off or leave. */
-  List<UpstreamId> takingNone(ServiceId service, long nowNs) {
-    if (!upstreams.mayTakeNone(nowNs)) {
+  List<UpstreamId> unavailableUpstreams(ServiceId service, long nowNs) {
+    if (!upstreams.mayHaveUnavailable(nowNs)) {
       return List.of();
     }
-    return open(service).stream()
-        .filter(view -> view.backpressure().takesNone(nowNs))
+    return routableUpstreams(service).stream()
+        .filter(view -> view.backpressure().isUnavailable(nowNs))
         .map(view -> view.registration().id())
         .toList();
   }
 
   /** Returns those of the open upstreams with limits for which this VM has a permit now. */
-  List<UpstreamView> permitted(ServiceId service, long nowNs) {
-    if (!upstreams.anyLimited()) {
+  List<UpstreamState> upstreamsWithPermits(ServiceId service, long nowNs) {
+    if (!upstreams.hasLimited()) {
       return List.of();
     }
-    return open(service).stream()
+    return routableUpstreams(service).stream()
         .filter(view -> view.backpressure().isLimited() && view.backpressure().permits(nowNs) > 0)
         .toList();
   }
 
   /** Returns the upstreams that a request may go to as a canary now. */
-  List<UpstreamView> canaries(ServiceId service, long nowNs) {
-    CanaryPart part = parts.get(service);
+  List<UpstreamState> canaryUpstreams(ServiceId service, long nowNs) {
+    CanaryTracker part = parts.get(service);
     if (part == null) {
       return List.of();
     }
@@ -150,33 +150,33 @@
         .toList();
   }
 
-  void sent(TrackedForward request, UpstreamView view) {
-    CanaryPart part = parts.get(request.service());
+  void recordSent(ActiveRequest request, UpstreamState view) {
+    CanaryTracker part = parts.get(request.service());
     if (part != null) {
-      part.sent(view);
+      part.recordSent(view);
     }
   }
 
   /** Notes a stream's first event. */
-  void begun(TrackedForward request, long nowNs) {
+  void recordResponseStarted(ActiveRequest request, long nowNs) {
     sawFirst(request, nowNs);
     reached(request);
   }
 
   /** Notes that a caller has left; one that gives up on a slow version before it begins counts. */
-  void callerLeft(TrackedForward request, long nowNs) {
+  void recordCallerDisconnected(ActiveRequest request, long nowNs) {
     if (!request.hasReached()) {
       sawFirst(request, nowNs);
     }
   }
 
   /** Notes that a request's time is over before its upstream has begun to answer. */
-  void timedOut(TrackedForward request) {
+  void recordTimeout(ActiveRequest request) {
     saw(request, Symptom.FAILURE, Observation.FAILED);
   }
 
   /** Notes a stream's mean time between events. */
-  void pause(TrackedForward request, double elapsedMs) {
+  void recordEventInterval(ActiveRequest request, double elapsedMs) {
     saw(request, Symptom.SLOW_STREAM, TimeBuckets.of(elapsedMs));
   }
 
@@ -186,11 +186,11 @@
    * @param end the end
    * @param suspected whether the request itself is suspected of ending upstreams
    */
-  void ended(TrackedForward request, AttemptEnd end, boolean suspected, long nowNs) {
+  void recordOutcome(ActiveRequest request, AttemptOutcome end, boolean suspected, long nowNs) {
     if (parts.isEmpty() || !end.wasSent()) {
       return;
     }
-    boolean plainAnswer = end == AttemptEnd.ANSWERED && !request.hasReached();
+    boolean plainAnswer = end == AttemptOutcome.ANSWERED && !request.hasReached();
     if (plainAnswer) {
       sawFirst(request, nowNs);
     }
@@ -210,32 +210,32 @@
   }
 
   /** Counts an attempt that has reached its upstream, once. */
-  private void reached(TrackedForward request) {
-    CanaryPart part = parts.get(request.service());
-    if (part != null && request.noteReached()) {
+  private void reached(ActiveRequest request) {
+    CanaryTracker part = parts.get(request.service());
+    if (part != null && request.markReached()) {
       part.reached();
     }
   }
 
-  private void sawFirst(TrackedForward request, long nowNs) {
+  private void sawFirst(ActiveRequest request, long nowNs) {
     double elapsedMs = (double) (nowNs - request.sentNs()) / NS_PER_MS;
     saw(request, Symptom.LATE_START, TimeBuckets.of(elapsedMs));
   }
 
-  private void saw(TrackedForward request, Symptom symptom, int value) {
-    CanaryPart part = parts.get(request.service());
-    if (part != null && request.at().isPresent()) {
-      part.saw(request, request.at().get(), symptom, value);
+  private void saw(ActiveRequest request, Symptom symptom, int value) {
+    CanaryTracker part = parts.get(request.service());
+    if (part != null && request.currentUpstream().isPresent()) {
+      part.recordObservation(request, request.currentUpstream().get(), symptom, value);
     }
   }
 
-  private List<UpstreamView> free(ServiceId service, Rollout rollout) {
+  private List<UpstreamState> free(ServiceId service, Rollout rollout) {
     return upstreams.of(service).stream()
         .filter(view -> rollout.trafficPolicy(view.registration().version()) == TrafficPolicy.ALL)
         .toList();
   }
 
-  private TrafficPolicy useOf(UpstreamView view) {
+  private TrafficPolicy useOf(UpstreamState view) {
     return rollouts.get(view.registration().service()).trafficPolicy(view.registration().version());
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
@@ -10,11 +10,11 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.SplittableRandom;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardNode;
 import org.teaseltrail.core.forward.ForwardRequest;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 import org.teaseltrail.core.plan.InstalledPlan;
 import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
@@ -43,7 +43,7 @@
   private record FirstCall(long atNs, boolean mayComeBack) {}
 
   /** Is a refusal that a caller got, and how long after it had come. */
-  record Refused(Refusal refusal, long afterMs, long retryAfterMs) {}
+  record Refused(RefusalReason refusal, long afterMs, long retryAfterMs) {}
 
   private final FakeControlGroup group = new FakeControlGroup(3);
   private final SplittableRandom random;
@@ -189,7 +189,7 @@
             RequestContent.EMPTY);
     int drawn = random.nextInt(vms.count() + BUSY_VM_WEIGHT - 1);
     int vm = drawn < vms.count() ? drawn : 0;
-    vms.carryOut(vm, vms.node(vm).arrived(request, group.nowNs()));
+    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void carryOut(int vm, ForwardAction action) {
@@ -201,7 +201,7 @@
       served++;
     } else if (action instanceof ForwardAction.Refuse refuse) {
       long afterMs = (group.nowNs() - calledNs.get(refuse.request())) / NS_PER_MS;
-      refused.add(new Refused(refuse.refusal(), afterMs, refuse.retryAfterMs()));
+      refused.add(new Refused(refuse.refusalReason(), afterMs, refuse.retryAfterMs()));
       FirstCall first = firstCalls.get(refuse.request());
       if (first.mayComeBack()) {
         later((int) refuse.retryAfterMs(), () -> send(first.atNs(), false));
@@ -230,7 +230,7 @@
     for (long request : engine.places().begin()) {
       Attempt attempt = attempts.get(request);
       later(HEAD_AFTER_MS, () -> head(attempt));
-      later(RUN_MS, () -> end(attempt, AttemptEnd.ANSWERED));
+      later(RUN_MS, () -> end(attempt, AttemptOutcome.ANSWERED));
     }
   }
 
@@ -240,7 +240,7 @@
       tell(attempt);
       long beganMs = (group.nowNs() - firstCalls.get(attempt.request()).atNs()) / NS_PER_MS;
       onTime += beganMs <= OBJECTIVE_MS ? 1 : 0;
-      vms.carryOut(attempt.vm(), node.begun(attempt.request(), group.nowNs()));
+      vms.carryOut(attempt.vm(), node.onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
@@ -249,9 +249,9 @@
       AskingEngine engine = attempt.engine();
       engine.turnedAway(attempt.vm(), group.nowNs());
       vms.node(attempt.vm())
-          .signals()
-          .backOff(engine.registration().upstreamIncarnation(), engine.backoffMs(), group.nowNs());
-      end(attempt, AttemptEnd.REFUSED);
+          .backpressure()
+          .startBackoff(engine.registration().upstreamIncarnation(), engine.backoffMs(), group.nowNs());
+      end(attempt, AttemptOutcome.REFUSED);
     }
   }
 
@@ -259,19 +259,19 @@
   private void tell(Attempt attempt) {
     AskingEngine engine = attempt.engine();
     ForwardNode node = vms.node(attempt.vm());
-    node.signals()
+    node.backpressure()
         .limit(engine.registration().upstreamIncarnation(), engine.limit(), attempt.dispatchedNs(), group.nowNs());
     if (engine.isLeaving()) {
-      node.signals().leaving(engine.registration().upstreamIncarnation());
+      node.backpressure().leaving(engine.registration().upstreamIncarnation());
     }
     engine.told(attempt.vm(), group.nowNs());
   }
 
-  private void end(Attempt attempt, AttemptEnd end) {
+  private void end(Attempt attempt, AttemptOutcome end) {
     if (isUnderWay(attempt)) {
       forget(attempt);
       int vm = attempt.vm();
-      vms.carryOut(vm, vms.node(vm).attemptEnded(attempt.request(), end, group.nowNs()));
+      vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
     }
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
@@ -9,10 +9,10 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardRequest;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 import org.teaseltrail.core.plan.InstalledPlan;
 import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.quarantine.RequestContent;
@@ -99,8 +99,8 @@
   private final Map<Long, Call> calls = new HashMap<>();
   private final Map<Long, Attempt> attempts = new HashMap<>();
   private final Map<String, Harm> harm = new HashMap<>();
-  private final Map<Refusal, Integer> innocentRefused = new HashMap<>();
-  private final Map<Refusal, Integer> popularRefused = new HashMap<>();
+  private final Map<RefusalReason, Integer> innocentRefused = new HashMap<>();
+  private final Map<RefusalReason, Integer> popularRefused = new HashMap<>();
   private Optional<Kind> deadlyKind = Optional.empty();
   private int deadlyContents;
   private int popularEveryMs;
@@ -168,7 +168,7 @@
   void breakOff(double share) {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (random.nextDouble() < share) {
-        end(attempt, AttemptEnd.BROKEN);
+        end(attempt, AttemptOutcome.BROKEN);
       }
     }
   }
@@ -215,12 +215,12 @@
   }
 
   /** Returns how often requests that harm nobody were refused, by reason. */
-  Map<Refusal, Integer> innocentRefused() {
+  Map<RefusalReason, Integer> innocentRefused() {
     return innocentRefused;
   }
 
   /** Returns the same for the popular content alone. */
-  Map<Refusal, Integer> popularRefused() {
+  Map<RefusalReason, Integer> popularRefused() {
     return popularRefused;
   }
 
@@ -289,7 +289,7 @@
             List.of(),
             content);
     int vm = random.nextInt(vms.count());
-    vms.carryOut(vm, vms.node(vm).arrived(request, group.nowNs()));
+    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void carryOut(int vm, ForwardAction action) {
@@ -315,12 +315,12 @@
   private void refused(ForwardAction.Refuse refuse) {
     Call call = calls.remove(refuse.request());
     if (!call.deadly()) {
-      innocentRefused.merge(refuse.refusal(), 1, Integer::sum);
+      innocentRefused.merge(refuse.refusalReason(), 1, Integer::sum);
     }
     if (call.content().equals(POPULAR)) {
-      popularRefused.merge(refuse.refusal(), 1, Integer::sum);
+      popularRefused.merge(refuse.refusalReason(), 1, Integer::sum);
     }
-    boolean mayRepeat = !refuse.refusal().maybeRan() || call.kind() != Kind.STREAM;
+    boolean mayRepeat = !refuse.refusalReason().maybeRan() || call.kind() != Kind.STREAM;
     if (call.triesLeft() > 1 && (mayRepeat || call.deadly())) {
       Call next = new Call(call.content(), call.kind(), call.deadly(), call.triesLeft() - 1);
       long pauseMs = Math.min(LONGEST_HEEDED_PAUSE_MS, refuse.retryAfterMs());
@@ -335,7 +335,7 @@
     Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     if (engine.isEmpty()) {
-      later(SOON_MS, () -> end(attempt, AttemptEnd.NOT_CONNECTED));
+      later(SOON_MS, () -> end(attempt, AttemptOutcome.NOT_CONNECTED));
       return;
     }
     if (call.deadly()) {
@@ -355,7 +355,7 @@
       if (calls.get(request).deadly()) {
         later(30 + random.nextInt(120), () -> kill(attempt, calls.get(request)));
       } else {
-        later(RUN_MS, () -> end(attempt, AttemptEnd.ANSWERED));
+        later(RUN_MS, () -> end(attempt, AttemptOutcome.ANSWERED));
       }
     }
   }
@@ -363,7 +363,7 @@
   private void firstEvent(Attempt attempt) {
     if (isUnderWay(attempt)) {
       int vm = attempt.vm();
-      vms.carryOut(vm, vms.node(vm).begun(attempt.request(), group.nowNs()));
+      vms.carryOut(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
@@ -378,7 +378,7 @@
   private void endEngine(BatchEngine engine) {
     for (long request : engine.end()) {
       Attempt attempt = attempts.get(request);
-      later(SOON_MS, () -> end(attempt, AttemptEnd.BROKEN));
+      later(SOON_MS, () -> end(attempt, AttemptOutcome.BROKEN));
     }
     engines.remove(engine);
     int life = Math.toIntExact(group.nowNs() / NS_PER_MS);
@@ -391,7 +391,7 @@
         });
   }
 
-  private void end(Attempt attempt, AttemptEnd end) {
+  private void end(Attempt attempt, AttemptOutcome end) {
     if (!isUnderWay(attempt)) {
       return;
     }
@@ -399,7 +399,7 @@
     attempt.leaveEngine();
     attempt.engine().ifPresent(this::begin);
     int vm = attempt.vm();
-    vms.carryOut(vm, vms.node(vm).attemptEnded(attempt.request(), end, group.nowNs()));
+    vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
   }
 
   private boolean isUnderWay(Attempt attempt) {
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEntryVms.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeEntryVms.java
@@ -69,10 +69,10 @@
         name(vm),
         reply -> {
           if (life == lives[vm] && !cut[vm]) {
-            carryOut(vm, nodes.get(vm).fromControl(reply, group.nowNs()));
+            carryOut(vm, nodes.get(vm).onControlMessage(reply, group.nowNs()));
           }
         });
-    carryOut(vm, nodes.get(vm).begin());
+    carryOut(vm, nodes.get(vm).start());
   }
 
   /** Cuts a VM off from all members, or joins it again. */
--- a/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
@@ -13,7 +13,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardNode;
 import org.teaseltrail.core.forward.ForwardRequest;
@@ -66,8 +66,8 @@
     }
     for (int i = 0; i < VMS; i++) {
       ForwardNode node = new ForwardNode(ForwardSamples.settings(vm(i), 1));
-      node.fromControl(new ServingReply.PlanUpdate(TERM, TestPlans.plan(1)), 0);
-      node.fromControl(new ServingReply.RegistryUpdate(TERM, 1, engines), 0);
+      node.onControlMessage(new ServingReply.PlanUpdate(TERM, TestPlans.plan(1)), 0);
+      node.onControlMessage(new ServingReply.RegistryUpdate(TERM, 1, engines), 0);
       nodes.add(node);
     }
   }
@@ -89,7 +89,7 @@
       if (random.nextInt(1_000) < perSecond) {
         int drawn = random.nextInt(VMS + 2);
         int vm = drawn < VMS ? drawn : 0;
-        carryOut(vm, nodes.get(vm).arrived(request(), ms * MS), ms);
+        carryOut(vm, nodes.get(vm).onRequest(request(), ms * MS), ms);
       }
     }
   }
@@ -101,7 +101,7 @@
       atVms.get(vm(end.vm())).merge(end.upstream(), -1, Integer::sum);
       served++;
       ForwardNode node = nodes.get(end.vm());
-      carryOut(end.vm(), node.attemptEnded(end.request(), AttemptEnd.ANSWERED, ms * MS), ms);
+      carryOut(end.vm(), node.onAttemptEnded(end.request(), AttemptOutcome.ANSWERED, ms * MS), ms);
     }
   }
 
@@ -111,7 +111,7 @@
       if (leads
           && action instanceof ForwardAction.SendControl send
           && send.message() instanceof ServingMessage.Sync sync) {
-        carryOut(vm, nodes.get(vm).fromControl(confirmation(sync, ms), ms * MS), ms);
+        carryOut(vm, nodes.get(vm).onControlMessage(confirmation(sync, ms), ms * MS), ms);
       }
     }
   }
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineInnocentsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineInnocentsTest.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Tag;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 
 /**
  * Requests that harm nobody are there when upstreams end or connections break, and must not be held
@@ -32,7 +32,7 @@
     run.askForPopular(100);
     run.endAtRandom(700);
     run.play(30_000, LOAD_PER_SECOND);
-    assertThat(run.innocentRefused()).doesNotContainKey(Refusal.QUARANTINED);
+    assertThat(run.innocentRefused()).doesNotContainKey(RefusalReason.QUARANTINED);
   }
 
   /** The batches of a deadly request end with it, among them a content that is asked for often. */
@@ -42,7 +42,7 @@
     run.askForPopular(100);
     run.askForDeadly(DeadlyRequestRun.Kind.STREAM, 3);
     run.play(20_000, LOAD_PER_SECOND);
-    assertThat(run.innocentRefused()).doesNotContainKey(Refusal.QUARANTINED);
+    assertThat(run.innocentRefused()).doesNotContainKey(RefusalReason.QUARANTINED);
     assertThat(run.harm()).hasSize(3);
   }
 
@@ -58,7 +58,7 @@
       run.askForPopular(100);
       run.askForDeadly(DeadlyRequestRun.Kind.RESUMABLE, 3);
       run.play(20_000, LOAD_PER_SECOND);
-      assertThat(run.innocentRefused()).as("seed " + seed).doesNotContainKey(Refusal.QUARANTINED);
+      assertThat(run.innocentRefused()).as("seed " + seed).doesNotContainKey(RefusalReason.QUARANTINED);
     }
   }
 
@@ -70,7 +70,7 @@
     run.play(500, LOAD_PER_SECOND);
     run.askForDeadlyPopular(true);
     run.play(10_000, LOAD_PER_SECOND);
-    assertThat(run.popularRefused()).containsKey(Refusal.QUARANTINED);
+    assertThat(run.popularRefused()).containsKey(RefusalReason.QUARANTINED);
     run.askForDeadlyPopular(false);
     run.play(200_000, LOAD_PER_SECOND);
     run.countAnew();
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineProperties.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Tag;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 
 /**
  * Deadly requests come while members, VMs, engines and links fail at random. The promises: once all
@@ -71,7 +71,7 @@
         .allMatch(harm -> harm.sendsOnceKnown() <= ALLOWED_SENDS);
     assertThat(run.innocentRefused())
         .as("requests that harm nobody and are held in calm")
-        .doesNotContainKey(Refusal.QUARANTINED);
+        .doesNotContainKey(RefusalReason.QUARANTINED);
   }
 
   private static void fail(DeadlyRequestRun run, SplittableRandom random) {
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
@@ -66,7 +66,7 @@
                 QuotaSamples.PLACES,
                 List.of(),
                 grants);
-        runs += answerArrives ? running(node.fromControl(reply, nowNs)) : 0;
+        runs += answerArrives ? running(node.onControlMessage(reply, nowNs)) : 0;
       }
     }
     return runs;
@@ -84,6 +84,6 @@
   double ask(ForwardNode node, long nowNs) {
     lastNumber++;
     ForwardRequest request = QuotaSamples.request(lastNumber, TOKENS);
-    return running(node.arrived(request, nowNs));
+    return running(node.onRequest(request, nowNs));
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardNode;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.plan.TestPlans;
@@ -92,7 +92,7 @@
     ForwardNode node = nodes.get(random.nextInt(VMS));
     int tokens = sizes[random.nextInt(sizes.length)];
     asked += ms >= WARM_UP_MS ? 1 : 0;
-    note(node.arrived(QuotaSamples.request(ms, tokens), ms * MS), ms);
+    note(node.onRequest(QuotaSamples.request(ms, tokens), ms * MS), ms);
   }
 
   private void note(List<ForwardAction> actions, long ms) {
@@ -101,7 +101,7 @@
           actions.stream()
               .filter(ForwardAction.Refuse.class::isInstance)
               .map(ForwardAction.Refuse.class::cast)
-              .filter(refuse -> refuse.refusal() == Refusal.OVER_QUOTA)
+              .filter(refuse -> refuse.refusalReason() == RefusalReason.OVER_QUOTA)
               .count();
     }
   }
@@ -120,7 +120,7 @@
             new QuotaLimit(LIMIT + HANDED_OUT_TOLERANCE, RATE, RATE + HANDED_OUT_TOLERANCE, 50_000);
         List<QuotaGrant> grants = ledger.grants(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
         note(
-            node.fromControl(
+            node.onControlMessage(
                 new ServingReply.Confirmed(
                     TERM,
                     sync.sequence(),
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
@@ -131,7 +131,7 @@
       take(vm.node.tick(ms * MS), vm, ms);
       int asks = ms < vm.pressesUntilMs ? 3 : random.nextInt(12) == 0 ? 1 : 0;
       for (int i = 0; i < asks; i++) {
-        take(vm.node.arrived(request(), ms * MS), vm, ms);
+        take(vm.node.onRequest(request(), ms * MS), vm, ms);
       }
     }
 
@@ -166,7 +166,7 @@
                   Map.of(TestPlans.CUSTOMER, new QuotaLimit(LIMIT, RATE, RATE, 0)),
                   ms * MS));
       if (ms >= vm.deafUntilMs) {
-        take(vm.node.fromControl(reply, ms * MS), vm, ms);
+        take(vm.node.onControlMessage(reply, ms * MS), vm, ms);
       }
     }
 
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
@@ -35,11 +35,11 @@
   static ForwardNode node(VmId vm, long incarnation, double tokensPerSecond) {
     ForwardNode node = new ForwardNode(ForwardSamples.settings(vm, incarnation));
     Registration upstream = ForwardSamples.upstream(UPSTREAM.value(), TestPlans.PLAIN, MANY);
-    node.fromControl(
+    node.onControlMessage(
         new ServingReply.PlanUpdate(
             TERM, TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, tokensPerSecond))),
         0);
-    node.fromControl(new ServingReply.RegistryUpdate(TERM, 1, List.of(upstream)), 0);
+    node.onControlMessage(new ServingReply.RegistryUpdate(TERM, 1, List.of(upstream)), 0);
     return node;
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
@@ -8,7 +8,7 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardRequest;
 import org.teaseltrail.core.id.UpstreamVersion;
@@ -241,7 +241,7 @@
             List.of(),
             content);
     int vm = random.nextInt(vms.count());
-    vms.carryOut(vm, vms.node(vm).arrived(request, group.nowNs()));
+    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void carryOut(int vm, ForwardAction action) {
@@ -271,7 +271,7 @@
     Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     if (engine.isEmpty()) {
-      later(1, () -> end(attempt, AttemptEnd.NOT_CONNECTED));
+      later(1, () -> end(attempt, AttemptOutcome.NOT_CONNECTED));
       return;
     }
     count(engine.get());
@@ -315,7 +315,7 @@
   private void firstEvent(Attempt attempt) {
     if (isUnderWay(attempt)) {
       int vm = attempt.vm();
-      vms.carryOut(vm, vms.node(vm).begun(attempt.request(), group.nowNs()));
+      vms.carryOut(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
@@ -324,9 +324,9 @@
       badAnswersNs.add(group.nowNs());
     }
     if (isUnderWay(attempt) && !fails) {
-      vms.node(attempt.vm()).streamPace(attempt.request(), pauseMs);
+      vms.node(attempt.vm()).recordEventInterval(attempt.request(), pauseMs);
     }
-    end(attempt, fails ? AttemptEnd.FAILED_ANSWER : AttemptEnd.ANSWERED);
+    end(attempt, fails ? AttemptOutcome.FAILED_ANSWER : AttemptOutcome.ANSWERED);
   }
 
   private void crash(VersionedEngine engine) {
@@ -345,11 +345,11 @@
     for (long request : engine.end()) {
       Attempt attempt = attempts.get(request);
       lost++;
-      later(1, () -> end(attempt, AttemptEnd.BROKEN));
+      later(1, () -> end(attempt, AttemptOutcome.BROKEN));
     }
   }
 
-  private void end(Attempt attempt, AttemptEnd end) {
+  private void end(Attempt attempt, AttemptOutcome end) {
     if (!isUnderWay(attempt)) {
       return;
     }
@@ -357,7 +357,7 @@
     attempt.leaveEngine();
     attempt.engine().ifPresent(this::begin);
     int vm = attempt.vm();
-    vms.carryOut(vm, vms.node(vm).attemptEnded(attempt.request(), end, group.nowNs()));
+    vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
   }
 
   private boolean isUnderWay(Attempt attempt) {
--- a/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
@@ -8,11 +8,11 @@
 import java.util.OptionalInt;
 import java.util.OptionalLong;
 import java.util.SplittableRandom;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardNode;
 import org.teaseltrail.core.forward.ForwardRequest;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.plan.InstalledPlan;
 import org.teaseltrail.core.plan.TestPlans;
@@ -43,8 +43,8 @@
   private final FakeEntryVms vms;
   private final List<FakeEngine> engines = new ArrayList<>();
   private final Map<Long, Attempt> attempts = new HashMap<>();
-  private final Map<Refusal, Integer> refused = new HashMap<>();
-  private final Map<Refusal, Integer> refusedWithRoom = new HashMap<>();
+  private final Map<RefusalReason, Integer> refused = new HashMap<>();
+  private final Map<RefusalReason, Integer> refusedWithRoom = new HashMap<>();
   private long lastFullNs;
   private long lastRequest;
   private long firstCounted;
@@ -88,12 +88,12 @@
   }
 
   /** Returns the counted refusals, by reason. */
-  Map<Refusal, Integer> refused() {
+  Map<RefusalReason, Integer> refused() {
     return refused;
   }
 
   /** Returns those of them that came while some engine had had a free place for a while. */
-  Map<Refusal, Integer> refusedWithRoom() {
+  Map<RefusalReason, Integer> refusedWithRoom() {
     return refusedWithRoom;
   }
 
@@ -147,9 +147,9 @@
   void recoverEngines() {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (attempt.engine().state() == FakeEngine.State.SILENT) {
-        endLater(attempt, AttemptEnd.BROKEN, SOON_MS);
+        endLater(attempt, AttemptOutcome.BROKEN, SOON_MS);
       } else if (attempt.engine().state() == FakeEngine.State.SLOW) {
-        endLater(attempt, AttemptEnd.ANSWERED, attempt.engine().usualMs());
+        endLater(attempt, AttemptOutcome.ANSWERED, attempt.engine().usualMs());
       }
     }
     engines.forEach(engine -> engine.become(FakeEngine.State.SOUND));
@@ -182,7 +182,7 @@
             OptionalInt.of(100),
             List.of(),
             RequestContent.EMPTY);
-    vms.carryOut(vm, vms.node(vm).arrived(request, group.nowNs()));
+    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void carryOut(int vm, ForwardAction action) {
@@ -203,9 +203,9 @@
     if (refuse.request() / 2 < firstCounted) {
       return;
     }
-    refused.merge(refuse.refusal(), 1, Integer::sum);
+    refused.merge(refuse.refusalReason(), 1, Integer::sum);
     if (group.nowNs() - lastFullNs > HAND_OUT_NS) {
-      refusedWithRoom.merge(refuse.refusal(), 1, Integer::sum);
+      refusedWithRoom.merge(refuse.refusalReason(), 1, Integer::sum);
     }
   }
 
@@ -214,20 +214,20 @@
     FakeEngine engine =
         engines.stream().filter(one -> one.id().equals(id)).findFirst().orElse(null);
     if (engine == null) {
-      end(vm, vms.life(vm), dispatch.request(), AttemptEnd.NOT_CONNECTED, SOON_MS);
+      end(vm, vms.life(vm), dispatch.request(), AttemptOutcome.NOT_CONNECTED, SOON_MS);
       return;
     }
     long tookMs = engine.begin();
     Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     switch (engine.state()) {
-      case GONE -> endLater(attempt, AttemptEnd.NOT_CONNECTED, SOON_MS);
-      case BREAKING -> endLater(attempt, AttemptEnd.BROKEN, BREAK_MS);
-      case FAILING -> endLater(attempt, AttemptEnd.FAILED_ANSWER, BREAK_MS);
+      case GONE -> endLater(attempt, AttemptOutcome.NOT_CONNECTED, SOON_MS);
+      case BREAKING -> endLater(attempt, AttemptOutcome.BROKEN, BREAK_MS);
+      case FAILING -> endLater(attempt, AttemptOutcome.FAILED_ANSWER, BREAK_MS);
       case SILENT -> {}
       default -> {
         later((long) (FIRST_EVENT_PART * tookMs), () -> begun(attempt));
-        endLater(attempt, AttemptEnd.ANSWERED, tookMs);
+        endLater(attempt, AttemptOutcome.ANSWERED, tookMs);
         later(tookMs - 1, () -> pace(attempt, tookMs));
       }
     }
@@ -236,18 +236,18 @@
   private void begun(Attempt attempt) {
     if (attempts.get(attempt.request()) == attempt) {
       ForwardNode node = vms.node(attempt.vm());
-      node.loadTold(attempt.engine().id(), attempt.engine().running(), group.nowNs());
-      vms.carryOut(attempt.vm(), node.begun(attempt.request(), group.nowNs()));
+      node.onLoadReport(attempt.engine().id(), attempt.engine().running(), group.nowNs());
+      vms.carryOut(attempt.vm(), node.onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
   private void pace(Attempt attempt, long tookMs) {
     if (attempts.get(attempt.request()) == attempt) {
-      vms.node(attempt.vm()).pace(attempt.engine().id(), tookMs / 10.0, group.nowNs());
+      vms.node(attempt.vm()).recordEventLatency(attempt.engine().id(), tookMs / 10.0, group.nowNs());
     }
   }
 
-  private void endLater(Attempt attempt, AttemptEnd end, long afterMs) {
+  private void endLater(Attempt attempt, AttemptOutcome end, long afterMs) {
     later(
         afterMs,
         () -> {
@@ -258,12 +258,12 @@
         });
   }
 
-  private void end(int vm, long life, long request, AttemptEnd end, long afterMs) {
+  private void end(int vm, long life, long request, AttemptOutcome end, long afterMs) {
     later(
         afterMs,
         () -> {
           if (life == vms.life(vm)) {
-            vms.carryOut(vm, vms.node(vm).attemptEnded(request, end, group.nowNs()));
+            vms.carryOut(vm, vms.node(vm).onAttemptEnded(request, end, group.nowNs()));
           }
         });
   }
--- a/core/src/test/java/org/teaseltrail/core/forward/BackpressureSignalsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/BackpressureHandlerTest.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.serving.ServingMessage;
 
 /** What upstreams ask for in their answers, as one VM takes it in. */
-class BackpressureSignalsTest extends ForwardNodeCase {
+class BackpressureHandlerTest extends ForwardNodeTestBase {
 
   private static final RateLimit LIMIT = new RateLimit(1.6);
   private static final int PLACES = 4;
@@ -31,10 +31,10 @@
   @Test
   void olderAnswerLiftsNoLimit() {
     long beforeNs = nowNs;
-    waitMs(100);
-    assertThat(node.signals().limit(life, LIMIT, beforeNs, nowNs)).isTrue();
-    waitMs(1);
-    assertThat(node.signals().limit(life, RateLimit.UNLIMITED, beforeNs, nowNs)).isFalse();
+    advanceMs(100);
+    assertThat(node.backpressure().limit(life, LIMIT, beforeNs, nowNs)).isTrue();
+    advanceMs(1);
+    assertThat(node.backpressure().limit(life, RateLimit.UNLIMITED, beforeNs, nowNs)).isFalse();
     arrive("/stream/x");
     assertThat(dispatches()).isEmpty();
   }
@@ -44,10 +44,10 @@
    */
   @Test
   void limitThatStandsIsToldOverAndOver() {
-    node.signals().limit(life, LIMIT, nowNs, nowNs);
+    node.backpressure().limit(life, LIMIT, nowNs, nowNs);
     List<Long> toldMs = new ArrayList<>();
     for (int ms = 0; ms < 10_000; ms += 50) {
-      waitMs(50);
+      advanceMs(50);
       boolean told =
           actions.stream()
               .filter(ForwardAction.SendControl.class::isInstance)
@@ -64,11 +64,11 @@
 
   @Test
   void answerToLaterRequestLiftsTheLimit() {
-    node.signals().limit(life, LIMIT, nowNs, nowNs);
-    waitMs(1);
+    node.backpressure().limit(life, LIMIT, nowNs, nowNs);
+    advanceMs(1);
     long dispatchedNs = nowNs;
-    waitMs(50);
-    assertThat(node.signals().limit(life, RateLimit.UNLIMITED, dispatchedNs, nowNs)).isTrue();
+    advanceMs(50);
+    assertThat(node.backpressure().limit(life, RateLimit.UNLIMITED, dispatchedNs, nowNs)).isTrue();
     arrive("/stream/x");
     assertThat(dispatches()).containsExactly("e1");
   }
@@ -79,14 +79,14 @@
   @Test
   void oldAnswerDoesNotShowThatTheBackoffIsOver() {
     final long old = arrive("/stream/x");
-    node.signals().backOff(life, BACKOFF_MS, nowNs);
-    waitMs(BACKOFF_MS);
+    node.backpressure().startBackoff(life, BACKOFF_MS, nowNs);
+    advanceMs(BACKOFF_MS);
     final long asking = arrive("/resumable/x");
     assertThat(dispatches()).containsExactly("e1");
-    end(old, AttemptEnd.ANSWERED);
+    end(old, AttemptOutcome.ANSWERED);
     arrive("/resumable/x");
     assertThat(dispatches()).isEmpty();
-    end(asking, AttemptEnd.ANSWERED);
+    end(asking, AttemptOutcome.ANSWERED);
     assertThat(dispatches()).hasSize(1);
     arrive("/resumable/x");
     assertThat(dispatches()).hasSize(1);
@@ -95,7 +95,7 @@
   /** An upstream that is full for a moment asks for no time, and is given one request at a time. */
   @Test
   void backoffOfNoTimeIsNone() {
-    assertThat(node.signals().backOff(life, 0, nowNs)).isFalse();
+    assertThat(node.backpressure().startBackoff(life, 0, nowNs)).isFalse();
     arrive("/stream/x");
     assertThat(dispatches()).hasSize(1);
     arrive("/stream/x");
@@ -106,10 +106,10 @@
   @Test
   void dispatchedRequestIsWithheldAndTriesElsewhereForFree() {
     long number = arrive("/stream/x");
-    node.signals().backOff(life, BACKOFF_MS, nowNs);
-    assertThat(node.signals().allowSending(life, nowNs)).isFalse();
-    end(number, AttemptEnd.WITHHELD);
-    assertThat(refusals()).containsExactly(Refusal.NOT_RUN);
+    node.backpressure().startBackoff(life, BACKOFF_MS, nowNs);
+    assertThat(node.backpressure().canSend(life, nowNs)).isFalse();
+    end(number, AttemptOutcome.WITHHELD);
+    assertThat(refusals()).containsExactly(RefusalReason.NOT_RUN);
     assertThat(retriesAfterMs()).containsExactly((long) BACKOFF_MS);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /** Admits, repeats and ends requests. */
-class ForwardNodeTest extends ForwardNodeCase {
+class ForwardNodeTest extends ForwardNodeTestBase {
 
   /** A VM that has just started knows no routes; it must not say that there is none. */
   @Test
@@ -17,8 +17,8 @@
     arrive("/safe/x");
     assertThat(refusals()).isEmpty();
     assertThat(dispatches()).isEmpty();
-    waitMs(400);
-    assertThat(refusals()).containsExactly(Refusal.PLAN_UNCERTAIN);
+    advanceMs(400);
+    assertThat(refusals()).containsExactly(RefusalReason.PLAN_UNCERTAIN);
   }
 
   /**
@@ -28,7 +28,7 @@
   @Test
   void requestsThatComeJustBeforeTheFirstSessionAreServed() {
     arrive("/safe/x");
-    waitMs(300);
+    advanceMs(300);
     assertThat(refusals()).isEmpty();
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     assertThat(dispatches()).containsExactly("p1");
@@ -51,8 +51,8 @@
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     nowNs += 4_000 * MS;
     arrive("/safe/x");
-    waitMs(100);
-    assertThat(refusals()).containsExactly(Refusal.PLAN_UNCERTAIN);
+    advanceMs(100);
+    assertThat(refusals()).containsExactly(RefusalReason.PLAN_UNCERTAIN);
     assertThat(retriesAfterMs()).allMatch(afterMs -> afterMs > 0 && afterMs <= 200);
   }
 
@@ -60,11 +60,11 @@
   void refusesByThePlan() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     arrive("/nowhere/x");
-    assertThat(refusals()).containsExactly(Refusal.NO_ROUTE);
+    assertThat(refusals()).containsExactly(RefusalReason.NO_ROUTE);
     arrive("/safe/x", Optional.of("forged"));
-    assertThat(refusals()).containsExactly(Refusal.UNKNOWN_KEY);
+    assertThat(refusals()).containsExactly(RefusalReason.UNKNOWN_KEY);
     arrive("/safe/x", Optional.empty());
-    assertThat(refusals()).containsExactly(Refusal.UNKNOWN_KEY);
+    assertThat(refusals()).containsExactly(RefusalReason.UNKNOWN_KEY);
   }
 
   /**
@@ -82,16 +82,16 @@
     arrive("/nowhere/x");
     assertThat(dispatches()).isEmpty();
     assertThat(node.isReady(nowNs)).isFalse();
-    waitMs(400);
+    advanceMs(400);
     assertThat(dispatches()).isEmpty();
-    assertThat(refusals()).hasSize(3).containsOnly(Refusal.PLAN_UNCERTAIN);
+    assertThat(refusals()).hasSize(3).containsOnly(RefusalReason.PLAN_UNCERTAIN);
   }
 
   /** A plan that an operator replaced comes once more, over a slow link. */
   @Test
   void neverGoesBackToAnOlderPlan() {
     serveWith(TestPlans.plan(5), upstream("p1", TestPlans.PLAIN, 6));
-    node.fromControl(new ServingReply.PlanUpdate(TERM, TestPlans.plan(4)), nowNs);
+    node.onControlMessage(new ServingReply.PlanUpdate(TERM, TestPlans.plan(4)), nowNs);
     assertThat(node.plan().orElseThrow().version()).isEqualTo(5);
   }
 
@@ -100,10 +100,10 @@
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
     List<String> first = dispatches();
-    end(number, AttemptEnd.BROKEN);
+    end(number, AttemptOutcome.BROKEN);
     assertThat(dispatches()).hasSize(1).isNotEqualTo(first);
-    end(number, AttemptEnd.BROKEN);
-    assertThat(refusals()).containsExactly(Refusal.BROKEN);
+    end(number, AttemptOutcome.BROKEN);
+    assertThat(refusals()).containsExactly(RefusalReason.BROKEN);
   }
 
   /** A doubled quiz submission muddles a record: what may have run is not sent again. */
@@ -111,9 +111,9 @@
   void sendsUnsafeRequestOnce() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
-    end(number, AttemptEnd.BROKEN);
+    end(number, AttemptOutcome.BROKEN);
     assertThat(dispatches()).isEmpty();
-    assertThat(refusals()).containsExactly(Refusal.BROKEN);
+    assertThat(refusals()).containsExactly(RefusalReason.BROKEN);
   }
 
   /** No connection was made, so nothing was sent: even an unsafe request may go elsewhere. */
@@ -121,7 +121,7 @@
   void sendsUnsafeRequestElsewhereIfNothingWasSent() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
-    end(number, AttemptEnd.NOT_CONNECTED);
+    end(number, AttemptOutcome.NOT_CONNECTED);
     assertThat(dispatches()).hasSize(1);
   }
 
@@ -130,11 +130,11 @@
   void refusedRequestHasNotRun() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
-    end(number, AttemptEnd.REFUSED);
-    assertThat(refusals()).containsExactly(Refusal.NOT_RUN);
+    end(number, AttemptOutcome.REFUSED);
+    assertThat(refusals()).containsExactly(RefusalReason.NOT_RUN);
     long safe = arrive("/safe/x");
-    end(safe, AttemptEnd.BROKEN);
-    assertThat(refusals()).containsExactly(Refusal.BROKEN);
+    end(safe, AttemptOutcome.BROKEN);
+    assertThat(refusals()).containsExactly(RefusalReason.BROKEN);
   }
 
   /** A first attempt may have run and the second was refused: "not run" would be false. */
@@ -142,9 +142,9 @@
   void refusalAfterBrokenAttemptIsNoPromise() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
-    end(number, AttemptEnd.BROKEN);
-    end(number, AttemptEnd.REFUSED);
-    assertThat(refusals()).containsExactly(Refusal.BROKEN);
+    end(number, AttemptOutcome.BROKEN);
+    end(number, AttemptOutcome.REFUSED);
+    assertThat(refusals()).containsExactly(RefusalReason.BROKEN);
   }
 
   @Test
@@ -156,9 +156,9 @@
     assertThatNothingHappensToRequests();
     long high = arrive("/stream/x");
     assertThatNothingHappensToRequests();
-    end(running, AttemptEnd.ANSWERED);
+    end(running, AttemptOutcome.ANSWERED);
     assertThat(dispatchedRequests()).containsExactly(high);
-    end(high, AttemptEnd.ANSWERED);
+    end(high, AttemptOutcome.ANSWERED);
     assertThat(dispatchedRequests()).containsExactly(low);
   }
 
@@ -170,7 +170,7 @@
     arrive("/stream/x");
     nowNs += 1_300 * MS;
     actions = node.tick(nowNs);
-    assertThat(refusals()).containsExactly(Refusal.WAITED_TOO_LONG);
+    assertThat(refusals()).containsExactly(RefusalReason.WAITED_TOO_LONG);
   }
 
   @Test
@@ -180,7 +180,7 @@
     nowNs += 4_000 * MS;
     actions = node.tick(nowNs);
     assertThat(actions).anyMatch(ForwardAction.Cancel.class::isInstance);
-    assertThat(refusals()).containsExactly(Refusal.TIMED_OUT);
+    assertThat(refusals()).containsExactly(RefusalReason.TIMED_OUT);
   }
 
   /**
@@ -192,16 +192,16 @@
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     node.end();
     arrive("/safe/x");
-    assertThat(refusals()).containsExactly(Refusal.ENDING);
+    assertThat(refusals()).containsExactly(RefusalReason.ENDING);
   }
 
   @Test
   void stopsWorkWhenTheCallerLeaves() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
-    actions = node.callerLeft(number, nowNs);
+    actions = node.onCallerDisconnected(number, nowNs);
     assertThat(actions).containsExactly(new ForwardAction.Cancel(number));
-    end(number, AttemptEnd.BROKEN);
+    end(number, AttemptOutcome.BROKEN);
     assertThat(actions).isEmpty();
   }
 
@@ -211,7 +211,7 @@
     arrive("/safe/x");
     assertThat(refusals()).isEmpty();
     arrive("/safe/x");
-    assertThat(refusals()).containsExactly(Refusal.OVER_QUOTA);
+    assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
   /** Thousands of refusals named neither route nor customer, and nobody could tell who was hit. */
@@ -220,7 +220,7 @@
     serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 1));
     arrive("/stream/x");
     arrive("/stream/x");
-    waitMs(2_500);
+    advanceMs(2_500);
     ForwardAction.Refuse refused =
         actions.stream()
             .filter(ForwardAction.Refuse.class::isInstance)
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeCase.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTestBase.java
@@ -27,7 +27,7 @@
 import org.teaseltrail.core.serving.UpstreamSlots;
 
 /** Is a forwarding node with what tests ask and see of it. */
-abstract class ForwardNodeCase {
+abstract class ForwardNodeTestBase {
 
   static final long MS = 1_000_000L;
   static final VmId MEMBER = ForwardSamples.MEMBER;
@@ -43,8 +43,8 @@
   List<ForwardAction> actions = new ArrayList<>();
 
   @BeforeEach
-  void begin() {
-    node.begin();
+  void start() {
+    node.start();
   }
 
   static Registration upstream(String id, ServiceId service, int slots) {
@@ -55,8 +55,8 @@
     Map<UpstreamId, Integer> all = new HashMap<>();
     Stream.of(present).forEach(upstream -> all.put(upstream.id(), upstream.slots()));
     places = UpstreamSlots.of(List.of(present), Map.of(), all);
-    node.fromControl(new ServingReply.PlanUpdate(TERM, plan), nowNs);
-    node.fromControl(new ServingReply.RegistryUpdate(TERM, 1, List.of(present)), nowNs);
+    node.onControlMessage(new ServingReply.PlanUpdate(TERM, plan), nowNs);
+    node.onControlMessage(new ServingReply.RegistryUpdate(TERM, 1, List.of(present)), nowNs);
     confirm(plan.version());
   }
 
@@ -68,7 +68,7 @@
   void confirm(long version) {
     noteSyncs(node.tick(nowNs));
     actions =
-        node.fromControl(
+        node.onControlMessage(
             new ServingReply.Confirmed(
                 TERM, lastSequence, version, 1, 1, List.of(MEMBER), places, contended, grants()),
             nowNs);
@@ -81,7 +81,7 @@
   long arrive(String path, Optional<String> key, int promptTokens) {
     lastNumber++;
     actions =
-        node.arrived(
+        node.onRequest(
             new ForwardRequest(
                 lastNumber,
                 "id-" + lastNumber,
@@ -105,11 +105,11 @@
     return arrive("/stream/x", Optional.of(TestPlans.KEY), promptTokens);
   }
 
-  void end(long number, AttemptEnd end) {
-    actions = node.attemptEnded(number, end, nowNs);
+  void end(long number, AttemptOutcome end) {
+    actions = node.onAttemptEnded(number, end, nowNs);
   }
 
-  void waitMs(long ms) {
+  void advanceMs(long ms) {
     nowNs += ms * MS;
     actions = node.tick(nowNs);
     noteSyncs(actions);
@@ -135,10 +135,10 @@
     assertThat(actions).allMatch(ForwardAction.SendControl.class::isInstance);
   }
 
-  List<Refusal> refusals() {
+  List<RefusalReason> refusals() {
     return actions.stream()
         .filter(ForwardAction.Refuse.class::isInstance)
-        .map(action -> ((ForwardAction.Refuse) action).refusal())
+        .map(action -> ((ForwardAction.Refuse) action).refusalReason())
         .toList();
   }
 
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /** Places requests, by itself and by what the leader grants. */
-class ForwardPlacementTest extends ForwardNodeCase {
+class ForwardPlacementTest extends ForwardNodeTestBase {
 
   /** An upstream acknowledged as leaving must get nothing more, waiting requests included. */
   @Test
@@ -23,10 +23,10 @@
     serveWith(TestPlans.plan(1), ready);
     long running = arrive("/stream/x");
     arrive("/stream/x");
-    node.fromControl(
+    node.onControlMessage(
         new ServingReply.RegistryUpdate(TERM, 2, List.of(ready.withPhase(RegistrationPhase.DRAINING))),
         nowNs);
-    end(running, AttemptEnd.ANSWERED);
+    end(running, AttemptOutcome.ANSWERED);
     assertThat(dispatches()).isEmpty();
   }
 
@@ -41,10 +41,10 @@
     for (int i = 0; i < 60; i++) {
       long number = arrive("/stream/x");
       nowNs += 10 * MS;
-      end(number, AttemptEnd.FAILED_ANSWER);
+      end(number, AttemptOutcome.FAILED_ANSWER);
     }
     Registration other = upstream("e2", TestPlans.ENGINES, 8);
-    node.fromControl(new ServingReply.RegistryUpdate(TERM, 2, List.of(failing, other)), nowNs);
+    node.onControlMessage(new ServingReply.RegistryUpdate(TERM, 2, List.of(failing, other)), nowNs);
     nowNs += 10_000 * MS;
     confirm(1);
     List<String> placed = new ArrayList<>();
@@ -62,7 +62,7 @@
   @Test
   void oldCountsOfOthersFade() {
     serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 4));
-    node.loadTold(new UpstreamId("e1"), 4, nowNs);
+    node.onLoadReport(new UpstreamId("e1"), 4, nowNs);
     arrive("/stream/x");
     assertThat(dispatches()).isEmpty();
     nowNs += 900 * MS;
@@ -79,8 +79,8 @@
     Registration slow = upstream("e1", TestPlans.ENGINES, 8);
     Registration quick = upstream("e2", TestPlans.ENGINES, 8);
     serveWith(TestPlans.plan(1), slow, quick);
-    node.pace(slow.id(), 90, nowNs);
-    node.pace(quick.id(), 30, nowNs);
+    node.recordEventLatency(slow.id(), 90, nowNs);
+    node.recordEventLatency(quick.id(), 30, nowNs);
     for (int i = 0; i < 8; i++) {
       arriveWithPrompt(10_000);
       assertThat(dispatches()).containsExactly(quick.id().value());
@@ -97,14 +97,14 @@
     Registration slow = upstream("e1", TestPlans.ENGINES, 8);
     Registration quick = upstream("e2", TestPlans.ENGINES, 1);
     serveWith(TestPlans.plan(1), slow, quick);
-    node.pace(slow.id(), 90, nowNs);
-    node.pace(quick.id(), 30, nowNs);
+    node.recordEventLatency(slow.id(), 90, nowNs);
+    node.recordEventLatency(quick.id(), 30, nowNs);
     arriveWithPrompt(10_000);
     final long first = arriveWithPrompt(100);
     assertThat(dispatches()).containsExactly(slow.id().value());
     arriveWithPrompt(100);
     assertThat(dispatches()).isEmpty();
-    actions = node.begun(first, nowNs);
+    actions = node.onResponseStarted(first, nowNs);
     assertThat(dispatches()).containsExactly(slow.id().value());
   }
 
@@ -156,7 +156,7 @@
     ServingReply.SlotGrant grant =
         new ServingReply.SlotGrant(
             TERM, 1, upstream.service(), upstream.id(), new Urgency(1, false, 1));
-    actions = node.fromControl(grant, nowNs);
+    actions = node.onControlMessage(grant, nowNs);
   }
 
   private ServingMessage.Lines told() {
@@ -200,7 +200,7 @@
             1,
             first.version(),
             0);
-    actions = node.fromControl(new ServingReply.RegistryUpdate(TERM, 2, List.of(later)), nowNs);
+    actions = node.onControlMessage(new ServingReply.RegistryUpdate(TERM, 2, List.of(later)), nowNs);
     assertThat(dispatches()).containsExactly("e1");
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /** A held request goes to no upstream, wherever it was when the hold came. */
-class ForwardQuarantineTest extends ForwardNodeCase {
+class ForwardQuarantineTest extends ForwardNodeTestBase {
 
   private static final int PLACES = 1;
 
@@ -32,7 +32,7 @@
     revision++;
     List<Fingerprint> held = List.of(paths).stream().map(path -> fingerprintOf(path)).toList();
     actions =
-        node.fromControl(
+        node.onControlMessage(
             new ServingReply.QuarantineUpdate(TERM, revision, true, held, List.of()), nowNs);
   }
 
@@ -40,12 +40,12 @@
     serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, PLACES));
   }
 
-  private List<Refusal> refused(long number) {
+  private List<RefusalReason> refused(long number) {
     return actions.stream()
         .filter(ForwardAction.Refuse.class::isInstance)
         .map(ForwardAction.Refuse.class::cast)
         .filter(refuse -> refuse.request() == number)
-        .map(ForwardAction.Refuse::refusal)
+        .map(ForwardAction.Refuse::refusalReason)
         .toList();
   }
 
@@ -60,7 +60,7 @@
   void heldRequestThatArrivesIsRefusedAndOthersAreSent() {
     serveWithOnePlace();
     hold("/stream/x");
-    assertThat(refused(arrive("/stream/x"))).containsExactly(Refusal.QUARANTINED);
+    assertThat(refused(arrive("/stream/x"))).containsExactly(RefusalReason.QUARANTINED);
     assertThat(isDispatched(arrive("/stream/y"))).isTrue();
   }
 
@@ -71,8 +71,8 @@
     long other = arrive("/stream/y");
     long copy = arrive("/stream/x");
     hold("/stream/x");
-    assertThat(refused(copy)).containsExactly(Refusal.QUARANTINED);
-    end(other, AttemptEnd.ANSWERED);
+    assertThat(refused(copy)).containsExactly(RefusalReason.QUARANTINED);
+    end(other, AttemptOutcome.ANSWERED);
     assertThat(isDispatched(copy)).isFalse();
   }
 
@@ -81,13 +81,13 @@
   void grantIsNotUsedForCopy() {
     serveWithOnePlace();
     contended = List.of(TestPlans.ENGINES);
-    waitMs(250);
+    advanceMs(250);
     confirm(1);
     final long copy = arrive("/stream/x");
     hold("/stream/x");
-    assertThat(refused(copy)).containsExactly(Refusal.QUARANTINED);
+    assertThat(refused(copy)).containsExactly(RefusalReason.QUARANTINED);
     actions =
-        node.fromControl(
+        node.onControlMessage(
             new ServingReply.SlotGrant(
                 TERM,
                 1,
@@ -115,7 +115,7 @@
     final long copy = arrive("/stream/x");
     hold("/stream/x");
     assertThat(actions).contains(new ForwardAction.Cancel(copy));
-    assertThat(refused(copy)).containsExactly(Refusal.BROKEN);
+    assertThat(refused(copy)).containsExactly(RefusalReason.BROKEN);
   }
 
   /** A copy that is being answered shows by its end whether the hold is right. */
@@ -123,10 +123,10 @@
   void copyThatAnswersGoesOnAndItsEndIsTold() {
     serveWithOnePlace();
     final long copy = arrive("/stream/x");
-    node.begun(copy, nowNs);
+    node.onResponseStarted(copy, nowNs);
     hold("/stream/x");
     assertThat(refused(copy)).isEmpty();
-    end(copy, AttemptEnd.ANSWERED);
+    end(copy, AttemptOutcome.ANSWERED);
     assertThat(losses())
         .singleElement()
         .extracting(ServingMessage.Losses::served)
@@ -150,12 +150,12 @@
     final long copy = arrive("/resumable/x");
     final long safe = arrive("/safe/x");
     assertThat(isDispatched(safe)).isTrue();
-    node.begun(safe, nowNs);
+    node.onResponseStarted(safe, nowNs);
     hold("/safe/x", "/resumable/x");
-    assertThat(refused(copy)).containsExactly(Refusal.QUARANTINED);
-    end(safe, AttemptEnd.BROKEN);
+    assertThat(refused(copy)).containsExactly(RefusalReason.QUARANTINED);
+    end(safe, AttemptOutcome.BROKEN);
     assertThat(isDispatched(safe)).isFalse();
-    assertThat(refused(safe)).containsExactly(Refusal.BROKEN);
+    assertThat(refused(safe)).containsExactly(RefusalReason.BROKEN);
   }
 
   /** The leader lets it go once; a second copy at the same moment must not go with it. */
@@ -164,25 +164,25 @@
     serveWith(
         TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, PLACES), upstream("p2", TestPlans.PLAIN, PLACES));
     hold("/safe/x");
-    node.fromControl(new ServingReply.Trial(TERM, fingerprintOf("/safe/x"), 1_000), nowNs);
+    node.onControlMessage(new ServingReply.Trial(TERM, fingerprintOf("/safe/x"), 1_000), nowNs);
     final long copy = arrive("/safe/x");
     assertThat(isDispatched(copy)).isTrue();
-    assertThat(refused(arrive("/safe/x"))).containsExactly(Refusal.QUARANTINED);
-    end(copy, AttemptEnd.BROKEN);
+    assertThat(refused(arrive("/safe/x"))).containsExactly(RefusalReason.QUARANTINED);
+    end(copy, AttemptOutcome.BROKEN);
     assertThat(isDispatched(copy)).isFalse();
-    assertThat(refused(copy)).containsExactly(Refusal.BROKEN);
+    assertThat(refused(copy)).containsExactly(RefusalReason.BROKEN);
   }
 
   /** The next leader hears of losses that the one before had cleared, and holds the request. */
   @Test
   void clearedLossIsNotToldToTheNextLeader() {
     serveWithOnePlace();
-    end(arrive("/stream/x"), AttemptEnd.BROKEN);
-    waitMs(1_500);
+    end(arrive("/stream/x"), AttemptOutcome.BROKEN);
+    advanceMs(1_500);
     hold();
-    waitMs(250);
+    advanceMs(250);
     actions =
-        node.fromControl(
+        node.onControlMessage(
             new ServingReply.Confirmed(
                 new FencingNumber(2),
                 lastSequence,
@@ -209,14 +209,14 @@
         upstream("e2", TestPlans.ENGINES, PLACES),
         upstream("e3", TestPlans.ENGINES, PLACES),
         upstream("e4", TestPlans.ENGINES, PLACES));
-    waitMs(1_000);
+    advanceMs(1_000);
     for (int i = 0; i < 3; i++) {
       long copy = arrive("/stream/x");
       assertThat(isDispatched(copy)).isTrue();
-      end(copy, AttemptEnd.BROKEN);
-      waitMs(50);
+      end(copy, AttemptOutcome.BROKEN);
+      advanceMs(50);
     }
-    assertThat(refused(arrive("/stream/x"))).containsExactly(Refusal.QUARANTINED);
+    assertThat(refused(arrive("/stream/x"))).containsExactly(RefusalReason.QUARANTINED);
     assertThat(isDispatched(arrive("/stream/y"))).isTrue();
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
@@ -19,7 +19,7 @@
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
-class ForwardRolloutTest extends ForwardNodeCase {
+class ForwardRolloutTest extends ForwardNodeTestBase {
 
   private static final UpstreamVersion OLD = new UpstreamVersion("v1");
   private static final UpstreamVersion ORDERED = new UpstreamVersion("v2");
@@ -60,13 +60,13 @@
             phase,
             RolloutReason.ORDERED,
             ExposureCounters.NONE);
-    node.fromControl(new ServingReply.RolloutUpdate(TERM, revision, List.of(rollout)), nowNs);
+    node.onControlMessage(new ServingReply.RolloutUpdate(TERM, revision, List.of(rollout)), nowNs);
   }
 
   /** Lets time pass until the VM asks, and returns the number of its message. */
   private long asked() {
     for (int ms = 0; ms < 1_000; ms++) {
-      waitMs(1);
+      advanceMs(1);
       Optional<Long> sequence =
           actions.stream()
               .filter(ForwardAction.SendControl.class::isInstance)
@@ -85,7 +85,7 @@
   private void lend(long sequence, long ceiling) {
     CanaryAllowance loan =
         new CanaryAllowance(TestPlans.ENGINES, ORDERED_MS, ceiling, List.of(new UpstreamId("new")), 0);
-    node.fromControl(
+    node.onControlMessage(
         new ServingReply.CanaryLoans(TERM, sequence, LENT_FOR_MS, List.of(loan)), nowNs);
   }
 
@@ -132,7 +132,7 @@
     lend(asked(), 2);
     long number = arrive("/resumable/x");
     assertThat(dispatches()).containsExactly("new");
-    end(number, AttemptEnd.FAILED_ANSWER);
+    end(number, AttemptOutcome.FAILED_ANSWER);
     assertThat(dispatches()).containsExactly("old");
   }
 
--- a/core/src/test/java/org/teaseltrail/core/forward/LineUnderLoadTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QueueUnderLoadTest.java
@@ -14,7 +14,7 @@
  * have waited for a start. Figures: an objective of 0.5 s as most of the users' streams have it, an
  * engine of four or eight places, and 0.3 s for a request.
  */
-class LineUnderLoadTest extends ForwardNodeCase {
+class QueueUnderLoadTest extends ForwardNodeTestBase {
 
   private static final int HELD_MS = 300;
 
@@ -55,7 +55,7 @@
       List<Long> ended = endsMs.keySet().stream().filter(id -> endsMs.get(id) <= nowMs()).toList();
       for (long id : ended) {
         endsMs.remove(id);
-        end(id, AttemptEnd.ANSWERED);
+        end(id, AttemptOutcome.ANSWERED);
         take();
       }
     }
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
@@ -12,7 +12,7 @@
  * for longer than requests wait, callers come back once. Figures: a request of 1,100 tokens, and a
  * quota that has room for four of them besides the one at the engine: as many as may wait anyway.
  */
-class QuotaUnderLoadTest extends ForwardNodeCase {
+class QuotaUnderLoadTest extends ForwardNodeTestBase {
 
   private static final int TOKENS = 1_000;
   private static final int TOKENS_OF_REQUEST = TOKENS + 100;
@@ -47,13 +47,13 @@
     }
     nowNs += LONGEST_WAIT_MS * MS;
     actions = node.tick(nowNs);
-    assertThat(refusals()).hasSize(REQUESTS_IN_QUOTA - 1).containsOnly(Refusal.WAITED_TOO_LONG);
+    assertThat(refusals()).hasSize(REQUESTS_IN_QUOTA - 1).containsOnly(RefusalReason.WAITED_TOO_LONG);
     for (int i = 1; i < REQUESTS_IN_QUOTA; i++) {
       arriveWithPrompt(TOKENS);
       assertThat(refusals()).isEmpty();
     }
     arriveWithPrompt(TOKENS);
-    assertThat(refusals()).containsExactly(Refusal.OVER_QUOTA);
+    assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
   /** What waits is set aside: more than the quota must not get into the line. */
@@ -65,20 +65,20 @@
       assertThat(refusals()).isEmpty();
     }
     arriveWithPrompt(TOKENS);
-    assertThat(refusals()).containsExactly(Refusal.OVER_QUOTA);
+    assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
   /** A caller leaves while its request runs: it has used its part. */
   @Test
   void requestThatMayHaveRunHasUsedItsPart() {
     serveOnePlace();
-    node.callerLeft(lastNumber, nowNs);
+    node.onCallerDisconnected(lastNumber, nowNs);
     for (int i = 1; i < REQUESTS_IN_QUOTA; i++) {
       arriveWithPrompt(TOKENS);
-      node.callerLeft(lastNumber, nowNs);
+      node.onCallerDisconnected(lastNumber, nowNs);
     }
     arriveWithPrompt(TOKENS);
-    assertThat(refusals()).containsExactly(Refusal.OVER_QUOTA);
+    assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
   /** No connection could be made, so nothing ran, and nobody else takes the request. */
@@ -86,8 +86,8 @@
   void requestThatReachedNobodyGivesItsPartBack() {
     serveOnePlace();
     for (int i = 0; i < 2 * REQUESTS_IN_QUOTA; i++) {
-      end(lastNumber, AttemptEnd.NOT_CONNECTED);
-      assertThat(refusals()).containsExactly(Refusal.NOT_RUN);
+      end(lastNumber, AttemptOutcome.NOT_CONNECTED);
+      assertThat(refusals()).containsExactly(RefusalReason.NOT_RUN);
       arriveWithPrompt(TOKENS);
       assertThat(refusals()).isEmpty();
     }
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
@@ -39,7 +39,7 @@
       for (QuotaWindow window : windows) {
         window.asked(20, ms * MS);
         if (window.verdict(20, ms * MS) == QuotaVerdict.WITHIN) {
-          window.take(20, ms * MS);
+          window.consume(20, ms * MS);
           sum += 20;
         }
       }
@@ -57,11 +57,11 @@
 
   private static void tell(QuotaWindow window, double usedElsewhere, double allowance, long ms) {
     QuotaGrant grant = new QuotaGrant(TestPlans.CUSTOMER, allowance, usedElsewhere, 0, 0, 0);
-    window.told(grant, window.used(ms * MS));
+    window.applyGrant(grant, window.used(ms * MS));
   }
 
   private static double usedAt(QuotaWindow window, long ms) {
-    return window.use(true, true, ms * MS).used();
+    return window.createReport(true, true, ms * MS).used();
   }
 
   @Test
@@ -90,7 +90,7 @@
   void usedQuotaComesBackWithTheWindow() {
     QuotaWindow window = window();
     tell(window, 0, LIMIT, 0);
-    window.take(LIMIT, 0);
+    window.consume(LIMIT, 0);
     assertThat(window.verdict(20, 100 * MS)).isEqualTo(QuotaVerdict.OVER);
     assertThat(usedAt(window, 8_100)).isZero();
     tell(window, 0, LIMIT, 8_100);
--- a/forward/src/main/java/org/teaseltrail/forward/Exchange.java
+++ b/forward/src/main/java/org/teaseltrail/forward/Exchange.java
@@ -17,7 +17,7 @@
 import io.netty.handler.codec.http.LastHttpContent;
 import java.util.Optional;
 import java.util.Set;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardRequest;
 
@@ -199,7 +199,7 @@
       }
       if (!server.signals().allowSending(dispatch.upstream().upstreamIncarnation())) {
         server.pool().idle(made);
-        end(AttemptEnd.WITHHELD);
+        end(AttemptOutcome.WITHHELD);
         return;
       }
       connection = made;
@@ -208,7 +208,7 @@
     }
 
     void notConnected() {
-      end(AttemptEnd.NOT_CONNECTED);
+      end(AttemptOutcome.NOT_CONNECTED);
     }
 
     void abandon() {
@@ -256,7 +256,7 @@
         gather(events.take(bytes));
       } catch (EventBlocks.OversizedEventException e) {
         connection.abandon();
-        end(AttemptEnd.BROKEN);
+        end(AttemptOutcome.BROKEN);
       }
     }
 
@@ -276,7 +276,7 @@
     }
 
     @Override
-    public void failed(AttemptEnd end) {
+    public void failed(AttemptOutcome end) {
       end(end);
     }
 
@@ -296,7 +296,7 @@
               new CallHeaders(
                   dispatch.upstream().id(),
                   dispatch.customer(),
-                  dispatch.leftMs(),
+                  dispatch.remainingMs(),
                   events.lastId()));
       call.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
       boolean carriesBody =
@@ -360,7 +360,7 @@
     private void keepBounded(ByteBuf part) {
       if (answerBody.readableBytes() + part.readableBytes() > MAX_ANSWER_BYTES) {
         connection.abandon();
-        end(AttemptEnd.BROKEN);
+        end(AttemptOutcome.BROKEN);
       } else if (!headSent) {
         keep(part);
       }
@@ -370,24 +370,24 @@
      * Says what a whole answer comes to. A status that promises a caller "not run" counts only if
      * the upstream itself says that it did not run the request; otherwise it may have.
      */
-    private AttemptEnd endOfWhole() {
+    private AttemptOutcome endOfWhole() {
       if (status == MISDIRECTED_REQUEST) {
-        return AttemptEnd.MISDIRECTED;
+        return AttemptOutcome.MISDIRECTED;
       }
       if (head.notRun()) {
-        return AttemptEnd.REFUSED;
+        return AttemptOutcome.REFUSED;
       }
       if (relays) {
-        return events.isBetweenEvents() ? AttemptEnd.ANSWERED : AttemptEnd.BROKEN;
+        return events.isBetweenEvents() ? AttemptOutcome.ANSWERED : AttemptOutcome.BROKEN;
       }
       boolean success = status >= HttpResponseStatus.OK.code() && status < 300;
       if (PROMISES.contains(status) || (success && !head.signed()) || headSent) {
-        return AttemptEnd.BROKEN;
+        return AttemptOutcome.BROKEN;
       }
-      return status >= FIRST_SERVER_ERROR ? AttemptEnd.FAILED_ANSWER : AttemptEnd.ANSWERED;
+      return status >= FIRST_SERVER_ERROR ? AttemptOutcome.FAILED_ANSWER : AttemptOutcome.ANSWERED;
     }
 
-    private void end(AttemptEnd end) {
+    private void end(AttemptOutcome end) {
       if (over) {
         return;
       }
--- a/forward/src/main/java/org/teaseltrail/forward/ForwardMetrics.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ForwardMetrics.java
@@ -6,8 +6,8 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import org.teaseltrail.core.forward.AttemptEnd;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.AttemptOutcome;
+import org.teaseltrail.core.forward.RefusalReason;
 import org.teaseltrail.runtime.log.EventLog;
 import org.teaseltrail.runtime.metrics.Metrics;
 
@@ -18,8 +18,8 @@
   private final Counter delivered;
   private final Timer duration;
   private final Timer firstEvent;
-  private final Map<Refusal, Counter> refused = new EnumMap<>(Refusal.class);
-  private final Map<AttemptEnd, Counter> attempts = new EnumMap<>(AttemptEnd.class);
+  private final Map<RefusalReason, Counter> refused = new EnumMap<>(RefusalReason.class);
+  private final Map<AttemptOutcome, Counter> attempts = new EnumMap<>(AttemptOutcome.class);
 
   ForwardMetrics(ForwardServer server, EventLog log) {
     MeterRegistry registry = metrics.registry();
@@ -32,11 +32,11 @@
         Timer.builder("teaseltrail.stream.first.event")
             .publishPercentileHistogram()
             .register(registry);
-    for (Refusal refusal : Refusal.values()) {
+    for (RefusalReason refusal : RefusalReason.values()) {
       refused.put(
           refusal, registry.counter("teaseltrail.requests.refused", "reason", refusal.name()));
     }
-    for (AttemptEnd end : AttemptEnd.values()) {
+    for (AttemptOutcome end : AttemptOutcome.values()) {
       attempts.put(end, registry.counter("teaseltrail.attempts", "end", end.name()));
     }
     registry.gauge("teaseltrail.requests.open", server, ForwardServer::open);
@@ -54,11 +54,11 @@
     firstEvent.record(elapsedNs, TimeUnit.NANOSECONDS);
   }
 
-  void refused(Refusal refusal) {
+  void refused(RefusalReason refusal) {
     refused.get(refusal).increment();
   }
 
-  void attempt(AttemptEnd end) {
+  void attempt(AttemptOutcome end) {
     attempts.get(end).increment();
   }
 
--- a/forward/src/main/java/org/teaseltrail/forward/ForwardServer.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ForwardServer.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardNode;
 import org.teaseltrail.core.id.UpstreamId;
@@ -99,7 +99,7 @@
     this.log = log;
     node = new ForwardNode(options.node());
     pool = new UpstreamPool(sharedLoop, dialect);
-    signals = new SignalListener(node.signals(), clock, log);
+    signals = new SignalListener(node.backpressure(), clock, log);
     eventHold = new EventHold(loop, options.eventHoldMs());
     links =
         new ControlLinks(
@@ -119,7 +119,7 @@
             .listenMetrics()
             .map(address -> SideServer.metrics(sharedLoop.resources(), address, metrics::scrape));
     listener = CallerListener.bind(this, sharedLoop, options.listen());
-    loop.execute(() -> run(node.begin()));
+    loop.execute(() -> run(node.start()));
     loop.scheduleWithFixedDelay(
         this::checkIdle, IDLE_CHECK_MS, IDLE_CHECK_MS, TimeUnit.MILLISECONDS);
   }
@@ -239,33 +239,33 @@
     exchanges.put(number, exchange);
     stories.put(number, new RequestStory(exchange.request(), nowNs));
     open = exchanges.size();
-    run(node.arrived(exchange.request(), nowNs));
+    run(node.onRequest(exchange.request(), nowNs));
   }
 
   /** Takes the first part of a stream from the upstream that now has the request. */
   void begun(Exchange exchange) {
     long number = exchange.request().number();
-    run(node.begun(number, clock.nowNs()));
+    run(node.onResponseStarted(number, clock.nowNs()));
     RequestStory story = stories.get(number);
     if (story != null && !story.hasBegun()) {
       metrics.firstEvent(story.begun(clock.nowNs()));
     }
   }
 
-  void attemptEnded(Exchange exchange, AttemptEnd end) {
+  void attemptEnded(Exchange exchange, AttemptOutcome end) {
     long number = exchange.request().number();
     metrics.attempt(end);
     RequestStory story = stories.get(number);
-    if (story != null && end != AttemptEnd.ANSWERED) {
+    if (story != null && end != AttemptOutcome.ANSWERED) {
       story.attemptEnded(log, end, exchange.answerStatus(), clock.nowNs());
     }
-    run(node.attemptEnded(number, end, clock.nowNs()));
+    run(node.onAttemptEnded(number, end, clock.nowNs()));
   }
 
   void callerLeft(Exchange exchange) {
     long number = exchange.request().number();
     long nowNs = clock.nowNs();
-    run(node.callerLeft(number, nowNs));
+    run(node.onCallerDisconnected(number, nowNs));
     RequestStory story = stories.remove(number);
     if (story != null) {
       story.callerLeft(log, exchange.hasBegun(), nowNs);
@@ -275,16 +275,16 @@
   }
 
   void told(UpstreamId upstream, AnswerHead.ToldLoad load) {
-    node.loadTold(upstream, load.running() + load.waiting(), clock.nowNs());
+    node.onLoadReport(upstream, load.running() + load.waiting(), clock.nowNs());
   }
 
   void pace(UpstreamId upstream, double elapsedMs) {
-    node.pace(upstream, elapsedMs, clock.nowNs());
+    node.recordEventLatency(upstream, elapsedMs, clock.nowNs());
   }
 
   /** Takes the mean time between the events of a stream. */
   void streamPace(Exchange exchange, UpstreamId upstream, double elapsedMs) {
-    node.streamPace(exchange.request().number(), elapsedMs);
+    node.recordEventInterval(exchange.request().number(), elapsedMs);
     pace(upstream, elapsedMs);
   }
 
@@ -293,7 +293,7 @@
   }
 
   private void fromControl(ServingReply reply) {
-    run(node.fromControl(reply, clock.nowNs()));
+    run(node.onControlMessage(reply, clock.nowNs()));
     ServingPlan plan = node.plan().orElse(null);
     if (plan != null && plan.version() != planVersion) {
       planVersion = plan.version();
@@ -310,7 +310,7 @@
   private void carryOut(ForwardAction action) {
     if (action instanceof ForwardAction.SendControl send) {
       links.send(send.member(), send.message());
-    } else if (action instanceof ForwardAction.KeepConnected keep) {
+    } else if (action instanceof ForwardAction.ConnectToMembers keep) {
       links.keep(keep.members());
     } else if (action instanceof ForwardAction.Dispatch dispatch) {
       stories.get(dispatch.request()).dispatched(dispatch, clock.nowNs());
@@ -335,12 +335,12 @@
   }
 
   private void refuse(ForwardAction.Refuse refuse) {
-    metrics.refused(refuse.refusal());
-    HttpResponseStatus status = RefusalStatus.of(refuse.refusal()).status();
+    metrics.refused(refuse.refusalReason());
+    HttpResponseStatus status = RefusalStatus.of(refuse.refusalReason()).status();
     stories.remove(refuse.request()).refused(log, refuse, status.code(), clock.nowNs());
     Exchange exchange = exchanges.get(refuse.request());
     forget(refuse.request());
-    exchange.refuse(status, refuse.refusal().name(), refuse.retryAfterMs());
+    exchange.refuse(status, refuse.refusalReason().name(), refuse.retryAfterMs());
   }
 
   private void forget(long number) {
--- a/forward/src/main/java/org/teaseltrail/forward/RefusalStatus.java
+++ b/forward/src/main/java/org/teaseltrail/forward/RefusalStatus.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.forward;
 
 import io.netty.handler.codec.http.HttpResponseStatus;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 
 /** Says which HTTP status tells a caller of a refusal. */
 enum RefusalStatus {
@@ -28,7 +28,7 @@
     return status;
   }
 
-  static RefusalStatus of(Refusal refusal) {
+  static RefusalStatus of(RefusalReason refusal) {
     return switch (refusal) {
       case NO_ROUTE -> NOT_FOUND;
       case UNKNOWN_KEY -> UNAUTHORIZED;
--- a/forward/src/main/java/org/teaseltrail/forward/RequestStory.java
+++ b/forward/src/main/java/org/teaseltrail/forward/RequestStory.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.forward;
 
 import java.util.Optional;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 import org.teaseltrail.core.forward.ForwardAction;
 import org.teaseltrail.core.forward.ForwardRequest;
-import org.teaseltrail.core.forward.Refusal;
+import org.teaseltrail.core.forward.RefusalReason;
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.plan.PlanRoute;
 import org.teaseltrail.core.quarantine.Fingerprint;
@@ -47,13 +47,13 @@
     return nowNs - arrivedNs;
   }
 
-  void attemptEnded(EventLog log, AttemptEnd end, int status, long nowNs) {
+  void attemptEnded(EventLog log, AttemptOutcome end, int status, long nowNs) {
     EventLog.Line line =
         line(log, LogEvent.ATTEMPT_FAILED, nowNs)
             .with(LogField.END, end.name())
             .with(LogField.STATUS, status)
             .with(LogField.AT_UPSTREAM_MS, (nowNs - dispatchedNs) / NS_PER_MS);
-    if (end == AttemptEnd.BROKEN) {
+    if (end == AttemptOutcome.BROKEN) {
       // The same content in the breaks of several upstreams tells a request that ends them.
       line.with(LogField.FINGERPRINT, fingerprint().text());
     }
@@ -72,11 +72,11 @@
     if (last.isEmpty()) {
       subject(line, refuse.route(), refuse.customer());
     }
-    line.with(LogField.REASON, refuse.refusal().name())
-        .with(LogField.MAYBE_RAN, refuse.refusal().maybeRan())
+    line.with(LogField.REASON, refuse.refusalReason().name())
+        .with(LogField.MAYBE_RAN, refuse.refusalReason().maybeRan())
         .with(LogField.STATUS, status)
         .with(LogField.RETRY_AFTER_MS, refuse.retryAfterMs());
-    if (refuse.refusal() == Refusal.QUARANTINED) {
+    if (refuse.refusalReason() == RefusalReason.QUARANTINED) {
       line.with(LogField.FINGERPRINT, request.fingerprint(refuse.customer()).text());
     }
     line.write();
--- a/forward/src/main/java/org/teaseltrail/forward/SignalListener.java
+++ b/forward/src/main/java/org/teaseltrail/forward/SignalListener.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.forward;
 
 import org.teaseltrail.core.backpressure.RateLimit;
-import org.teaseltrail.core.forward.BackpressureSignals;
+import org.teaseltrail.core.forward.BackpressureHandler;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.runtime.clock.SuspendAwareClock;
@@ -12,11 +12,11 @@
 /** Passes on what upstreams say of themselves in answers, and logs what is news. */
 final class SignalListener {
 
-  private final BackpressureSignals signals;
+  private final BackpressureHandler signals;
   private final SuspendAwareClock clock;
   private final EventLog log;
 
-  SignalListener(BackpressureSignals signals, SuspendAwareClock clock, EventLog log) {
+  SignalListener(BackpressureHandler signals, SuspendAwareClock clock, EventLog log) {
     this.signals = signals;
     this.clock = clock;
     this.log = log;
@@ -38,7 +38,7 @@
 
   /** Tells whether a request may be sent now that there is a connection. */
   boolean allowSending(UpstreamIncarnation upstream) {
-    return signals.allowSending(upstream, clock.nowNs());
+    return signals.canSend(upstream, clock.nowNs());
   }
 
   private void limit(Registration upstream, RateLimit limit, long dispatchedNs) {
@@ -51,7 +51,7 @@
   }
 
   private void backOff(Registration upstream, long backoffMs) {
-    if (signals.backOff(upstream.upstreamIncarnation(), backoffMs, clock.nowNs())) {
+    if (signals.startBackoff(upstream.upstreamIncarnation(), backoffMs, clock.nowNs())) {
       line(LogEvent.BACKOFF_TOLD, upstream).with(LogField.BACKOFF_MS, backoffMs).write();
     }
   }
--- a/forward/src/main/java/org/teaseltrail/forward/UpstreamCall.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamCall.java
@@ -2,7 +2,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.HttpResponse;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 
 /** Hears what becomes of one request that was sent to an upstream. One end is told, once. */
 interface UpstreamCall {
@@ -23,5 +23,5 @@
   void complete();
 
   /** There will be no whole answer. */
-  void failed(AttemptEnd end);
+  void failed(AttemptOutcome end);
 }
--- a/forward/src/main/java/org/teaseltrail/forward/UpstreamConnection.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamConnection.java
@@ -12,7 +12,7 @@
 import io.netty.handler.codec.http.HttpStatusClass;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.LastHttpContent;
-import org.teaseltrail.core.forward.AttemptEnd;
+import org.teaseltrail.core.forward.AttemptOutcome;
 
 /**
  * Is one connection to an upstream; it carries one request at a time.
@@ -193,7 +193,7 @@
     call = null;
     channel.close();
     if (ended != null) {
-      ended.failed(AttemptEnd.BROKEN);
+      ended.failed(AttemptOutcome.BROKEN);
     }
   }
 
