--- a/core/src/main/java/org/teaseltrail/core/control/EntryDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryDesk.java
@@ -87,7 +87,7 @@
   void lapse() {
     leadership.sessions().removeExpired(leadership.nowNs()).forEach(this::lapsed);
     if (leadership.sessions().havePriorSessionsExpired(leadership.nowNs()) && awaited.remove(UNHEARD_VMS)) {
-      broadcast(new SchedulerEvent.VmLapsed(UNHEARD_VMS));
+      broadcast(new SchedulerEvent.VmSessionExpired(UNHEARD_VMS));
     }
   }
 
@@ -99,7 +99,7 @@
   private void lapsed(VmId vm) {
     awaited.remove(vm);
     leadership.requests().removeAll(vm);
-    broadcast(new SchedulerEvent.VmLapsed(vm));
+    broadcast(new SchedulerEvent.VmSessionExpired(vm));
   }
 
   private void welcome(EntryMessage.Hello hello) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/DeadlineWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/DeadlineEnforcer.java
@@ -8,32 +8,32 @@
 import org.teaseltrail.core.configuration.RouteTarget;
 import org.teaseltrail.core.id.RouteId;
 import org.teaseltrail.core.message.RefusalKind;
-import org.teaseltrail.core.schedule.fleet.UpstreamAccount;
+import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.ticket.Nanos;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /** Gives waiting requests up whose deadline has passed, or whose route no upstream serves. */
-final class DeadlineWatch {
+final class DeadlineEnforcer {
 
   private final PoolState state;
-  private final ReportGate gate;
-  private final Refusals refusals;
+  private final VmReportTracker vmReports;
+  private final RefusalHandler refusals;
   private final Map<RouteId, Long> lastServedNs = new HashMap<>();
 
-  DeadlineWatch(PoolState state, ReportGate gate, Refusals refusals) {
+  DeadlineEnforcer(PoolState state, VmReportTracker gate, RefusalHandler refusals) {
     this.state = state;
-    this.gate = gate;
+    this.vmReports = gate;
     this.refusals = refusals;
   }
 
   /** Returns when the next deadline passes, in monotonic nanoseconds. */
-  OptionalLong nextNs() {
+  OptionalLong nextDeadlineNs() {
     Optional<TrackedTicket> first = state.queue().firstDeadline();
     return first.isEmpty() ? OptionalLong.empty() : OptionalLong.of(first.get().deadlineNs());
   }
 
   /** Gives up the requests whose deadline has passed. */
-  void passDeadlines(long nowNs) {
+  void refuseExpired(long nowNs) {
     Optional<TrackedTicket> first = state.queue().firstDeadline();
     while (first.isPresent() && first.get().deadlineNs() <= nowNs) {
       TrackedTicket ticket = first.get();
@@ -48,7 +48,7 @@
    * upstreams to announce themselves after a change, and until every VM has reported there may be
    * some that are not known yet.
    */
-  void passUnserved(long nowNs) {
+  void refuseRoutesWithoutUpstream(long nowNs) {
     lastServedNs.keySet().retainAll(state.configuration().routes().keySet());
     for (Route route : state.configuration().routes().values()) {
       Long before = lastServedNs.putIfAbsent(route.id(), nowNs);
@@ -57,8 +57,8 @@
       }
     }
     boolean anyUnserved = lastServedNs.keySet().stream().anyMatch(r -> isUnserved(r, nowNs));
-    if (anyUnserved && gate.isOpen()) {
-      state.book().waiting().stream()
+    if (anyUnserved && vmReports.hasAllReports()) {
+      state.ticketRegistry().waiting().stream()
           .filter(t -> isUnserved(t.ticket().route(), nowNs))
           .forEach(t -> refuseUnserved(t, nowNs));
     }
@@ -66,18 +66,18 @@
 
   /** Returns whether no upstream has served a route for too long. */
   boolean isUnserved(RouteId route, long nowNs) {
-    long limitNs = Nanos.fromMs(state.settings().noUpstreamMs());
+    long limitNs = Nanos.fromMs(state.settings().noUpstreamTimeoutMs());
     return nowNs - lastServedNs.getOrDefault(route, nowNs) > limitNs;
   }
 
   private void refuseUnserved(TrackedTicket ticket, long nowNs) {
     String reason = "route=" + ticket.ticket().route();
-    long retryAfterMs = state.settings().noUpstreamMs();
+    long retryAfterMs = state.settings().noUpstreamTimeoutMs();
     refusals.refuseWaiting(ticket, RefusalKind.NO_UPSTREAM, retryAfterMs, reason, nowNs);
   }
 
   private boolean isServed(RouteTarget target, long nowNs) {
-    for (UpstreamAccount account : state.fleet().group(target).all()) {
+    for (TrackedUpstream account : state.fleet().group(target).all()) {
       if (account.isServing(nowNs)) {
         return true;
       }
--- a/core/src/main/java/org/teaseltrail/core/schedule/GrantDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/GrantCoordinator.java
@@ -9,162 +9,162 @@
 import org.teaseltrail.core.message.EndKind;
 import org.teaseltrail.core.message.EntryMessage;
 import org.teaseltrail.core.message.Ticket;
-import org.teaseltrail.core.schedule.fleet.InFlight;
+import org.teaseltrail.core.schedule.fleet.InFlightRequest;
 import org.teaseltrail.core.schedule.ticket.Nanos;
 import org.teaseltrail.core.schedule.ticket.TicketPhase;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /** Carries grants from the placement over the claim to the end, or back to the queue. */
-final class GrantDesk {
+final class GrantCoordinator {
 
   /** How long a ticket is kept away from the upstream that declined it last. */
-  private static final long AVOID_NS = Nanos.fromMs(2_000);
+  private static final long DECLINED_AVOIDANCE_NS = Nanos.fromMs(2_000);
 
   /** The same for a VM without a session: its next hello, half a second on, may bring it one. */
-  private static final long SESSION_NS = Nanos.fromMs(500);
+  private static final long NO_SESSION_AVOIDANCE_NS = Nanos.fromMs(500);
 
   private final PoolState state;
-  private final TicketIntake intake;
-  private final InFlightExpiry expiry;
+  private final TicketAdmissionController admissionController;
+  private final InFlightRequestReaper reaper;
 
-  GrantDesk(PoolState state, TicketIntake intake, InFlightExpiry expiry) {
+  GrantCoordinator(PoolState state, TicketAdmissionController intake, InFlightRequestReaper expiry) {
     this.state = state;
-    this.intake = intake;
-    this.expiry = expiry;
+    this.admissionController = intake;
+    this.reaper = expiry;
   }
 
   /** Grants a placement at once, or asks for its claim first. */
-  void place(Placement placement, long nowNs) {
+  void grantPlacement(Placement placement, long nowNs) {
     TrackedTicket ticket = placement.ticket();
     state.queue().remove(ticket);
     state.queue().charge(ticket);
-    state.drain().drained(ticket.estimate().engineUs());
-    InFlight part =
+    state.drain().recordDrained(ticket.estimate().engineUs());
+    InFlightRequest part =
         state.fleet().grant(ticket, placement.upstream(), placement.cachedTokens(), nowNs);
-    expiry.watch(part);
+    reaper.track(part);
     if (ticket.ticket().claim().isPresent()) {
-      ticket.claiming();
-      state.out().commitClaim(ticket, placement.upstream(), placement.reason());
+      ticket.markClaiming();
+      state.output().commitClaim(ticket, placement.upstream(), placement.reason());
       return;
     }
     sendGrant(ticket, part, placement.reason());
   }
 
-  private void sendGrant(TrackedTicket ticket, InFlight part, String reason) {
-    Invariant.check(!state.book().hasEnded(ticket.request()), InvariantName.NO_GRANT_AFTER_END);
+  private void sendGrant(TrackedTicket ticket, InFlightRequest part, String reason) {
+    Invariant.check(!state.ticketRegistry().hasEnded(ticket.request()), InvariantName.NO_GRANT_AFTER_END);
     ticket.granted();
-    state.out().grant(part, reason);
+    state.output().grant(part, reason);
   }
 
   /** Sends the grant whose claim is committed, unless its upstream has left meanwhile. */
-  void claimGranted(RequestId request, long nowNs) {
+  void onClaimGranted(RequestId request, long nowNs) {
     Optional<TrackedTicket> claiming = claiming(request);
     if (claiming.isEmpty()) {
       return;
     }
     TrackedTicket ticket = claiming.get();
-    InFlight part = state.fleet().find(request).orElseThrow();
+    InFlightRequest part = state.fleet().find(request).orElseThrow();
     if (part.upstream().isServing(nowNs)) {
       sendGrant(ticket, part, "claim=committed");
     } else {
-      waitAgain(part, nowNs, "upstream=left_during_claim");
+      requeue(part, nowNs, "upstream=left_during_claim");
     }
   }
 
   /** Drops a ticket whose key another request holds; its caller has been told. */
-  void claimDenied(RequestId request, long nowNs) {
+  void onClaimDenied(RequestId request, long nowNs) {
     Optional<TrackedTicket> claiming = claiming(request);
     if (claiming.isPresent()) {
-      InFlight part = state.fleet().find(request).orElseThrow();
+      InFlightRequest part = state.fleet().find(request).orElseThrow();
       state.fleet().remove(part, nowNs);
-      refundWhole(part);
-      state.book().forget(claiming.get());
+      refundAll(part);
+      state.ticketRegistry().remove(claiming.get());
     }
   }
 
   private Optional<TrackedTicket> claiming(RequestId request) {
-    return state.book().find(request).filter(t -> t.phase() == TicketPhase.CLAIMING);
+    return state.ticketRegistry().find(request).filter(t -> t.phase() == TicketPhase.CLAIMING);
   }
 
   /** Takes a grant back that a VM could not use; nothing ran. */
   void declined(EntryMessage.Declined declined, long nowNs) {
-    Optional<InFlight> found = state.fleet().find(declined.request());
+    Optional<InFlightRequest> found = state.fleet().find(declined.request());
     // A stale grant is one of an older leadership: its decline, passed on to this scheduler, must
     // not undo this scheduler's own grant, or the request would be granted twice.
     boolean stale = declined.reason() == DeclineReason.STALE_GRANT;
     if (stale || found.isEmpty() || !isOutstanding(found.get(), declined)) {
       return;
     }
-    InFlight part = found.get();
+    InFlightRequest part = found.get();
     // Guards against a repeated decline that would undo a later grant to the same upstream: it
     // would show as a request granted twice. A decline of another upstream's grant is ignored.
     boolean noSession = declined.reason() == DeclineReason.NO_SESSION;
-    part.tracked().avoid(part.upstreamId(), nowNs + (noSession ? SESSION_NS : AVOID_NS));
-    waitAgain(part, nowNs, "declined=" + declined.reason());
+    part.trackedTicket().avoid(part.upstreamId(), nowNs + (noSession ? NO_SESSION_AVOIDANCE_NS : DECLINED_AVOIDANCE_NS));
+    requeue(part, nowNs, "declined=" + declined.reason());
     switch (declined.reason()) {
-      case UNKNOWN_REQUEST -> dropWaiting(part.tracked(), nowNs);
+      case UNKNOWN_REQUEST -> dropWaiting(part.trackedTicket(), nowNs);
       case NO_SESSION -> {}
       case LEAVING -> state.fleet().leaving(part.upstream());
       default -> state.fleet().backOff(part.upstream(), nowNs);
     }
   }
 
-  private static boolean isOutstanding(InFlight part, EntryMessage.Declined declined) {
-    return part.tracked().phase() == TicketPhase.GRANTED
+  private static boolean isOutstanding(InFlightRequest part, EntryMessage.Declined declined) {
+    return part.trackedTicket().phase() == TicketPhase.GRANTED
         && part.outputTokens() == 0
         && part.upstreamId().equals(declined.upstream());
   }
 
   private void dropWaiting(TrackedTicket ticket, long nowNs) {
     state.queue().remove(ticket);
-    state.out().releaseClaim(ticket);
-    state.book().end(ticket.request(), nowNs);
+    state.output().releaseClaim(ticket);
+    state.ticketRegistry().end(ticket.request(), nowNs);
   }
 
-  private void waitAgain(InFlight part, long nowNs, String reason) {
-    TrackedTicket ticket = part.tracked();
+  private void requeue(InFlightRequest part, long nowNs, String reason) {
+    TrackedTicket ticket = part.trackedTicket();
     state.fleet().remove(part, nowNs);
-    refundWhole(part);
-    state.out().regrant(ticket, part.upstream(), reason);
-    ticket.waitAgain();
+    refundAll(part);
+    state.output().regrant(ticket, part.upstream(), reason);
+    ticket.markWaiting();
     state.queue().add(ticket);
   }
 
-  private void refundWhole(InFlight part) {
-    state.queue().refund(part.tracked(), part.tracked().estimate().engineUs());
+  private void refundAll(InFlightRequest part) {
+    state.queue().refund(part.trackedTicket(), part.trackedTicket().estimate().engineUs());
   }
 
   /**
    * Takes a ticket back that its VM no longer wants. A VM withdraws only what it has not
    * dispatched, so nothing ran, unless the VM itself has told of the dispatch.
    */
-  void withdrawn(RequestId request, long nowNs) {
-    Optional<InFlight> part = state.fleet().find(request);
-    if (part.isPresent() && part.get().isConfirmed()) {
+  void onWithdrawn(RequestId request, long nowNs) {
+    Optional<InFlightRequest> part = state.fleet().find(request);
+    if (part.isPresent() && part.get().isDispatchConfirmed()) {
       return;
     }
     part.ifPresent(p -> state.fleet().remove(p, nowNs));
-    part.ifPresent(this::refundWhole);
-    Optional<TrackedTicket> known = state.book().find(request);
+    part.ifPresent(this::refundAll);
+    Optional<TrackedTicket> known = state.ticketRegistry().find(request);
     known.filter(TrackedTicket::isWaiting).ifPresent(state.queue()::remove);
-    known.ifPresent(state.out()::releaseClaim);
-    state.book().end(request, nowNs);
+    known.ifPresent(state.output()::releaseClaim);
+    state.ticketRegistry().end(request, nowNs);
   }
 
   /** Takes the end of a dispatched request. */
-  void ended(EntryMessage.Ended ended, long nowNs) {
-    Optional<InFlight> part = state.fleet().find(ended.request());
-    part.ifPresent(p -> learn(p, ended, nowNs));
+  void onEnded(EntryMessage.Ended ended, long nowNs) {
+    Optional<InFlightRequest> part = state.fleet().find(ended.request());
+    part.ifPresent(p -> updateEstimates(p, ended, nowNs));
     state
-        .book()
+        .ticketRegistry()
         .find(ended.request())
         .filter(TrackedTicket::isWaiting)
         .ifPresent(state.queue()::remove);
-    state.book().end(ended.request(), nowNs);
+    state.ticketRegistry().end(ended.request(), nowNs);
   }
 
-  private void learn(InFlight part, EntryMessage.Ended ended, long nowNs) {
-    state.fleet().ended(part, ended, nowNs);
+  private void updateEstimates(InFlightRequest part, EntryMessage.Ended ended, long nowNs) {
+    state.fleet().onEnded(part, ended, nowNs);
     if (ended.kind() == EndKind.COMPLETED && ended.hasKnownDuration()) {
       int tokens = ended.usage().outputTokens();
       state.estimator().observe(part.ticket(), tokens, ended.sinceDispatchMs());
@@ -172,57 +172,57 @@
   }
 
   /** Counts a request that was dispatched under an older scheduler. */
-  void stillRunning(VmId vm, EntryMessage.StillRunning running, long nowNs) {
+  void onStillRunning(VmId vm, EntryMessage.StillRunning running, long nowNs) {
     Ticket ticket = running.ticket();
-    if (state.book().hasEnded(ticket.request())) {
+    if (state.ticketRegistry().hasEnded(ticket.request())) {
       return;
     }
-    Optional<InFlight> part = state.fleet().find(ticket.request());
+    Optional<InFlightRequest> part = state.fleet().find(ticket.request());
     if (part.isPresent() && part.get().upstreamId().equals(running.upstream())) {
-      state.fleet().progressed(part.get(), running.outputTokens(), nowNs);
+      state.fleet().onProgress(part.get(), running.outputTokens(), nowNs);
       markGranted(part.get());
       return;
     }
     part.ifPresent(p -> state.fleet().remove(p, nowNs));
     state
-        .book()
+        .ticketRegistry()
         .find(ticket.request())
         .filter(TrackedTicket::isWaiting)
         .ifPresent(state.queue()::remove);
     adopt(vm, running, nowNs);
   }
 
-  private static void markGranted(InFlight part) {
-    if (part.tracked().phase() == TicketPhase.CLAIMING) {
-      part.tracked().granted();
+  private static void markGranted(InFlightRequest part) {
+    if (part.trackedTicket().phase() == TicketPhase.CLAIMING) {
+      part.trackedTicket().granted();
     }
   }
 
   private void adopt(VmId vm, EntryMessage.StillRunning running, long nowNs) {
-    TrackedTicket tracked = intake.track(vm, running.ticket(), nowNs);
+    TrackedTicket tracked = admissionController.track(vm, running.ticket(), nowNs);
     tracked.granted();
-    state.book().add(tracked);
+    state.ticketRegistry().add(tracked);
     long dispatchedNs = nowNs - Nanos.fromMs(running.sinceDispatchMs());
-    InFlight part = state.fleet().adopt(tracked, running.upstream(), dispatchedNs);
-    state.fleet().progressed(part, running.outputTokens(), nowNs);
-    expiry.watch(part);
+    InFlightRequest part = state.fleet().adopt(tracked, running.upstream(), dispatchedNs);
+    state.fleet().onProgress(part, running.outputTokens(), nowNs);
+    reaper.track(part);
   }
 
   /** Drops what a lapsed VM had waiting, and keeps for a while what it may have dispatched. */
-  void vmLapsed(VmId vm, long nowNs) {
-    for (TrackedTicket ticket : state.book().notGrantedOf(vm)) {
+  void onVmSessionExpired(VmId vm, long nowNs) {
+    for (TrackedTicket ticket : state.ticketRegistry().notGrantedOf(vm)) {
       state.fleet().find(ticket.request()).ifPresent(p -> removeUngranted(p, nowNs));
       if (ticket.isWaiting()) {
         state.queue().remove(ticket);
       }
-      state.out().releaseClaim(ticket);
-      state.book().forget(ticket);
+      state.output().releaseClaim(ticket);
+      state.ticketRegistry().remove(ticket);
     }
-    state.fleet().ofVm(vm).forEach(part -> expiry.lapsed(part, nowNs));
+    state.fleet().inFlightOfVm(vm).forEach(part -> reaper.onVmSessionExpired(part, nowNs));
   }
 
-  private void removeUngranted(InFlight part, long nowNs) {
+  private void removeUngranted(InFlightRequest part, long nowNs) {
     state.fleet().remove(part, nowNs);
-    refundWhole(part);
+    refundAll(part);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/Shedder.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/LoadShedder.java
@@ -12,49 +12,49 @@
  * Bounds the waiting work: over the bound, the lowest tier goes first, newest first. Requests that
  * run are left alone.
  */
-final class Shedder {
+final class LoadShedder {
 
   private final PoolState state;
-  private final ReportGate gate;
-  private final Refusals refusals;
+  private final VmReportTracker vmReports;
+  private final RefusalHandler refusals;
 
-  Shedder(PoolState state, ReportGate gate, Refusals refusals) {
+  LoadShedder(PoolState state, VmReportTracker gate, RefusalHandler refusals) {
     this.state = state;
-    this.gate = gate;
+    this.vmReports = gate;
     this.refusals = refusals;
   }
 
   /** Sheds what can't be served in time, as far as the order of tiers allows. */
   void shed(long nowNs) {
-    if (!gate.isOpen()) {
+    if (!vmReports.hasAllReports()) {
       return;
     }
-    if (state.has(PolicyPart.DEADLINE_PREDICTION)) {
-      shedHopeless(nowNs);
+    if (state.isEnabled(PolicyPart.DEADLINE_PREDICTION)) {
+      shedInfeasible(nowNs);
     }
-    if (state.has(PolicyPart.SHEDDING)) {
+    if (state.isEnabled(PolicyPart.SHEDDING)) {
       shedOverBound(nowNs);
     }
   }
 
-  private void shedHopeless(long nowNs) {
-    Optional<TrackedTicket> next = hopelessOfLowestTier();
+  private void shedInfeasible(long nowNs) {
+    Optional<TrackedTicket> next = infeasibleInLowestTier();
     while (next.isPresent()) {
       shedOne(next.get(), RefusalKind.SHED, "cause=deadline_out_of_reach", nowNs);
-      next = hopelessOfLowestTier();
+      next = infeasibleInLowestTier();
     }
   }
 
-  private Optional<TrackedTicket> hopelessOfLowestTier() {
-    return state.queue().lowest().flatMap(TierQueue::anyHopeless);
+  private Optional<TrackedTicket> infeasibleInLowestTier() {
+    return state.queue().lowestTier().flatMap(TierQueue::anyInfeasible);
   }
 
   private void shedOverBound(long nowNs) {
     WaitingQueue queue = state.queue();
-    Optional<TierQueue> lowest = queue.lowest();
-    while (lowest.isPresent() && waitMs(lowest.get()) > state.maxWaitingMs()) {
-      shedNewest(lowest.get(), waitMs(lowest.get()), nowNs);
-      lowest = queue.lowest();
+    Optional<TierQueue> lowest = queue.lowestTier();
+    while (lowest.isPresent() && drainTimeMs(lowest.get()) > state.maxWaitingMs()) {
+      shedNewest(lowest.get(), drainTimeMs(lowest.get()), nowNs);
+      lowest = queue.lowestTier();
     }
   }
 
@@ -63,7 +63,7 @@
    * own at the rate which the higher tiers leave it, whichever is longer. By the pool's rate alone,
    * a tier that gets a tenth of the pool would wait ten times as long as operators allow.
    */
-  private double waitMs(TierQueue lowest) {
+  private double drainTimeMs(TierQueue lowest) {
     double allMs = state.queue().waitingUs() / state.drainUsPerMs();
     double ownMs = lowest.waitingUs() / state.drainUsPerMs(lowest);
     return Math.max(allMs, ownMs);
@@ -72,7 +72,7 @@
   private void shedNewest(TierQueue lowest, double waitMs, long nowNs) {
     String reason = "waiting_ms=" + (long) waitMs + " bound_ms=" + state.maxWaitingMs();
     Optional<TrackedTicket> aboveShare =
-        state.has(PolicyPart.CUSTOMER_SHARE) ? lowest.newestAboveShare() : Optional.empty();
+        state.isEnabled(PolicyPart.CUSTOMER_SHARE) ? lowest.newestAboveShare() : Optional.empty();
     if (aboveShare.isPresent()) {
       shedOne(aboveShare.get(), RefusalKind.SHARE_LIMIT, reason, nowNs);
     } else {
@@ -88,9 +88,9 @@
 
   /** Checks the promise that callers pay for, whichever way the ticket was picked. */
   private void checkOrder(TrackedTicket ticket) {
-    Invariant.check(gate.isOpen(), InvariantName.NO_SHED_BEFORE_REPORTS);
+    Invariant.check(vmReports.hasAllReports(), InvariantName.NO_SHED_BEFORE_REPORTS);
     for (TierQueue tier : state.queue().tiers()) {
-      boolean lowerIsKept = ticket.place().tier().isHigherThan(tier.tier()) && !tier.isEmpty();
+      boolean lowerIsKept = ticket.queuePosition().tier().isHigherThan(tier.tier()) && !tier.isEmpty();
       Invariant.check(!lowerIsKept, InvariantName.TIER_ORDER_AT_SHED);
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/Placement.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/Placement.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.schedule;
 
-import org.teaseltrail.core.schedule.fleet.UpstreamAccount;
+import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
@@ -11,4 +11,4 @@
  * @param cachedTokens prompt tokens that the upstream's cache is expected to save
  * @param reason why, for the log
  */
-record Placement(TrackedTicket ticket, UpstreamAccount upstream, int cachedTokens, String reason) {}
+record Placement(TrackedTicket ticket, TrackedUpstream upstream, int cachedTokens, String reason) {}
--- a/core/src/main/java/org/teaseltrail/core/schedule/PlacementSearch.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PlacementSearch.java
@@ -1,26 +1,26 @@
 package org.teaseltrail.core.schedule;
 
 import org.teaseltrail.core.schedule.fleet.SpeedState;
-import org.teaseltrail.core.schedule.fleet.UpstreamAccount;
+import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /** Searches the upstream with the least cost for one ticket. */
 final class PlacementSearch {
 
   private final TrackedTicket ticket;
-  private final UpstreamAccount reserved;
-  private final FinishTime finish;
+  private final TrackedUpstream reserved;
+  private final FinishTimeEstimator finishTimes;
   private final long nowNs;
-  private UpstreamAccount best;
+  private TrackedUpstream best;
   private double bestCostMs = Double.MAX_VALUE;
-  private int bestCached;
-  private UpstreamAccount tooFull;
-  private double tooFullCostMs = Double.MAX_VALUE;
+  private int bestCachedTokens;
+  private TrackedUpstream fullUpstream;
+  private double fullUpstreamCostMs = Double.MAX_VALUE;
 
-  PlacementSearch(TrackedTicket ticket, UpstreamAccount reserved, FinishTime finish, long nowNs) {
+  PlacementSearch(TrackedTicket ticket, TrackedUpstream reserved, FinishTimeEstimator finish, long nowNs) {
     this.ticket = ticket;
     this.reserved = reserved;
-    this.finish = finish;
+    this.finishTimes = finish;
     this.nowNs = nowNs;
   }
 
@@ -30,50 +30,50 @@
    * @param upstream the upstream
    * @param askCache whether to ask what it has cached; otherwise nothing is taken to be
    */
-  void consider(UpstreamAccount upstream, boolean askCache) {
-    if (!canTake(upstream)) {
+  void consider(TrackedUpstream upstream, boolean askCache) {
+    if (!hasUsableSlot(upstream)) {
       return;
     }
     int cached = askCache ? upstream.cachedTokens(ticket) : 0;
-    double costMs = finish.costMs(ticket, upstream, cached);
-    if (!finish.isInTime(ticket, upstream, cached, nowNs)) {
+    double costMs = finishTimes.costMs(ticket, upstream, cached);
+    if (!finishTimes.canMeetDeadline(ticket, upstream, cached, nowNs)) {
       return;
     }
     if (!upstream.fitsWindow(ticket.footprintTokens())) {
-      considerTooFull(upstream, costMs);
+      considerFull(upstream, costMs);
     } else if (!upstream.fitsPrefill(ticket.ticket().promptTokens() - cached)) {
       return;
     } else if (costMs < bestCostMs) {
       best = upstream;
       bestCostMs = costMs;
-      bestCached = cached;
+      bestCachedTokens = cached;
     }
   }
 
-  private void considerTooFull(UpstreamAccount upstream, double costMs) {
-    if (costMs < tooFullCostMs) {
-      tooFull = upstream;
-      tooFullCostMs = costMs;
+  private void considerFull(TrackedUpstream upstream, double costMs) {
+    if (costMs < fullUpstreamCostMs) {
+      fullUpstream = upstream;
+      fullUpstreamCostMs = costMs;
     }
   }
 
   /** Returns whether an upstream has a slot that this ticket may take. */
-  boolean canTake(UpstreamAccount upstream) {
+  boolean hasUsableSlot(TrackedUpstream upstream) {
     return upstream != reserved
         && upstream.state() != SpeedState.PROBED
-        && upstream.hasSlot(nowNs)
+        && upstream.hasFreeSlot(nowNs)
         && !ticket.isAvoiding(upstream.id(), nowNs);
   }
 
   /** Returns whether the ticket's tokens fit what room an upstream has. */
-  boolean fits(UpstreamAccount upstream, int cachedTokens) {
+  boolean fits(TrackedUpstream upstream, int cachedTokens) {
     return upstream.fitsWindow(ticket.footprintTokens())
         && upstream.fitsPrefill(ticket.ticket().promptTokens() - cachedTokens);
   }
 
   /** Returns whether an upstream could start the ticket now. */
-  boolean couldTake(UpstreamAccount upstream, int cachedTokens) {
-    return canTake(upstream) && fits(upstream, cachedTokens);
+  boolean canStartNow(TrackedUpstream upstream, int cachedTokens) {
+    return hasUsableSlot(upstream) && fits(upstream, cachedTokens);
   }
 
   TrackedTicket ticket() {
@@ -92,21 +92,21 @@
     return bestCostMs;
   }
 
-  int bestCached() {
-    return bestCached;
+  int bestCachedTokens() {
+    return bestCachedTokens;
   }
 
-  Choice result() {
+  PlacementResult result() {
     if (best == null) {
-      return tooFull == null ? Choice.NONE : Choice.drain(tooFull);
+      return fullUpstream == null ? PlacementResult.NONE : PlacementResult.drain(fullUpstream);
     }
     String reason =
         "cost_ms="
             + Math.round(bestCostMs)
             + " cached="
-            + bestCached
+            + bestCachedTokens
             + " in_flight="
             + best.inFlightCount();
-    return Choice.of(new Placement(ticket, best, bestCached, reason));
+    return PlacementResult.of(new Placement(ticket, best, bestCachedTokens, reason));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/Dispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PlacementSelector.java
@@ -6,30 +6,30 @@
 import java.util.Optional;
 import org.teaseltrail.core.configuration.Route;
 import org.teaseltrail.core.schedule.fleet.TargetGroup;
-import org.teaseltrail.core.schedule.fleet.UpstreamAccount;
+import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.queue.RouteQueue;
-import org.teaseltrail.core.schedule.queue.ServiceOrder;
+import org.teaseltrail.core.schedule.queue.ServiceOrderIterator;
 import org.teaseltrail.core.schedule.queue.TierQueue;
 
 /** Finds the tickets that can start now, in strict tier order. */
-final class Dispatcher {
+final class PlacementSelector {
 
   /** Tickets tried behind one that finds no room, so that a long one doesn't idle the pool. */
   private static final int LOOK_AHEAD = 8;
 
   private final PoolState state;
-  private final UpstreamChooser chooser;
-  private final Map<TargetGroup, List<UpstreamAccount>> open = new HashMap<>();
-  private UpstreamAccount reserved;
+  private final UpstreamSelector selector;
+  private final Map<TargetGroup, List<TrackedUpstream>> candidatesByGroup = new HashMap<>();
+  private TrackedUpstream reserved;
 
-  Dispatcher(PoolState state) {
+  PlacementSelector(PoolState state) {
     this.state = state;
-    this.chooser = new UpstreamChooser(state.fleet(), state.settings());
+    this.selector = new UpstreamSelector(state.fleet(), state.settings());
   }
 
   /** Begins a round of placements: upstreams may have come, left or come free since the last. */
-  void begin() {
-    open.clear();
+  void beginRound() {
+    candidatesByGroup.clear();
   }
 
   /** Returns the next placement of the round, or empty if no waiting ticket can start now. */
@@ -52,10 +52,10 @@
       return Optional.empty();
     }
     TargetGroup group = state.fleet().group(route.target());
-    List<UpstreamAccount> candidates = openIn(group, nowNs);
-    ServiceOrder order = routeQueue.inOrder();
+    List<TrackedUpstream> candidates = candidatesIn(group, nowNs);
+    ServiceOrderIterator order = routeQueue.serviceOrder();
     for (int tried = 0; tried < LOOK_AHEAD && !candidates.isEmpty() && order.hasNext(); tried++) {
-      Choice choice = chooser.choose(order.next(), group, candidates, reserved, nowNs);
+      PlacementResult choice = selector.select(order.next(), group, candidates, reserved, nowNs);
       if (choice.isPlaced()) {
         return Optional.of(choice.placement());
       }
@@ -69,19 +69,19 @@
    * short requests would fill every bit of room that comes free, and a long one of a higher tier
    * would never find enough at once.
    */
-  private void reserve(Choice choice) {
+  private void reserve(PlacementResult choice) {
     if (reserved == null) {
-      reserved = choice.tooFull();
+      reserved = choice.upstreamToReserve();
     }
   }
 
-  private List<UpstreamAccount> openIn(TargetGroup group, long nowNs) {
-    List<UpstreamAccount> known = open.get(group);
+  private List<TrackedUpstream> candidatesIn(TargetGroup group, long nowNs) {
+    List<TrackedUpstream> known = candidatesByGroup.get(group);
     if (known == null) {
-      known = group.open(nowNs);
-      open.put(group, known);
+      known = group.candidates(nowNs);
+      candidatesByGroup.put(group, known);
     }
-    known.removeIf(account -> !account.hasSlot(nowNs));
+    known.removeIf(account -> !account.hasFreeSlot(nowNs));
     return known;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PoolScheduler.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PoolScheduler.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.PoolId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.EntryMessage;
-import org.teaseltrail.core.schedule.fleet.SpeedChange;
+import org.teaseltrail.core.schedule.fleet.SpeedStateChange;
 import org.teaseltrail.core.schedule.ticket.Nanos;
 
 /**
@@ -25,13 +25,13 @@
   private static final long TICK_NS = Nanos.fromMs(50);
 
   private final PoolState state;
-  private final ReportGate gate = new ReportGate();
-  private final TicketIntake intake;
-  private final GrantDesk desk;
-  private final InFlightExpiry expiry;
-  private final Dispatcher dispatcher;
-  private final DeadlineWatch deadlines;
-  private final Shedder shedder;
+  private final VmReportTracker vmReports = new VmReportTracker();
+  private final TicketAdmissionController admissionController;
+  private final GrantCoordinator grantCoordinator;
+  private final InFlightRequestReaper reaper;
+  private final PlacementSelector placementSelector;
+  private final DeadlineEnforcer deadlineEnforcer;
+  private final LoadShedder loadShedder;
   private long reviewedNs = Long.MIN_VALUE / 2;
   private long lastNowNs;
 
@@ -45,35 +45,35 @@
    */
   public PoolScheduler(PoolId pool, FencingNumber fencing, SchedulerSettings settings, long seed) {
     this.state = new PoolState(pool, fencing, settings);
-    Refusals refusals = new Refusals(state);
-    this.intake = new TicketIntake(state, gate, refusals);
-    this.expiry = new InFlightExpiry(state);
-    this.desk = new GrantDesk(state, intake, expiry);
-    this.dispatcher = new Dispatcher(state);
-    this.deadlines = new DeadlineWatch(state, gate, refusals);
-    this.shedder = new Shedder(state, gate, refusals);
+    RefusalHandler refusals = new RefusalHandler(state);
+    this.admissionController = new TicketAdmissionController(state, vmReports, refusals);
+    this.reaper = new InFlightRequestReaper(state);
+    this.grantCoordinator = new GrantCoordinator(state, admissionController, reaper);
+    this.placementSelector = new PlacementSelector(state);
+    this.deadlineEnforcer = new DeadlineEnforcer(state, vmReports, refusals);
+    this.loadShedder = new LoadShedder(state, vmReports, refusals);
   }
 
   @Override
   public List<SchedulerAction> handle(SchedulerEvent event, long nowNs) {
     lastNowNs = nowNs;
-    state.advance(nowNs);
+    state.advanceDrainMeters(nowNs);
     apply(event, nowNs);
     expire(nowNs);
     review(nowNs);
     placeAll(nowNs);
-    shedder.shed(nowNs);
-    state.settle();
-    return state.out().take();
+    loadShedder.shed(nowNs);
+    state.updateBusy();
+    return state.output().takeActions();
   }
 
   @Override
   public OptionalLong nextWakeupNs() {
     long wakeupNs = Long.MAX_VALUE;
     if (state.queue().count() > 0) {
-      wakeupNs = Math.min(lastNowNs + TICK_NS, deadlines.nextNs().orElse(Long.MAX_VALUE));
+      wakeupNs = Math.min(lastNowNs + TICK_NS, deadlineEnforcer.nextDeadlineNs().orElse(Long.MAX_VALUE));
     }
-    wakeupNs = Math.min(wakeupNs, expiry.nextNs().orElse(Long.MAX_VALUE));
+    wakeupNs = Math.min(wakeupNs, reaper.nextExpiryNs().orElse(Long.MAX_VALUE));
     if (state.fleet().inFlightCount() > 0) {
       wakeupNs = Math.min(wakeupNs, reviewedNs + reviewNs());
     }
@@ -94,67 +94,67 @@
 
   private void apply(SchedulerEvent event, long nowNs) {
     if (event instanceof SchedulerEvent.FromEntry from) {
-      fromEntry(from.vm(), from.message(), nowNs);
+      handleEntryMessage(from.vm(), from.message(), nowNs);
     } else if (event instanceof SchedulerEvent.ConfigurationChanged changed) {
       state.setConfiguration(changed.configuration());
-      intake.configured(nowNs);
+      admissionController.onConfigurationChanged(nowNs);
     } else if (event instanceof SchedulerEvent.ClaimGranted granted) {
-      desk.claimGranted(granted.request(), nowNs);
+      grantCoordinator.onClaimGranted(granted.request(), nowNs);
     } else if (event instanceof SchedulerEvent.ClaimDenied denied) {
-      desk.claimDenied(denied.request(), nowNs);
-    } else if (event instanceof SchedulerEvent.VmLapsed lapsed) {
-      gate.heard(lapsed.vm());
-      desk.vmLapsed(lapsed.vm(), nowNs);
+      grantCoordinator.onClaimDenied(denied.request(), nowNs);
+    } else if (event instanceof SchedulerEvent.VmSessionExpired lapsed) {
+      vmReports.heard(lapsed.vm());
+      grantCoordinator.onVmSessionExpired(lapsed.vm(), nowNs);
     } else if (event instanceof SchedulerEvent.ReportsAwaited awaited) {
-      gate.await(awaited.vms());
+      vmReports.expectReports(awaited.vms());
     }
   }
 
-  private void fromEntry(VmId vm, EntryMessage message, long nowNs) {
+  private void handleEntryMessage(VmId vm, EntryMessage message, long nowNs) {
     if (message instanceof EntryMessage.Offer offer) {
-      intake.offered(vm, offer.ticket(), nowNs);
+      admissionController.offered(vm, offer.ticket(), nowNs);
     } else if (message instanceof EntryMessage.Withdraw withdraw) {
-      desk.withdrawn(withdraw.request(), nowNs);
+      grantCoordinator.onWithdrawn(withdraw.request(), nowNs);
     } else if (message instanceof EntryMessage.Declined declined) {
-      desk.declined(declined, nowNs);
+      grantCoordinator.declined(declined, nowNs);
     } else if (message instanceof EntryMessage.Ended ended) {
-      desk.ended(ended, nowNs);
+      grantCoordinator.onEnded(ended, nowNs);
     } else if (message instanceof EntryMessage.StillRunning running) {
-      desk.stillRunning(vm, running, nowNs);
+      grantCoordinator.onStillRunning(vm, running, nowNs);
     } else if (message instanceof EntryMessage.ReportsComplete complete) {
-      reportsComplete(complete);
+      onReportsComplete(complete);
     } else {
-      news(message, nowNs);
+      handleObservation(message, nowNs);
     }
   }
 
-  private void reportsComplete(EntryMessage.ReportsComplete complete) {
+  private void onReportsComplete(EntryMessage.ReportsComplete complete) {
     if (complete.fencing().equals(state.fencing())) {
-      gate.heard(complete.vm());
+      vmReports.heard(complete.vm());
     }
   }
 
-  private void news(EntryMessage message, long nowNs) {
+  private void handleObservation(EntryMessage message, long nowNs) {
     if (message instanceof EntryMessage.FirstToken first) {
       state
           .fleet()
           .find(first.request())
           .filter(part -> part.upstreamId().equals(first.upstream()))
-          .ifPresent(part -> state.fleet().started(part, first.sinceDispatchMs(), nowNs));
+          .ifPresent(part -> state.fleet().onFirstToken(part, first.sinceDispatchMs(), nowNs));
     } else if (message instanceof EntryMessage.Progress progress) {
       state
           .fleet()
           .find(progress.request())
           .filter(part -> part.upstreamId().equals(progress.upstream()))
-          .ifPresent(part -> state.fleet().progressed(part, progress.outputTokens(), nowNs));
+          .ifPresent(part -> state.fleet().onProgress(part, progress.outputTokens(), nowNs));
     } else if (message instanceof EntryMessage.UpstreamSeen seen) {
-      upstreamSeen(seen, nowNs);
+      onUpstreamSeen(seen, nowNs);
     } else if (message instanceof EntryMessage.CacheSeen seen) {
-      state.fleet().cacheEvent(seen.event());
+      state.fleet().applyCacheEvent(seen.event());
     }
   }
 
-  private void upstreamSeen(EntryMessage.UpstreamSeen seen, long nowNs) {
+  private void onUpstreamSeen(EntryMessage.UpstreamSeen seen, long nowNs) {
     long heardNs = nowNs - Nanos.fromMs(seen.heardMs());
     if (state.fleet().announce(seen.announcement(), heardNs, nowNs)) {
       String reason =
@@ -162,16 +162,16 @@
               + seen.announcement().phase()
               + " incarnation="
               + seen.announcement().incarnation();
-      state.out().upstream(seen.announcement().upstream(), reason);
+      state.output().upstream(seen.announcement().upstream(), reason);
     }
   }
 
   private void expire(long nowNs) {
-    state.book().expire(nowNs);
-    expiry.expire(nowNs);
-    deadlines.passDeadlines(nowNs);
-    if (state.has(PolicyPart.DEADLINE_PREDICTION)) {
-      state.queue().setHopelessAside(nowNs);
+    state.ticketRegistry().expire(nowNs);
+    reaper.expire(nowNs);
+    deadlineEnforcer.refuseExpired(nowNs);
+    if (state.isEnabled(PolicyPart.DEADLINE_PREDICTION)) {
+      state.queue().setAsideInfeasible(nowNs);
     }
   }
 
@@ -180,13 +180,13 @@
       return;
     }
     reviewedNs = nowNs;
-    deadlines.passUnserved(nowNs);
-    for (SpeedChange change : state.fleet().review(nowNs)) {
+    deadlineEnforcer.refuseRoutesWithoutUpstream(nowNs);
+    for (SpeedStateChange change : state.fleet().reviewSpeeds(nowNs)) {
       String ratio = String.format(Locale.ROOT, "%.2f", change.ratio());
       String reason = "speed=" + change.after() + " was=" + change.before() + " ratio=" + ratio;
-      state.out().upstream(change.upstream(), reason);
+      state.output().upstream(change.upstream(), reason);
     }
-    state.estimator().setSpeed(state.fleet().ordinary());
+    state.estimator().setSpeed(state.fleet().typicalSpeed());
   }
 
   private long reviewNs() {
@@ -197,11 +197,11 @@
     if (state.queue().count() == 0) {
       return;
     }
-    dispatcher.begin();
-    Optional<Placement> next = dispatcher.next(nowNs);
+    placementSelector.beginRound();
+    Optional<Placement> next = placementSelector.next(nowNs);
     while (next.isPresent()) {
-      desk.place(next.get(), nowNs);
-      next = dispatcher.next(nowNs);
+      grantCoordinator.grantPlacement(next.get(), nowNs);
+      next = placementSelector.next(nowNs);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PoolState.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PoolState.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.schedule.queue.TierQueue;
 import org.teaseltrail.core.schedule.queue.WaitingQueue;
 import org.teaseltrail.core.schedule.ticket.Nanos;
-import org.teaseltrail.core.schedule.ticket.TicketBook;
+import org.teaseltrail.core.schedule.ticket.TicketRegistry;
 import org.teaseltrail.core.schedule.ticket.TicketEstimator;
 
 /** Holds the aggregates of one pool, which the parts of its scheduler share. */
@@ -26,28 +26,28 @@
   private final WaitingQueue queue = new WaitingQueue();
   private final TicketEstimator estimator = new TicketEstimator();
   private final DrainRateMeter drain = new DrainRateMeter();
-  private final TicketBook book;
+  private final TicketRegistry ticketRegistry;
   private final UpstreamFleet fleet;
-  private final SchedulerOutput out;
+  private final SchedulerOutput output;
   private Configuration configuration = Configuration.empty();
 
   PoolState(PoolId pool, FencingNumber fencing, SchedulerSettings settings) {
     this.pool = pool;
     this.fencing = fencing;
     this.settings = settings;
-    this.book = new TicketBook(Nanos.fromMs(settings.endedMemoryMs()));
+    this.ticketRegistry = new TicketRegistry(Nanos.fromMs(settings.endedRetentionMs()));
     this.fleet = new UpstreamFleet(pool, fleetPolicy(settings));
-    this.out = new SchedulerOutput(fencing);
+    this.output = new SchedulerOutput(fencing);
   }
 
   private static FleetPolicy fleetPolicy(SchedulerSettings settings) {
     return new FleetPolicy(
-        settings.has(PolicyPart.TOKEN_WINDOW),
-        settings.has(PolicyPart.PREFILL_BOUND),
-        settings.has(PolicyPart.STRAGGLERS),
-        settings.has(PolicyPart.PREFIX_AFFINITY),
+        settings.isEnabled(PolicyPart.TOKEN_WINDOW),
+        settings.isEnabled(PolicyPart.PREFILL_BOUND),
+        settings.isEnabled(PolicyPart.STRAGGLERS),
+        settings.isEnabled(PolicyPart.PREFIX_AFFINITY),
         settings.prefillBoundMs(),
-        settings.tokenTargetMs());
+        settings.interTokenTargetMs());
   }
 
   FencingNumber fencing() {
@@ -58,8 +58,8 @@
     return settings;
   }
 
-  boolean has(PolicyPart part) {
-    return settings.has(part);
+  boolean isEnabled(PolicyPart part) {
+    return settings.isEnabled(part);
   }
 
   WaitingQueue queue() {
@@ -70,16 +70,16 @@
     return estimator;
   }
 
-  TicketBook book() {
-    return book;
+  TicketRegistry ticketRegistry() {
+    return ticketRegistry;
   }
 
   UpstreamFleet fleet() {
     return fleet;
   }
 
-  SchedulerOutput out() {
-    return out;
+  SchedulerOutput output() {
+    return output;
   }
 
   Configuration configuration() {
@@ -103,13 +103,13 @@
   }
 
   /** Moves the measures of drain on, before anything of an event is done. */
-  void advance(long nowNs) {
+  void advanceDrainMeters(long nowNs) {
     drain.advance(nowNs);
     queue.tiers().forEach(tier -> tier.drain().advance(nowNs));
   }
 
   /** Notes what waits, after all of an event is done. */
-  void settle() {
+  void updateBusy() {
     drain.setBusy(queue.count() > 0);
     queue.tiers().forEach(tier -> tier.drain().setBusy(!tier.isEmpty()));
   }
@@ -120,11 +120,11 @@
 
   /** Returns how fast the pool drains, in microseconds of engine time for each millisecond. */
   double drainUsPerMs() {
-    return drain.usPerMs(US_PER_MS * Math.max(1, fleet.servingCount()));
+    return drain.rateUsPerMs(US_PER_MS * Math.max(1, fleet.servingCount()));
   }
 
   /** Returns how fast a tier drains, in microseconds of engine time for each millisecond. */
   double drainUsPerMs(TierQueue tier) {
-    return tier.drain().usPerMs(drainUsPerMs());
+    return tier.drain().rateUsPerMs(drainUsPerMs());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PrefixHold.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PrefixHoldPolicy.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.teaseltrail.core.schedule.fleet.SpeedState;
-import org.teaseltrail.core.schedule.fleet.UpstreamAccount;
+import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.ticket.Nanos;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
@@ -10,30 +10,30 @@
  * Decides whether a ticket waits a little for the engine that holds its prefix, when that engine is
  * expected to be free sooner than another could process the prompt again.
  */
-final class PrefixHold {
+final class PrefixHoldPolicy {
 
   /** Fewest tokens that must be saved; below, the wait costs more than it can bring. */
   private static final int MIN_SAVED_TOKENS = 1_024;
 
   /** The same for a caller with a deadline, which is held for a tenth of a second or so. */
-  private static final int MIN_SAVED_TOKENS_URGENT = 256;
+  private static final int MIN_SAVED_TOKENS_WITH_DEADLINE = 256;
 
   private static final double US_PER_MS = 1_000;
 
   private final SchedulerSettings settings;
-  private final FinishTime finish;
+  private final FinishTimeEstimator finishTimes;
 
-  PrefixHold(SchedulerSettings settings, FinishTime finish) {
+  PrefixHoldPolicy(SchedulerSettings settings, FinishTimeEstimator finish) {
     this.settings = settings;
-    this.finish = finish;
+    this.finishTimes = finish;
   }
 
   /** Returns whether the ticket of a search is better held than placed now. */
-  boolean holds(PlacementSearch search, List<UpstreamAccount> holders) {
-    if (!settings.has(PolicyPart.PREFIX_HOLD) || !search.isFound()) {
+  boolean shouldHold(PlacementSearch search, List<TrackedUpstream> holders) {
+    if (!settings.isEnabled(PolicyPart.PREFIX_HOLD) || !search.isFound()) {
       return false;
     }
-    for (UpstreamAccount holder : holders) {
+    for (TrackedUpstream holder : holders) {
       if (isWorthWaiting(search, holder)) {
         return true;
       }
@@ -41,15 +41,15 @@
     return false;
   }
 
-  private boolean isWorthWaiting(PlacementSearch search, UpstreamAccount holder) {
+  private boolean isWorthWaiting(PlacementSearch search, TrackedUpstream holder) {
     long nowNs = search.nowNs();
     if (!holder.isServing(nowNs) || holder.state() == SpeedState.PROBED) {
       return false;
     }
     TrackedTicket ticket = search.ticket();
     int cached = holder.cachedTokens(ticket);
-    int saved = cached - search.bestCached();
-    if (saved < minSavedTokens(ticket) || search.couldTake(holder, cached)) {
+    int saved = cached - search.bestCachedTokens();
+    if (saved < minSavedTokens(ticket) || search.canStartNow(holder, cached)) {
       return false;
     }
     return isSooner(search, holder, cached) && isWithinLimit(ticket, holder, saved, nowNs);
@@ -60,37 +60,37 @@
    * told no deadline is patient: for it only the engine time counts, which waiting doesn't cost,
    * for the room is taken by the tickets behind.
    */
-  private boolean isSooner(PlacementSearch search, UpstreamAccount holder, int cached) {
+  private boolean isSooner(PlacementSearch search, TrackedUpstream holder, int cached) {
     TrackedTicket ticket = search.ticket();
     double waitMs = waitMs(holder, search.nowNs());
-    if (isPatient(ticket)) {
-      return waitMs < settings.longestHoldMs();
+    if (hasNoDeadline(ticket)) {
+      return waitMs < settings.maxHoldMs();
     }
-    return waitMs + finish.costMs(ticket, holder, cached) < search.bestCostMs();
+    return waitMs + finishTimes.costMs(ticket, holder, cached) < search.bestCostMs();
   }
 
   private static int minSavedTokens(TrackedTicket ticket) {
-    return isPatient(ticket) ? MIN_SAVED_TOKENS : MIN_SAVED_TOKENS_URGENT;
+    return hasNoDeadline(ticket) ? MIN_SAVED_TOKENS : MIN_SAVED_TOKENS_WITH_DEADLINE;
   }
 
   /** Returns the expected time until a full holder has room: a slot, or its prompts processed. */
-  private double waitMs(UpstreamAccount holder, long nowNs) {
-    double slotMs = holder.hasSlot(nowNs) ? 0 : holder.spanMs() / holder.inFlightCount();
+  private double waitMs(TrackedUpstream holder, long nowNs) {
+    double slotMs = holder.hasFreeSlot(nowNs) ? 0 : holder.serviceTimeMs() / holder.inFlightCount();
     double prefillMs = holder.prefillTokens() * holder.prefillUs() / US_PER_MS;
     return Math.max(slotMs, prefillMs);
   }
 
-  private static boolean isPatient(TrackedTicket ticket) {
+  private static boolean hasNoDeadline(TrackedTicket ticket) {
     return ticket.estimate().latestStartNs() == TrackedTicket.NO_DEADLINE;
   }
 
   private boolean isWithinLimit(
-      TrackedTicket ticket, UpstreamAccount holder, int saved, long nowNs) {
+      TrackedTicket ticket, TrackedUpstream holder, int saved, long nowNs) {
     double limitMs =
-        isPatient(ticket)
-            ? settings.longestHoldMs()
-            : Math.min(settings.longestHoldMs(), finish.prefillMs(holder, saved));
-    long heldNs = nowNs - ticket.heldSinceNs(nowNs);
+        hasNoDeadline(ticket)
+            ? settings.maxHoldMs()
+            : Math.min(settings.maxHoldMs(), finishTimes.prefillCostMs(holder, saved));
+    long heldNs = nowNs - ticket.holdStartNs(nowNs);
     return Nanos.toMs(heldNs) < limitMs;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/Refusals.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/RefusalHandler.java
@@ -6,14 +6,14 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /** Gives requests up: each gets its final answer at once, with when to come back. */
-final class Refusals {
+final class RefusalHandler {
 
-  private static final long LEAST_RETRY_MS = 200;
-  private static final long LONGEST_RETRY_MS = 60_000;
+  private static final long MIN_RETRY_AFTER_MS = 200;
+  private static final long MAX_RETRY_AFTER_MS = 60_000;
 
   private final PoolState state;
 
-  Refusals(PoolState state) {
+  RefusalHandler(PoolState state) {
     this.state = state;
   }
 
@@ -29,14 +29,14 @@
       TrackedTicket ticket, RefusalKind kind, long retryAfterMs, String reason, long nowNs) {
     ControlMessage.Refused refused =
         new ControlMessage.Refused(ticket.request(), kind, retryAfterMs);
-    state.book().refuse(refused, nowNs);
-    state.out().refuse(ticket, refused, reason);
+    state.ticketRegistry().refuse(refused, nowNs);
+    state.output().refuse(ticket, refused, reason);
   }
 
   /** Returns when what waits in a ticket's tier will have drained, at the measured rate. */
   long retryAfterMs(TrackedTicket ticket) {
-    TierQueue tier = state.queue().tierOf(ticket);
+    TierQueue tier = state.queue().tierQueueOf(ticket);
     double drainMs = tier.waitingUs() / state.drainUsPerMs(tier);
-    return (long) Math.min(LONGEST_RETRY_MS, Math.max(LEAST_RETRY_MS, drainMs));
+    return (long) Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, drainMs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerEvent.java
@@ -50,7 +50,7 @@
    *
    * @param vm the entry VM
    */
-  record VmLapsed(VmId vm) implements SchedulerEvent {}
+  record VmSessionExpired(VmId vm) implements SchedulerEvent {}
 
   /** Time has passed. */
   record Tick() implements SchedulerEvent {}
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerOutput.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerOutput.java
@@ -10,8 +10,8 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.RefusalKind;
-import org.teaseltrail.core.schedule.fleet.InFlight;
-import org.teaseltrail.core.schedule.fleet.UpstreamAccount;
+import org.teaseltrail.core.schedule.fleet.InFlightRequest;
+import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 import org.teaseltrail.core.upstream.Announcement;
 
@@ -26,19 +26,19 @@
   }
 
   /** Returns the actions collected since the last call. */
-  List<SchedulerAction> take() {
+  List<SchedulerAction> takeActions() {
     List<SchedulerAction> taken = actions;
     actions = new ArrayList<>();
     return taken;
   }
 
-  void grant(InFlight part, String reason) {
+  void grant(InFlightRequest part, String reason) {
     sendGrant(part);
-    log(DecisionKind.GRANT, part.tracked(), Optional.of(part.upstreamId()), reason);
+    log(DecisionKind.GRANT, part.trackedTicket(), Optional.of(part.upstreamId()), reason);
   }
 
   /** Sends a grant, or sends the same grant again. */
-  void sendGrant(InFlight part) {
+  void sendGrant(InFlightRequest part) {
     Announcement announcement = part.announcement();
     ControlMessage.Grant grant =
         new ControlMessage.Grant(
@@ -51,7 +51,7 @@
   }
 
   /** Asks a grant back whose upstream serves no longer. */
-  void recall(InFlight part) {
+  void recall(InFlightRequest part) {
     send(part.vm(), new ControlMessage.Recall(part.request(), part.upstreamId(), fencing));
   }
 
@@ -59,7 +59,7 @@
     actions.add(new SchedulerAction.Send(vm, message));
   }
 
-  void commitClaim(TrackedTicket ticket, UpstreamAccount upstream, String reason) {
+  void commitClaim(TrackedTicket ticket, TrackedUpstream upstream, String reason) {
     actions.add(new SchedulerAction.CommitClaim(ticket.vm(), ticket.ticket(), upstream.id()));
     log(DecisionKind.GRANT, ticket, Optional.of(upstream.id()), "claim=asked " + reason);
   }
@@ -83,7 +83,7 @@
     log(decision, ticket, Optional.empty(), "kind=" + kind + retry + " " + reason);
   }
 
-  void regrant(TrackedTicket ticket, UpstreamAccount upstream, String reason) {
+  void regrant(TrackedTicket ticket, TrackedUpstream upstream, String reason) {
     log(DecisionKind.REGRANT, ticket, Optional.of(upstream.id()), reason);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerSettings.java
@@ -9,30 +9,30 @@
  * @param parts the parts of the policy that are on
  * @param prefillBoundMs prefill that may be in process on one engine at once, in milliseconds of
  *     its time; what a quick answer may be stalled by
- * @param tokenTargetMs time between tokens from which an engine counts as crowded, in milliseconds;
+ * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in milliseconds;
  *     the operators' target at the two-year size
- * @param prefillPrice what a millisecond of prefill counts for in the choice of an upstream: it
+ * @param prefillCostFactor what a millisecond of prefill counts for in the choice of an upstream: it
  *     stalls the whole batch, so more than one of decoding
- * @param longestHoldMs how long a request is held at most for the engine that holds its prefix
+ * @param maxHoldMs how long a request is held at most for the engine that holds its prefix
  * @param probeIntervalMs time between two probes of an engine that gets only probes
- * @param noUpstreamMs how long no upstream must have served before waiting requests are refused
+ * @param noUpstreamTimeoutMs how long no upstream must have served before waiting requests are refused
  * @param reviewIntervalMs time between two judgements of the upstreams' speeds
- * @param endedMemoryMs how long an ended request is remembered, so that late messages are harmless
- * @param lapsedKeepMs how long work in flight is kept in the account after its VM lapsed
- * @param silentKeepMs how long work in flight is kept of which nothing is heard
+ * @param endedRetentionMs how long an ended request is remembered, so that late messages are harmless
+ * @param expiredSessionRetentionMs how long work in flight is kept in the account after its VM lapsed
+ * @param silentRequestTimeoutMs how long work in flight is kept of which nothing is heard
  */
 public record SchedulerSettings(
     Set<PolicyPart> parts,
     double prefillBoundMs,
-    double tokenTargetMs,
-    double prefillPrice,
-    long longestHoldMs,
+    double interTokenTargetMs,
+    double prefillCostFactor,
+    long maxHoldMs,
     long probeIntervalMs,
-    long noUpstreamMs,
+    long noUpstreamTimeoutMs,
     long reviewIntervalMs,
-    long endedMemoryMs,
-    long lapsedKeepMs,
-    long silentKeepMs) {
+    long endedRetentionMs,
+    long expiredSessionRetentionMs,
+    long silentRequestTimeoutMs) {
 
   /** Copies the set, so that no one can change it. */
   public SchedulerSettings {
@@ -68,19 +68,19 @@
     return new SchedulerSettings(
         newParts,
         prefillBoundMs,
-        tokenTargetMs,
-        prefillPrice,
-        longestHoldMs,
+        interTokenTargetMs,
+        prefillCostFactor,
+        maxHoldMs,
         probeIntervalMs,
-        noUpstreamMs,
+        noUpstreamTimeoutMs,
         reviewIntervalMs,
-        endedMemoryMs,
-        lapsedKeepMs,
-        silentKeepMs);
+        endedRetentionMs,
+        expiredSessionRetentionMs,
+        silentRequestTimeoutMs);
   }
 
   /** Returns whether a part of the policy is on. */
-  public boolean has(PolicyPart part) {
+  public boolean isEnabled(PolicyPart part) {
     return parts.contains(part);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/TicketIntake.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/TicketAdmissionController.java
@@ -9,49 +9,49 @@
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.RefusalKind;
 import org.teaseltrail.core.message.Ticket;
-import org.teaseltrail.core.schedule.fleet.InFlight;
+import org.teaseltrail.core.schedule.fleet.InFlightRequest;
 import org.teaseltrail.core.schedule.limit.RateLimiter;
-import org.teaseltrail.core.schedule.ticket.QueuePlace;
+import org.teaseltrail.core.schedule.ticket.QueuePosition;
 import org.teaseltrail.core.schedule.ticket.TicketEstimate;
 import org.teaseltrail.core.schedule.ticket.TicketPhase;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /** Takes offers: refuses what is over a limit, queues the rest. */
-final class TicketIntake {
+final class TicketAdmissionController {
 
   /** Stands for every tier while tier order is off. */
-  private static final Tier ONE_TIER = new Tier(1);
+  private static final Tier SINGLE_TIER = new Tier(1);
 
   /** Stands for every customer while fairness is off. */
-  private static final CustomerId ONE_CUSTOMER = new CustomerId("all");
+  private static final CustomerId SINGLE_CUSTOMER = new CustomerId("all");
 
   /** Wait from which an offer counts as one told again, not as a new request of its customer. */
-  private static final long RETOLD_MS = 1_000;
+  private static final long REOFFER_MIN_WAIT_MS = 1_000;
 
   /** Time by which a request goes later for each unit of its own span. */
-  private static final double SHORT_FIRST = 5;
+  private static final double SERVICE_TIME_WEIGHT = 5;
 
   /** Bound on that time, so that no request is overtaken for ever. */
-  private static final double LONGEST_LATER_MS = 10_000;
+  private static final double MAX_ORDER_DELAY_MS = 10_000;
 
   private static final double NS_PER_MS = 1e6;
 
   private final PoolState state;
-  private final ReportGate gate;
-  private final Refusals refusals;
-  private final RateLimiter rates = new RateLimiter();
-  private long offers;
+  private final VmReportTracker vmReports;
+  private final RefusalHandler refusals;
+  private final RateLimiter rateLimiter = new RateLimiter();
+  private long offerCount;
 
-  TicketIntake(PoolState state, ReportGate gate, Refusals refusals) {
+  TicketAdmissionController(PoolState state, VmReportTracker gate, RefusalHandler refusals) {
     this.state = state;
-    this.gate = gate;
+    this.vmReports = gate;
     this.refusals = refusals;
   }
 
   /** Takes the configured rates, and gives up what is no longer routed here. */
-  void configured(long nowNs) {
-    rates.configure(state.configuration(), nowNs);
-    for (TrackedTicket ticket : state.book().waiting()) {
+  void onConfigurationChanged(long nowNs) {
+    rateLimiter.configure(state.configuration(), nowNs);
+    for (TrackedTicket ticket : state.ticketRegistry().waiting()) {
       if (!state.isRouted(ticket.ticket())) {
         String reason = "route=" + ticket.ticket().route();
         refusals.refuseWaiting(ticket, RefusalKind.UNKNOWN_POOL, 0, reason, nowNs);
@@ -61,11 +61,11 @@
 
   /** Takes an offer. */
   void offered(VmId vm, Ticket ticket, long nowNs) {
-    if (state.book().hasEnded(ticket.request())) {
+    if (state.ticketRegistry().hasEnded(ticket.request())) {
       resendRefusal(vm, ticket);
       return;
     }
-    Optional<TrackedTicket> known = state.book().find(ticket.request());
+    Optional<TrackedTicket> known = state.ticketRegistry().find(ticket.request());
     if (known.isPresent()) {
       resendLostGrant(known.get(), nowNs);
       return;
@@ -75,29 +75,29 @@
       refusals.refuse(tracked, RefusalKind.UNKNOWN_POOL, 0, "route=" + ticket.route(), nowNs);
       return;
     }
-    OptionalLong overRateMs = overRateMs(ticket, nowNs);
+    OptionalLong overRateMs = rateLimitDelayMs(ticket, nowNs);
     if (overRateMs.isPresent()) {
       long retryAfterMs = overRateMs.getAsLong();
       refusals.refuse(tracked, RefusalKind.RATE_LIMIT, retryAfterMs, "rate=exceeded", nowNs);
       return;
     }
-    state.book().add(tracked);
+    state.ticketRegistry().add(tracked);
     state.queue().add(tracked);
   }
 
   /** Makes the scheduler's own record of a ticket. */
   TrackedTicket track(VmId vm, Ticket ticket, long nowNs) {
     TicketEstimate estimate = state.estimator().estimate(ticket, nowNs);
-    QueuePlace place = place(ticket, estimate, nowNs);
-    return new TrackedTicket(ticket, vm, ++offers, nowNs, estimate, place);
+    QueuePosition place = place(ticket, estimate, nowNs);
+    return new TrackedTicket(ticket, vm, ++offerCount, nowNs, estimate, place);
   }
 
-  private QueuePlace place(Ticket ticket, TicketEstimate estimate, long nowNs) {
-    boolean byDeadline = state.has(PolicyPart.DEADLINE_ORDER);
-    boolean fair = state.has(PolicyPart.FAIR_SHARE);
-    return new QueuePlace(
-        state.has(PolicyPart.TIER_ORDER) ? ticket.tier() : ONE_TIER,
-        fair ? ticket.customer() : ONE_CUSTOMER,
+  private QueuePosition place(Ticket ticket, TicketEstimate estimate, long nowNs) {
+    boolean byDeadline = state.isEnabled(PolicyPart.DEADLINE_ORDER);
+    boolean fair = state.isEnabled(PolicyPart.FAIR_SHARE);
+    return new QueuePosition(
+        state.isEnabled(PolicyPart.TIER_ORDER) ? ticket.tier() : SINGLE_TIER,
+        fair ? ticket.customer() : SINGLE_CUSTOMER,
         fair ? weightOf(ticket) : 1,
         byDeadline ? byUsefulDeadline(estimate) : nowNs);
   }
@@ -107,8 +107,8 @@
    * can be served in time, as many short answers fit as one long one.
    */
   private static long byUsefulDeadline(TicketEstimate estimate) {
-    double laterMs = Math.min(LONGEST_LATER_MS, SHORT_FIRST * estimate.spanMs());
-    return estimate.usefulNs() + (long) (laterMs * NS_PER_MS);
+    double laterMs = Math.min(MAX_ORDER_DELAY_MS, SERVICE_TIME_WEIGHT * estimate.serviceTimeMs());
+    return estimate.usefulDeadlineNs() + (long) (laterMs * NS_PER_MS);
   }
 
   private int weightOf(Ticket ticket) {
@@ -116,12 +116,12 @@
     return customer == null ? 1 : Math.max(1, customer.weight());
   }
 
-  private OptionalLong overRateMs(Ticket ticket, long nowNs) {
-    boolean retold = ticket.waitedMs() >= RETOLD_MS || !gate.isOpen();
-    if (retold || !state.has(PolicyPart.RATE_LIMIT)) {
+  private OptionalLong rateLimitDelayMs(Ticket ticket, long nowNs) {
+    boolean retold = ticket.waitedMs() >= REOFFER_MIN_WAIT_MS || !vmReports.hasAllReports();
+    if (retold || !state.isEnabled(PolicyPart.RATE_LIMIT)) {
       return OptionalLong.empty();
     }
-    return rates.tryTake(ticket.customer(), nowNs);
+    return rateLimiter.tryAcquire(ticket.customer(), nowNs);
   }
 
   /**
@@ -129,8 +129,8 @@
    * connection, which shows as a caller that never gets an answer: its VM offers the ticket again.
    */
   private void resendRefusal(VmId vm, Ticket ticket) {
-    Optional<ControlMessage.Refused> refusal = state.book().refusal(ticket.request());
-    refusal.ifPresent(refused -> state.out().send(vm, refused));
+    Optional<ControlMessage.Refused> refusal = state.ticketRegistry().refusal(ticket.request());
+    refusal.ifPresent(refused -> state.output().send(vm, refused));
   }
 
   /**
@@ -141,18 +141,18 @@
    * may still arrive, and a request that runs must not be granted again or refused.
    */
   private void resendLostGrant(TrackedTicket known, long nowNs) {
-    Optional<InFlight> part = state.fleet().find(known.request());
-    if (known.phase() == TicketPhase.GRANTED && part.isPresent() && !part.get().isConfirmed()) {
-      part.get().offeredAgain(nowNs);
+    Optional<InFlightRequest> part = state.fleet().find(known.request());
+    if (known.phase() == TicketPhase.GRANTED && part.isPresent() && !part.get().isDispatchConfirmed()) {
+      part.get().onOfferedAgain(nowNs);
       sendOrRecall(part.get(), nowNs);
     }
   }
 
-  private void sendOrRecall(InFlight part, long nowNs) {
+  private void sendOrRecall(InFlightRequest part, long nowNs) {
     if (part.upstream().isServing(nowNs)) {
-      state.out().sendGrant(part);
+      state.output().sendGrant(part);
     } else {
-      state.out().recall(part);
+      state.output().recall(part);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/UpstreamChooser.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/UpstreamSelector.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.teaseltrail.core.schedule.fleet.SpeedState;
 import org.teaseltrail.core.schedule.fleet.TargetGroup;
-import org.teaseltrail.core.schedule.fleet.UpstreamAccount;
+import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.fleet.UpstreamFleet;
 import org.teaseltrail.core.schedule.ticket.Nanos;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
@@ -13,25 +13,25 @@
  * now. Prompt tokens that must be processed count for more than their own time, because they stall
  * the batch and because another engine may have them cached.
  */
-final class UpstreamChooser {
+final class UpstreamSelector {
 
   /** Group size up to which every engine's cache model is asked; above, only known holders'. */
-  private static final int ASK_ALL = 32;
+  private static final int MAX_FULL_CACHE_CHECK = 32;
 
   /** Longest span of a request that is sent as a probe, in milliseconds. */
   private static final double PROBE_SPAN_MS = 2_000;
 
   private final UpstreamFleet fleet;
   private final SchedulerSettings settings;
-  private final FinishTime finish;
-  private final PrefixHold hold;
+  private final FinishTimeEstimator finishTimes;
+  private final PrefixHoldPolicy hold;
   private int turn;
 
-  UpstreamChooser(UpstreamFleet fleet, SchedulerSettings settings) {
+  UpstreamSelector(UpstreamFleet fleet, SchedulerSettings settings) {
     this.fleet = fleet;
     this.settings = settings;
-    this.finish = new FinishTime(settings.prefillPrice());
-    this.hold = new PrefixHold(settings, finish);
+    this.finishTimes = new FinishTimeEstimator(settings.prefillCostFactor());
+    this.hold = new PrefixHoldPolicy(settings, finishTimes);
   }
 
   /**
@@ -43,66 +43,66 @@
    * @param reserved an upstream that drains for a ticket before this one; null if none does
    * @param nowNs monotonic time in nanoseconds
    */
-  Choice choose(
+  PlacementResult select(
       TrackedTicket ticket,
       TargetGroup group,
-      List<UpstreamAccount> open,
-      UpstreamAccount reserved,
+      List<TrackedUpstream> open,
+      TrackedUpstream reserved,
       long nowNs) {
-    PlacementSearch search = new PlacementSearch(ticket, reserved, finish, nowNs);
-    if (!settings.has(PolicyPart.FINISH_TIME_CHOICE)) {
-      return nextInTurn(search, open);
+    PlacementSearch search = new PlacementSearch(ticket, reserved, finishTimes, nowNs);
+    if (!settings.isEnabled(PolicyPart.FINISH_TIME_CHOICE)) {
+      return selectRoundRobin(search, open);
     }
-    Choice probe = probe(ticket, open, nowNs);
+    PlacementResult probe = probe(ticket, open, nowNs);
     if (probe.isPlaced()) {
       return probe;
     }
-    boolean askAll = open.size() <= ASK_ALL;
-    for (UpstreamAccount account : open) {
+    boolean askAll = open.size() <= MAX_FULL_CACHE_CHECK;
+    for (TrackedUpstream account : open) {
       search.consider(account, askAll);
     }
-    List<UpstreamAccount> holders = fleet.prefixHolders(ticket);
+    List<TrackedUpstream> holders = fleet.prefixHolders(ticket);
     if (!askAll) {
       considerHolders(search, holders, group);
     }
-    return hold.holds(search, holders) ? Choice.NONE : search.result();
+    return hold.shouldHold(search, holders) ? PlacementResult.NONE : search.result();
   }
 
   private static void considerHolders(
-      PlacementSearch search, List<UpstreamAccount> holders, TargetGroup group) {
-    for (UpstreamAccount holder : holders) {
-      if (group.isFree(holder) && holder.isGrantable(search.nowNs())) {
+      PlacementSearch search, List<TrackedUpstream> holders, TargetGroup group) {
+    for (TrackedUpstream holder : holders) {
+      if (group.hasBatchRoom(holder) && holder.isGrantable(search.nowNs())) {
         search.consider(holder, true);
       }
     }
   }
 
   /** Sends a short request to an engine that gets only probes, to see whether it has mended. */
-  private Choice probe(TrackedTicket ticket, List<UpstreamAccount> open, long nowNs) {
+  private PlacementResult probe(TrackedTicket ticket, List<TrackedUpstream> open, long nowNs) {
     boolean harmless =
-        ticket.ticket().claim().isEmpty() && ticket.estimate().spanMs() <= PROBE_SPAN_MS;
+        ticket.ticket().claim().isEmpty() && ticket.estimate().serviceTimeMs() <= PROBE_SPAN_MS;
     if (!harmless) {
-      return Choice.NONE;
+      return PlacementResult.NONE;
     }
     long dueNs = nowNs - Nanos.fromMs(settings.probeIntervalMs());
-    for (UpstreamAccount account : open) {
+    for (TrackedUpstream account : open) {
       if (account.state() == SpeedState.PROBED
           && account.lastGrantNs() <= dueNs
-          && account.hasSlot(nowNs)) {
-        return Choice.of(new Placement(ticket, account, 0, "probe=true"));
+          && account.hasFreeSlot(nowNs)) {
+        return PlacementResult.of(new Placement(ticket, account, 0, "probe=true"));
       }
     }
-    return Choice.NONE;
+    return PlacementResult.NONE;
   }
 
-  private Choice nextInTurn(PlacementSearch search, List<UpstreamAccount> open) {
+  private PlacementResult selectRoundRobin(PlacementSearch search, List<TrackedUpstream> open) {
     for (int i = 0; i < open.size(); i++) {
-      UpstreamAccount account = open.get((turn + i) % open.size());
-      if (search.canTake(account) && search.fits(account, 0)) {
+      TrackedUpstream account = open.get((turn + i) % open.size());
+      if (search.hasUsableSlot(account) && search.fits(account, 0)) {
         turn = (turn + i + 1) % open.size();
-        return Choice.of(new Placement(search.ticket(), account, 0, "turn=" + turn));
+        return PlacementResult.of(new Placement(search.ticket(), account, 0, "turn=" + turn));
       }
     }
-    return Choice.NONE;
+    return PlacementResult.NONE;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/ReportGate.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/VmReportTracker.java
@@ -9,19 +9,19 @@
  * picture: a high tier's request would be shed while a lower tier's, not yet reported, is kept on
  * another VM. A VM counts as heard once it says so, or once its session has lapsed.
  */
-final class ReportGate {
+final class VmReportTracker {
 
-  private final Set<VmId> awaited = new HashSet<>();
+  private final Set<VmId> pending = new HashSet<>();
 
-  void await(Set<VmId> vms) {
-    awaited.addAll(vms);
+  void expectReports(Set<VmId> vms) {
+    pending.addAll(vms);
   }
 
   void heard(VmId vm) {
-    awaited.remove(vm);
+    pending.remove(vm);
   }
 
-  boolean isOpen() {
-    return awaited.isEmpty();
+  boolean hasAllReports() {
+    return pending.isEmpty();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/FleetPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/FleetPolicy.java
@@ -5,15 +5,15 @@
  *
  * @param tokenWindow whether the learned window on tokens in flight applies
  * @param prefillBound whether prompt tokens in process at once are bounded
- * @param stragglers whether slow upstreams get less
+ * @param detectStragglers whether slow upstreams get less
  * @param prefixAffinity whether prefix caches are modelled
  * @param prefillBoundMs prefill that may be in process on one engine, in milliseconds of its time
- * @param tokenTargetMs time between tokens from which an engine counts as crowded, in milliseconds
+ * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in milliseconds
  */
 public record FleetPolicy(
     boolean tokenWindow,
     boolean prefillBound,
-    boolean stragglers,
+    boolean detectStragglers,
     boolean prefixAffinity,
     double prefillBoundMs,
-    double tokenTargetMs) {}
+    double interTokenTargetMs) {}
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlight.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightRequest.java
@@ -8,27 +8,27 @@
 import org.teaseltrail.core.upstream.Announcement;
 
 /** Is one request's part of an upstream's work in flight, from the grant to the end. */
-public final class InFlight {
+public final class InFlightRequest {
 
   /** Stands for a VM that has not lapsed. */
-  private static final long NOT_LAPSED = Long.MIN_VALUE;
+  private static final long VM_SESSION_VALID = Long.MIN_VALUE;
 
-  private final TrackedTicket tracked;
-  private final UpstreamAccount upstream;
+  private final TrackedTicket trackedTicket;
+  private final TrackedUpstream upstream;
   private final Announcement announcement;
   private final long grantedNs;
   private final int cachedTokens;
   private final int prefillTokens;
   private final long prefillAheadTokens;
-  private boolean confirmed;
+  private boolean dispatchConfirmed;
   private double firstTokenMs;
   private int outputTokens;
   private long progressNs;
   private long heardNs;
-  private long lapsedNs = NOT_LAPSED;
+  private long vmSessionExpiredNs = VM_SESSION_VALID;
 
-  InFlight(TrackedTicket tracked, UpstreamAccount upstream, int cachedTokens, long grantedNs) {
-    this.tracked = tracked;
+  InFlightRequest(TrackedTicket tracked, TrackedUpstream upstream, int cachedTokens, long grantedNs) {
+    this.trackedTicket = tracked;
     this.upstream = upstream;
     this.announcement = upstream.announcement();
     this.cachedTokens = cachedTokens;
@@ -39,27 +39,27 @@
   }
 
   /** Returns the ticket that was granted. */
-  public TrackedTicket tracked() {
-    return tracked;
+  public TrackedTicket trackedTicket() {
+    return trackedTicket;
   }
 
   /** Returns what the VM offered. */
   public Ticket ticket() {
-    return tracked.ticket();
+    return trackedTicket.ticket();
   }
 
   /** Returns the request in flight. */
   public RequestId request() {
-    return tracked.request();
+    return trackedTicket.request();
   }
 
   /** Returns the VM that dispatches it. */
   public VmId vm() {
-    return tracked.vm();
+    return trackedTicket.vm();
   }
 
   /** Returns the account it is part of. */
-  public UpstreamAccount upstream() {
+  public TrackedUpstream upstream() {
     return upstream;
   }
 
@@ -97,12 +97,12 @@
 
   /** Returns the tokens it may come to hold on the engine. */
   public long footprintTokens() {
-    return tracked.footprintTokens();
+    return trackedTicket.footprintTokens();
   }
 
   /** Returns whether its VM has said anything that proves the dispatch. */
-  public boolean isConfirmed() {
-    return confirmed;
+  public boolean isDispatchConfirmed() {
+    return dispatchConfirmed;
   }
 
   /** Returns the time from dispatch to first token, in milliseconds; zero if not known. */
@@ -126,29 +126,29 @@
   }
 
   /** Returns whether its VM has lapsed and not spoken of it since. */
-  public boolean isLapsed() {
-    return lapsedNs != NOT_LAPSED;
+  public boolean isVmSessionExpired() {
+    return vmSessionExpiredNs != VM_SESSION_VALID;
   }
 
   /** Returns when its VM lapsed, in monotonic nanoseconds. */
-  public long lapsedNs() {
-    return lapsedNs;
+  public long vmSessionExpiredNs() {
+    return vmSessionExpiredNs;
   }
 
   /** Notes that its VM has lapsed. */
-  public void lapsedAt(long nowNs) {
-    lapsedNs = nowNs;
+  public void markVmSessionExpired(long nowNs) {
+    vmSessionExpiredNs = nowNs;
   }
 
   /** Notes that its VM is back and still has the request waiting. */
-  public void offeredAgain(long nowNs) {
-    lapsedNs = NOT_LAPSED;
+  public void onOfferedAgain(long nowNs) {
+    vmSessionExpiredNs = VM_SESSION_VALID;
     heardNs = nowNs;
   }
 
   void heard(long nowNs) {
-    confirmed = true;
-    lapsedNs = NOT_LAPSED;
+    dispatchConfirmed = true;
+    vmSessionExpiredNs = VM_SESSION_VALID;
     heardNs = nowNs;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/WorkInFlight.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightTracker.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /** Is the scheduler's own account of the work in flight on one life of an upstream. */
-final class WorkInFlight {
+final class InFlightTracker {
 
   /** Time over which the greatest count is remembered, to compare with reports as old as that. */
   private static final long PEAK_SPAN_NS = 2_000_000_000L;
@@ -14,13 +14,13 @@
   /** Prompt tokens in process from which the time between tokens says little of the engine. */
   private static final long LONG_PREFILL_TOKENS = 1_024;
 
-  private final Set<InFlight> parts = new LinkedHashSet<>();
-  private final Set<InFlight> unstarted = new LinkedHashSet<>();
+  private final Set<InFlightRequest> parts = new LinkedHashSet<>();
+  private final Set<InFlightRequest> withoutFirstToken = new LinkedHashSet<>();
   private long footprintTokens;
   private long prefillTokens;
-  private long promptBusyNs = Long.MIN_VALUE;
+  private long lastLongPrefillNs = Long.MIN_VALUE;
   private int peak;
-  private int peakBefore;
+  private int previousPeak;
   private long peakSinceNs;
 
   int count() {
@@ -36,8 +36,8 @@
   }
 
   /** Returns whether no long prompt has been in process since a time. */
-  boolean isQuietSince(long sinceNs) {
-    return prefillTokens < LONG_PREFILL_TOKENS && promptBusyNs < sinceNs;
+  boolean hasNoLongPrefillSince(long sinceNs) {
+    return prefillTokens < LONG_PREFILL_TOKENS && lastLongPrefillNs < sinceNs;
   }
 
   /**
@@ -47,9 +47,9 @@
    * nothing but probes, for which these requests leave no slot, and the pool would stand still
    * until they expire. Of a lapsed VM's request nothing is heard, whatever the upstream does.
    */
-  InFlight oldestUnstarted() {
-    for (InFlight part : unstarted) {
-      if (!part.isLapsed()) {
+  InFlightRequest oldestWithoutFirstToken() {
+    for (InFlightRequest part : withoutFirstToken) {
+      if (!part.isVmSessionExpired()) {
         return part;
       }
     }
@@ -58,29 +58,29 @@
 
   /** Returns the greatest count within the last few seconds. */
   int recentPeak(long nowNs) {
-    turnPeak(nowNs);
-    return Math.max(peak, peakBefore);
+    rotatePeak(nowNs);
+    return Math.max(peak, previousPeak);
   }
 
-  void add(InFlight part, long nowNs) {
+  void add(InFlightRequest part, long nowNs) {
     parts.add(part);
-    unstarted.add(part);
+    withoutFirstToken.add(part);
     footprintTokens += part.footprintTokens();
     prefillTokens += part.prefillTokens();
-    turnPeak(nowNs);
+    rotatePeak(nowNs);
     peak = Math.max(peak, parts.size());
   }
 
-  void start(InFlight part, long nowNs) {
+  void start(InFlightRequest part, long nowNs) {
     if (prefillTokens >= LONG_PREFILL_TOKENS) {
-      promptBusyNs = nowNs;
+      lastLongPrefillNs = nowNs;
     }
-    if (unstarted.remove(part)) {
+    if (withoutFirstToken.remove(part)) {
       prefillTokens -= part.prefillTokens();
     }
   }
 
-  void remove(InFlight part, long nowNs) {
+  void remove(InFlightRequest part, long nowNs) {
     Invariant.check(parts.remove(part), InvariantName.IN_FLIGHT_ACCOUNT_BALANCES);
     start(part, nowNs);
     footprintTokens -= part.footprintTokens();
@@ -89,9 +89,9 @@
     Invariant.check(sane && (zero || !parts.isEmpty()), InvariantName.IN_FLIGHT_ACCOUNT_BALANCES);
   }
 
-  private void turnPeak(long nowNs) {
+  private void rotatePeak(long nowNs) {
     if (nowNs - peakSinceNs > PEAK_SPAN_NS) {
-      peakBefore = nowNs - peakSinceNs > 2 * PEAK_SPAN_NS ? parts.size() : peak;
+      previousPeak = nowNs - peakSinceNs > 2 * PEAK_SPAN_NS ? parts.size() : peak;
       peak = parts.size();
       peakSinceNs = nowNs;
     }
@@ -99,10 +99,10 @@
 
   /** Checks that the sums equal the sums of the parts; linear in the parts. */
   void audit() {
-    long footprint = parts.stream().mapToLong(InFlight::footprintTokens).sum();
-    long prefill = unstarted.stream().mapToLong(InFlight::prefillTokens).sum();
+    long footprint = parts.stream().mapToLong(InFlightRequest::footprintTokens).sum();
+    long prefill = withoutFirstToken.stream().mapToLong(InFlightRequest::prefillTokens).sum();
     Invariant.check(
-        footprint == footprintTokens && prefill == prefillTokens && parts.containsAll(unstarted),
+        footprint == footprintTokens && prefill == prefillTokens && parts.containsAll(withoutFirstToken),
         InvariantName.IN_FLIGHT_ACCOUNT_BALANCES);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/PoolSpeed.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/MedianSpeedCalculator.java
@@ -6,16 +6,16 @@
 import org.teaseltrail.core.schedule.ticket.EngineSpeed;
 
 /** Reads the speed of an ordinary engine off the upstreams of a pool. */
-final class PoolSpeed {
+final class MedianSpeedCalculator {
 
   private static final double US_PER_MS = 1_000;
 
-  private PoolSpeed() {}
+  private MedianSpeedCalculator() {}
 
   /** Returns the medians over the upstreams that have been measured. */
-  static EngineSpeed of(Collection<UpstreamAccount> accounts) {
+  static EngineSpeed calculate(Collection<TrackedUpstream> accounts) {
     double prefillUs = median(accounts, a -> a.speed().prefillUs());
-    double stepMs = median(accounts, PoolSpeed::fullStepMs);
+    double stepMs = median(accounts, MedianSpeedCalculator::fullStepMs);
     double decodeUs = median(accounts, a -> a.speed().decodeMs() * US_PER_MS / maxBatch(a));
     EngineSpeed assumed = EngineSpeed.ASSUMED;
     return new EngineSpeed(
@@ -24,16 +24,16 @@
         stepMs > 0 ? stepMs : assumed.stepMs());
   }
 
-  private static double fullStepMs(UpstreamAccount account) {
+  private static double fullStepMs(TrackedUpstream account) {
     return account.speed().stepMs(maxBatch(account));
   }
 
-  private static int maxBatch(UpstreamAccount account) {
+  private static int maxBatch(TrackedUpstream account) {
     return account.announcement() == null ? 1 : Math.max(1, account.announcement().maxBatch());
   }
 
   private static double median(
-      Collection<UpstreamAccount> accounts, ToDoubleFunction<UpstreamAccount> measure) {
+      Collection<TrackedUpstream> accounts, ToDoubleFunction<TrackedUpstream> measure) {
     double[] values = accounts.stream().mapToDouble(measure).filter(v -> v > 0).toArray();
     Arrays.sort(values);
     return values.length == 0 ? 0 : values[values.length / 2];
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedMeter.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedMeter.java
@@ -13,12 +13,12 @@
 
   private static final double US_PER_MS = 1_000;
 
-  private final StepModel steps = new StepModel();
+  private final StepTimeModel steps = new StepTimeModel();
   private double decodeMs;
   private int decodeSamples;
   private double prefillUs;
   private int prefillSamples;
-  private double spanMs;
+  private double serviceTimeMs;
 
   /**
    * Takes the time per token that was seen in an answer.
@@ -29,7 +29,7 @@
    *     own and not that of its load
    */
   void token(double batch, double tokenMs, boolean quiet) {
-    steps.sample(batch, tokenMs);
+    steps.addSample(batch, tokenMs);
     if (quiet) {
       decodeMs = decodeSamples == 0 ? tokenMs : decodeMs + TOKEN_GAIN * (tokenMs - decodeMs);
       decodeSamples++;
@@ -37,9 +37,9 @@
   }
 
   /** Takes the step time that the upstream reports. */
-  void report(double batch, double stepMs) {
+  void recordReport(double batch, double stepMs) {
     if (batch > 0 && stepMs > 0) {
-      steps.sample(batch, stepMs);
+      steps.addSample(batch, stepMs);
     }
   }
 
@@ -53,8 +53,8 @@
   }
 
   /** Takes the time from a dispatch to the end. */
-  void span(double sampleMs) {
-    spanMs = spanMs == 0 ? sampleMs : spanMs + PREFILL_GAIN * (sampleMs - spanMs);
+  void recordServiceTime(double sampleMs) {
+    serviceTimeMs = serviceTimeMs == 0 ? sampleMs : serviceTimeMs + PREFILL_GAIN * (sampleMs - serviceTimeMs);
   }
 
   int decodeSamples() {
@@ -81,7 +81,7 @@
   }
 
   /** Returns the usual time from a dispatch to the end, in milliseconds. */
-  double spanMs() {
-    return spanMs;
+  double serviceTimeMs() {
+    return serviceTimeMs;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/StepModel.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/StepTimeModel.java
@@ -4,7 +4,7 @@
  * Learns how an engine's time per token grows with its batch, as a straight line through recent
  * samples: a step costs a base and something for each sequence.
  */
-final class StepModel {
+final class StepTimeModel {
 
   /** Weight of the newest sample. */
   private static final double GAIN = 0.1;
@@ -21,7 +21,7 @@
   private double covariance;
   private int samples;
 
-  void sample(double batch, double stepMs) {
+  void addSample(double batch, double stepMs) {
     double gain = Math.max(GAIN, 1.0 / ++samples);
     double batchError = batch - meanBatch;
     double stepError = stepMs - meanStepMs;
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/StragglerDetector.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/StragglerDetector.java
@@ -21,7 +21,7 @@
   private static final double PROBED = 3.5;
 
   /** Part of a threshold that the ratio must fall below to be believed recovered. */
-  private static final double RECOVERED = 0.8;
+  private static final double RECOVERY_FACTOR = 0.8;
 
   /** Fewest samples of one engine, and fewest engines, that a comparison rests on. */
   private static final int MIN_SAMPLES = 4;
@@ -32,25 +32,25 @@
   private static final double SLOPE = 0.02;
 
   /** Least time without a first token that counts as silence, in milliseconds. */
-  private static final double LEAST_OVERDUE_MS = 3_000;
+  private static final double MIN_SILENCE_MS = 3_000;
 
   /** Multiple of the expected time to a first token that counts as silence. */
-  private static final double OVERDUE = 5;
+  private static final double SILENCE_FACTOR = 5;
 
   private static final double NS_PER_MS = 1e6;
 
   /** Judges every upstream, and returns those whose state has changed. */
-  List<SpeedChange> review(Collection<UpstreamAccount> accounts, long nowNs) {
+  List<SpeedStateChange> review(Collection<TrackedUpstream> accounts, long nowNs) {
     double medianDecode = median(accounts, StragglerDetector::decodeMs);
     double medianPrefill = median(accounts, StragglerDetector::prefillUs);
-    List<SpeedChange> changes = new ArrayList<>();
-    for (UpstreamAccount account : accounts) {
+    List<SpeedStateChange> changes = new ArrayList<>();
+    for (TrackedUpstream account : accounts) {
       double decodeRatio = ratio(decodeMs(account), medianDecode);
       double prefillRatio = ratio(prefillUs(account), medianPrefill);
       double ratio = Math.max(decodeRatio, prefillRatio);
-      SpeedState next = isSilent(account, nowNs) ? SpeedState.PROBED : judge(account, ratio);
+      SpeedState next = isSilent(account, nowNs) ? SpeedState.PROBED : classify(account, ratio);
       if (next != account.state()) {
-        changes.add(new SpeedChange(account.id(), account.state(), next, ratio));
+        changes.add(new SpeedStateChange(account.id(), account.state(), next, ratio));
         account.setState(next);
       }
     }
@@ -61,41 +61,41 @@
     return median > 0 ? value / median : 0;
   }
 
-  private static SpeedState judge(UpstreamAccount account, double ratio) {
-    double probedFrom = account.state() == SpeedState.PROBED ? PROBED * RECOVERED : PROBED;
-    double slowFrom = account.state() == SpeedState.ORDINARY ? SLOW : SLOW * RECOVERED;
+  private static SpeedState classify(TrackedUpstream account, double ratio) {
+    double probedFrom = account.state() == SpeedState.PROBED ? PROBED * RECOVERY_FACTOR : PROBED;
+    double slowFrom = account.state() == SpeedState.ORDINARY ? SLOW : SLOW * RECOVERY_FACTOR;
     if (ratio >= probedFrom) {
       return SpeedState.PROBED;
     }
     return ratio >= slowFrom ? SpeedState.SLOW : SpeedState.ORDINARY;
   }
 
-  private static boolean isSilent(UpstreamAccount account, long nowNs) {
-    InFlight oldest = account.work().oldestUnstarted();
+  private static boolean isSilent(TrackedUpstream account, long nowNs) {
+    InFlightRequest oldest = account.inFlightTracker().oldestWithoutFirstToken();
     if (oldest == null) {
       return false;
     }
     double waitedMs = (nowNs - oldest.grantedNs()) / NS_PER_MS;
     double tokens = oldest.prefillAheadTokens() + oldest.prefillTokens();
     double expectedMs = tokens * account.prefillUs() / 1_000 + account.stepMs(1);
-    return waitedMs > Math.max(LEAST_OVERDUE_MS, OVERDUE * expectedMs);
+    return waitedMs > Math.max(MIN_SILENCE_MS, SILENCE_FACTOR * expectedMs);
   }
 
   private static double median(
-      Collection<UpstreamAccount> accounts, ToDoubleFunction<UpstreamAccount> measure) {
+      Collection<TrackedUpstream> accounts, ToDoubleFunction<TrackedUpstream> measure) {
     double[] values = accounts.stream().mapToDouble(measure).filter(v -> v > 0).sorted().toArray();
     return values.length < MIN_ENGINES ? 0 : values[values.length / 2];
   }
 
   /** Returns the time per token at an empty batch; zero if too little was seen. */
-  private static double decodeMs(UpstreamAccount account) {
+  private static double decodeMs(TrackedUpstream account) {
     SpeedMeter speed = account.speed();
     boolean known = speed.decodeSamples() >= MIN_SAMPLES;
     return known ? speed.decodeMs() / (1 + SLOPE * account.inFlightCount()) : 0;
   }
 
   /** Returns the time to process a prompt token; zero if too little was seen. */
-  private static double prefillUs(UpstreamAccount account) {
+  private static double prefillUs(TrackedUpstream account) {
     SpeedMeter speed = account.speed();
     return speed.prefillSamples() >= MIN_SAMPLES ? speed.prefillUs() : 0;
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/TargetGroup.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/TargetGroup.java
@@ -14,23 +14,23 @@
   /** Most upstreams that one choice weighs, besides those that hold the prefix. */
   private static final int MAX_CANDIDATES = 64;
 
-  private final List<UpstreamAccount> all;
-  private final List<UpstreamAccount> free = new ArrayList<>();
-  private final Map<UpstreamAccount, Integer> places = new HashMap<>();
+  private final List<TrackedUpstream> all;
+  private final List<TrackedUpstream> free = new ArrayList<>();
+  private final Map<TrackedUpstream, Integer> places = new HashMap<>();
   private int cursor;
 
-  TargetGroup(List<UpstreamAccount> all) {
+  TargetGroup(List<TrackedUpstream> all) {
     this.all = List.copyOf(all);
     this.all.forEach(this::update);
   }
 
   /** Returns all upstreams of the group, serving or not. */
-  public List<UpstreamAccount> all() {
+  public List<TrackedUpstream> all() {
     return all;
   }
 
   /** Returns whether an upstream of the group has a free place in its batch. */
-  public boolean isFree(UpstreamAccount account) {
+  public boolean hasBatchRoom(TrackedUpstream account) {
     return places.containsKey(account);
   }
 
@@ -38,16 +38,16 @@
    * Returns upstreams that may be granted work now, at most a few dozen, beginning at another one
    * each time.
    */
-  public List<UpstreamAccount> open(long nowNs) {
-    List<UpstreamAccount> open = new ArrayList<>();
+  public List<TrackedUpstream> candidates(long nowNs) {
+    List<TrackedUpstream> open = new ArrayList<>();
     int size = free.size();
     if (size == 0) {
       return open;
     }
     int start = size <= MAX_CANDIDATES ? 0 : cursor % size;
     for (int i = 0; i < size && open.size() < MAX_CANDIDATES; i++) {
-      UpstreamAccount account = free.get((start + i) % size);
-      if (account.isGrantable(nowNs) && account.hasSlot(nowNs)) {
+      TrackedUpstream account = free.get((start + i) % size);
+      if (account.isGrantable(nowNs) && account.hasFreeSlot(nowNs)) {
         open.add(account);
       }
     }
@@ -56,19 +56,19 @@
   }
 
   /** Takes note that an upstream's work in flight or batch has changed. */
-  void update(UpstreamAccount account) {
+  void update(TrackedUpstream account) {
     boolean wasFree = places.containsKey(account);
-    if (account.hasPlace() && !wasFree) {
+    if (account.hasBatchRoom() && !wasFree) {
       places.put(account, free.size());
       free.add(account);
-    } else if (!account.hasPlace() && wasFree) {
+    } else if (!account.hasBatchRoom() && wasFree) {
       remove(account);
     }
   }
 
-  private void remove(UpstreamAccount account) {
+  private void remove(TrackedUpstream account) {
     int place = places.remove(account);
-    UpstreamAccount last = free.remove(free.size() - 1);
+    TrackedUpstream last = free.remove(free.size() - 1);
     if (last != account) {
       free.set(place, last);
       places.put(last, place);
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/TokenWindow.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/TokenWindow.java
@@ -12,7 +12,7 @@
   private static final long START_TOKENS_PER_SLOT = 8_192;
 
   /** The window never shrinks below this for each slot, so that slots stay usable. */
-  private static final long LEAST_TOKENS_PER_SLOT = 512;
+  private static final long MIN_TOKENS_PER_SLOT = 512;
 
   private static final double DECREASE = 0.9;
   private static final double INCREASE = 0.05;
@@ -25,7 +25,7 @@
 
   private final double targetMs;
   private long tokens;
-  private long least;
+  private long minWindowTokens;
   private double tokenMs;
   private long decreasedNs = Long.MIN_VALUE / 2;
 
@@ -35,7 +35,7 @@
 
   /** Sizes a new window by what the engine says of itself. */
   void size(int maxBatch, long cacheTokens) {
-    least = maxBatch * LEAST_TOKENS_PER_SLOT;
+    minWindowTokens = maxBatch * MIN_TOKENS_PER_SLOT;
     if (tokens == 0) {
       tokens = Math.max(maxBatch * START_TOKENS_PER_SLOT, cacheTokens);
     }
@@ -46,7 +46,7 @@
   }
 
   /** Takes the time between tokens that was seen at so many tokens in flight. */
-  void sample(double sampleMs, long tokensInFlight, long nowNs) {
+  void addSample(double sampleMs, long tokensInFlight, long nowNs) {
     tokenMs += GAIN * (sampleMs - tokenMs);
     if (tokenMs > targetMs) {
       decrease(tokensInFlight, nowNs);
@@ -60,7 +60,7 @@
       return;
     }
     decreasedNs = nowNs;
-    long from = Math.min(tokens, Math.max(tokensInFlight, least));
-    tokens = Math.max(least, (long) (from * DECREASE));
+    long from = Math.min(tokens, Math.max(tokensInFlight, minWindowTokens));
+    tokens = Math.max(minWindowTokens, (long) (from * DECREASE));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamAccount.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/TrackedUpstream.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.configuration.RouteTarget;
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.UpstreamId;
-import org.teaseltrail.core.schedule.prefix.CacheModel;
+import org.teaseltrail.core.schedule.prefix.PrefixCacheModel;
 import org.teaseltrail.core.schedule.ticket.EngineSpeed;
 import org.teaseltrail.core.schedule.ticket.Nanos;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
@@ -17,33 +17,33 @@
  * flight there, its speed and its cache. The work in flight is the scheduler's own account; reports
  * only correct it, the less the older they are.
  */
-public final class UpstreamAccount {
+public final class TrackedUpstream {
 
   /** Age from which a load report says nothing about the present. */
-  private static final long REPORT_USE_NS = 3_000_000_000L;
+  private static final long REPORT_MAX_AGE_NS = 3_000_000_000L;
 
   /** Part of the prefill bound up to which a prompt, or what is ahead of one, counts as short. */
-  private static final double SHORT_PROMPT = 0.25;
+  private static final double SHORT_PROMPT_RATIO = 0.25;
 
   private static final double US_PER_MS = 1_000;
 
   private final UpstreamId id;
   private final FleetPolicy policy;
-  private final Presence presence = new Presence();
-  private final WorkInFlight work = new WorkInFlight();
+  private final UpstreamAvailability availability = new UpstreamAvailability();
+  private final InFlightTracker inFlightTracker = new InFlightTracker();
   private final SpeedMeter speed = new SpeedMeter();
   private final TokenWindow window;
-  private final CacheModel cache = new CacheModel();
+  private final PrefixCacheModel cache = new PrefixCacheModel();
   private SpeedState state = SpeedState.ORDINARY;
-  private EngineSpeed ordinary = EngineSpeed.ASSUMED;
-  private int foreignRequests;
-  private long foreignUntilNs = Long.MIN_VALUE;
+  private EngineSpeed typicalSpeed = EngineSpeed.ASSUMED;
+  private int untrackedRequests;
+  private long untrackedUntilNs = Long.MIN_VALUE;
   private long lastGrantNs = Long.MIN_VALUE / 2;
 
-  UpstreamAccount(UpstreamId id, FleetPolicy policy) {
+  TrackedUpstream(UpstreamId id, FleetPolicy policy) {
     this.id = id;
     this.policy = policy;
-    this.window = new TokenWindow(policy.tokenTargetMs());
+    this.window = new TokenWindow(policy.interTokenTargetMs());
   }
 
   /** Returns the name of the upstream. */
@@ -53,7 +53,7 @@
 
   /** Returns the newest announcement; null before the first. */
   public Announcement announcement() {
-    return presence.announcement();
+    return availability.announcement();
   }
 
   /** Returns how its speed compares with the pool's. */
@@ -63,17 +63,17 @@
 
   /** Returns the requests in flight. */
   public int inFlightCount() {
-    return work.count();
+    return inFlightTracker.count();
   }
 
   /** Returns the tokens that the requests in flight may come to hold. */
   public long footprintTokens() {
-    return work.footprintTokens();
+    return inFlightTracker.footprintTokens();
   }
 
   /** Returns the prompt tokens granted and not yet known to be processed. */
   public long prefillTokens() {
-    return work.prefillTokens();
+    return inFlightTracker.prefillTokens();
   }
 
   /** Returns the learned window on tokens in flight. */
@@ -83,31 +83,31 @@
 
   /** Returns whether the upstream wants work, may have it and is known to be alive. */
   public boolean isServing(long nowNs) {
-    return presence.isServing(nowNs);
+    return availability.isServing(nowNs);
   }
 
   /** Returns whether it may be granted work now: it serves and no grant there failed just now. */
   public boolean isGrantable(long nowNs) {
-    return presence.isGrantable(nowNs);
+    return availability.isGrantable(nowNs);
   }
 
   /** Returns whether its batch has a free place, whatever else may speak against a grant. */
-  boolean hasPlace() {
-    return announcement() != null && work.count() < announcement().maxBatch();
+  boolean hasBatchRoom() {
+    return announcement() != null && inFlightTracker.count() < announcement().maxBatch();
   }
 
   /** Returns whether it may run one request more, whatever that is. */
-  public boolean hasSlot(long nowNs) {
-    int slots = presence.isSuspect() ? 1 : state.slots(announcement().maxBatch());
-    int foreign = foreignUntilNs > nowNs ? foreignRequests : 0;
-    return work.count() + foreign < slots;
+  public boolean hasFreeSlot(long nowNs) {
+    int slots = availability.isSuspect() ? 1 : state.slots(announcement().maxBatch());
+    int foreign = untrackedUntilNs > nowNs ? untrackedRequests : 0;
+    return inFlightTracker.count() + foreign < slots;
   }
 
   /** Returns whether a ticket fits the window. */
   public boolean fitsWindow(long ticketTokens) {
     return !policy.tokenWindow()
-        || work.count() == 0
-        || work.footprintTokens() + ticketTokens <= window.tokens();
+        || inFlightTracker.count() == 0
+        || inFlightTracker.footprintTokens() + ticketTokens <= window.tokens();
   }
 
   /**
@@ -121,8 +121,8 @@
       return true;
     }
     double bound = policy.prefillBoundMs() * US_PER_MS / prefillUs();
-    double ahead = work.prefillTokens();
-    double share = SHORT_PROMPT * bound;
+    double ahead = inFlightTracker.prefillTokens();
+    double share = SHORT_PROMPT_RATIO * bound;
     return uncachedTokens <= share || ahead <= share || ahead + uncachedTokens <= bound;
   }
 
@@ -137,18 +137,18 @@
 
   /** Returns the time to process a prompt token, in microseconds. */
   public double prefillUs() {
-    return speed.prefillUs() > 0 ? speed.prefillUs() : ordinary.prefillUs();
+    return speed.prefillUs() > 0 ? speed.prefillUs() : typicalSpeed.prefillUs();
   }
 
   /** Returns the time per token at a batch, in milliseconds. */
   public double stepMs(int batch) {
     double measured = speed.stepMs(batch);
-    return measured > 0 ? measured : ordinary.stepMs();
+    return measured > 0 ? measured : typicalSpeed.stepMs();
   }
 
   /** Returns the usual time from a dispatch to the end, in milliseconds; zero if not known. */
-  public double spanMs() {
-    return speed.spanMs();
+  public double serviceTimeMs() {
+    return speed.serviceTimeMs();
   }
 
   /** Returns when it was last granted work, in monotonic nanoseconds. */
@@ -158,38 +158,38 @@
 
   /** Returns whether it has what the target asks for loaded. */
   public boolean serves(RouteTarget target) {
-    return presence.serves(target);
+    return availability.serves(target);
   }
 
-  Presence presence() {
-    return presence;
+  UpstreamAvailability availability() {
+    return availability;
   }
 
   SpeedMeter speed() {
     return speed;
   }
 
-  WorkInFlight work() {
-    return work;
+  InFlightTracker inFlightTracker() {
+    return inFlightTracker;
   }
 
-  CacheModel cache() {
+  PrefixCacheModel cache() {
     return cache;
   }
 
-  boolean isLaterLife(Incarnation other) {
+  boolean isLaterIncarnation(Incarnation other) {
     return announcement() != null && other.compareTo(announcement().incarnation()) > 0;
   }
 
-  boolean isEarlierLife(Incarnation other) {
+  boolean isEarlierIncarnation(Incarnation other) {
     return announcement() != null && other.compareTo(announcement().incarnation()) < 0;
   }
 
   void announce(Announcement newer, long heardNs, long nowNs) {
-    presence.announce(newer, heardNs);
+    availability.announce(newer, heardNs);
     window.size(newer.maxBatch(), newer.cacheTokens());
     cache.setCapacity(newer.cacheTokens());
-    correct(newer.load(), heardNs, nowNs);
+    correctFromReport(newer.load(), heardNs, nowNs);
   }
 
   /**
@@ -197,14 +197,14 @@
    * say) takes slots for as long as the report is of use. The greatest recent count stands against
    * the report, for the report is older than the account.
    */
-  private void correct(LoadReport load, long heardNs, long nowNs) {
-    speed.report(load.runningRequests(), load.stepMs());
+  private void correctFromReport(LoadReport load, long heardNs, long nowNs) {
+    speed.recordReport(load.runningRequests(), load.stepMs());
     int reported = load.runningRequests() + load.queuedRequests();
-    foreignRequests = Math.max(0, reported - work.recentPeak(nowNs));
-    foreignUntilNs = heardNs - Nanos.fromMs(load.ageMs()) + REPORT_USE_NS;
+    untrackedRequests = Math.max(0, reported - inFlightTracker.recentPeak(nowNs));
+    untrackedUntilNs = heardNs - Nanos.fromMs(load.ageMs()) + REPORT_MAX_AGE_NS;
   }
 
-  void cacheEvent(CacheEvent event) {
+  void applyCacheEvent(CacheEvent event) {
     cache.apply(event);
   }
 
@@ -212,16 +212,16 @@
     state = newState;
   }
 
-  void setOrdinary(EngineSpeed newOrdinary) {
-    ordinary = newOrdinary;
+  void setTypicalSpeed(EngineSpeed newOrdinary) {
+    typicalSpeed = newOrdinary;
   }
 
-  InFlight add(TrackedTicket ticket, int cachedTokens, long nowNs) {
-    InFlight part = new InFlight(ticket, this, cachedTokens, nowNs);
-    work.add(part, nowNs);
+  InFlightRequest add(TrackedTicket ticket, int cachedTokens, long nowNs) {
+    InFlightRequest part = new InFlightRequest(ticket, this, cachedTokens, nowNs);
+    inFlightTracker.add(part, nowNs);
     lastGrantNs = nowNs;
     if (policy.prefixAffinity()) {
-      cache.use(ticket.ticket().prefixBlocks());
+      cache.recordPrompt(ticket.ticket().prefixBlocks());
     }
     return part;
   }
@@ -233,8 +233,8 @@
    * @param quiet whether no long prompt was processed meanwhile
    * @param nowNs monotonic time in nanoseconds
    */
-  void tokenSample(double tokenMs, boolean quiet, long nowNs) {
-    speed.token(work.count(), tokenMs, quiet);
-    window.sample(tokenMs, work.footprintTokens(), nowNs);
+  void recordTokenTime(double tokenMs, boolean quiet, long nowNs) {
+    speed.token(inFlightTracker.count(), tokenMs, quiet);
+    window.addSample(tokenMs, inFlightTracker.footprintTokens(), nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/Presence.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamAvailability.java
@@ -7,16 +7,16 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /** Knows whether an upstream may be given work: by its own word, the operators' and its silence. */
-final class Presence {
+final class UpstreamAvailability {
 
-  private static final long FIRST_BACKOFF_MS = 250;
-  private static final long LONGEST_BACKOFF_MS = 8_000;
+  private static final long MIN_BACKOFF_MS = 250;
+  private static final long MAX_BACKOFF_MS = 8_000;
 
   private Announcement announcement;
-  private long goodUntilNs = Long.MIN_VALUE;
+  private long announcementExpiryNs = Long.MIN_VALUE;
   private boolean allowed;
   private boolean draining;
-  private boolean saidToLeave;
+  private boolean reportedLeaving;
   private long backoffMs;
   private long backoffUntilNs = Long.MIN_VALUE;
 
@@ -30,18 +30,18 @@
 
   void announce(Announcement newer, long heardNs) {
     announcement = newer;
-    goodUntilNs = Nanos.plus(heardNs, Nanos.fromMs(newer.lifetimeMs()));
-    saidToLeave = false;
+    announcementExpiryNs = Nanos.plus(heardNs, Nanos.fromMs(newer.lifetimeMs()));
+    reportedLeaving = false;
   }
 
-  void allow(boolean nowAllowed, boolean nowDraining) {
+  void setAdminState(boolean nowAllowed, boolean nowDraining) {
     allowed = nowAllowed;
     draining = nowDraining;
   }
 
   /** Notes that a VM knows the upstream as leaving; holds until its next announcement. */
-  void leave() {
-    saidToLeave = true;
+  void markLeaving() {
+    reportedLeaving = true;
   }
 
   /** Notes that a later life has taken its place: this one never serves again. */
@@ -54,8 +54,8 @@
         && announcement.phase() == UpstreamPhase.SERVING
         && allowed
         && !draining
-        && !saidToLeave
-        && goodUntilNs > nowNs;
+        && !reportedLeaving
+        && announcementExpiryNs > nowNs;
   }
 
   boolean isGrantable(long nowNs) {
@@ -71,11 +71,11 @@
     if (nowNs < backoffUntilNs) {
       return;
     }
-    backoffMs = Math.min(LONGEST_BACKOFF_MS, Math.max(FIRST_BACKOFF_MS, 2 * backoffMs));
+    backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(MIN_BACKOFF_MS, 2 * backoffMs));
     backoffUntilNs = nowNs + Nanos.fromMs(backoffMs);
   }
 
-  void worked() {
+  void recordSuccess() {
     backoffMs = 0;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
@@ -34,13 +34,13 @@
 
   private final PoolId pool;
   private final FleetPolicy policy;
-  private final Map<UpstreamId, UpstreamAccount> accounts = new LinkedHashMap<>();
-  private final Map<RequestId, InFlight> inFlight = new LinkedHashMap<>();
+  private final Map<UpstreamId, TrackedUpstream> accounts = new LinkedHashMap<>();
+  private final Map<RequestId, InFlightRequest> inFlight = new LinkedHashMap<>();
   private final Map<RouteTarget, TargetGroup> groups = new HashMap<>();
-  private final PrefixDirectory<UpstreamAccount> directory =
+  private final PrefixDirectory<TrackedUpstream> prefixDirectory =
       new PrefixDirectory<>(MAX_DIRECTORY_BLOCKS);
-  private final StragglerDetector detector = new StragglerDetector();
-  private EngineSpeed ordinary = EngineSpeed.ASSUMED;
+  private final StragglerDetector stragglerDetector = new StragglerDetector();
+  private EngineSpeed typicalSpeed = EngineSpeed.ASSUMED;
   private int servingCount;
   private Configuration configuration = Configuration.empty();
 
@@ -70,14 +70,14 @@
     if (!isAllowed(announcement.upstream()) && !accounts.containsKey(announcement.upstream())) {
       return false;
     }
-    UpstreamAccount account = account(announcement.upstream());
-    if (account.isEarlierLife(announcement.incarnation())) {
+    TrackedUpstream account = account(announcement.upstream());
+    if (account.isEarlierIncarnation(announcement.incarnation())) {
       return false;
     }
-    if (account.isLaterLife(announcement.incarnation())) {
-      account = nextLife(account.id());
+    if (account.isLaterIncarnation(announcement.incarnation())) {
+      account = startIncarnation(account.id());
     }
-    if (!account.presence().isNewer(announcement)) {
+    if (!account.availability().isNewer(announcement)) {
       return false;
     }
     Announcement before = account.announcement();
@@ -99,15 +99,15 @@
   }
 
   /** Takes a cache event; one of an earlier life changes nothing. */
-  public void cacheEvent(CacheEvent event) {
-    UpstreamAccount account = accounts.get(event.upstream());
+  public void applyCacheEvent(CacheEvent event) {
+    TrackedUpstream account = accounts.get(event.upstream());
     boolean current =
         account != null
             && account.announcement() != null
             && account.announcement().incarnation().equals(event.incarnation());
     if (policy.prefixAffinity() && current) {
-      account.cacheEvent(event);
-      directory.add(event.storedBlocks(), account);
+      account.applyCacheEvent(event);
+      prefixDirectory.add(event.storedBlocks(), account);
     }
   }
 
@@ -121,20 +121,20 @@
   }
 
   /** Returns upstreams that were seen to hold the longest known part of a ticket's prompt. */
-  public List<UpstreamAccount> prefixHolders(TrackedTicket ticket) {
+  public List<TrackedUpstream> prefixHolders(TrackedTicket ticket) {
     return policy.prefixAffinity()
-        ? directory.holdersOf(ticket.ticket().prefixBlocks())
+        ? prefixDirectory.holdersOf(ticket.ticket().prefixBlocks())
         : List.of();
   }
 
   /** Returns the account of an upstream's present life, made if there is none. */
-  public UpstreamAccount account(UpstreamId id) {
-    UpstreamAccount account = accounts.get(id);
-    return account == null ? nextLife(id) : account;
+  public TrackedUpstream account(UpstreamId id) {
+    TrackedUpstream account = accounts.get(id);
+    return account == null ? startIncarnation(id) : account;
   }
 
   /** Returns all accounts. */
-  public Collection<UpstreamAccount> accounts() {
+  public Collection<TrackedUpstream> accounts() {
     return accounts.values();
   }
 
@@ -148,16 +148,16 @@
   }
 
   /** Returns how fast an ordinary upstream is. */
-  public EngineSpeed ordinary() {
-    return ordinary;
+  public EngineSpeed typicalSpeed() {
+    return typicalSpeed;
   }
 
   /** Measures the pool's speed and judges each upstream by it; returns what has changed. */
-  public List<SpeedChange> review(long nowNs) {
-    ordinary = PoolSpeed.of(accounts.values());
-    accounts.values().forEach(a -> a.setOrdinary(ordinary));
+  public List<SpeedStateChange> reviewSpeeds(long nowNs) {
+    typicalSpeed = MedianSpeedCalculator.calculate(accounts.values());
+    accounts.values().forEach(a -> a.setTypicalSpeed(typicalSpeed));
     countServing(nowNs);
-    return policy.stragglers() ? detector.review(accounts.values(), nowNs) : List.of();
+    return policy.detectStragglers() ? stragglerDetector.review(accounts.values(), nowNs) : List.of();
   }
 
   /**
@@ -169,40 +169,40 @@
    * @param nowNs monotonic time in nanoseconds
    * @return the ticket's part of the account
    */
-  public InFlight grant(
-      TrackedTicket ticket, UpstreamAccount upstream, int cachedTokens, long nowNs) {
+  public InFlightRequest grant(
+      TrackedTicket ticket, TrackedUpstream upstream, int cachedTokens, long nowNs) {
     // Guards against work for an upstream that shuts down, which would be cut off there: the
     // chooser filters too, so a fault there shows here and not as a lost answer.
     Invariant.check(upstream.isServing(nowNs), InvariantName.NO_GRANT_TO_LEAVING_UPSTREAM);
-    Invariant.check(upstream.hasSlot(nowNs), InvariantName.WINDOW_NOT_EXCEEDED);
+    Invariant.check(upstream.hasFreeSlot(nowNs), InvariantName.WINDOW_NOT_EXCEEDED);
     Invariant.check(
         upstream.fitsWindow(ticket.footprintTokens()), InvariantName.WINDOW_NOT_EXCEEDED);
     return add(ticket, upstream, cachedTokens, nowNs);
   }
 
   /** Counts a request that was dispatched under an older scheduler. */
-  public InFlight adopt(TrackedTicket ticket, UpstreamId upstream, long grantedNs) {
+  public InFlightRequest adopt(TrackedTicket ticket, UpstreamId upstream, long grantedNs) {
     return add(ticket, account(upstream), 0, grantedNs);
   }
 
-  private InFlight add(TrackedTicket ticket, UpstreamAccount upstream, int cached, long nowNs) {
+  private InFlightRequest add(TrackedTicket ticket, TrackedUpstream upstream, int cached, long nowNs) {
     Invariant.check(!inFlight.containsKey(ticket.request()), InvariantName.ONE_GRANT_PER_TICKET);
-    InFlight part = upstream.add(ticket, cached, nowNs);
+    InFlightRequest part = upstream.add(ticket, cached, nowNs);
     inFlight.put(ticket.request(), part);
     groups.values().forEach(group -> group.update(upstream));
     if (policy.prefixAffinity()) {
-      directory.add(ticket.ticket().prefixBlocks(), upstream);
+      prefixDirectory.add(ticket.ticket().prefixBlocks(), upstream);
     }
     return part;
   }
 
   /** Returns the part in flight of a request. */
-  public Optional<InFlight> find(RequestId request) {
+  public Optional<InFlightRequest> find(RequestId request) {
     return Optional.ofNullable(inFlight.get(request));
   }
 
   /** Returns all parts in flight of a VM's requests. */
-  public List<InFlight> ofVm(VmId vm) {
+  public List<InFlightRequest> inFlightOfVm(VmId vm) {
     return inFlight.values().stream().filter(p -> p.vm().equals(vm)).toList();
   }
 
@@ -212,76 +212,76 @@
   }
 
   /** Notes that the first token of a request has arrived. */
-  public void started(InFlight part, double sinceDispatchMs, long nowNs) {
+  public void onFirstToken(InFlightRequest part, double sinceDispatchMs, long nowNs) {
     part.heard(nowNs);
-    part.upstream().work().start(part, nowNs);
+    part.upstream().inFlightTracker().start(part, nowNs);
     part.firstToken(sinceDispatchMs, nowNs);
-    part.upstream().presence().worked();
+    part.upstream().availability().recordSuccess();
   }
 
   /** Notes how many tokens have arrived. */
-  public void progressed(InFlight part, int outputTokens, long nowNs) {
+  public void onProgress(InFlightRequest part, int outputTokens, long nowNs) {
     part.heard(nowNs);
     if (outputTokens > 0) {
-      part.upstream().work().start(part, nowNs);
+      part.upstream().inFlightTracker().start(part, nowNs);
     }
-    AnswerSamples.progress(part, outputTokens, nowNs);
+    SpeedSampler.sampleProgress(part, outputTokens, nowNs);
     part.progress(outputTokens, nowNs);
   }
 
   /** Takes a request out of the account, and learns from how it went. */
-  public void ended(InFlight part, EntryMessage.Ended ended, long nowNs) {
+  public void onEnded(InFlightRequest part, EntryMessage.Ended ended, long nowNs) {
     remove(part, nowNs);
     if (ended.kind() == EndKind.FAILED) {
-      part.upstream().presence().backOff(nowNs);
+      part.upstream().availability().backOff(nowNs);
     }
     if (ended.kind() == EndKind.COMPLETED) {
-      part.upstream().presence().worked();
+      part.upstream().availability().recordSuccess();
       if (ended.hasKnownDuration()) {
-        AnswerSamples.completed(part, ended, nowNs);
+        SpeedSampler.completed(part, ended, nowNs);
       }
     }
   }
 
   /** Takes a request out of the account. */
-  public void remove(InFlight part, long nowNs) {
+  public void remove(InFlightRequest part, long nowNs) {
     inFlight.remove(part.request());
-    part.upstream().work().remove(part, nowNs);
+    part.upstream().inFlightTracker().remove(part, nowNs);
     groups.values().forEach(group -> group.update(part.upstream()));
   }
 
   /** Keeps work away from an upstream for a while, after a grant there could not be used. */
-  public void backOff(UpstreamAccount upstream, long nowNs) {
-    upstream.presence().backOff(nowNs);
+  public void backOff(TrackedUpstream upstream, long nowNs) {
+    upstream.availability().backOff(nowNs);
   }
 
   /** Keeps work away from an upstream until it announces itself anew. */
-  public void leaving(UpstreamAccount upstream) {
-    upstream.presence().leave();
+  public void leaving(TrackedUpstream upstream) {
+    upstream.availability().markLeaving();
   }
 
   /** Checks that every account equals the sum of its parts; linear in the work in flight. */
   public void audit() {
-    accounts.values().forEach(a -> a.work().audit());
+    accounts.values().forEach(a -> a.inFlightTracker().audit());
   }
 
-  private UpstreamAccount nextLife(UpstreamId id) {
-    UpstreamAccount before = accounts.get(id);
+  private TrackedUpstream startIncarnation(UpstreamId id) {
+    TrackedUpstream before = accounts.get(id);
     if (before != null) {
-      before.presence().retire();
+      before.availability().retire();
     }
-    UpstreamAccount account = new UpstreamAccount(id, policy);
-    account.setOrdinary(ordinary);
+    TrackedUpstream account = new TrackedUpstream(id, policy);
+    account.setTypicalSpeed(typicalSpeed);
     applyConfiguration(account);
     accounts.put(id, account);
     groups.clear();
     return account;
   }
 
-  private void applyConfiguration(UpstreamAccount account) {
+  private void applyConfiguration(TrackedUpstream account) {
     boolean allowed = isAllowed(account.id());
     boolean draining = allowed && configuration.upstreams().get(account.id()).draining();
-    account.presence().allow(allowed, draining);
+    account.availability().setAdminState(allowed, draining);
   }
 
   private boolean isAllowed(UpstreamId id) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/limit/DrainRateMeter.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/limit/DrainRateMeter.java
@@ -7,7 +7,7 @@
 public final class DrainRateMeter {
 
   /** Time over which the measure forgets, in busy milliseconds; several answers' length. */
-  private static final double MEMORY_MS = 10_000;
+  private static final double DECAY_MS = 10_000;
 
   /** Weight of the assumed rate, in busy milliseconds. */
   private static final double PRIOR_MS = 1_500;
@@ -27,7 +27,7 @@
   public void advance(long nowNs) {
     if (busy) {
       double elapsedMs = (nowNs - lastNs) / NS_PER_MS;
-      double keep = Math.exp(-elapsedMs / MEMORY_MS);
+      double keep = Math.exp(-elapsedMs / DECAY_MS);
       drainedUs *= keep;
       busyMs = busyMs * keep + elapsedMs;
     }
@@ -35,7 +35,7 @@
   }
 
   /** Notes that engine time has left the queue; counts only if something has been waiting. */
-  public void drained(double engineUs) {
+  public void recordDrained(double engineUs) {
     if (busy) {
       drainedUs += engineUs;
     }
@@ -51,7 +51,7 @@
    *
    * @param priorUsPerMs the rate to assume as long as little is measured
    */
-  public double usPerMs(double priorUsPerMs) {
+  public double rateUsPerMs(double priorUsPerMs) {
     return (drainedUs + priorUsPerMs * PRIOR_MS) / (busyMs + PRIOR_MS);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/limit/RateLimiter.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/limit/RateLimiter.java
@@ -26,7 +26,7 @@
     TokenBucket present = buckets.get(customer.id());
     if (rate <= 0) {
       buckets.remove(customer.id());
-    } else if (present == null || !present.isFor(rate, burst)) {
+    } else if (present == null || !present.hasLimits(rate, burst)) {
       buckets.put(customer.id(), new TokenBucket(rate, burst, nowNs));
     }
   }
@@ -38,9 +38,9 @@
    * @param nowNs monotonic time in nanoseconds
    * @return empty if it is within the rate, else when to come back, in milliseconds
    */
-  public OptionalLong tryTake(CustomerId customer, long nowNs) {
+  public OptionalLong tryAcquire(CustomerId customer, long nowNs) {
     TokenBucket bucket = buckets.get(customer);
-    if (bucket == null || bucket.tryTake(nowNs)) {
+    if (bucket == null || bucket.tryAcquire(nowNs)) {
       return OptionalLong.empty();
     }
     return OptionalLong.of(bucket.waitMs());
--- a/core/src/main/java/org/teaseltrail/core/schedule/limit/TokenBucket.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/limit/TokenBucket.java
@@ -9,21 +9,21 @@
   private final double ratePerSecond;
   private final double burst;
   private double tokens;
-  private long filledNs;
+  private long refilledNs;
 
   TokenBucket(double ratePerSecond, double burst, long nowNs) {
     this.ratePerSecond = ratePerSecond;
     this.burst = Math.max(1, burst);
     this.tokens = this.burst;
-    this.filledNs = nowNs;
+    this.refilledNs = nowNs;
   }
 
-  boolean isFor(double otherRatePerSecond, double otherBurst) {
+  boolean hasLimits(double otherRatePerSecond, double otherBurst) {
     return ratePerSecond == otherRatePerSecond && burst == Math.max(1, otherBurst);
   }
 
-  boolean tryTake(long nowNs) {
-    fill(nowNs);
+  boolean tryAcquire(long nowNs) {
+    refill(nowNs);
     if (tokens < 1) {
       return false;
     }
@@ -37,9 +37,9 @@
     return (long) Math.ceil(missing / ratePerSecond * MS_PER_SECOND);
   }
 
-  private void fill(long nowNs) {
-    double elapsedSeconds = Math.max(0, nowNs - filledNs) / NS_PER_SECOND;
+  private void refill(long nowNs) {
+    double elapsedSeconds = Math.max(0, nowNs - refilledNs) / NS_PER_SECOND;
     tokens = Math.min(burst, tokens + elapsedSeconds * ratePerSecond);
-    filledNs = nowNs;
+    refilledNs = nowNs;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/prefix/CacheModel.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/prefix/PrefixCacheModel.java
@@ -10,7 +10,7 @@
  * engines do it. It follows the scheduler's own dispatches and is corrected by cache events and by
  * what ended requests say was cached.
  */
-public final class CacheModel {
+public final class PrefixCacheModel {
 
   /** Tokens in one block; the contract with the entry VMs. */
   public static final int BLOCK_TOKENS = 256;
@@ -19,17 +19,17 @@
   public static final int MAX_BLOCKS = 4_096;
 
   /** Part of the trust that a gap in the events leaves. */
-  private static final double TRUST_AFTER_GAP = 0.9;
+  private static final double CONFIDENCE_AFTER_GAP = 0.9;
 
   /** Weight of the newest ended request in the trust. */
-  private static final double TRUST_GAIN = 0.1;
+  private static final double CONFIDENCE_GAIN = 0.1;
 
-  private static final double LEAST_TRUST = 0.05;
+  private static final double MIN_CONFIDENCE = 0.05;
 
   private final LinkedHashMap<Long, Boolean> blocks = new LinkedHashMap<>(16, 0.75f, true);
   private int capacityBlocks;
   private long lastSequence = -1;
-  private double trust = 1;
+  private double confidence = 1;
 
   /** Sets how many tokens the engine's cache holds; zero if it has none. */
   public void setCapacity(long cacheTokens) {
@@ -38,8 +38,8 @@
   }
 
   /** Returns how far the model is believed, from zero to one. */
-  public double trust() {
-    return trust;
+  public double confidence() {
+    return confidence;
   }
 
   /** Returns how many blocks are believed to be cached. */
@@ -63,12 +63,12 @@
     while (hits < prompt.size() && blocks.containsKey(prompt.get(hits))) {
       hits++;
     }
-    int tokens = (int) (hits * BLOCK_TOKENS * trust);
+    int tokens = (int) (hits * BLOCK_TOKENS * confidence);
     return Math.max(0, Math.min(tokens, promptTokens - 1));
   }
 
   /** Notes that a prompt goes to the engine, which will hold its blocks from then on. */
-  public void use(List<Long> prompt) {
+  public void recordPrompt(List<Long> prompt) {
     // The first block goes in last: a chain without its beginning is of no use, and engines drop
     // the end of a chain before its beginning.
     for (int i = prompt.size() - 1; i >= 0; i--) {
@@ -86,7 +86,7 @@
       return;
     }
     if (lastSequence >= 0 && event.sequence() > lastSequence + 1) {
-      trust = Math.max(LEAST_TRUST, trust * TRUST_AFTER_GAP);
+      confidence = Math.max(MIN_CONFIDENCE, confidence * CONFIDENCE_AFTER_GAP);
     }
     lastSequence = event.sequence();
     event.removedBlocks().forEach(blocks::remove);
@@ -104,9 +104,9 @@
     if (expectedTokens < BLOCK_TOKENS) {
       return;
     }
-    double modelled = expectedTokens / trust;
+    double modelled = expectedTokens / confidence;
     double right = Math.min(1, cachedTokens / modelled);
-    trust = Math.max(LEAST_TRUST, trust + TRUST_GAIN * (right - trust));
+    confidence = Math.max(MIN_CONFIDENCE, confidence + CONFIDENCE_GAIN * (right - confidence));
   }
 
   private void dropOverflow() {
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerQueue.java
@@ -8,17 +8,17 @@
 final class CustomerQueue {
 
   private static final Comparator<TrackedTicket> BY_PLACE =
-      Comparator.<TrackedTicket>comparingLong(t -> t.place().orderNs())
+      Comparator.<TrackedTicket>comparingLong(t -> t.queuePosition().orderNs())
           .thenComparingLong(TrackedTicket::order);
 
-  private final CustomerAccount account;
+  private final CustomerUsageTracker account;
   private final TreeSet<TrackedTicket> tickets = new TreeSet<>(BY_PLACE);
 
-  CustomerQueue(CustomerAccount account) {
+  CustomerQueue(CustomerUsageTracker account) {
     this.account = account;
   }
 
-  CustomerAccount account() {
+  CustomerUsageTracker account() {
     return account;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerAccount.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerUsageTracker.java
@@ -11,7 +11,7 @@
  * Keeps a customer's waiting tickets of one tier and the engine time it has been served there,
  * divided by its weight (its virtual time).
  */
-final class CustomerAccount {
+final class CustomerUsageTracker {
 
   private final CustomerId customer;
   private final Map<RouteId, CustomerQueue> queues = new HashMap<>();
@@ -20,7 +20,7 @@
   private double virtualUs;
   private double waitingUs;
 
-  CustomerAccount(CustomerId customer) {
+  CustomerUsageTracker(CustomerId customer) {
     this.customer = customer;
   }
 
@@ -36,7 +36,7 @@
     return waitingUs;
   }
 
-  boolean isIdle() {
+  boolean hasNoneWaiting() {
     return byArrival.isEmpty();
   }
 
@@ -58,7 +58,7 @@
   }
 
   void add(TrackedTicket ticket) {
-    weight = ticket.place().weight();
+    weight = ticket.queuePosition().weight();
     byArrival.add(ticket);
     waitingUs += ticket.estimate().engineUs();
   }
@@ -74,7 +74,7 @@
   }
 
   /** Adds served engine time; negative to give back what was not used. */
-  void addServed(double engineUs) {
+  void addServedTime(double engineUs) {
     virtualUs += engineUs / weight;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/RouteQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/RouteQueue.java
@@ -29,8 +29,8 @@
   }
 
   /** Returns an iteration over the tickets in the order in which they are to be served. */
-  public ServiceOrder inOrder() {
-    return new ServiceOrder(customers);
+  public ServiceOrderIterator serviceOrder() {
+    return new ServiceOrderIterator(customers);
   }
 
   void add(CustomerQueue queue) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/ServiceOrder.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/ServiceOrderIterator.java
@@ -10,13 +10,13 @@
  * Walks over the tickets of a route in one tier: first the head of each customer, least served
  * customer first, then the tickets behind the heads.
  */
-public final class ServiceOrder implements Iterator<TrackedTicket> {
+public final class ServiceOrderIterator implements Iterator<TrackedTicket> {
 
   private final Iterator<CustomerQueue> heads;
   private final Iterator<CustomerQueue> rests;
   private Iterator<TrackedTicket> rest = Collections.emptyIterator();
 
-  ServiceOrder(Collection<CustomerQueue> customers) {
+  ServiceOrderIterator(Collection<CustomerQueue> customers) {
     this.heads = customers.iterator();
     this.rests = customers.iterator();
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/TierQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/TierQueue.java
@@ -26,14 +26,14 @@
           .thenComparingLong(TrackedTicket::order);
 
   /** Multiple of its fair share from which a customer is above its share of the waiting work. */
-  private static final double ABOVE_SHARE = 1.25;
+  private static final double SHARE_TOLERANCE = 1.25;
 
   private final Tier tier;
-  private final Map<CustomerId, CustomerAccount> accounts = new HashMap<>();
+  private final Map<CustomerId, CustomerUsageTracker> accounts = new HashMap<>();
   private final Map<RouteId, RouteQueue> routes = new LinkedHashMap<>();
   private final TreeSet<TrackedTicket> byArrival = new TreeSet<>(BY_ARRIVAL);
   private final TreeSet<TrackedTicket> byLatestStart = new TreeSet<>(BY_LATEST_START);
-  private final Set<TrackedTicket> hopeless = new LinkedHashSet<>();
+  private final Set<TrackedTicket> infeasible = new LinkedHashSet<>();
   private final DrainRateMeter drain = new DrainRateMeter();
   private double waitingUs;
   private double systemVirtualUs;
@@ -82,10 +82,10 @@
    * by weight, or empty if none is above.
    */
   public Optional<TrackedTicket> newestAboveShare() {
-    CustomerAccount greediest = null;
+    CustomerUsageTracker greediest = null;
     double weights = 0;
-    for (CustomerAccount account : accounts.values()) {
-      if (account.isIdle()) {
+    for (CustomerUsageTracker account : accounts.values()) {
+      if (account.hasNoneWaiting()) {
         continue;
       }
       weights += account.weight();
@@ -97,38 +97,38 @@
       return Optional.empty();
     }
     double fairUs = waitingUs * greediest.weight() / weights;
-    boolean above = greediest.waitingUs() > ABOVE_SHARE * fairUs;
+    boolean above = greediest.waitingUs() > SHARE_TOLERANCE * fairUs;
     return above ? Optional.of(greediest.newest()) : Optional.empty();
   }
 
-  private static double load(CustomerAccount account) {
+  private static double load(CustomerUsageTracker account) {
     return account.waitingUs() / account.weight();
   }
 
   /** Returns a ticket that can't meet its deadline any more, if there is one. */
-  public Optional<TrackedTicket> anyHopeless() {
-    return hopeless.isEmpty() ? Optional.empty() : Optional.of(hopeless.iterator().next());
+  public Optional<TrackedTicket> anyInfeasible() {
+    return infeasible.isEmpty() ? Optional.empty() : Optional.of(infeasible.iterator().next());
   }
 
   /**
    * Sets aside the tickets that can't meet their deadline any more. They still wait, but no engine
    * time is spent on an answer that would come too late.
    */
-  void setHopelessAside(long nowNs) {
-    while (!byLatestStart.isEmpty() && isHopeless(byLatestStart.first(), nowNs)) {
+  void setAsideInfeasible(long nowNs) {
+    while (!byLatestStart.isEmpty() && isInfeasible(byLatestStart.first(), nowNs)) {
       TrackedTicket ticket = byLatestStart.pollFirst();
-      hopeless.add(ticket);
+      infeasible.add(ticket);
       removeFromOrder(ticket);
     }
   }
 
-  private static boolean isHopeless(TrackedTicket ticket, long nowNs) {
+  private static boolean isInfeasible(TrackedTicket ticket, long nowNs) {
     return ticket.estimate().latestStartNs() < nowNs;
   }
 
   void add(TrackedTicket ticket) {
-    CustomerAccount account = account(ticket.place().customer());
-    if (account.isIdle()) {
+    CustomerUsageTracker account = account(ticket.queuePosition().customer());
+    if (account.hasNoneWaiting()) {
       account.catchUp(systemVirtualUs);
     }
     account.add(ticket);
@@ -140,7 +140,7 @@
     addToOrder(account, ticket);
   }
 
-  private void addToOrder(CustomerAccount account, TrackedTicket ticket) {
+  private void addToOrder(CustomerUsageTracker account, TrackedTicket ticket) {
     RouteId route = ticket.ticket().route();
     CustomerQueue queue = account.queue(route);
     if (queue.isEmpty()) {
@@ -150,18 +150,18 @@
   }
 
   void remove(TrackedTicket ticket) {
-    account(ticket.place().customer()).remove(ticket);
+    account(ticket.queuePosition().customer()).remove(ticket);
     byArrival.remove(ticket);
     byLatestStart.remove(ticket);
     waitingUs = byArrival.isEmpty() ? 0 : waitingUs - ticket.estimate().engineUs();
-    if (!hopeless.remove(ticket)) {
+    if (!infeasible.remove(ticket)) {
       removeFromOrder(ticket);
     }
   }
 
   private void removeFromOrder(TrackedTicket ticket) {
     RouteId route = ticket.ticket().route();
-    CustomerAccount account = account(ticket.place().customer());
+    CustomerUsageTracker account = account(ticket.queuePosition().customer());
     CustomerQueue queue = account.queue(route);
     queue.remove(ticket);
     if (queue.isEmpty()) {
@@ -172,16 +172,16 @@
 
   /** Charges a customer for engine time; negative gives back. */
   void charge(CustomerId customer, double engineUs) {
-    CustomerAccount account = account(customer);
+    CustomerUsageTracker account = account(customer);
     account.queues().forEach((route, queue) -> routes.get(route).remove(queue));
     if (engineUs > 0) {
       systemVirtualUs = Math.max(systemVirtualUs, account.virtualUs());
     }
-    account.addServed(engineUs);
+    account.addServedTime(engineUs);
     account.queues().forEach((route, queue) -> routes.get(route).add(queue));
   }
 
-  private CustomerAccount account(CustomerId customer) {
-    return accounts.computeIfAbsent(customer, CustomerAccount::new);
+  private CustomerUsageTracker account(CustomerId customer) {
+    return accounts.computeIfAbsent(customer, CustomerUsageTracker::new);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/WaitingQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/WaitingQueue.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.Tier;
 import org.teaseltrail.core.invariant.Invariant;
 import org.teaseltrail.core.invariant.InvariantName;
-import org.teaseltrail.core.schedule.ticket.QueuePlace;
+import org.teaseltrail.core.schedule.ticket.QueuePosition;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
@@ -31,7 +31,7 @@
   }
 
   /** Returns the lowest tier in which a ticket waits. */
-  public Optional<TierQueue> lowest() {
+  public Optional<TierQueue> lowestTier() {
     for (TierQueue queue : tiers.descendingMap().values()) {
       if (!queue.isEmpty()) {
         return Optional.of(queue);
@@ -41,8 +41,8 @@
   }
 
   /** Returns the queue of a ticket's tier. */
-  public TierQueue tierOf(TrackedTicket ticket) {
-    return tiers.computeIfAbsent(ticket.place().tier(), TierQueue::new);
+  public TierQueue tierQueueOf(TrackedTicket ticket) {
+    return tiers.computeIfAbsent(ticket.queuePosition().tier(), TierQueue::new);
   }
 
   /** Returns how many tickets wait. */
@@ -62,7 +62,7 @@
 
   /** Adds a waiting ticket. */
   public void add(TrackedTicket ticket) {
-    tierOf(ticket).add(ticket);
+    tierQueueOf(ticket).add(ticket);
     if (ticket.deadlineNs() != TrackedTicket.NO_DEADLINE) {
       byDeadline.add(ticket);
     }
@@ -72,7 +72,7 @@
 
   /** Takes out a ticket that is in the queue. */
   public void remove(TrackedTicket ticket) {
-    tierOf(ticket).remove(ticket);
+    tierQueueOf(ticket).remove(ticket);
     byDeadline.remove(ticket);
     count--;
     waitingUs = count == 0 ? 0 : waitingUs - ticket.estimate().engineUs();
@@ -80,19 +80,19 @@
 
   /** Charges a ticket's customer for its engine time. */
   public void charge(TrackedTicket ticket) {
-    QueuePlace place = ticket.place();
-    tierOf(ticket).charge(place.customer(), ticket.estimate().engineUs());
-    tierOf(ticket).drain().drained(ticket.estimate().engineUs());
+    QueuePosition place = ticket.queuePosition();
+    tierQueueOf(ticket).charge(place.customer(), ticket.estimate().engineUs());
+    tierQueueOf(ticket).drain().recordDrained(ticket.estimate().engineUs());
   }
 
   /** Gives a ticket's customer back a part of what it was charged. */
   public void refund(TrackedTicket ticket, double engineUs) {
-    tierOf(ticket).charge(ticket.place().customer(), -engineUs);
+    tierQueueOf(ticket).charge(ticket.queuePosition().customer(), -engineUs);
   }
 
   /** Sets aside the tickets that can't meet their deadline any more. */
-  public void setHopelessAside(long nowNs) {
-    tiers.values().forEach(tier -> tier.setHopelessAside(nowNs));
+  public void setAsideInfeasible(long nowNs) {
+    tiers.values().forEach(tier -> tier.setAsideInfeasible(nowNs));
   }
 
   /** Checks that the sums equal the sums over the tiers. */
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/EndedMemory.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/EndedRequestCache.java
@@ -12,14 +12,14 @@
  * repeated offer: it would show as a second run of a request whose answer has been delivered. The
  * memory outlasts any message still on its way between a VM and the scheduler.
  */
-final class EndedMemory {
+final class EndedRequestCache {
 
   private final Map<RequestId, Ending> endings = new LinkedHashMap<>();
-  private final long keepNs;
+  private final long retentionNs;
 
   /** Creates the memory; what is older than the time given in nanoseconds is forgotten. */
-  EndedMemory(long keepNs) {
-    this.keepNs = keepNs;
+  EndedRequestCache(long keepNs) {
+    this.retentionNs = keepNs;
   }
 
   void add(RequestId request, Optional<ControlMessage.Refused> refusal, long nowNs) {
@@ -37,7 +37,7 @@
 
   void expire(long nowNs) {
     Iterator<Ending> oldest = endings.values().iterator();
-    while (oldest.hasNext() && oldest.next().endedNs() + keepNs < nowNs) {
+    while (oldest.hasNext() && oldest.next().endedNs() + retentionNs < nowNs) {
       oldest.remove();
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/QueuePlace.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/QueuePosition.java
@@ -12,4 +12,4 @@
  * @param weight that customer's weight
  * @param orderNs its place among that customer's tickets, earlier first
  */
-public record QueuePlace(Tier tier, CustomerId customer, int weight, long orderNs) {}
+public record QueuePosition(Tier tier, CustomerId customer, int weight, long orderNs) {}
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketBook.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketRegistry.java
@@ -9,14 +9,14 @@
 import org.teaseltrail.core.message.ControlMessage;
 
 /** Knows every ticket from its offer to its end, and for a while those that have ended. */
-public final class TicketBook {
+public final class TicketRegistry {
 
   private final Map<RequestId, TrackedTicket> tickets = new LinkedHashMap<>();
-  private final EndedMemory ended;
+  private final EndedRequestCache ended;
 
   /** Creates an empty book that remembers ended requests for the time given in nanoseconds. */
-  public TicketBook(long endedKeepNs) {
-    this.ended = new EndedMemory(endedKeepNs);
+  public TicketRegistry(long endedKeepNs) {
+    this.ended = new EndedRequestCache(endedKeepNs);
   }
 
   /** Returns the ticket of a request that has not ended. */
@@ -40,7 +40,7 @@
   }
 
   /** Takes out a ticket whose request may be offered again. */
-  public void forget(TrackedTicket ticket) {
+  public void remove(TrackedTicket ticket) {
     tickets.remove(ticket.request());
   }
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TrackedTicket.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TrackedTicket.java
@@ -23,8 +23,8 @@
   private final long arrivalNs;
   private final long deadlineNs;
   private final TicketEstimate estimate;
-  private final QueuePlace place;
-  private long heldSinceNs = NOT_HELD;
+  private final QueuePosition queuePosition;
+  private long holdStartNs = NOT_HELD;
   private UpstreamId avoided;
   private long avoidedUntilNs;
   private TicketPhase phase = TicketPhase.WAITING;
@@ -40,7 +40,7 @@
    * @param place where it stands in the queue
    */
   public TrackedTicket(
-      Ticket ticket, VmId vm, long order, long nowNs, TicketEstimate estimate, QueuePlace place) {
+      Ticket ticket, VmId vm, long order, long nowNs, TicketEstimate estimate, QueuePosition place) {
     this.ticket = ticket;
     this.vm = vm;
     this.order = order;
@@ -48,7 +48,7 @@
     this.deadlineNs =
         ticket.deadlineMs() > 0 ? nowNs + Nanos.fromMs(ticket.deadlineMs()) : NO_DEADLINE;
     this.estimate = estimate;
-    this.place = place;
+    this.queuePosition = place;
   }
 
   /** Returns what the VM offered. */
@@ -92,16 +92,16 @@
   }
 
   /** Returns where it stands in the queue. */
-  public QueuePlace place() {
-    return place;
+  public QueuePosition queuePosition() {
+    return queuePosition;
   }
 
   /** Returns since when it is held for the engine that has its prefix; now if it was not. */
-  public long heldSinceNs(long nowNs) {
-    if (heldSinceNs == NOT_HELD) {
-      heldSinceNs = nowNs;
+  public long holdStartNs(long nowNs) {
+    if (holdStartNs == NOT_HELD) {
+      holdStartNs = nowNs;
     }
-    return heldSinceNs;
+    return holdStartNs;
   }
 
   /** Returns the tokens it may come to hold on an engine. */
@@ -131,7 +131,7 @@
   }
 
   /** Notes that an upstream is set aside until the claim is committed. */
-  public void claiming() {
+  public void markClaiming() {
     Invariant.check(phase == TicketPhase.WAITING, InvariantName.ONE_GRANT_PER_TICKET);
     phase = TicketPhase.CLAIMING;
   }
@@ -143,7 +143,7 @@
   }
 
   /** Notes that the grant was given back, so that the ticket waits again. */
-  public void waitAgain() {
+  public void markWaiting() {
     phase = TicketPhase.WAITING;
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/schedule/CallerRequest.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/CallerRequest.java
@@ -24,7 +24,7 @@
   private Stage stage = Stage.WAITING;
   private UpstreamId upstream;
   private int tokens;
-  private boolean endTold;
+  private boolean endReported;
   private UpstreamId outstanding;
 
   CallerRequest(Ticket ticket, VmId vm) {
@@ -65,14 +65,14 @@
     upstream = to;
   }
 
-  int moreTokens(int more) {
+  int addTokens(int more) {
     tokens += more;
     return tokens;
   }
 
   void ended() {
     stage = Stage.ENDED;
-    endTold = true;
+    endReported = true;
   }
 
   EntryMessage.Ended endMessage(EndKind kind) {
@@ -88,13 +88,13 @@
   }
 
   /** The scheduler learned, or will learn, that its grant is void; or there is a new scheduler. */
-  void grantVoid() {
+  void voidGrant() {
     outstanding = null;
   }
 
   /** Checks a grant, be it new or sent again. */
   void checkMayBeGranted(UpstreamId to) {
-    assertThat(endTold).as("%s was granted after its end was told", id()).isFalse();
+    assertThat(endReported).as("%s was granted after its end was told", id()).isFalse();
     assertThat(outstanding).as("%s has two grants", id()).isIn(null, to);
     outstanding = to;
   }
--- a/core/src/test/java/org/teaseltrail/core/schedule/GoldenSession.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/GoldenSession.java
@@ -28,7 +28,7 @@
  */
 final class GoldenSession {
 
-  private final List<String> told = new ArrayList<>();
+  private final List<String> transcript = new ArrayList<>();
   private final Map<String, Ticket> tickets = new HashMap<>();
   private PoolFixture pool = new PoolFixture(SchedulerSettings.defaults());
   private String[] words;
@@ -37,13 +37,13 @@
   /** Runs a script and returns it with what the scheduler did below each command. */
   String run(List<String> script) {
     for (String line : script) {
-      told.add(line);
+      transcript.add(line);
       if (!line.isBlank() && !line.startsWith("#")) {
         runLine(line);
       }
     }
     pool.scheduler.audit();
-    return String.join("\n", told) + "\n";
+    return String.join("\n", transcript) + "\n";
   }
 
   private void runLine(String line) {
@@ -58,7 +58,7 @@
       }
     }
     words = plain.toArray(String[]::new);
-    tell(command());
+    recordActions(command());
   }
 
   private List<SchedulerAction> command() {
@@ -69,16 +69,16 @@
       case "allow" -> allow(false);
       case "drain" -> allow(true);
       case "announce" -> announce();
-      case "offer" -> say(new EntryMessage.Offer(ticket()));
-      case "withdraw" -> say(new EntryMessage.Withdraw(request(), WithdrawReason.CALLER_GONE));
-      case "first" -> say(new EntryMessage.FirstToken(request(), upstream(), number("ms", 20)));
-      case "progress" -> say(new EntryMessage.Progress(request(), upstream(), tokens()));
-      case "end" -> say(ended());
-      case "decline" -> say(declined());
-      case "running" -> say(running());
-      case "complete" -> say(new EntryMessage.ReportsComplete(vm(), new FencingNumber(1)));
+      case "offer" -> send(new EntryMessage.Offer(ticket()));
+      case "withdraw" -> send(new EntryMessage.Withdraw(request(), WithdrawReason.CALLER_GONE));
+      case "first" -> send(new EntryMessage.FirstToken(request(), upstream(), number("ms", 20)));
+      case "progress" -> send(new EntryMessage.Progress(request(), upstream(), tokens()));
+      case "end" -> send(ended());
+      case "decline" -> send(declined());
+      case "running" -> send(running());
+      case "complete" -> send(new EntryMessage.ReportsComplete(vm(), new FencingNumber(1)));
       case "awaited" -> pool.handle(new SchedulerEvent.ReportsAwaited(vms()));
-      case "lapse" -> pool.handle(new SchedulerEvent.VmLapsed(new VmId(words[1])));
+      case "lapse" -> pool.handle(new SchedulerEvent.VmSessionExpired(new VmId(words[1])));
       case "claimed" -> pool.handle(new SchedulerEvent.ClaimGranted(request()));
       case "denied" -> pool.handle(new SchedulerEvent.ClaimDenied(request()));
       default -> throw new IllegalArgumentException(words[0]);
@@ -189,13 +189,13 @@
     return Long.parseLong(options.getOrDefault(name, Long.toString(otherwise)));
   }
 
-  private List<SchedulerAction> say(EntryMessage message) {
-    return pool.say(vm(), message);
+  private List<SchedulerAction> send(EntryMessage message) {
+    return pool.send(vm(), message);
   }
 
-  private void tell(List<SchedulerAction> actions) {
+  private void recordActions(List<SchedulerAction> actions) {
     for (SchedulerAction action : actions) {
-      told.add("  " + pool.nowMs + " " + describe(action));
+      transcript.add("  " + pool.nowMs + " " + describe(action));
     }
   }
 
--- a/core/src/test/java/org/teaseltrail/core/schedule/PoolFixture.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/PoolFixture.java
@@ -136,7 +136,7 @@
             100_000,
             new LoadReport(0, 0, 0, 4, 0, 0),
             LIFETIME_MS);
-    return say(VM, new EntryMessage.UpstreamSeen(announcement, 0));
+    return send(VM, new EntryMessage.UpstreamSeen(announcement, 0));
   }
 
   static Ticket ticket(String request, int tier) {
@@ -172,11 +172,11 @@
   }
 
   List<SchedulerAction> offer(Ticket ticket) {
-    return say(VM, new EntryMessage.Offer(ticket));
+    return send(VM, new EntryMessage.Offer(ticket));
   }
 
   List<SchedulerAction> end(String request, String upstream) {
-    return say(
+    return send(
         VM,
         new EntryMessage.Ended(
             new RequestId(request),
@@ -186,7 +186,7 @@
             100));
   }
 
-  List<SchedulerAction> say(VmId vm, EntryMessage message) {
+  List<SchedulerAction> send(VmId vm, EntryMessage message) {
     return handle(new SchedulerEvent.FromEntry(vm, message));
   }
 
--- a/core/src/test/java/org/teaseltrail/core/schedule/PoolSchedulerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/PoolSchedulerTest.java
@@ -74,7 +74,7 @@
     PoolFixture pool = PoolFixture.serving(2, SETTINGS);
     assertThat(grants(pool.offer(ticket("a", 1)))).containsExactly("a@u1");
     List<SchedulerAction> actions =
-        pool.say(
+        pool.send(
             PoolFixture.VM,
             new EntryMessage.Declined(
                 new RequestId("a"), new UpstreamId("u1"), DeclineReason.CONNECT_FAILED));
@@ -89,7 +89,7 @@
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
     assertThat(grants(pool.offer(ticket("a", 1)))).containsExactly("a@u1");
     List<SchedulerAction> actions =
-        pool.say(
+        pool.send(
             PoolFixture.VM,
             new EntryMessage.Declined(
                 new RequestId("a"), new UpstreamId("u1"), DeclineReason.NO_SESSION));
@@ -105,7 +105,7 @@
   void deadVmsRequestsDontMakeTheirUpstreamLookSilent() {
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
     assertThat(grants(pool.offer(ticket("a", 1)))).containsExactly("a@u1");
-    pool.handle(new SchedulerEvent.VmLapsed(PoolFixture.VM));
+    pool.handle(new SchedulerEvent.VmSessionExpired(PoolFixture.VM));
     for (int second = 0; second < 5; second++) {
       pool.nowMs += 1_000;
       pool.announce("u1", UpstreamPhase.SERVING);
@@ -118,7 +118,7 @@
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
     pool.offer(ticket("a", 1));
     pool.end("a", "u1");
-    pool.say(
+    pool.send(
         PoolFixture.VM, new EntryMessage.Withdraw(new RequestId("b"), WithdrawReason.CALLER_GONE));
     assertThat(grants(pool.offer(ticket("a", 1)))).isEmpty();
     assertThat(grants(pool.offer(ticket("b", 1)))).isEmpty();
@@ -139,7 +139,7 @@
   void keepsWorkAwayFromAnUpstreamThatFailsAtOnce() {
     PoolFixture pool = PoolFixture.serving(2, SETTINGS);
     assertThat(grants(pool.offer(ticket("a", 1)))).containsExactly("a@u1");
-    pool.say(PoolFixture.VM, failed("a", "u1"));
+    pool.send(PoolFixture.VM, failed("a", "u1"));
     assertThat(grants(pool.offer(ticket("b", 1)))).containsExactly("b@u2");
     assertThat(grants(pool.offer(ticket("c", 1)))).containsExactly("c@u2");
     pool.nowMs += 1_000;
@@ -202,7 +202,7 @@
   void grantsNothingToUpstreamThatVmKnowsAsLeaving() {
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
     pool.offer(ticket("a", 1));
-    pool.say(
+    pool.send(
         PoolFixture.VM,
         new EntryMessage.Declined(new RequestId("a"), new UpstreamId("u1"), DeclineReason.LEAVING));
     pool.nowMs += 2_500;
@@ -228,7 +228,7 @@
         .containsExactly(new UpstreamId("u1"));
     EntryMessage declined =
         new EntryMessage.Declined(new RequestId("a"), new UpstreamId("u1"), DeclineReason.LEAVING);
-    assertThat(grants(pool.say(PoolFixture.VM, declined))).containsExactly("a@u2");
+    assertThat(grants(pool.send(PoolFixture.VM, declined))).containsExactly("a@u2");
   }
 
   /** A withdrawal that comes after the proof of the dispatch must not free a slot that is taken. */
@@ -237,9 +237,9 @@
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
     pool.offer(ticket("a", 1));
     pool.offer(ticket("b", 1));
-    pool.say(
+    pool.send(
         PoolFixture.VM, new EntryMessage.FirstToken(new RequestId("a"), new UpstreamId("u1"), 10));
-    pool.say(
+    pool.send(
         PoolFixture.VM, new EntryMessage.Withdraw(new RequestId("a"), WithdrawReason.CALLER_GONE));
     assertThat(grants(pool.offer(ticket("c", 1)))).isEmpty();
   }
@@ -253,9 +253,9 @@
   void keepsGrantOfVmThatHasComeBack() {
     PoolFixture pool = PoolFixture.serving(2, SETTINGS);
     assertThat(grants(pool.offer(ticket("a", 1)))).containsExactly("a@u1");
-    pool.handle(new SchedulerEvent.VmLapsed(PoolFixture.VM));
+    pool.handle(new SchedulerEvent.VmSessionExpired(PoolFixture.VM));
     assertThat(grants(pool.offer(ticket("a", 1)))).containsExactly("a@u1");
-    pool.nowMs += SETTINGS.lapsedKeepMs() + 1;
+    pool.nowMs += SETTINGS.expiredSessionRetentionMs() + 1;
     pool.announce("u1", UpstreamPhase.SERVING);
     pool.announce("u2", UpstreamPhase.SERVING);
     pool.tick();
--- a/core/src/test/java/org/teaseltrail/core/schedule/RandomSession.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/RandomSession.java
@@ -77,14 +77,14 @@
   }
 
   void run(int count) {
-    take(pool.configure());
+    handleActions(pool.configure());
     for (int i = 1; i <= UPSTREAMS; i++) {
       announce("u" + i);
     }
     for (int i = 0; i < count; i++) {
       step();
     }
-    settle();
+    finishAll();
   }
 
   private void step() {
@@ -95,23 +95,23 @@
       case 7, 8 -> tokens();
       case 9, 10 -> end();
       case 11 -> claim();
-      case 12 -> repeatSomething();
-      case 13 -> upstreamNews();
+      case 12 -> repeatMessage();
+      case 13 -> changeUpstream();
       case 14 -> withdraw();
-      default -> rarely();
+      default -> rareStep();
     }
     if (++steps % AUDIT_EVERY == 0) {
       pool.scheduler.audit();
     }
   }
 
-  private void rarely() {
+  private void rareStep() {
     switch (random.nextInt(12)) {
       case 0 -> takeOver();
       case 1 -> lapse();
-      case 2 -> drainSome();
+      case 2 -> toggleDrain();
       case 3 -> pool.nowMs += PoolFixture.LIFETIME_MS;
-      default -> take(pool.tick());
+      default -> handleActions(pool.tick());
     }
   }
 
@@ -136,7 +136,7 @@
             blocks);
     CallerRequest request = new CallerRequest(ticket, VMS.get(random.nextInt(VMS.size())));
     requests.put(ticket.request(), request);
-    say(request, new EntryMessage.Offer(ticket));
+    send(request, new EntryMessage.Offer(ticket));
   }
 
   /** Delivers one message to its VM; now and then not the oldest. */
@@ -159,10 +159,10 @@
     boolean current = recall.fencing().value() == fencing;
     if (current && request.isWaiting()) {
       inbox.removeIf(earlier -> isGrantOf(recall.request(), earlier.message()));
-      request.grantVoid();
+      request.voidGrant();
       EntryMessage declined =
           new EntryMessage.Declined(recall.request(), recall.upstream(), DeclineReason.LEAVING);
-      say(request, declined);
+      send(request, declined);
     }
   }
 
@@ -183,18 +183,18 @@
             : current ? DeclineReason.UNKNOWN_REQUEST : DeclineReason.STALE_GRANT;
     if (!request.isRunning()) {
       if (current) {
-        request.grantVoid();
+        request.voidGrant();
       }
-      say(request, new EntryMessage.Declined(grant.request(), grant.upstream(), reason));
+      send(request, new EntryMessage.Declined(grant.request(), grant.upstream(), reason));
     }
   }
 
   private void tokens() {
-    CallerRequest request = any(CallerRequest::isRunning);
+    CallerRequest request = pickRandom(CallerRequest::isRunning);
     if (request != null) {
-      int tokens = request.moreTokens(1 + random.nextInt(20));
+      int tokens = request.addTokens(1 + random.nextInt(20));
       RequestId id = request.id();
-      say(
+      send(
           request,
           random.nextBoolean()
               ? new EntryMessage.FirstToken(id, request.upstream(), random.nextInt(500))
@@ -203,44 +203,44 @@
   }
 
   private void end() {
-    CallerRequest request = any(CallerRequest::isRunning);
+    CallerRequest request = pickRandom(CallerRequest::isRunning);
     if (request != null) {
       request.ended();
-      say(request, request.endMessage(EndKind.values()[random.nextInt(3)]));
+      send(request, request.endMessage(EndKind.values()[random.nextInt(3)]));
     }
   }
 
   private void claim() {
     if (!claims.isEmpty()) {
-      take(pool.handle(claims.remove(random.nextInt(claims.size()))));
+      handleActions(pool.handle(claims.remove(random.nextInt(claims.size()))));
     }
   }
 
   /** Says something again that was said before, or that comes long after its time. */
-  private void repeatSomething() {
-    CallerRequest request = any(r -> true);
+  private void repeatMessage() {
+    CallerRequest request = pickRandom(r -> true);
     if (request == null) {
       return;
     }
     if (request.isEnded() && request.upstream() != null) {
-      say(request, request.endMessage(EndKind.COMPLETED));
-      say(request, new EntryMessage.FirstToken(request.id(), request.upstream(), 5));
+      send(request, request.endMessage(EndKind.COMPLETED));
+      send(request, new EntryMessage.FirstToken(request.id(), request.upstream(), 5));
     }
-    say(request, new EntryMessage.Offer(request.ticket()));
+    send(request, new EntryMessage.Offer(request.ticket()));
   }
 
   private void withdraw() {
-    CallerRequest request = any(CallerRequest::isWaiting);
+    CallerRequest request = pickRandom(CallerRequest::isWaiting);
     if (request != null) {
       request.refused();
-      request.grantVoid();
+      request.voidGrant();
       WithdrawReason[] reasons = WithdrawReason.values();
       WithdrawReason reason = reasons[random.nextInt(reasons.length)];
-      say(request, new EntryMessage.Withdraw(request.id(), reason));
+      send(request, new EntryMessage.Withdraw(request.id(), reason));
     }
   }
 
-  private void upstreamNews() {
+  private void changeUpstream() {
     String upstream = "u" + (1 + random.nextInt(UPSTREAMS));
     switch (random.nextInt(6)) {
       case 0 -> phases.put(upstream, UpstreamPhase.LEAVING);
@@ -260,41 +260,41 @@
             random.nextInt(100),
             List.of(block, block + 1),
             List.of(block + 2));
-    take(pool.say(VMS.get(0), new EntryMessage.CacheSeen(event)));
+    handleActions(pool.send(VMS.get(0), new EntryMessage.CacheSeen(event)));
   }
 
   private void announce(String upstream) {
     UpstreamPhase phase = phases.getOrDefault(upstream, UpstreamPhase.SERVING);
-    take(pool.announce(upstream, incarnations.getOrDefault(upstream, 1L), phase));
+    handleActions(pool.announce(upstream, incarnations.getOrDefault(upstream, 1L), phase));
   }
 
-  private void drainSome() {
+  private void toggleDrain() {
     String upstream = "u" + (1 + random.nextInt(UPSTREAMS));
     if (!drained.remove(upstream)) {
       drained.add(upstream);
     }
     pool.allow(upstream, drained.contains(upstream));
-    take(pool.configure());
+    handleActions(pool.configure());
   }
 
   /** A VM loses its session and comes back at once. */
   private void lapse() {
     VmId vm = VMS.get(random.nextInt(VMS.size()));
-    take(pool.handle(new SchedulerEvent.VmLapsed(vm)));
+    handleActions(pool.handle(new SchedulerEvent.VmSessionExpired(vm)));
     report(vm);
   }
 
   private void takeOver() {
     fencing++;
     claims.clear();
-    requests.values().forEach(CallerRequest::grantVoid);
+    requests.values().forEach(CallerRequest::voidGrant);
     long nowMs = pool.nowMs;
     Map<UpstreamId, Long> sequences = pool.sequences;
     pool = newScheduler();
     pool.nowMs = nowMs;
     pool.sequences.putAll(sequences);
-    take(pool.configure());
-    take(pool.handle(new SchedulerEvent.ReportsAwaited(new HashSet<>(VMS))));
+    handleActions(pool.configure());
+    handleActions(pool.handle(new SchedulerEvent.ReportsAwaited(new HashSet<>(VMS))));
     for (int i = 1; i <= UPSTREAMS; i++) {
       announce("u" + i);
     }
@@ -307,27 +307,27 @@
         continue;
       }
       if (request.isRunning()) {
-        int tokens = request.moreTokens(0);
+        int tokens = request.addTokens(0);
         UpstreamId upstream = request.upstream();
-        say(request, new EntryMessage.StillRunning(request.ticket(), upstream, tokens, 10));
+        send(request, new EntryMessage.StillRunning(request.ticket(), upstream, tokens, 10));
       } else {
-        say(request, new EntryMessage.Offer(request.ticket()));
+        send(request, new EntryMessage.Offer(request.ticket()));
       }
     }
-    take(pool.say(vm, new EntryMessage.ReportsComplete(vm, new FencingNumber(fencing))));
+    handleActions(pool.send(vm, new EntryMessage.ReportsComplete(vm, new FencingNumber(fencing))));
   }
 
   /** Lets all that is left finish: nothing may be forgotten. */
-  private void settle() {
+  private void finishAll() {
     phases.clear();
-    for (int round = 0; round < 4_000 && any(r -> !r.isEnded()) != null; round++) {
+    for (int round = 0; round < 4_000 && pickRandom(r -> !r.isEnded()) != null; round++) {
       pool.nowMs += 100;
       for (int i = 1; i <= UPSTREAMS; i++) {
         drained.remove("u" + i);
         pool.allow("u" + i, false);
         announce("u" + i);
       }
-      take(round == 0 ? pool.configure() : pool.tick());
+      handleActions(round == 0 ? pool.configure() : pool.tick());
       while (!inbox.isEmpty()) {
         deliver();
       }
@@ -335,19 +335,19 @@
       end();
     }
     pool.scheduler.audit();
-    if (any(r -> !r.isEnded()) != null) {
-      throw new AssertionError("never answered: " + any(r -> !r.isEnded()).id());
+    if (pickRandom(r -> !r.isEnded()) != null) {
+      throw new AssertionError("never answered: " + pickRandom(r -> !r.isEnded()).id());
     }
   }
 
-  private void say(CallerRequest request, EntryMessage message) {
-    take(pool.say(request.vm(), message));
+  private void send(CallerRequest request, EntryMessage message) {
+    handleActions(pool.send(request.vm(), message));
   }
 
-  private void take(List<SchedulerAction> actions) {
+  private void handleActions(List<SchedulerAction> actions) {
     for (SchedulerAction action : actions) {
       if (action instanceof SchedulerAction.Send send) {
-        count(send.message());
+        checkMessage(send.message());
         inbox.add(new Delivery(send.vm(), send.message()));
       } else if (action instanceof SchedulerAction.CommitClaim commit) {
         RequestId id = commit.ticket().request();
@@ -356,7 +356,7 @@
     }
   }
 
-  private void count(ControlMessage message) {
+  private void checkMessage(ControlMessage message) {
     if (message instanceof ControlMessage.Grant grant) {
       grants++;
       requests.get(grant.request()).checkMayBeGranted(grant.upstream());
@@ -371,7 +371,7 @@
     }
   }
 
-  private CallerRequest any(Predicate<CallerRequest> wanted) {
+  private CallerRequest pickRandom(Predicate<CallerRequest> wanted) {
     List<CallerRequest> found = requests.values().stream().filter(wanted).toList();
     return found.isEmpty() ? null : found.get(random.nextInt(found.size()));
   }
