--- a/control/src/main/java/org/teaseltrail/control/ActionRunner.java
+++ b/control/src/main/java/org/teaseltrail/control/ActionRunner.java
@@ -37,31 +37,31 @@
   }
 
   void run(ControlAction action) {
-    if (action.isOutward()) {
+    if (action.requiresLease()) {
       outward.add(action);
     } else if (action instanceof ControlAction.Persist persist) {
       targets.writes().submit(persist.write());
     } else if (action instanceof ControlAction.EncodeSnapshot encode) {
       targets.snapshots().encode(encode);
-    } else if (action instanceof ControlAction.SendPeer send) {
+    } else if (action instanceof ControlAction.SendToPeer send) {
       targets.peers().send(send.envelope());
     } else if (action instanceof ControlAction.SendNotLeader send) {
       targets.entryVms().send(send.vm(), send.message());
-    } else if (action instanceof ControlAction.SendServing send) {
+    } else if (action instanceof ControlAction.SendToServingVm send) {
       targets.servingVms().send(send.vm(), send.reply());
     } else if (action instanceof ControlAction.Reply reply) {
       targets.calls().reply(reply.callId(), reply.result());
     } else if (action instanceof ControlAction.LogDecision log) {
       log(log.decision());
-    } else if (action instanceof ControlAction.RequestHeld held) {
+    } else if (action instanceof ControlAction.RequestQuarantined held) {
       held(held);
     } else if (action instanceof ControlAction.RequestReleased released) {
       released(released);
-    } else if (action instanceof ControlAction.RolloutTurned turned) {
+    } else if (action instanceof ControlAction.RolloutPhaseChanged turned) {
       turned(turned);
     } else if (action instanceof ControlAction.LeadershipChanged changed) {
       leadershipChanged(changed);
-    } else if (action instanceof ControlAction.HandOverRefused) {
+    } else if (action instanceof ControlAction.HandOverRejected) {
       handedOver.countDown();
     } else if (action instanceof ControlAction.MembershipChanged changed) {
       targets.group().members(changed.membership());
@@ -91,9 +91,9 @@
   }
 
   private void runOutward(ControlAction action) {
-    if (action instanceof ControlAction.SendEntry send) {
+    if (action instanceof ControlAction.SendToEntryVm send) {
       targets.entryVms().send(send.vm(), send.message());
-    } else if (action instanceof ControlAction.SendServing send) {
+    } else if (action instanceof ControlAction.SendToServingVm send) {
       targets.servingVms().send(send.vm(), send.reply());
     } else if (action instanceof ControlAction.SendOrder send) {
       targets.orders().send(send.order());
@@ -124,8 +124,8 @@
     }
   }
 
-  private void held(ControlAction.RequestHeld held) {
-    targets.metrics().requestsHeld(held.heldInAll());
+  private void held(ControlAction.RequestQuarantined held) {
+    targets.metrics().requestsHeld(held.quarantinedCount());
     targets
         .log()
         .ifPresent(
@@ -142,7 +142,7 @@
   }
 
   private void released(ControlAction.RequestReleased released) {
-    targets.metrics().requestsHeld(released.heldInAll());
+    targets.metrics().requestsHeld(released.quarantinedCount());
     targets
         .log()
         .ifPresent(
@@ -153,7 +153,7 @@
     logger.info("Upstreams get request " + released.request().text() + " again.");
   }
 
-  private void turned(ControlAction.RolloutTurned turned) {
+  private void turned(ControlAction.RolloutPhaseChanged turned) {
     Rollout rollout = turned.rollout();
     targets.metrics().rolloutTurned(rollout.phase());
     targets.log().ifPresent(log -> writeTurned(log, turned));
@@ -169,7 +169,7 @@
             + ".");
   }
 
-  private static void writeTurned(EventLog log, ControlAction.RolloutTurned turned) {
+  private static void writeTurned(EventLog log, ControlAction.RolloutPhaseChanged turned) {
     Rollout rollout = turned.rollout();
     EventLog.Line line =
         log.line(LogEvent.ROLLOUT_TURNED)
--- a/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
@@ -106,7 +106,7 @@
                 metrics,
                 group,
                 options.log()),
-            () -> decisions.leaseHolds(clock.nowNs()));
+            () -> decisions.isLeaseValid(clock.nowNs()));
     frames =
         FrameServer.listen(
             address(options),
--- a/control/src/main/java/org/teaseltrail/control/DecisionWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/DecisionWriter.java
@@ -3,16 +3,16 @@
 import org.teaseltrail.api.v1.Decision;
 import org.teaseltrail.api.v1.Decisions;
 import org.teaseltrail.api.v1.ListDecisionsRequest;
-import org.teaseltrail.core.control.LoggedDecision;
+import org.teaseltrail.core.control.RecentDecision;
 
 /** Writes decisions in the operators' schema. */
 final class DecisionWriter {
 
   private DecisionWriter() {}
 
-  static Decisions write(Iterable<LoggedDecision> decisions, ListDecisionsRequest wanted) {
+  static Decisions write(Iterable<RecentDecision> decisions, ListDecisionsRequest wanted) {
     Decisions.Builder written = Decisions.newBuilder();
-    for (LoggedDecision logged : decisions) {
+    for (RecentDecision logged : decisions) {
       Decision decision = one(logged);
       boolean full = wanted.getLimit() > 0 && written.getDecisionsCount() >= wanted.getLimit();
       if (!full && matches(decision, wanted)) {
@@ -29,7 +29,7 @@
     return request && customer;
   }
 
-  private static Decision one(LoggedDecision logged) {
+  private static Decision one(RecentDecision logged) {
     var decision = logged.decision();
     Decision.Builder written =
         Decision.newBuilder()
--- a/control/src/main/java/org/teaseltrail/control/OperatorCalls.java
+++ b/control/src/main/java/org/teaseltrail/control/OperatorCalls.java
@@ -37,6 +37,6 @@
 
   /** Answers all that is open when the process ends: what was decided is not known here. */
   void end() {
-    open.keySet().forEach(callId -> reply(callId, new OperatorResult.OutcomeOpen()));
+    open.keySet().forEach(callId -> reply(callId, new OperatorResult.OutcomeIndeterminate()));
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/StatusWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/StatusWriter.java
@@ -62,7 +62,7 @@
         PoolStatus.newBuilder()
             .setPool(pool.pool().value())
             .setRunning(pool.runningRequests())
-            .setMayShed(pool.mayShed());
+            .setMayShed(pool.canShed());
     pool.waiting()
         .forEach(
             tier ->
--- a/control/src/test/java/org/teaseltrail/control/OutwardQueueTest.java
+++ b/control/src/test/java/org/teaseltrail/control/OutwardQueueTest.java
@@ -19,7 +19,7 @@
   private final OutwardQueue queue = new OutwardQueue(() -> leaseHolds, sent::add);
 
   private static ControlAction action(String request) {
-    return new ControlAction.SendEntry(
+    return new ControlAction.SendToEntryVm(
         new VmId("e1"),
         new ControlMessage.ClaimExists(
             new RequestId(request),
--- a/core/src/main/java/org/teaseltrail/core/control/Outbox.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ActionBuffer.java
@@ -24,7 +24,7 @@
 import org.teaseltrail.core.state.ClusterSnapshot;
 
 /** Collects the actions of one event. */
-final class Outbox {
+final class ActionBuffer {
 
   /** Decisions that an operator can look back on. */
   private static final int MAX_DECISIONS = 200;
@@ -38,7 +38,7 @@
   private BooleanSupplier leaseHolds = () -> false;
 
   /** Sets how to find out whether the member's lease holds. */
-  void guardBy(BooleanSupplier lease) {
+  void setLeaseCheck(BooleanSupplier lease) {
     leaseHolds = lease;
   }
 
@@ -56,25 +56,25 @@
     actions.add(new ControlAction.EncodeSnapshot(index, snapshot));
   }
 
-  void sendPeer(PeerEnvelope envelope) {
-    actions.add(new ControlAction.SendPeer(envelope));
+  void sendToPeer(PeerEnvelope envelope) {
+    actions.add(new ControlAction.SendToPeer(envelope));
   }
 
   void sendNotLeader(VmId vm, ControlMessage.NotLeader message) {
     actions.add(new ControlAction.SendNotLeader(vm, message));
   }
 
-  void sendEntry(VmId vm, ControlMessage message) {
-    outward(new ControlAction.SendEntry(vm, message));
+  void sendToEntryVm(VmId vm, ControlMessage message) {
+    outward(new ControlAction.SendToEntryVm(vm, message));
   }
 
-  void sendServing(VmId vm, ServingReply reply) {
-    outward(new ControlAction.SendServing(vm, reply));
+  void sendToServingVm(VmId vm, ServingReply reply) {
+    outward(new ControlAction.SendToServingVm(vm, reply));
   }
 
   /** Tells an entry VM that this member doesn't lead; true without a lease. */
   void sendNotLeading(VmId vm, ServingReply.NotLeading reply) {
-    actions.add(new ControlAction.SendServing(vm, reply));
+    actions.add(new ControlAction.SendToServingVm(vm, reply));
   }
 
   void sendOrder(EngineOrder order) {
@@ -93,24 +93,24 @@
     actions.add(new ControlAction.LogDecision(decision));
   }
 
-  void requestHeld(Fingerprint request, Optional<CustomerId> customer, int losses, int heldInAll) {
-    actions.add(new ControlAction.RequestHeld(request, customer, losses, heldInAll));
+  void requestQuarantined(Fingerprint request, Optional<CustomerId> customer, int losses, int heldInAll) {
+    actions.add(new ControlAction.RequestQuarantined(request, customer, losses, heldInAll));
   }
 
   void requestReleased(Fingerprint request, Optional<CustomerId> customer, int heldInAll) {
     actions.add(new ControlAction.RequestReleased(request, customer, heldInAll));
   }
 
-  void rolloutTurned(Rollout rollout, Optional<Verdict> verdict) {
-    actions.add(new ControlAction.RolloutTurned(rollout, verdict));
+  void rolloutPhaseChanged(Rollout rollout, Optional<Verdict> verdict) {
+    actions.add(new ControlAction.RolloutPhaseChanged(rollout, verdict));
   }
 
   void leadershipChanged(boolean serving, long term, Optional<MemberId> leader) {
     actions.add(new ControlAction.LeadershipChanged(serving, term, leader));
   }
 
-  void handOverRefused(ProposalRejection reason) {
-    actions.add(new ControlAction.HandOverRefused(reason));
+  void handOverRejected(ProposalRejection reason) {
+    actions.add(new ControlAction.HandOverRejected(reason));
   }
 
   void membershipChanged(Membership membership) {
@@ -118,9 +118,9 @@
   }
 
   /** Returns the newest decisions, newest first. */
-  List<LoggedDecision> decisions(long nowNs) {
+  List<RecentDecision> decisions(long nowNs) {
     return decisions.stream()
-        .map(taken -> new LoggedDecision(taken.decision(), (nowNs - taken.atNs()) / NS_PER_MS))
+        .map(taken -> new RecentDecision(taken.decision(), (nowNs - taken.atNs()) / NS_PER_MS))
         .toList();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/FleetView.java
+++ b/core/src/main/java/org/teaseltrail/core/control/AnnouncementCache.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.upstream.Announcement;
 
 /** Knows the newest announcement of each upstream, for as long as it counts. */
-final class FleetView {
+final class AnnouncementCache {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -21,7 +21,7 @@
   private final Map<UpstreamId, Seen> seen = new HashMap<>();
 
   /** Takes an announcement; an older one that comes late over another VM changes nothing. */
-  void announced(UpstreamSeen message, long nowNs) {
+  void storeIfNewer(UpstreamSeen message, long nowNs) {
     Announcement announcement = message.announcement();
     Seen present = seen.get(announcement.upstream());
     if (present != null && !isNewer(announcement, present.announcement())) {
@@ -39,7 +39,7 @@
   }
 
   /** Returns the announcements of a pool's allowed upstreams, in the order of their ids. */
-  List<Announcement> ofPool(Configuration configuration, PoolId pool, long nowNs) {
+  List<Announcement> findByPool(Configuration configuration, PoolId pool, long nowNs) {
     return configuration.upstreams().values().stream()
         .filter(upstream -> upstream.pool().equals(pool) && !upstream.draining())
         .map(AllowedUpstream::id)
--- a/core/src/main/java/org/teaseltrail/core/control/ClaimDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ClaimCoordinator.java
@@ -24,14 +24,14 @@
  * Brings requests with a key together with the claims of the log: no grant of such a request goes
  * out before its claim is committed, and a later request under the key learns of the first.
  */
-final class ClaimDesk {
+final class ClaimCoordinator {
 
   /** When a caller may come back after the claims were full. */
   private static final long FULL_RETRY_MS = 10_000;
 
   private final Leadership leadership;
 
-  ClaimDesk(Leadership leadership) {
+  ClaimCoordinator(Leadership leadership) {
     this.leadership = leadership;
   }
 
@@ -40,7 +40,7 @@
    *
    * @return whether the ticket may be queued; otherwise its VM was answered
    */
-  boolean admits(VmId vm, Ticket ticket, long nowNs) {
+  boolean admit(VmId vm, Ticket ticket, long nowNs) {
     if (ticket.claim().isEmpty()) {
       return true;
     }
@@ -48,7 +48,7 @@
     ClaimKey key = new ClaimKey(ticket.customer(), claim.key());
     Optional<ClaimRecord> committed = book().find(key);
     if (committed.isPresent()) {
-      return admits(vm, ticket, committed.get(), nowNs);
+      return admit(vm, ticket, committed.get(), nowNs);
     }
     Optional<TrackedRequest> first = leadership.requests().findByKey(key);
     if (first.isEmpty() || first.get().request().equals(ticket.request())) {
@@ -58,7 +58,7 @@
     return false;
   }
 
-  private boolean admits(VmId vm, Ticket ticket, ClaimRecord committed, long nowNs) {
+  private boolean admit(VmId vm, Ticket ticket, ClaimRecord committed, long nowNs) {
     if (committed.holder().equals(ticket.request()) && !committed.isFinished()) {
       // The VM offers only what it has not dispatched: the leader before committed the claim and
       // was lost before its grant came. The holder is granted again.
@@ -154,7 +154,7 @@
     RequestId request = ticket.request();
     if (result instanceof OpenClaimResult.Opened opened) {
       boolean granted =
-          leadership.feed(ticket.pool(), request, new SchedulerEvent.ClaimGranted(request), nowNs);
+          leadership.deliver(ticket.pool(), request, new SchedulerEvent.ClaimGranted(request), nowNs);
       if (!granted) {
         // The request was withdrawn or its VM lapsed while the claim was under way: it never ran,
         // and without this its key would stay taken until the claim's retention ends.
@@ -162,7 +162,7 @@
       }
       return;
     }
-    leadership.feed(ticket.pool(), request, new SchedulerEvent.ClaimDenied(request), nowNs);
+    leadership.deliver(ticket.pool(), request, new SchedulerEvent.ClaimDenied(request), nowNs);
     if (result instanceof OpenClaimResult.Held held) {
       answerHeld(wish.vm(), ticket, held.claim(), nowNs);
     } else if (result instanceof OpenClaimResult.DigestConflict) {
@@ -186,7 +186,7 @@
             held.holder(),
             held.state(),
             Optional.of(upstream),
-            leadership.fleet().find(upstream, nowNs).map(seen -> seen.address())));
+            leadership.announcements().find(upstream, nowNs).map(seen -> seen.address())));
   }
 
   private void answerWaiting(VmId vm, RequestId request, Claim claim, TrackedRequest first) {
@@ -202,7 +202,7 @@
 
   /** Lets the asking VM take the answer over if the VM that had it is gone. */
   private void adopt(VmId vm, ClaimRecord held, long nowNs) {
-    if (held.isFinished() || held.vm().equals(vm) || leadership.mayBeAlive(held.vm(), nowNs)) {
+    if (held.isFinished() || held.vm().equals(vm) || leadership.canBeAlive(held.vm(), nowNs)) {
       return;
     }
     Command.AdoptClaim command =
--- a/core/src/main/java/org/teaseltrail/core/control/ClaimExpiry.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ClaimExpiryTask.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.state.CommandResult;
 
 /** Proposes from time to time to drop old claims, so that all members drop the same ones. */
-final class ClaimExpiry {
+final class ClaimExpiryTask {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -14,17 +14,17 @@
   private final ControlSettings settings;
   private long dueAtNs;
 
-  ClaimExpiry(Leadership leadership, ControlSettings settings) {
+  ClaimExpiryTask(Leadership leadership, ControlSettings settings) {
     this.leadership = leadership;
     this.settings = settings;
-    dueAtNs = leadership.nowNs() + settings.claimExpiryEveryMs() * NS_PER_MS;
+    dueAtNs = leadership.nowNs() + settings.claimExpiryIntervalMs() * NS_PER_MS;
   }
 
   void tick(long nowNs) {
     if (nowNs < dueAtNs) {
       return;
     }
-    dueAtNs = nowNs + settings.claimExpiryEveryMs() * NS_PER_MS;
+    dueAtNs = nowNs + settings.claimExpiryIntervalMs() * NS_PER_MS;
     long logTimeMs = leadership.logTimeMs(nowNs);
     boolean limitsChanged = !leadership.claims().limits().equals(settings.claims());
     if (limitsChanged || leadership.claims().hasExpired(logTimeMs)) {
--- a/core/src/main/java/org/teaseltrail/core/control/ControlAction.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlAction.java
@@ -24,7 +24,7 @@
    * looks at the lease again right before, keeps the action back while it does not hold, and drops
    * it if the member ceases to serve as leader.
    */
-  default boolean isOutward() {
+  default boolean requiresLease() {
     return false;
   }
 
@@ -49,7 +49,7 @@
    *
    * @param envelope the message
    */
-  record SendPeer(PeerEnvelope envelope) implements ControlAction {}
+  record SendToPeer(PeerEnvelope envelope) implements ControlAction {}
 
   /**
    * Tell an entry VM that this member does not lead.
@@ -65,9 +65,9 @@
    * @param vm the VM
    * @param message the message
    */
-  record SendEntry(VmId vm, ControlMessage message) implements ControlAction {
+  record SendToEntryVm(VmId vm, ControlMessage message) implements ControlAction {
     @Override
-    public boolean isOutward() {
+    public boolean requiresLease() {
       return true;
     }
   }
@@ -78,9 +78,9 @@
    * @param vm the VM
    * @param reply the message
    */
-  record SendServing(VmId vm, ServingReply reply) implements ControlAction {
+  record SendToServingVm(VmId vm, ServingReply reply) implements ControlAction {
     @Override
-    public boolean isOutward() {
+    public boolean requiresLease() {
       return !(reply instanceof ServingReply.NotLeading);
     }
   }
@@ -92,7 +92,7 @@
    */
   record SendOrder(EngineOrder order) implements ControlAction {
     @Override
-    public boolean isOutward() {
+    public boolean requiresLease() {
       return true;
     }
   }
@@ -118,9 +118,9 @@
    * @param request the request
    * @param customer whose it is, if that is known
    * @param losses upstreams that were lost under it, 0 if another leader held it
-   * @param heldInAll requests that are held now
+   * @param quarantinedCount requests that are held now
    */
-  record RequestHeld(Fingerprint request, Optional<CustomerId> customer, int losses, int heldInAll)
+  record RequestQuarantined(Fingerprint request, Optional<CustomerId> customer, int losses, int quarantinedCount)
       implements ControlAction {}
 
   /**
@@ -128,9 +128,9 @@
    *
    * @param request the request
    * @param customer whose it is, if that is known
-   * @param heldInAll requests that are held now
+   * @param quarantinedCount requests that are held now
    */
-  record RequestReleased(Fingerprint request, Optional<CustomerId> customer, int heldInAll)
+  record RequestReleased(Fingerprint request, Optional<CustomerId> customer, int quarantinedCount)
       implements ControlAction {}
 
   /**
@@ -139,7 +139,7 @@
    * @param rollout the rollout in its new phase
    * @param verdict what decided it, if its version was found bad
    */
-  record RolloutTurned(Rollout rollout, Optional<Verdict> verdict) implements ControlAction {}
+  record RolloutPhaseChanged(Rollout rollout, Optional<Verdict> verdict) implements ControlAction {}
 
   /**
    * The member has begun or ceased to serve as leader, or knows another leader.
@@ -156,7 +156,7 @@
    *
    * @param reason why
    */
-  record HandOverRefused(ProposalRejection reason) implements ControlAction {}
+  record HandOverRejected(ProposalRejection reason) implements ControlAction {}
 
   /**
    * The member set has changed.
--- a/core/src/main/java/org/teaseltrail/core/control/ControlMember.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlMember.java
@@ -28,9 +28,9 @@
 public final class ControlMember {
 
   private final MemberId self;
-  private final Outbox out = new Outbox();
-  private final ReplicatedState replicated;
-  private final OperatorDesk operators;
+  private final ActionBuffer out = new ActionBuffer();
+  private final ReplicatedStateMachine replicated;
+  private final OperatorRequestHandler operators;
   private final LeaderContext context;
   private Optional<Leadership> leadership = Optional.empty();
   private long nowNs;
@@ -51,10 +51,10 @@
       StateCodec codec,
       SchedulerFactory schedulers) {
     this.self = self;
-    replicated = new ReplicatedState(replica, codec, out, new LogListener());
-    operators = new OperatorDesk(replicated, out);
+    replicated = new ReplicatedStateMachine(replica, codec, out, new LogListener());
+    operators = new OperatorRequestHandler(replicated, out);
     context = new LeaderContext(self, settings, replicated, out, schedulers);
-    out.guardBy(() -> replica.leaseHolds(nowNs));
+    out.setLeaseCheck(() -> replica.leaseHolds(nowNs));
   }
 
   /**
@@ -66,9 +66,9 @@
    */
   public List<ControlAction> handle(ControlEvent event, long eventNs) {
     nowNs = eventNs;
-    leadership.ifPresent(leader -> leader.at(nowNs));
+    leadership.ifPresent(leader -> leader.advanceTo(nowNs));
     dispatch(event);
-    leadership.ifPresent(leader -> leader.at(nowNs));
+    leadership.ifPresent(leader -> leader.advanceTo(nowNs));
     return out.take();
   }
 
@@ -90,7 +90,7 @@
    *
    * @param atNs monotonic time in nanoseconds
    */
-  public boolean leaseHolds(long atNs) {
+  public boolean isLeaseValid(long atNs) {
     return leadership.isPresent() && replicated.replica().leaseHolds(atNs);
   }
 
@@ -111,7 +111,7 @@
       fromServingVm(from.message());
     } else if (event instanceof ControlEvent.MemberJoins joins) {
       leadership
-          .flatMap(Leadership::membershipKeeper)
+          .flatMap(Leadership::membershipReconciler)
           .ifPresent(keeper -> keeper.heard(joins.member(), nowNs));
     } else if (event instanceof ControlEvent.FromPeer from) {
       replicated.handle(new ReplicaEvent.PeerReceived(from.envelope()), nowNs);
@@ -124,7 +124,7 @@
       operatorCall(call);
     } else if (event instanceof ControlEvent.OrderAnswered answered) {
       leadership.ifPresent(
-          leader -> leader.orderDesk().answered(answered.order(), answered.outcome(), nowNs));
+          leader -> leader.orderDispatcher().onAnswer(answered.order(), answered.outcome(), nowNs));
     } else if (event instanceof ControlEvent.HandOver) {
       operators.handOver(nowNs);
     } else {
@@ -138,14 +138,14 @@
       hello(hello);
     } else {
       leadership.ifPresent(
-          leader -> leader.gate().pass(() -> leader.entryDesk().message(vm, message)));
+          leader -> leader.gate().runUnderLease(() -> leader.entryHandler().message(vm, message)));
     }
   }
 
   /** A sync is answered at once or not at all, like a hello. */
   private void fromServingVm(ServingMessage message) {
     if (leadership.isPresent() && leadership.get().gate().isOpen()) {
-      leadership.get().servingDesk().message(message);
+      leadership.get().servingCoordinator().message(message);
       return;
     }
     if (message instanceof ServingMessage.Sync sync) {
@@ -169,7 +169,7 @@
   /** A hello is answered at once or not at all: it is good only for the time after its sending. */
   private void hello(EntryMessage.Hello hello) {
     if (leadership.isPresent() && leadership.get().gate().isOpen()) {
-      leadership.get().entryDesk().hello(hello);
+      leadership.get().entryHandler().onHello(hello);
       return;
     }
     Optional<MemberId> leader = replicated.replica().leader().filter(known -> !known.equals(self));
@@ -178,12 +178,12 @@
 
   private void operatorCall(ControlEvent.OperatorCall call) {
     if (call.request() instanceof OperatorRequest.ReadLocalStatus) {
-      StatusReport report = new StatusReport(self, replicated, leadership);
+      ControlStatusBuilder report = new ControlStatusBuilder(self, replicated, leadership);
       out.reply(call.callId(), new OperatorResult.StatusRead(report.build(nowNs)));
     } else if (leadership.isPresent() && leadership.get().gate().isOpen()) {
       operators.handle(call.callId(), call.request(), leadership.get());
     } else {
-      operators.notLeading(call.callId());
+      operators.replyNotLeader(call.callId());
     }
   }
 
@@ -193,7 +193,7 @@
   }
 
   /** Turns what the log does into what the member does. */
-  private final class LogListener implements ReplicatedState.Listener {
+  private final class LogListener implements ReplicatedStateMachine.Listener {
 
     @Override
     public void applied(Command command, CommandResult result, long atNs) {
@@ -201,12 +201,12 @@
           result instanceof CommandResult.OfChange change
               && change.result() instanceof ChangeResult.Accepted;
       if (accepted) {
-        leadership.ifPresent(Leadership::configurationAccepted);
+        leadership.ifPresent(Leadership::onConfigurationAccepted);
       }
       boolean told =
           result instanceof CommandResult.OfServing || result instanceof CommandResult.OfRollout;
       if (told) {
-        leadership.ifPresent(Leadership::servingChanged);
+        leadership.ifPresent(Leadership::onServingStateChanged);
       }
     }
 
--- a/core/src/main/java/org/teaseltrail/core/control/ControlSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlSettings.java
@@ -11,7 +11,7 @@
  *
  * @param sessions times of the entry VMs' sessions
  * @param claims bounds of the claims
- * @param claimExpiryEveryMs time between two looks for old claims
+ * @param claimExpiryIntervalMs time between two looks for old claims
  * @param placement pace of the loads it orders
  * @param seed seeds what schedulers draw by chance
  * @param quotas how quotas are counted
@@ -21,7 +21,7 @@
 public record ControlSettings(
     SessionSettings sessions,
     ClaimLimits claims,
-    long claimExpiryEveryMs,
+    long claimExpiryIntervalMs,
     PlacementSettings placement,
     long seed,
     QuotaPolicy quotas,
--- a/core/src/main/java/org/teaseltrail/core/control/ControlStatus.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlStatus.java
@@ -60,10 +60,10 @@
    * @param pool the pool
    * @param waiting waiting requests by tier, highest tier first
    * @param runningRequests requests granted and not ended
-   * @param mayShed whether all VMs have reported, so that load may be shed
+   * @param canShed whether all VMs have reported, so that load may be shed
    */
   public record PoolStatus(
-      PoolId pool, List<TierCount> waiting, int runningRequests, boolean mayShed) {}
+      PoolId pool, List<TierCount> waiting, int runningRequests, boolean canShed) {}
 
   /**
    * Counts requests of a tier.
--- a/core/src/main/java/org/teaseltrail/core/control/StatusReport.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlStatusBuilder.java
@@ -15,13 +15,13 @@
 import org.teaseltrail.core.id.Tier;
 
 /** Shows a member's state to operators, with that of its leadership if it leads. */
-final class StatusReport {
+final class ControlStatusBuilder {
 
   private final MemberId self;
-  private final ReplicatedState replicated;
+  private final ReplicatedStateMachine replicated;
   private final Optional<Leadership> leading;
 
-  StatusReport(MemberId self, ReplicatedState replicated, Optional<Leadership> leading) {
+  ControlStatusBuilder(MemberId self, ReplicatedStateMachine replicated, Optional<Leadership> leading) {
     this.self = self;
     this.replicated = replicated;
     this.leading = leading;
@@ -78,7 +78,7 @@
         waiting.entrySet().stream()
             .map(entry -> new TierCount(entry.getKey(), entry.getValue()))
             .toList();
-    return new PoolStatus(pool, counts, running, leadership.entryDesk().haveAllReported());
+    return new PoolStatus(pool, counts, running, leadership.entryHandler().haveAllReported());
   }
 
   private List<UpstreamStatus> upstreams(Leadership leadership) {
@@ -97,7 +97,7 @@
         upstream.id(),
         upstream.pool(),
         upstream.draining(),
-        leadership.fleet().find(upstream.id(), leadership.nowNs()),
+        leadership.announcements().find(upstream.id(), leadership.nowNs()),
         (int) running);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/OrderDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EngineOrderDispatcher.java
@@ -9,14 +9,14 @@
 import org.teaseltrail.core.upstream.Announcement;
 
 /** Sends orders to engines under one leadership, each with a log line, and hears their answers. */
-final class OrderDesk {
+final class EngineOrderDispatcher {
 
-  private final Outbox out;
+  private final ActionBuffer out;
   private final FencingNumber fencing;
   private final Map<Long, Long> calls = new HashMap<>();
   private long lastNumber;
 
-  OrderDesk(Outbox out, FencingNumber fencing) {
+  EngineOrderDispatcher(ActionBuffer out, FencingNumber fencing) {
     this.out = out;
     this.fencing = fencing;
   }
@@ -35,7 +35,7 @@
       reject(callId, OrderRejection.UNKNOWN_UPSTREAM);
       return;
     }
-    Optional<Announcement> engine = leadership.fleet().find(request.upstream(), leadership.nowNs());
+    Optional<Announcement> engine = leadership.announcements().find(request.upstream(), leadership.nowNs());
     if (engine.isEmpty()) {
       reject(callId, OrderRejection.SILENT_UPSTREAM);
       return;
@@ -45,7 +45,7 @@
   }
 
   /** Takes an engine's answer; an answer to an older leadership's order is only logged. */
-  void answered(EngineOrder order, OrderOutcome outcome, long nowNs) {
+  void onAnswer(EngineOrder order, OrderOutcome outcome, long nowNs) {
     log(order, "outcome=" + outcome, nowNs);
     Long callId = order.fencing().equals(fencing) ? calls.remove(order.number()) : null;
     if (callId != null) {
@@ -54,7 +54,7 @@
   }
 
   void end() {
-    calls.values().forEach(callId -> out.reply(callId, new OperatorResult.OutcomeOpen()));
+    calls.values().forEach(callId -> out.reply(callId, new OperatorResult.OutcomeIndeterminate()));
     calls.clear();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/EntryDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryMessageHandler.java
@@ -19,27 +19,27 @@
 import org.teaseltrail.core.session.Session;
 
 /** Takes what entry VMs say: hellos to their sessions, all else to the scheduler of its pool. */
-final class EntryDesk {
+final class EntryMessageHandler {
 
   /**
    * Stands for the VMs that an older leader has welcomed and that have not said hello here yet. As
    * long as it is awaited no scheduler sheds; it lapses when the last such session must have.
    */
-  private static final VmId UNHEARD_VMS = new VmId("unheard-vms");
+  private static final VmId UNREPORTED_VMS = new VmId("unheard-vms");
 
   private final Leadership leadership;
   private final Set<VmId> awaited = new HashSet<>();
 
-  EntryDesk(Leadership leadership) {
+  EntryMessageHandler(Leadership leadership) {
     this.leadership = leadership;
   }
 
   void awaitReports() {
-    awaited.add(UNHEARD_VMS);
+    awaited.add(UNREPORTED_VMS);
     tellAwaited();
   }
 
-  void hello(EntryMessage.Hello hello) {
+  void onHello(EntryMessage.Hello hello) {
     var accepted = leadership.configuration().revision();
     HelloResult outcome = leadership.sessions().handleHello(hello, accepted, leadership.nowNs());
     if (outcome.sessionChange() == SessionChange.STALE) {
@@ -54,7 +54,7 @@
     if (outcome.sessionChange() == SessionChange.REPLACED) {
       lapsed(hello.vm());
     }
-    if (outcome.sessionChange() != SessionChange.KEPT && awaited.contains(UNHEARD_VMS)) {
+    if (outcome.sessionChange() != SessionChange.KEPT && awaited.contains(UNREPORTED_VMS)) {
       awaited.add(hello.vm());
       tellAwaited();
     }
@@ -64,7 +64,7 @@
     if (outcome.needsConfiguration()) {
       leadership.sendConfiguration(hello.vm());
     }
-    leadership.forceWatch().check(leadership.nowNs());
+    leadership.inForceTracker().replyIfDue(leadership.nowNs());
   }
 
   void message(VmId vm, EntryMessage message) {
@@ -84,10 +84,10 @@
   }
 
   /** Ends the sessions whose time is over. */
-  void lapse() {
+  void expireSessions() {
     leadership.sessions().removeExpired(leadership.nowNs()).forEach(this::lapsed);
-    if (leadership.sessions().havePriorSessionsExpired(leadership.nowNs()) && awaited.remove(UNHEARD_VMS)) {
-      broadcast(new SchedulerEvent.VmSessionExpired(UNHEARD_VMS));
+    if (leadership.sessions().havePriorSessionsExpired(leadership.nowNs()) && awaited.remove(UNREPORTED_VMS)) {
+      broadcast(new SchedulerEvent.VmSessionExpired(UNREPORTED_VMS));
     }
   }
 
@@ -129,7 +129,7 @@
       leadership.refuse(vm, ticket.request(), RefusalKind.UNKNOWN_POOL, 0);
       return;
     }
-    if (leadership.claimDesk().admits(vm, ticket, leadership.nowNs())) {
+    if (leadership.claimCoordinator().admit(vm, ticket, leadership.nowNs())) {
       leadership.requests().track(vm, ticket);
       feed(ticket.pool(), vm, offer);
     }
@@ -154,7 +154,7 @@
   private void upstreamSeen(VmId vm, EntryMessage.UpstreamSeen seen) {
     Optional<PoolId> pool = poolOf(seen.announcement().upstream());
     if (pool.isPresent()) {
-      leadership.fleet().announced(seen, leadership.nowNs());
+      leadership.announcements().storeIfNewer(seen, leadership.nowNs());
       feed(pool.get(), vm, seen);
     }
   }
@@ -162,13 +162,13 @@
   private void aboutRequest(VmId vm, EntryMessage message) {
     if (message instanceof EntryMessage.Withdraw withdraw) {
       route(vm, withdraw.request(), message);
-      leadership.claimDesk().release(withdraw.request(), () -> {}, leadership.nowNs());
+      leadership.claimCoordinator().release(withdraw.request(), () -> {}, leadership.nowNs());
       leadership.requests().remove(withdraw.request());
     } else if (message instanceof EntryMessage.Declined declined) {
       declined(vm, declined);
     } else if (message instanceof EntryMessage.Ended ended) {
       route(vm, ended.request(), message);
-      leadership.claimDesk().ended(ended.request(), ended.kind(), leadership.nowNs());
+      leadership.claimCoordinator().ended(ended.request(), ended.kind(), leadership.nowNs());
       leadership.requests().remove(ended.request());
     } else if (message instanceof EntryMessage.FirstToken first) {
       route(vm, first.request(), message);
@@ -181,7 +181,7 @@
     Optional<TrackedRequest> tracked = leadership.requests().find(declined.request());
     Optional<UpstreamId> granted = tracked.flatMap(TrackedRequest::upstream);
     if (granted.equals(Optional.of(declined.upstream()))) {
-      tracked.get().waitsAgain();
+      tracked.get().markWaiting();
     }
     route(vm, declined.request(), declined);
     if (declined.reason() == DeclineReason.UNKNOWN_REQUEST) {
--- a/core/src/main/java/org/teaseltrail/core/control/SlotVm.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryVmSlotState.java
@@ -15,17 +15,17 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /** Is what the leader knows of one entry VM while it hands out places. */
-final class SlotVm {
+final class EntryVmSlotState {
 
   /** Time after which a grant that nothing is heard of counts as lost: many round trips. */
-  private static final long GRANT_LOST_NS = 300_000_000L;
+  private static final long GRANT_TIMEOUT_NS = 300_000_000L;
 
   /**
    * Silence after which a VM gets no places: ten syncs of a VM where requests wait. Guards against
    * a VM that is cut off and keeps its line here: each place granted to it counts as taken for as
    * long as a grant may be on its way, and requests of others wait beside it.
    */
-  private static final long HEARD_NS = 500_000_000L;
+  private static final long REPORT_TIMEOUT_NS = 500_000_000L;
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -34,11 +34,11 @@
    *
    * @param vm where it waits
    * @param urgency its urgency
-   * @param waitsSinceNs when it came
+   * @param waitingSinceNs when it came
    */
-  record Candidate(SlotVm vm, Urgency urgency, long waitsSinceNs) {}
+  record Candidate(EntryVmSlotState vm, Urgency urgency, long waitingSinceNs) {}
 
-  private record Open(SlotDesk.Grant grant, long atNs) {}
+  private record Open(SlotAllocator.Grant grant, long atNs) {}
 
   private final VmId id;
   private final Deque<Open> open = new ArrayDeque<>();
@@ -50,7 +50,7 @@
   private long heardNs;
   private long lastSequence;
 
-  SlotVm(VmId id) {
+  EntryVmSlotState(VmId id) {
     this.id = id;
   }
 
@@ -65,7 +65,7 @@
   }
 
   /** Takes what waits at the VM, and which grants it has seen. */
-  void told(ServingMessage.Lines message, long nowNs) {
+  void recordReport(ServingMessage.Lines message, long nowNs) {
     heard(message.inFlight(), nowNs);
     open.removeIf(each -> each.grant().sequence() <= message.grantsSeen());
     unread = message.unread();
@@ -76,7 +76,7 @@
   }
 
   boolean isSilent(long nowNs) {
-    return nowNs - heardNs > HEARD_NS;
+    return nowNs - heardNs > REPORT_TIMEOUT_NS;
   }
 
   /** Returns how many requests wait there for each service. */
@@ -86,14 +86,14 @@
     return waiting;
   }
 
-  void forgetLostGrants(long nowNs) {
-    open.removeIf(each -> nowNs - each.atNs() > GRANT_LOST_NS);
+  void removeLostGrants(long nowNs) {
+    open.removeIf(each -> nowNs - each.atNs() > GRANT_TIMEOUT_NS);
   }
 
   /** Adds what the VM has in use and was granted; by kinds of requests only for one service. */
-  void addTo(PlaceTally tally, ServiceId service) {
-    inFlight.forEach(tally::inUse);
-    unread.keySet().forEach(tally::noteUnread);
+  void addUsageTo(SlotUsageTotals tally, ServiceId service) {
+    inFlight.forEach(tally::addInUse);
+    unread.keySet().forEach(tally::addUnread);
     open.forEach(each -> tally.granted(each.grant(), service));
     held.stream()
         .filter(each -> each.service().equals(service))
@@ -101,7 +101,7 @@
   }
 
   /** Tells whether requests for a service wait there. */
-  boolean hasLine(ServiceId service) {
+  boolean hasQueue(ServiceId service) {
     return lines.containsKey(service);
   }
 
@@ -122,18 +122,18 @@
     return candidates;
   }
 
-  boolean wants(ServiceId service, UpstreamId upstream) {
+  boolean accepts(ServiceId service, UpstreamId upstream) {
     return !lines.get(service).unwanted().contains(upstream);
   }
 
-  boolean findsSlow(ServiceId service, UpstreamId upstream) {
+  boolean isSlow(ServiceId service, UpstreamId upstream) {
     return lines.get(service).slow().contains(upstream);
   }
 
   /** Gives the VM a place. */
-  SlotDesk.Grant grant(ServiceId service, UpstreamId upstream, Urgency urgency, long nowNs) {
+  SlotAllocator.Grant grant(ServiceId service, UpstreamId upstream, Urgency urgency, long nowNs) {
     lastSequence++;
-    SlotDesk.Grant grant = new SlotDesk.Grant(id, lastSequence, service, upstream, urgency);
+    SlotAllocator.Grant grant = new SlotAllocator.Grant(id, lastSequence, service, upstream, urgency);
     open.addLast(new Open(grant, nowNs));
     return grant;
   }
--- a/core/src/main/java/org/teaseltrail/core/control/ForceWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/control/InForceTracker.java
@@ -11,17 +11,17 @@
  * Answers operators who wait until a configuration is in force everywhere. It is once each VM with
  * a session has applied it: a VM without one admits no request.
  */
-final class ForceWatch {
+final class InForceTracker {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   private record Wait(long callId, Revision revision, List<VmId> waitedFor, long endsAtNs) {}
 
-  private final Outbox out;
+  private final ActionBuffer out;
   private final SessionRegistry sessions;
   private final List<Wait> waits = new ArrayList<>();
 
-  ForceWatch(Outbox out, SessionRegistry sessions) {
+  InForceTracker(ActionBuffer out, SessionRegistry sessions) {
     this.out = out;
     this.sessions = sessions;
   }
@@ -30,16 +30,16 @@
     List<VmId> waitedFor = sessions.findLagging(request.revision());
     long endsAtNs = nowNs + request.timeoutMs() * NS_PER_MS;
     waits.add(new Wait(callId, request.revision(), waitedFor, endsAtNs));
-    check(nowNs);
+    replyIfDue(nowNs);
   }
 
   /** Answers the waits that are over. */
-  void check(long nowNs) {
+  void replyIfDue(long nowNs) {
     waits.removeIf(wait -> answered(wait, nowNs));
   }
 
   void end() {
-    waits.forEach(wait -> out.reply(wait.callId(), new OperatorResult.OutcomeOpen()));
+    waits.forEach(wait -> out.reply(wait.callId(), new OperatorResult.OutcomeIndeterminate()));
     waits.clear();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaInheritance.java
+++ b/core/src/main/java/org/teaseltrail/core/control/InheritedQuotaUsage.java
@@ -12,7 +12,7 @@
  * <p>Guards against a customer whose quota starts anew with each leader: VMs that died before the
  * change had used a part that nobody left counts.
  */
-final class QuotaInheritance {
+final class InheritedQuotaUsage {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -28,12 +28,12 @@
    *
    * @param untilNs when all that was used or allowed before this leader is out of the window
    */
-  QuotaInheritance(long untilNs) {
+  InheritedQuotaUsage(long untilNs) {
     this.untilNs = untilNs;
   }
 
   /** Takes what a VM tells that this leader hears for the first time. */
-  void comesForward(QuotaReport use, long nowNs) {
+  void recordFirstReport(QuotaReport use, long nowNs) {
     heldByKnown.merge(use.customer(), use.held(), Double::sum);
     boolean remembers = use.heldElsewhere() > 0 || use.heldByEnded() > 0;
     if (!remembers) {
@@ -41,7 +41,7 @@
     }
     heldBefore.merge(use.customer(), use.held() + use.heldElsewhere(), Math::max);
     Ended told = new Ended(use.heldByEnded(), nowNs + use.endedForMs() * NS_PER_MS);
-    ended.merge(use.customer(), told, QuotaInheritance::greater);
+    ended.merge(use.customer(), told, InheritedQuotaUsage::greater);
   }
 
   private static Ended greater(Ended one, Ended other) {
@@ -50,12 +50,12 @@
   }
 
   /** Tells whether any VM knows what a leader before has counted. */
-  boolean isRemembered() {
+  boolean hasEarlierUsage() {
     return !heldBefore.isEmpty();
   }
 
   /** Returns what is held by VMs that have not come forward. */
-  double heldByUnknown(CustomerId customer, long nowNs) {
+  double heldByUnreportedVms(CustomerId customer, long nowNs) {
     if (nowNs >= untilNs) {
       return 0;
     }
--- a/core/src/main/java/org/teaseltrail/core/control/LeaderContext.java
+++ b/core/src/main/java/org/teaseltrail/core/control/LeaderContext.java
@@ -7,13 +7,13 @@
  *
  * @param self the member
  * @param settings its settings
- * @param replicated the log and its state
- * @param out collects actions
- * @param factory makes schedulers
+ * @param stateMachine the log and its state
+ * @param actions collects actions
+ * @param schedulerFactory makes schedulers
  */
 record LeaderContext(
     MemberId self,
     ControlSettings settings,
-    ReplicatedState replicated,
-    Outbox out,
-    SchedulerFactory factory) {}
+    ReplicatedStateMachine stateMachine,
+    ActionBuffer actions,
+    SchedulerFactory schedulerFactory) {}
--- a/core/src/main/java/org/teaseltrail/core/control/Leadership.java
+++ b/core/src/main/java/org/teaseltrail/core/control/Leadership.java
@@ -34,17 +34,17 @@
   private final LeaseGate gate;
   private final LogClock clock;
   private final SessionRegistry sessions;
-  private final RequestBook requests = new RequestBook();
-  private final FleetView fleet = new FleetView();
+  private final RequestTracker requests = new RequestTracker();
+  private final AnnouncementCache announcements = new AnnouncementCache();
   private final PoolSchedulers schedulers;
-  private final ClaimDesk claimDesk;
-  private final EntryDesk entryDesk;
-  private final ForceWatch forceWatch;
-  private final OrderDesk orderDesk;
+  private final ClaimCoordinator claimCoordinator;
+  private final EntryMessageHandler entryHandler;
+  private final InForceTracker inForceTracker;
+  private final EngineOrderDispatcher orderDispatcher;
   private final PlacementPlanner placement;
-  private final ClaimExpiry claimExpiry;
-  private final ServingDesk servingDesk;
-  private final Optional<MembershipKeeper> membershipKeeper;
+  private final ClaimExpiryTask claimExpiry;
+  private final ServingCoordinator servingCoordinator;
+  private final Optional<MembershipReconciler> membershipReconciler;
   private final List<Runnable> retries = new ArrayList<>();
   private boolean active = true;
   private long nowNs;
@@ -54,42 +54,42 @@
     this.fencing = fencing;
     this.nowNs = nowNs;
     ControlSettings settings = context.settings();
-    gate = new LeaseGate(() -> context.replicated().replica().leaseHolds(this.nowNs));
-    clock = new LogClock(context.replicated().state().logTimeMs(), nowNs);
+    gate = new LeaseGate(() -> context.stateMachine().replica().leaseHolds(this.nowNs));
+    clock = new LogClock(context.stateMachine().state().logTimeMs(), nowNs);
     sessions = new SessionRegistry(settings.sessions(), nowNs);
-    schedulers = new PoolSchedulers(context.factory(), fencing, settings.seed(), this::carryOut);
-    claimDesk = new ClaimDesk(this);
-    entryDesk = new EntryDesk(this);
-    forceWatch = new ForceWatch(context.out(), sessions);
-    orderDesk = new OrderDesk(context.out(), fencing);
-    placement = new PlacementPlanner(settings.placement(), fleet, orderDesk);
-    claimExpiry = new ClaimExpiry(this, settings);
-    servingDesk = new ServingDesk(this);
-    membershipKeeper =
+    schedulers = new PoolSchedulers(context.schedulerFactory(), fencing, settings.seed(), this::carryOut);
+    claimCoordinator = new ClaimCoordinator(this);
+    entryHandler = new EntryMessageHandler(this);
+    inForceTracker = new InForceTracker(context.actions(), sessions);
+    orderDispatcher = new EngineOrderDispatcher(context.actions(), fencing);
+    placement = new PlacementPlanner(settings.placement(), announcements, orderDispatcher);
+    claimExpiry = new ClaimExpiryTask(this, settings);
+    servingCoordinator = new ServingCoordinator(this);
+    membershipReconciler =
         settings
             .repair()
             .map(
                 repair ->
-                    new MembershipKeeper(repair, context.replicated(), context.self(), nowNs));
+                    new MembershipReconciler(repair, context.stateMachine(), context.self(), nowNs));
   }
 
   /** Begins to serve: the schedulers learn the configuration and may not shed yet. */
   void begin() {
-    gate.pass(
+    gate.runUnderLease(
         () -> {
           schedulers.configure(configuration(), nowNs);
-          entryDesk.awaitReports();
+          entryHandler.awaitReports();
         });
   }
 
   /** Ends the leadership: what is still under way for it has no effect any longer. */
   void end() {
     active = false;
-    forceWatch.end();
-    orderDesk.end();
+    inForceTracker.end();
+    orderDispatcher.end();
   }
 
-  void at(long newNowNs) {
+  void advanceTo(long newNowNs) {
     nowNs = newNowNs;
     gate.drain();
   }
@@ -107,11 +107,11 @@
   }
 
   /** The configuration has changed by a commit. */
-  void configurationAccepted() {
-    gate.pass(
+  void onConfigurationAccepted() {
+    gate.runUnderLease(
         () -> {
           Configuration configuration = configuration();
-          fleet.retain(configuration);
+          announcements.retain(configuration);
           sessions.selectPushTargets(configuration.revision(), nowNs).forEach(vm -> sendConfiguration(vm));
           schedulers.configure(configuration, nowNs);
         });
@@ -122,24 +122,24 @@
   }
 
   /** Pushes what an outside platform has changed to the VMs that place requests themselves. */
-  void servingChanged() {
-    gate.pass(servingDesk::changed);
+  void onServingStateChanged() {
+    gate.runUnderLease(servingCoordinator::onCommit);
   }
 
   void sendServing(VmId vm, ServingReply reply) {
-    context.out().sendServing(vm, reply);
+    context.actions().sendToServingVm(vm, reply);
   }
 
-  ServingDesk servingDesk() {
-    return servingDesk;
+  ServingCoordinator servingCoordinator() {
+    return servingCoordinator;
   }
 
-  Optional<MembershipKeeper> membershipKeeper() {
-    return membershipKeeper;
+  Optional<MembershipReconciler> membershipReconciler() {
+    return membershipReconciler;
   }
 
   void send(VmId vm, ControlMessage message) {
-    context.out().sendEntry(vm, message);
+    context.actions().sendToEntryVm(vm, message);
   }
 
   void refuse(VmId vm, RequestId request, RefusalKind kind, long retryAfterMs) {
@@ -157,18 +157,18 @@
    *
    * @return whether the request has a grant afterwards
    */
-  boolean feed(PoolId pool, RequestId request, SchedulerEvent event, long atNs) {
+  boolean deliver(PoolId pool, RequestId request, SchedulerEvent event, long atNs) {
     schedulers.handle(pool, event, atNs);
     return requests.find(request).flatMap(TrackedRequest::upstream).isPresent();
   }
 
   /** Proposes a command; the callback is heard only while this leadership serves. */
   void propose(Command command, ProposalCallback callback, long atNs) {
-    context.replicated().propose(command, new GuardedCallback(callback), atNs);
+    context.stateMachine().propose(command, new GuardedCallback(callback), atNs);
   }
 
   /** Proposes a command that nobody waits for and that is tried again by itself. */
-  void proposeUnanswered(Command command) {
+  void proposeBestEffort(Command command) {
     proposeThen(command, () -> {});
   }
 
@@ -200,7 +200,7 @@
   }
 
   /** Returns whether a VM may still serve, as far as this leadership can know. */
-  boolean mayBeAlive(VmId vm, long atNs) {
+  boolean canBeAlive(VmId vm, long atNs) {
     return !sessions.havePriorSessionsExpired(atNs) || sessions.find(vm).isPresent();
   }
 
@@ -218,11 +218,11 @@
             retry,
             schedulers.nextWakeupNs(),
             sessions.nextWakeupNs(nowNs),
-            forceWatch.nextWakeupNs(),
+            inForceTracker.nextWakeupNs(),
             placement.nextWakeupNs(),
             claimExpiry.nextWakeupNs(),
-            servingDesk.nextWakeupNs(),
-            membershipKeeper.map(MembershipKeeper::nextWakeupNs).orElse(OptionalLong.empty()))
+            servingCoordinator.nextWakeupNs(),
+            membershipReconciler.map(MembershipReconciler::nextWakeupNs).orElse(OptionalLong.empty()))
         .flatMapToLong(OptionalLong::stream)
         .min();
   }
@@ -231,20 +231,20 @@
     return gate;
   }
 
-  EntryDesk entryDesk() {
-    return entryDesk;
+  EntryMessageHandler entryHandler() {
+    return entryHandler;
   }
 
-  ForceWatch forceWatch() {
-    return forceWatch;
+  InForceTracker inForceTracker() {
+    return inForceTracker;
   }
 
-  OrderDesk orderDesk() {
-    return orderDesk;
+  EngineOrderDispatcher orderDispatcher() {
+    return orderDispatcher;
   }
 
-  ClaimDesk claimDesk() {
-    return claimDesk;
+  ClaimCoordinator claimCoordinator() {
+    return claimCoordinator;
   }
 
   PoolSchedulers schedulers() {
@@ -255,12 +255,12 @@
     return sessions;
   }
 
-  RequestBook requests() {
+  RequestTracker requests() {
     return requests;
   }
 
-  FleetView fleet() {
-    return fleet;
+  AnnouncementCache announcements() {
+    return announcements;
   }
 
   FencingNumber fencing() {
@@ -272,11 +272,11 @@
   }
 
   ClaimStore claims() {
-    return context.replicated().state().claims();
+    return context.stateMachine().state().claims();
   }
 
   Configuration configuration() {
-    return context.replicated().state().configuration();
+    return context.stateMachine().state().configuration();
   }
 
   long logTimeMs(long atNs) {
@@ -291,26 +291,26 @@
     List<Runnable> again = new ArrayList<>(retries);
     retries.clear();
     again.forEach(Runnable::run);
-    entryDesk.lapse();
+    entryHandler.expireSessions();
     schedulers.tick(nowNs);
-    forceWatch.check(nowNs);
+    inForceTracker.replyIfDue(nowNs);
     if (sessions.havePriorSessionsExpired(nowNs)) {
       placement.plan(configuration(), nowNs);
     }
     claimExpiry.tick(nowNs);
-    servingDesk.tick();
-    membershipKeeper.ifPresent(keeper -> keeper.tick(nowNs));
+    servingCoordinator.tick();
+    membershipReconciler.ifPresent(keeper -> keeper.tick(nowNs));
   }
 
   private void carryOut(SchedulerAction action) {
     if (action instanceof SchedulerAction.Send send) {
       sendDecided(send.vm(), send.message());
     } else if (action instanceof SchedulerAction.CommitClaim commit) {
-      claimDesk.commit(commit, nowNs);
+      claimCoordinator.commit(commit, nowNs);
     } else if (action instanceof SchedulerAction.ReleaseClaim release) {
-      claimDesk.release(release.request(), () -> {}, nowNs);
+      claimCoordinator.release(release.request(), () -> {}, nowNs);
     } else if (action instanceof SchedulerAction.Log log) {
-      context.out().log(log.decision(), nowNs);
+      context.actions().log(log.decision(), nowNs);
     }
   }
 
@@ -320,7 +320,7 @@
       send(vm, message);
     } else if (message instanceof ControlMessage.Refused refused) {
       requests.remove(refused.request());
-      claimDesk.release(refused.request(), () -> send(vm, message), nowNs);
+      claimCoordinator.release(refused.request(), () -> send(vm, message), nowNs);
     } else {
       send(vm, message);
     }
@@ -347,7 +347,7 @@
 
     private void pass(Runnable step) {
       if (active) {
-        gate.pass(step);
+        gate.runUnderLease(step);
       }
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/control/LeaseGate.java
+++ b/core/src/main/java/org/teaseltrail/core/control/LeaseGate.java
@@ -26,7 +26,7 @@
   }
 
   /** Runs a step now or, in its turn, when the lease holds again. */
-  void pass(Runnable step) {
+  void runUnderLease(Runnable step) {
     held.addLast(step);
     drain();
   }
--- a/core/src/main/java/org/teaseltrail/core/control/MembershipKeeper.java
+++ b/core/src/main/java/org/teaseltrail/core/control/MembershipReconciler.java
@@ -23,15 +23,15 @@
  * is committed is on each of the others, and two further losses right after the repair lose
  * nothing.
  */
-final class MembershipKeeper {
+final class MembershipReconciler {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /** Time between two looks; a tenth of the time in which the users' pages want a repair done. */
-  private static final long CHECK_EVERY_NS = 200 * NS_PER_MS;
+  private static final long CHECK_INTERVAL_NS = 200 * NS_PER_MS;
 
   /** Age at which a request to join no longer shows that its sender runs: five times its pace. */
-  private static final long JOIN_FRESH_NS = 1_500 * NS_PER_MS;
+  private static final long JOIN_TIMEOUT_NS = 1_500 * NS_PER_MS;
 
   /** Learners kept at most, so that strangers can't make the group's messages grow. */
   private static final int MAX_LEARNERS = 4;
@@ -39,7 +39,7 @@
   private record Joiner(Member member, long heardNs) {}
 
   private final RepairSettings settings;
-  private final ReplicatedState replicated;
+  private final ReplicatedStateMachine replicated;
   private final MemberId self;
   private final long beganNs;
   private final Map<MemberId, Joiner> joiners = new LinkedHashMap<>();
@@ -47,7 +47,7 @@
   private long nextCheckNs;
   private boolean proposed;
 
-  MembershipKeeper(RepairSettings settings, ReplicatedState replicated, MemberId self, long nowNs) {
+  MembershipReconciler(RepairSettings settings, ReplicatedStateMachine replicated, MemberId self, long nowNs) {
     this.settings = settings;
     this.replicated = replicated;
     this.self = self;
@@ -69,8 +69,8 @@
     if (nowNs < nextCheckNs) {
       return;
     }
-    nextCheckNs = nowNs + CHECK_EVERY_NS;
-    joiners.values().removeIf(joiner -> nowNs - joiner.heardNs() > JOIN_FRESH_NS);
+    nextCheckNs = nowNs + CHECK_INTERVAL_NS;
+    joiners.values().removeIf(joiner -> nowNs - joiner.heardNs() > JOIN_TIMEOUT_NS);
     if (proposed || !replicated.replica().isMembershipCommitted()) {
       return;
     }
@@ -106,7 +106,7 @@
     boolean wanted = members.voters().size() < settings.targetVoters();
     boolean someSilent =
         members.voters().stream()
-            .anyMatch(voter -> silentNs(voter.id(), nowNs) > settings.silentMs() * NS_PER_MS);
+            .anyMatch(voter -> silentNs(voter.id(), nowNs) > settings.voterTimeoutMs() * NS_PER_MS);
     return members.learners().stream()
         .filter(learner -> wanted || someSilent || replaces(members, learner.vm()))
         .min(Comparator.comparingLong(learner -> silentNs(learner.id(), nowNs)))
@@ -126,7 +126,7 @@
   }
 
   private long forgottenNs() {
-    return settings.forgottenMs() * NS_PER_MS;
+    return settings.learnerTimeoutMs() * NS_PER_MS;
   }
 
   private Optional<MembershipChange> newcomer(Membership members) {
@@ -176,7 +176,7 @@
     }
 
     @Override
-    public void outcomeOpen(long nowNs) {
+    public void outcomeIndeterminate(long nowNs) {
       proposed = false;
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorRequestHandler.java
@@ -17,20 +17,20 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /** Answers operators' requests on the leader. */
-final class OperatorDesk {
+final class OperatorRequestHandler {
 
   private static final String UNKNOWN = "unknown";
   private static final long NS_PER_MS = 1_000_000L;
 
-  private final ReplicatedState replicated;
-  private final Outbox out;
+  private final ReplicatedStateMachine replicated;
+  private final ActionBuffer out;
 
-  OperatorDesk(ReplicatedState replicated, Outbox out) {
+  OperatorRequestHandler(ReplicatedStateMachine replicated, ActionBuffer out) {
     this.replicated = replicated;
     this.out = out;
   }
 
-  void notLeading(long callId) {
+  void replyNotLeader(long callId) {
     out.reply(callId, new OperatorResult.NotLeader(replicated.replica().leader()));
   }
 
@@ -45,11 +45,11 @@
     } else if (request instanceof OperatorRequest.ReadDecisions) {
       out.reply(callId, new OperatorResult.DecisionsRead(out.decisions(nowNs)));
     } else if (request instanceof OperatorRequest.AwaitInForce await) {
-      leadership.forceWatch().await(callId, await, nowNs);
+      leadership.inForceTracker().await(callId, await, nowNs);
     } else if (request instanceof OperatorRequest.ChangeMembers members) {
       replicated.propose(members.change(), new MembersCallback(callId), nowNs);
     } else if (request instanceof OperatorRequest.OrderEngine order) {
-      leadership.orderDesk().send(callId, order, leadership);
+      leadership.orderDispatcher().send(callId, order, leadership);
     } else if (request instanceof OperatorRequest.TransferLeadership transfer) {
       transfer(callId, transfer, nowNs);
     } else if (request instanceof OperatorRequest.PlatformRequest platform) {
@@ -86,7 +86,7 @@
   private void abort(long callId, ServiceId service, long logTimeMs, long nowNs) {
     Optional<Rollout> newest = replicated.state().rollouts().find(service);
     if (newest.isEmpty()) {
-      out.reply(callId, new OperatorResult.RolloutAnswered(RolloutOrderResult.NONE_RUNNING));
+      out.reply(callId, new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.NONE_RUNNING));
       return;
     }
     Command.TurnRollout turn =
@@ -101,12 +101,12 @@
 
   /** Commits a heartbeat that changes something; the others only show that the upstream lives. */
   private void heartbeat(long callId, Registration heard, Leadership leadership) {
-    leadership.servingDesk().heartbeat(heard);
+    leadership.servingCoordinator().onHeartbeat(heard);
     if (replicated.state().registry().needsCommit(heard)) {
       long nowNs = leadership.nowNs();
       propose(callId, new Command.RegisterUpstream(heard, leadership.logTimeMs(nowNs)), nowNs);
     } else {
-      out.reply(callId, new OperatorResult.ServingChanged(OptionalLong.empty()));
+      out.reply(callId, new OperatorResult.PlatformRequestCompleted(OptionalLong.empty()));
     }
   }
 
@@ -140,14 +140,14 @@
 
   /** Hands leadership over before the process ends. */
   void handOver(long nowNs) {
-    long id = replicated.register(new HandOverCallback());
+    long id = replicated.registerCallback(new HandOverCallback());
     replicated.handle(new ReplicaEvent.TransferLeadership(id, Optional.empty()), nowNs);
-    replicated.forget(id);
+    replicated.removeCallback(id);
   }
 
   private ControlStatus statusOf(Leadership leadership) {
-    StatusReport report =
-        new StatusReport(leadership.context().self(), replicated, Optional.of(leadership));
+    ControlStatusBuilder report =
+        new ControlStatusBuilder(leadership.context().self(), replicated, Optional.of(leadership));
     return report.build(leadership.nowNs());
   }
 
@@ -161,9 +161,9 @@
 
   private void transfer(long callId, OperatorRequest.TransferLeadership transfer, long nowNs) {
     TransferCallback callback = new TransferCallback(callId);
-    long id = replicated.register(callback);
+    long id = replicated.registerCallback(callback);
     replicated.handle(new ReplicaEvent.TransferLeadership(id, transfer.successor()), nowNs);
-    replicated.forget(id);
+    replicated.removeCallback(id);
     if (!callback.rejected) {
       out.reply(callId, new OperatorResult.TransferStarted());
     }
@@ -176,7 +176,7 @@
 
     @Override
     public void rejected(ProposalRejection reason, long nowNs) {
-      out.handOverRefused(reason);
+      out.handOverRejected(reason);
     }
   }
 
@@ -191,15 +191,15 @@
     @Override
     public void rejected(ProposalRejection reason, long nowNs) {
       if (reason == ProposalRejection.NOT_LEADER) {
-        notLeading(callId);
+        replyNotLeader(callId);
       } else {
         out.reply(callId, new OperatorResult.Rejected(reason));
       }
     }
 
     @Override
-    public void outcomeOpen(long nowNs) {
-      out.reply(callId, new OperatorResult.OutcomeOpen());
+    public void outcomeIndeterminate(long nowNs) {
+      out.reply(callId, new OperatorResult.OutcomeIndeterminate());
     }
   }
 
@@ -226,7 +226,7 @@
     @Override
     public void committed(CommandResult result, long nowNs) {
       OptionalLong commitMs = OptionalLong.of((nowNs - takenNs) / NS_PER_MS);
-      out.reply(callId, new OperatorResult.ServingChanged(commitMs));
+      out.reply(callId, new OperatorResult.PlatformRequestCompleted(commitMs));
     }
   }
 
@@ -238,11 +238,11 @@
     @Override
     public void committed(CommandResult result, long nowNs) {
       RolloutOrderResult answer = ((CommandResult.OfRollout) result).answer();
-      out.reply(callId, new OperatorResult.RolloutAnswered(answer));
+      out.reply(callId, new OperatorResult.RolloutOrderAnswered(answer));
     }
   }
 
-  private final class RolloutReader implements ReplicatedState.ReadCallback {
+  private final class RolloutReader implements ReplicatedStateMachine.ReadCallback {
     private final long callId;
     private final ServiceId service;
 
@@ -259,11 +259,11 @@
 
     @Override
     public void refused() {
-      notLeading(callId);
+      replyNotLeader(callId);
     }
   }
 
-  private final class PlanReader implements ReplicatedState.ReadCallback {
+  private final class PlanReader implements ReplicatedStateMachine.ReadCallback {
     private final long callId;
 
     PlanReader(long callId) {
@@ -277,7 +277,7 @@
 
     @Override
     public void refused() {
-      notLeading(callId);
+      replyNotLeader(callId);
     }
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorResult.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorResult.java
@@ -44,15 +44,15 @@
    *
    * @param decisions the decisions
    */
-  record DecisionsRead(List<LoggedDecision> decisions) implements OperatorResult {}
+  record DecisionsRead(List<RecentDecision> decisions) implements OperatorResult {}
 
   /**
    * The configuration is in force everywhere.
    *
    * @param revision the configuration
-   * @param waitedFor VMs that had not applied it when the wait began
+   * @param initiallyPending VMs that had not applied it when the wait began
    */
-  record InForce(Revision revision, List<VmId> waitedFor) implements OperatorResult {}
+  record InForce(Revision revision, List<VmId> initiallyPending) implements OperatorResult {}
 
   /**
    * The wait ended before the configuration was in force everywhere.
@@ -106,7 +106,7 @@
    * Leadership was lost before a quorum answered: the change may or may not be accepted. A resend
    * under the same change id tells.
    */
-  record OutcomeOpen() implements OperatorResult {}
+  record OutcomeIndeterminate() implements OperatorResult {}
 
   /**
    * What an outside platform or one of its upstreams asked for is done, on a quorum of disks.
@@ -114,14 +114,14 @@
    * @param commitMs time from its taking until it was on a quorum of disks, in milliseconds; empty
    *     if nothing had to be written
    */
-  record ServingChanged(OptionalLong commitMs) implements OperatorResult {}
+  record PlatformRequestCompleted(OptionalLong commitMs) implements OperatorResult {}
 
   /**
    * What became of an order of a rollout.
    *
    * @param answer taken, or why not
    */
-  record RolloutAnswered(RolloutOrderResult answer) implements OperatorResult {}
+  record RolloutOrderAnswered(RolloutOrderResult answer) implements OperatorResult {}
 
   /**
    * A service's newest rollout.
--- a/core/src/main/java/org/teaseltrail/core/control/OtherLines.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OtherVmsQuotaSummary.java
@@ -9,27 +9,27 @@
  *
  * @param used what they used within the window
  * @param held what they used and what they may take
- * @param mayTake what they may take
+ * @param remainingAllowance what they may take
  * @param demandPerSecond what is asked for there in a second
- * @param witnesses those of them that have told lately
+ * @param recentReporters those of them that have told lately
  */
-record OtherLines(
-    double used, double held, double mayTake, double demandPerSecond, List<QuotaLine> witnesses) {
+record OtherVmsQuotaSummary(
+    double used, double held, double remainingAllowance, double demandPerSecond, List<VmQuotaAccount> recentReporters) {
 
   /**
    * VMs at least whose accounts of the others must hold, all where there are fewer: of eight, one
    * survives but for 1 in 100 losses of half of all VMs together with the leader.
    */
-  private static final int LEAST_WITNESSES = 8;
+  private static final int MIN_REPORTERS = 8;
 
   /**
    * One in so many VMs must have an account of the others that holds. With sixty these have told
    * within a quarter of a sync, so that all together may grow four times as fast as if all had to.
    */
-  private static final int WITNESSES_OF = 4;
+  private static final int REPORTERS_DIVISOR = 4;
 
   /** Silence after which a VM is no witness of what the others hold, nor holds up their growth. */
-  private static final long WITNESS_NS = 500_000_000L;
+  private static final long REPORT_FRESH_NS = 500_000_000L;
 
   /**
    * Returns by how much a VM may come to hold more, so that the accounts of enough others hold.
@@ -42,41 +42,41 @@
    *
    * @param limit what there is, for when there is no witness
    */
-  double mayGrow(double limit) {
-    if (witnesses.isEmpty()) {
+  double maxGrowth(double limit) {
+    if (recentReporters.isEmpty()) {
       return limit;
     }
-    double[] accounts = witnesses.stream().mapToDouble(QuotaLine::othersMayGrow).sorted().toArray();
-    int needed = Math.max(LEAST_WITNESSES, accounts.length / WITNESSES_OF);
+    double[] accounts = recentReporters.stream().mapToDouble(VmQuotaAccount::othersMaxGrowth).sorted().toArray();
+    int needed = Math.max(MIN_REPORTERS, accounts.length / REPORTERS_DIVISOR);
     return accounts[Math.max(0, accounts.length - needed)];
   }
 
   /** Adds lines up. */
-  static final class Sum {
+  static final class Builder {
 
     private final long nowNs;
-    private final List<QuotaLine> witnesses = new ArrayList<>();
+    private final List<VmQuotaAccount> witnesses = new ArrayList<>();
     private double used;
     private double held;
     private double mayTake;
     private double demandPerSecond;
 
-    Sum(long nowNs) {
+    Builder(long nowNs) {
       this.nowNs = nowNs;
     }
 
-    void add(QuotaLine line) {
+    void add(VmQuotaAccount line) {
       used += line.used(nowNs);
       held += line.held(nowNs);
-      mayTake += line.mayTake();
+      mayTake += line.remainingAllowance();
       demandPerSecond += line.demandPerSecond();
-      if (nowNs - line.toldNs() <= WITNESS_NS) {
+      if (nowNs - line.reportedNs() <= REPORT_FRESH_NS) {
         witnesses.add(line);
       }
     }
 
-    OtherLines done() {
-      return new OtherLines(used, held, mayTake, demandPerSecond, witnesses);
+    OtherVmsQuotaSummary toSummary() {
+      return new OtherVmsQuotaSummary(used, held, mayTake, demandPerSecond, witnesses);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/PlacementPlanner.java
+++ b/core/src/main/java/org/teaseltrail/core/control/PlacementPlanner.java
@@ -31,13 +31,13 @@
   private record Pending(Wish wish, long endsAtNs) {}
 
   private final PlacementSettings settings;
-  private final FleetView fleet;
-  private final OrderDesk orders;
+  private final AnnouncementCache fleet;
+  private final EngineOrderDispatcher orders;
   private final Map<UpstreamId, Pending> pending = new HashMap<>();
   private long nextLoadAtNs = Long.MIN_VALUE;
   private boolean wants;
 
-  PlacementPlanner(PlacementSettings settings, FleetView fleet, OrderDesk orders) {
+  PlacementPlanner(PlacementSettings settings, AnnouncementCache fleet, EngineOrderDispatcher orders) {
     this.settings = settings;
     this.fleet = fleet;
     this.orders = orders;
@@ -66,7 +66,7 @@
       Configuration configuration, Route route, ModelTarget target, long nowNs) {
     Pool pool = configuration.pools().get(route.pool());
     List<Announcement> engines = new ArrayList<>();
-    for (Announcement engine : fleet.ofPool(configuration, route.pool(), nowNs)) {
+    for (Announcement engine : fleet.findByPool(configuration, route.pool(), nowNs)) {
       boolean usable = engine.phase() == UpstreamPhase.SERVING;
       if (usable && engine.role() == UpstreamRole.GENERATE) {
         engines.add(engine);
--- a/core/src/main/java/org/teaseltrail/core/control/ProposalCallback.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ProposalCallback.java
@@ -13,5 +13,5 @@
   void rejected(ProposalRejection reason, long nowNs);
 
   /** Leadership was lost meanwhile: the command may or may not be applied. */
-  default void outcomeOpen(long nowNs) {}
+  default void outcomeIndeterminate(long nowNs) {}
 }
--- a/core/src/main/java/org/teaseltrail/core/control/QuarantineDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuarantineCoordinator.java
@@ -28,7 +28,7 @@
  * A loss is believed at once, since each second costs an upstream, and taken back when the upstream
  * is heard of again. A hold that has stood is in the log, so that no later leader begins anew.
  */
-final class QuarantineDesk {
+final class QuarantineCoordinator {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -36,34 +36,34 @@
    * Time after its newest loss for which the VMs tell of whole answers to a suspect: enough for one
    * that is asked for often, and so would be in many batches by chance.
    */
-  private static final long WATCHED_NS = 30_000 * NS_PER_MS;
+  private static final long WATCH_NS = 30_000 * NS_PER_MS;
 
   /** Time for which losses count; a request that ends upstreams may come seldom. */
-  private static final long MEMORY_MS = 600_000;
+  private static final long LOSS_RETENTION_MS = 600_000;
 
   /**
    * Time after a loss from which on a heartbeat shows that the upstream lives: one that was sent
    * before has come, or was given up, by then.
    */
-  private static final long BEAT_ON_ITS_WAY_NS = 1_000 * NS_PER_MS;
+  private static final long HEARTBEAT_DELAY_NS = 1_000 * NS_PER_MS;
 
   /**
    * Time after the newest loss from which on a hold goes into the log: two heartbeats of an
    * upstream that lives.
    */
-  private static final long SETTLED_NS = 3_000 * NS_PER_MS;
+  private static final long COMMIT_DELAY_NS = 3_000 * NS_PER_MS;
 
   /** Time that a VM has for a trial; the request may come seldom there. */
-  private static final long TRIAL_FOR_MS = 60_000;
+  private static final long TRIAL_VALIDITY_MS = 60_000;
 
   /**
    * Time after the beginning of a leadership in which all VMs tell their losses: two syncs of each.
    * Until then what the leader before said holds on.
    */
-  private static final long VMS_TELL_NS = 500 * NS_PER_MS;
+  private static final long INITIAL_REPORTS_NS = 500 * NS_PER_MS;
 
   private final Leadership leadership;
-  private final LossTracker losses = new LossTracker(MEMORY_MS);
+  private final LossTracker losses = new LossTracker(LOSS_RETENTION_MS);
   private final Map<UpstreamIncarnation, Long> beatsNs = new LinkedHashMap<>();
   private final long allToldNs;
   private Map<Fingerprint, Optional<CustomerId>> held = Map.of();
@@ -71,10 +71,10 @@
   private long revision = 1;
   private boolean whole;
 
-  QuarantineDesk(Leadership leadership) {
+  QuarantineCoordinator(Leadership leadership) {
     this.leadership = leadership;
-    allToldNs = leadership.nowNs() + VMS_TELL_NS;
-    decide();
+    allToldNs = leadership.nowNs() + INITIAL_REPORTS_NS;
+    refresh();
   }
 
   /**
@@ -88,12 +88,12 @@
       losses.recordLoss(loss.request(), loss.customer(), loss.upstream(), atNs);
       Long beatNs = beatsNs.get(loss.upstream());
       if (beatNs != null) {
-        losses.alive(loss.upstream(), beatNs - BEAT_ON_ITS_WAY_NS);
+        losses.alive(loss.upstream(), beatNs - HEARTBEAT_DELAY_NS);
       }
     }
     message.served().forEach(this::servedWhole);
     releaseCleared();
-    return decide();
+    return refresh();
   }
 
   /**
@@ -101,28 +101,28 @@
    *
    * @return whether what the VMs are told has changed
    */
-  boolean heartbeat(Registration heard) {
+  boolean onHeartbeat(Registration heard) {
     beatsNs.put(heard.upstreamIncarnation(), leadership.nowNs());
-    boolean known = losses.alive(heard.upstreamIncarnation(), leadership.nowNs() - BEAT_ON_ITS_WAY_NS);
-    return known && decide();
+    boolean known = losses.alive(heard.upstreamIncarnation(), leadership.nowNs() - HEARTBEAT_DELAY_NS);
+    return known && refresh();
   }
 
   /** Does what is due each second; returns whether what the VMs are told has changed. */
   boolean tick() {
     long nowNs = leadership.nowNs();
     losses.removeExpired(nowNs);
-    beatsNs.values().removeIf(atNs -> nowNs - atNs > MEMORY_MS * NS_PER_MS);
+    beatsNs.values().removeIf(atNs -> nowNs - atNs > LOSS_RETENTION_MS * NS_PER_MS);
     for (Map.Entry<Fingerprint, Optional<CustomerId>> one : losses.findRequestsToHold().entrySet()) {
-      boolean settled = nowNs - losses.newestLossNs(one.getKey()) >= SETTLED_NS;
+      boolean settled = nowNs - losses.newestLossNs(one.getKey()) >= COMMIT_DELAY_NS;
       if (settled && !heldBook().contains(one.getKey())) {
         long logTimeMs = leadership.logTimeMs(nowNs);
         HeldRequest request = new HeldRequest(one.getKey(), one.getValue(), logTimeMs, 0);
-        leadership.proposeUnanswered(new Command.HoldRequest(request, logTimeMs));
+        leadership.proposeBestEffort(new Command.HoldRequest(request, logTimeMs));
       }
     }
     releaseCleared();
     heldBook().all().forEach(this::tryIfDue);
-    return decide();
+    return refresh();
   }
 
   /**
@@ -130,11 +130,11 @@
    *
    * @return whether what the VMs are told has changed
    */
-  boolean decide() {
+  boolean refresh() {
     Map<Fingerprint, Optional<CustomerId>> nowHeld = new LinkedHashMap<>();
     heldBook().all().forEach(one -> nowHeld.put(one.request(), one.customer()));
     nowHeld.putAll(losses.findRequestsToHold());
-    long watchedFromNs = leadership.nowNs() - WATCHED_NS;
+    long watchedFromNs = leadership.nowNs() - WATCH_NS;
     Set<Fingerprint> nowWatched = new HashSet<>(losses.findLostAfter(watchedFromNs));
     nowWatched.removeAll(nowHeld.keySet());
     if (nowHeld.equals(held) && nowWatched.equals(watched)) {
@@ -156,7 +156,7 @@
     return revision;
   }
 
-  ServingReply.QuarantineUpdate update() {
+  ServingReply.QuarantineUpdate buildUpdate() {
     return new ServingReply.QuarantineUpdate(
         leadership.fencing(), revision, whole, List.copyOf(held.keySet()), List.copyOf(watched));
   }
@@ -177,7 +177,7 @@
   private void tryIfDue(HeldRequest one) {
     long logTimeMs = leadership.logTimeMs(leadership.nowNs());
     Optional<VmId> vm =
-        one.isTrialDue(logTimeMs) ? leadership.servingDesk().anyVm() : Optional.empty();
+        one.isTrialDue(logTimeMs) ? leadership.servingCoordinator().pickRandomVm() : Optional.empty();
     vm.ifPresent(
         chosen ->
             leadership.proposeThen(
@@ -186,7 +186,7 @@
   }
 
   private void allow(VmId vm, Fingerprint request) {
-    leadership.sendServing(vm, new ServingReply.Trial(leadership.fencing(), request, TRIAL_FOR_MS));
+    leadership.sendServing(vm, new ServingReply.Trial(leadership.fencing(), request, TRIAL_VALIDITY_MS));
   }
 
   /** Lets go what was held long enough, and what was seen to harm nobody. */
@@ -201,11 +201,11 @@
 
   private void release(Fingerprint request) {
     long logTimeMs = leadership.logTimeMs(leadership.nowNs());
-    leadership.proposeUnanswered(new Command.ReleaseRequest(request, logTimeMs));
+    leadership.proposeBestEffort(new Command.ReleaseRequest(request, logTimeMs));
   }
 
   private HeldRequestStore heldBook() {
-    return leadership.context().replicated().state().held();
+    return leadership.context().stateMachine().state().held();
   }
 
   private void log(
@@ -215,14 +215,14 @@
           if (!before.containsKey(request)) {
             leadership
                 .context()
-                .out()
-                .requestHeld(request, customer, losses.losses(request), after.size());
+                .actions()
+                .requestQuarantined(request, customer, losses.losses(request), after.size());
           }
         });
     before.forEach(
         (request, customer) -> {
           if (!after.containsKey(request)) {
-            leadership.context().out().requestReleased(request, customer, after.size());
+            leadership.context().actions().requestReleased(request, customer, after.size());
           }
         });
   }
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaLedger.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaAllocator.java
@@ -30,16 +30,16 @@
  *       window.
  *   <li>An answer is lost: the VM goes on with its older allowance. It counts with the greater of
  *       both until it tells again.
- *   <li>Another member leads: see {@link QuotaInheritance}.
+ *   <li>Another member leads: see {@link InheritedQuotaUsage}.
  * </ul>
  */
-final class QuotaLedger {
+final class QuotaAllocator {
 
   /**
    * Part of the rest that is divided evenly, since callers may move to any VM at once. A VM that
    * lacks more asks for it, so it needs to cover no more than some requests.
    */
-  private static final double EVEN_PART = 0.15;
+  private static final double EVEN_RATIO = 0.15;
 
   /**
    * Time of its customers' usual demand that a VM is allowed at most beyond the even part: two
@@ -48,7 +48,7 @@
    * window: with three seconds, a VM that is started anew each second leaves its customers 0.54 of
    * their quota.
    */
-  private static final double COVERED_S = 2;
+  private static final double DEMAND_COVER_S = 2;
 
   /**
    * Time after the beginning of a leadership in which VMs get no more than they hold: a sync and a
@@ -72,28 +72,28 @@
    * prompt in nine takes more than a second of the rate, with a tenth 3. What it costs: after the
    * loss of a leader as much is held back for the quota's window.
    */
-  private static final double GROWTH_PART = 0.1;
+  private static final double GROWTH_RATIO = 0.1;
 
   private static final long NS_PER_MS = 1_000_000L;
 
   private record Life(VmId vm, Incarnation incarnation) {}
 
-  private record Account(Life life, Map<CustomerId, QuotaLine> lines) {
+  private record Account(Life life, Map<CustomerId, VmQuotaAccount> lines) {
 
-    double sum(CustomerId customer, ToDoubleFunction<QuotaLine> amount) {
-      QuotaLine line = lines.get(customer);
+    double sum(CustomerId customer, ToDoubleFunction<VmQuotaAccount> amount) {
+      VmQuotaAccount line = lines.get(customer);
       return line == null ? 0 : amount.applyAsDouble(line);
     }
   }
 
   private final long windowMs;
   private final long beganNs;
-  private final QuotaInheritance inheritance;
+  private final InheritedQuotaUsage inheritance;
   private final Map<VmId, Account> accounts = new TreeMap<>(Comparator.comparing(VmId::value));
   private final List<Account> ended = new ArrayList<>();
   private final Set<Life> cameForward = new HashSet<>();
   private final Map<CustomerId, Double> firstParts = new HashMap<>();
-  private final Map<CustomerId, QuotaBucket> buckets = new HashMap<>();
+  private final Map<CustomerId, QuotaTokenBucket> buckets = new HashMap<>();
 
   /**
    * Creates a ledger that knows no VM.
@@ -102,43 +102,43 @@
    * @param silentNs time after which a silent VM no longer uses what it was allowed
    * @param nowNs when this member began to lead
    */
-  QuotaLedger(long windowMs, long silentNs, long nowNs) {
+  QuotaAllocator(long windowMs, long silentNs, long nowNs) {
     this.windowMs = windowMs;
     beganNs = nowNs;
-    inheritance = new QuotaInheritance(nowNs + silentNs + windowMs * NS_PER_MS);
+    inheritance = new InheritedQuotaUsage(nowNs + silentNs + windowMs * NS_PER_MS);
   }
 
   /** Takes what a VM tells. */
-  void told(VmId vm, Incarnation incarnation, List<QuotaReport> uses, long nowNs) {
+  void recordReport(VmId vm, Incarnation incarnation, List<QuotaReport> uses, long nowNs) {
     Life life = new Life(vm, incarnation);
     Account known = accounts.get(vm);
     if (known != null && !known.life().equals(life)) {
-      forget(vm, nowNs);
+      removeVm(vm, nowNs);
     }
     if (cameForward.add(life)) {
-      uses.forEach(use -> inheritance.comesForward(use, nowNs));
+      uses.forEach(use -> inheritance.recordFirstReport(use, nowNs));
     }
     ended.removeIf(account -> account.life().equals(life));
     Account account = accounts.computeIfAbsent(vm, id -> new Account(life, new HashMap<>()));
     for (QuotaReport use : uses) {
-      QuotaLine line = account.lines().get(use.customer());
+      VmQuotaAccount line = account.lines().get(use.customer());
       if (line == null) {
-        account.lines().put(use.customer(), new QuotaLine(windowMs, use, nowNs));
+        account.lines().put(use.customer(), new VmQuotaAccount(windowMs, use, nowNs));
       } else {
-        bucketUsed(use.customer(), line.told(use, nowNs));
+        bucketUsed(use.customer(), line.recordReport(use, nowNs));
       }
     }
   }
 
   private void bucketUsed(CustomerId customer, double amount) {
-    QuotaBucket bucket = buckets.get(customer);
+    QuotaTokenBucket bucket = buckets.get(customer);
     if (bucket != null) {
       bucket.used(amount);
     }
   }
 
   /** Takes a VM out that has fallen silent; what it holds counts on for the window. */
-  void forget(VmId vm, long nowNs) {
+  void removeVm(VmId vm, long nowNs) {
     Account account = accounts.remove(vm);
     if (account != null) {
       account.lines().values().forEach(line -> line.end(nowNs));
@@ -154,7 +154,7 @@
    * @param nowNs time
    * @return what the VM may take after what it told
    */
-  List<QuotaGrant> grants(VmId vm, Map<CustomerId, QuotaLimit> limits, long nowNs) {
+  List<QuotaGrant> allocate(VmId vm, Map<CustomerId, QuotaLimit> limits, long nowNs) {
     dropOutOfWindow(nowNs);
     List<QuotaGrant> grants = new ArrayList<>();
     limits.forEach((customer, limit) -> grants.add(grant(vm, customer, limit, nowNs)));
@@ -162,30 +162,30 @@
   }
 
   private QuotaGrant grant(VmId vm, CustomerId customer, QuotaLimit quota, long nowNs) {
-    double limit = quota.handedOut();
-    QuotaLine line = line(vm, customer, nowNs);
-    OtherLines others = others(vm, customer, nowNs);
+    double limit = quota.grantable();
+    VmQuotaAccount line = line(vm, customer, nowNs);
+    OtherVmsQuotaSummary others = others(vm, customer, nowNs);
     double used = line.used(nowNs);
     double usedByEnded = ofEnded(customer, each -> each.used(nowNs));
     double heldByEnded = usedByEnded + inheritance.heldByEnded(customer, nowNs);
     double usedElsewhere = others.used() + usedByEnded;
-    double heldElsewhere = others.held() + inheritance.heldByUnknown(customer, nowNs);
+    double heldElsewhere = others.held() + inheritance.heldByUnreportedVms(customer, nowNs);
     double leftInWindow = Math.max(0, limit - used - usedElsewhere);
     double left = Math.min(leftInWindow, leftNow(customer, quota, leftInWindow, nowNs));
     double free = limit - used - heldElsewhere - heldByEnded;
     double part = isSettling(nowNs) ? firstPart(line, customer, quota) : part(line, others, left);
-    double grown = line.mayTake() + others.mayGrow(limit);
-    double spendable = Math.max(0, left - others.mayTake());
+    double grown = line.remainingAllowance() + others.maxGrowth(limit);
+    double spendable = Math.max(0, left - others.remainingAllowance());
     double most = Math.min(Math.min(free, spendable), grown);
     double allowance = Math.max(0, Math.min(part, most));
     allow(line, others, allowance, nowNs);
-    line.tellOthersMayGrow(GROWTH_PART * limit);
+    line.setOthersMaxGrowth(GROWTH_RATIO * limit);
     double mostElsewhere = Math.max(heldElsewhere, limit - line.held(nowNs) - heldByEnded);
     return new QuotaGrant(
         customer,
         allowance,
         usedElsewhere,
-        Math.min(mostElsewhere, heldElsewhere + GROWTH_PART * limit),
+        Math.min(mostElsewhere, heldElsewhere + GROWTH_RATIO * limit),
         heldByEnded,
         endedForNs(customer, nowNs) / NS_PER_MS);
   }
@@ -193,54 +193,54 @@
   private double leftNow(CustomerId customer, QuotaLimit quota, double leftInWindow, long nowNs) {
     return buckets
         .computeIfAbsent(
-            customer, id -> new QuotaBucket(Math.min(quota.atOnce(), leftInWindow), nowNs))
-        .level(quota.perSecond(), quota.atOnce(), nowNs);
+            customer, id -> new QuotaTokenBucket(Math.min(quota.burstCapacity(), leftInWindow), nowNs))
+        .level(quota.perSecond(), quota.burstCapacity(), nowNs);
   }
 
   private boolean isSettling(long nowNs) {
-    long settlingNs = inheritance.isRemembered() ? SETTLING_NS : FRESH_SETTLING_NS;
+    long settlingNs = inheritance.hasEarlierUsage() ? SETTLING_NS : FRESH_SETTLING_NS;
     return nowNs - beganNs < settlingNs;
   }
 
-  private QuotaLine line(VmId vm, CustomerId customer, long nowNs) {
+  private VmQuotaAccount line(VmId vm, CustomerId customer, long nowNs) {
     return accounts
         .get(vm)
         .lines()
         .computeIfAbsent(
             customer,
-            id -> new QuotaLine(windowMs, new QuotaReport(id, 0, 0, 0, 0, 0, 0, 0, 0), nowNs));
+            id -> new VmQuotaAccount(windowMs, new QuotaReport(id, 0, 0, 0, 0, 0, 0, 0, 0), nowNs));
   }
 
-  private static void allow(QuotaLine line, OtherLines others, double allowance, long nowNs) {
+  private static void allow(VmQuotaAccount line, OtherVmsQuotaSummary others, double allowance, long nowNs) {
     double heldBefore = line.held(nowNs);
-    line.allow(allowance);
+    line.raiseAllowance(allowance);
     double growth = line.held(nowNs) - heldBefore;
-    others.witnesses().forEach(witness -> witness.othersGrew(growth));
+    others.recentReporters().forEach(witness -> witness.consumeOthersGrowth(growth));
   }
 
   /** Adds up what all VMs but one hold of a customer's quota. */
-  private OtherLines others(VmId vm, CustomerId customer, long nowNs) {
-    OtherLines.Sum sum = new OtherLines.Sum(nowNs);
+  private OtherVmsQuotaSummary others(VmId vm, CustomerId customer, long nowNs) {
+    OtherVmsQuotaSummary.Builder sum = new OtherVmsQuotaSummary.Builder(nowNs);
     for (Account account : accounts.values()) {
-      QuotaLine line = account.lines().get(customer);
+      VmQuotaAccount line = account.lines().get(customer);
       if (line != null && !account.life().vm().equals(vm)) {
         sum.add(line);
       }
     }
-    return sum.done();
+    return sum.toSummary();
   }
 
   /**
    * Returns what a VM is allowed of what is left: by demand, and a part that is the same for all.
    */
-  private double part(QuotaLine line, OtherLines others, double left) {
+  private double part(VmQuotaAccount line, OtherVmsQuotaSummary others, double left) {
     double own = line.demandPerSecond();
     double total = own + others.demandPerSecond();
     double even = left / accounts.size();
-    double evenPart = EVEN_PART * even;
+    double evenPart = EVEN_RATIO * even;
     double byDemand = total > 0 ? left * own / total : even;
-    double part = evenPart + (1 - EVEN_PART) * byDemand;
-    double covered = Math.min(part, Math.max(evenPart, COVERED_S * own));
+    double part = evenPart + (1 - EVEN_RATIO) * byDemand;
+    double covered = Math.min(part, Math.max(evenPart, DEMAND_COVER_S * own));
     return Math.max(covered, Math.min(left, line.wanted()));
   }
 
@@ -252,24 +252,24 @@
    * <p>Guards against callers that are refused as over their quota after all VMs were restarted,
    * though they have used nothing of it yet: that lasted as long as the settling.
    */
-  private double firstPart(QuotaLine line, CustomerId customer, QuotaLimit quota) {
-    double keptLeft = quota.kept() - firstParts.getOrDefault(customer, 0.0);
-    if (inheritance.isRemembered() || keptLeft <= 0) {
-      return line.mayTake();
+  private double firstPart(VmQuotaAccount line, CustomerId customer, QuotaLimit quota) {
+    double keptLeft = quota.reserved() - firstParts.getOrDefault(customer, 0.0);
+    if (inheritance.hasEarlierUsage() || keptLeft <= 0) {
+      return line.remainingAllowance();
     }
     double more = Math.min(line.wanted(), keptLeft);
     firstParts.merge(customer, more, Double::sum);
-    return line.mayTake() + more;
+    return line.remainingAllowance() + more;
   }
 
-  private double ofEnded(CustomerId customer, ToDoubleFunction<QuotaLine> amount) {
+  private double ofEnded(CustomerId customer, ToDoubleFunction<VmQuotaAccount> amount) {
     return ended.stream().mapToDouble(account -> account.sum(customer, amount)).sum();
   }
 
   private long endedForNs(CustomerId customer, long nowNs) {
     double longest =
         ended.stream()
-            .mapToDouble(account -> account.sum(customer, line -> line.lastsNs(nowNs)))
+            .mapToDouble(account -> account.sum(customer, line -> line.timeUntilEmptyNs(nowNs)))
             .max()
             .orElse(0);
     return Math.max((long) longest, inheritance.endedForNs(customer, nowNs));
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaLimit.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaLimit.java
@@ -4,9 +4,9 @@
  * Is how much of a customer's quota there is to hand out. Amounts are requests or tokens, by the
  * quota's unit.
  *
- * @param handedOut what all VMs together may hold within the window
+ * @param grantable what all VMs together may hold within the window
  * @param perSecond what they may use in each second, on average
- * @param atOnce what they may use beyond that at once
- * @param kept what is kept back for what a new leader can't know
+ * @param burstCapacity what they may use beyond that at once
+ * @param reserved what is kept back for what a new leader can't know
  */
-record QuotaLimit(double handedOut, double perSecond, double atOnce, double kept) {}
+record QuotaLimit(double grantable, double perSecond, double burstCapacity, double reserved) {}
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaBucket.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaTokenBucket.java
@@ -8,7 +8,7 @@
  * rest of the window: whoever is within the rate is refused then, for as long as the window lasts.
  * With the bucket each second of the rush gets the quota's rate.
  */
-final class QuotaBucket {
+final class QuotaTokenBucket {
 
   private static final double NS_PER_S = 1e9;
 
@@ -16,7 +16,7 @@
   private long filledNs;
 
   /** Creates one at a level. */
-  QuotaBucket(double level, long nowNs) {
+  QuotaTokenBucket(double level, long nowNs) {
     this.level = level;
     filledNs = nowNs;
   }
--- a/core/src/main/java/org/teaseltrail/core/control/LimitDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RateLimitCoordinator.java
@@ -29,15 +29,15 @@
  * that is cut off or gone uses none later, and what two leaderships give out one after the other is
  * never more than the rate allows.
  */
-final class LimitDesk {
+final class RateLimitCoordinator {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /** Time for which a permit is good from when the VM asked; some of its syncs. */
-  private static final long PERMIT_FOR_MS = 1_000;
+  private static final long PERMIT_VALIDITY_MS = 1_000;
 
   /** Time for which a more urgent want of another VM goes first: a little over a usual sync. */
-  private static final long WANTED_FOR_NS = 300 * NS_PER_MS;
+  private static final long DEMAND_VALIDITY_NS = 300 * NS_PER_MS;
 
   private record Want(PermitDemand wanted, long untilNs) {}
 
@@ -52,7 +52,7 @@
   private final Map<VmId, Told> told = new HashMap<>();
   private long revision;
 
-  LimitDesk(Leadership leadership) {
+  RateLimitCoordinator(Leadership leadership) {
     this.leadership = leadership;
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Tells a VM which upstreams have limits, unless this life of it was told. */
-  void synced(ServingMessage.Sync sync) {
+  void onSync(ServingMessage.Sync sync) {
     Told before = told.get(sync.vm());
     boolean sameLife = before != null && before.incarnation().equals(sync.incarnation());
     told.put(sync.vm(), new Told(sync.incarnation(), sameLife ? before.revision() : 0));
@@ -83,7 +83,7 @@
       leadership.sendServing(
           message.vm(),
           new ServingReply.SendPermits(
-              leadership.fencing(), message.sequence(), PERMIT_FOR_MS, permits));
+              leadership.fencing(), message.sequence(), PERMIT_VALIDITY_MS, permits));
     }
   }
 
@@ -116,7 +116,7 @@
     wants.put(asking.vm(), latest);
     List<SendPermit> given = new ArrayList<>();
     for (PermitDemand wanted : asking.wanted()) {
-      latest.put(wanted.service(), new Want(wanted, nowNs + WANTED_FOR_NS));
+      latest.put(wanted.service(), new Want(wanted, nowNs + DEMAND_VALIDITY_NS));
       if (!isOthersTurn(asking.vm(), wanted, nowNs)) {
         int left = give(wanted, upstreams, given, nowNs);
         if (left < wanted.requests()) {
@@ -128,7 +128,7 @@
   }
 
   /** Forgets a VM that has fallen silent. */
-  void forget(VmId vm) {
+  void removeVm(VmId vm) {
     wants.remove(vm);
     told.remove(vm);
   }
--- a/core/src/main/java/org/teaseltrail/core/control/LoggedDecision.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RecentDecision.java
@@ -8,4 +8,4 @@
  * @param decision the decision
  * @param ageMs how long ago it was taken
  */
-public record LoggedDecision(Decision decision, long ageMs) {}
+public record RecentDecision(Decision decision, long ageMs) {}
--- a/core/src/main/java/org/teaseltrail/core/control/RepairSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RepairSettings.java
@@ -4,11 +4,11 @@
  * Sets how a control group forms and repairs itself.
  *
  * @param targetVoters voters that the group wants; twice the members that may be lost, and one
- * @param silentMs silence after which a voter gives its place to a learner that has caught up, in
+ * @param voterTimeoutMs silence after which a voter gives its place to a learner that has caught up, in
  *     milliseconds
- * @param forgottenMs silence after which a learner is taken out, in milliseconds
+ * @param learnerTimeoutMs silence after which a learner is taken out, in milliseconds
  */
-public record RepairSettings(int targetVoters, long silentMs, long forgottenMs) {
+public record RepairSettings(int targetVoters, long voterTimeoutMs, long learnerTimeoutMs) {
 
   /**
    * Returns settings for a number of losses. A voter counts as silent after 2 s: four election
--- a/core/src/main/java/org/teaseltrail/core/control/ReplicatedState.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ReplicatedStateMachine.java
@@ -24,7 +24,7 @@
  * Joins the log and the state it builds. Events for the log are taken one after the other: the
  * actions of one are carried out before the next begins, so writes keep their order.
  */
-final class ReplicatedState {
+final class ReplicatedStateMachine {
 
   /** Learns what the log does. */
   interface Listener {
@@ -50,7 +50,7 @@
 
   private final Replica replica;
   private final StateCodec codec;
-  private final Outbox out;
+  private final ActionBuffer out;
   private final Listener listener;
   private final Deque<ReplicaEvent> inbox = new ArrayDeque<>();
   private final Map<Long, ProposalCallback> proposed = new HashMap<>();
@@ -61,7 +61,7 @@
   private boolean draining;
   private long lastProposalId;
 
-  ReplicatedState(Replica replica, StateCodec codec, Outbox out, Listener listener) {
+  ReplicatedStateMachine(Replica replica, StateCodec codec, ActionBuffer out, Listener listener) {
     this.replica = replica;
     this.codec = codec;
     this.out = out;
@@ -81,16 +81,16 @@
   }
 
   void propose(Command command, ProposalCallback callback, long nowNs) {
-    long id = register(callback);
+    long id = registerCallback(callback);
     handle(new ReplicaEvent.Propose(id, codec.encodeCommand(command)), nowNs);
   }
 
   void propose(MembershipChange change, ProposalCallback callback, long nowNs) {
-    long id = register(callback);
+    long id = registerCallback(callback);
     handle(new ReplicaEvent.ProposeMembership(id, change), nowNs);
   }
 
-  long register(ProposalCallback callback) {
+  long registerCallback(ProposalCallback callback) {
     lastProposalId++;
     proposed.put(lastProposalId, callback);
     return lastProposalId;
@@ -103,7 +103,7 @@
     handle(new ReplicaEvent.ReadBarrier(lastProposalId), nowNs);
   }
 
-  void forget(long proposalId) {
+  void removeCallback(long proposalId) {
     proposed.remove(proposalId);
   }
 
@@ -124,7 +124,7 @@
     if (action instanceof ReplicaAction.Write write) {
       out.persist(write);
     } else if (action instanceof ReplicaAction.SendPeer send) {
-      out.sendPeer(send.envelope());
+      out.sendToPeer(send.envelope());
     } else if (action instanceof ReplicaAction.Apply apply) {
       apply.entries().forEach(entry -> apply(entry, nowNs));
     } else if (action instanceof ReplicaAction.RestoreSnapshot restore) {
@@ -196,7 +196,7 @@
     if (own.term() == entry.term()) {
       own.callback().committed(result, nowNs);
     } else {
-      own.callback().outcomeOpen(nowNs);
+      own.callback().outcomeIndeterminate(nowNs);
     }
   }
 
@@ -205,6 +205,6 @@
     appended.values().forEach(own -> open.add(own.callback()));
     proposed.clear();
     appended.clear();
-    open.forEach(callback -> callback.outcomeOpen(nowNs));
+    open.forEach(callback -> callback.outcomeIndeterminate(nowNs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/RequestBook.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RequestTracker.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.message.Ticket;
 
 /** Knows the pool of each request that waits or runs, and which request waits under a key. */
-final class RequestBook {
+final class RequestTracker {
 
   private final Map<RequestId, TrackedRequest> requests = new HashMap<>();
   private final Map<ClaimKey, TrackedRequest> byKey = new HashMap<>();
--- a/core/src/main/java/org/teaseltrail/core/control/RolloutDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutCoordinator.java
@@ -24,13 +24,13 @@
  * Carries rollouts out on the leader: lends the canary's requests to the entry VMs, gathers what
  * they saw, and turns each rollout to its next phase through the log.
  */
-final class RolloutDesk {
+final class RolloutCoordinator {
 
   /** Is what the leader knows of the entry VMs. */
   interface EntryVmsView {
 
     /** Says how far they are with turning to an ordered version. */
-    RolloutWatch.HandOverState handOver(ServiceId service);
+    RolloutMonitor.TrafficShiftState handOver(ServiceId service);
 
     /** Returns how many requests they have at an upstream. */
     int inFlight(UpstreamId upstream);
@@ -39,22 +39,22 @@
   private static final long NS_PER_MS = 1_000_000L;
 
   /** Time between two looks at the rollouts that run. */
-  private static final long CHECK_EVERY_NS = 100 * NS_PER_MS;
+  private static final long CHECK_INTERVAL_NS = 100 * NS_PER_MS;
 
   /**
    * Time for which requests are lent. Guards against a VM that is cut off and goes on sending to a
    * version that was rolled back: it stops by itself.
    */
-  private static final long LENT_FOR_MS = 1_000;
+  private static final long ALLOWANCE_VALIDITY_MS = 1_000;
 
   private final Leadership leadership;
   private final EntryVmsView vms;
-  private final WarmUpstreams warm = new WarmUpstreams();
-  private final Map<ServiceId, RolloutWatch> open = new HashMap<>();
+  private final WarmUpTracker warm = new WarmUpTracker();
+  private final Map<ServiceId, RolloutMonitor> open = new HashMap<>();
   private final Map<ServiceId, RolloutPhase> logged = new HashMap<>();
   private long nextCheckNs;
 
-  RolloutDesk(Leadership leadership, EntryVmsView vms) {
+  RolloutCoordinator(Leadership leadership, EntryVmsView vms) {
     this.leadership = leadership;
     this.vms = vms;
     state().rollouts().all().forEach(one -> logged.put(one.order().service(), one.phase()));
@@ -69,31 +69,31 @@
     }
     leadership.sendServing(
         told.vm(),
-        new ServingReply.CanaryLoans(leadership.fencing(), told.sequence(), LENT_FOR_MS, loans));
+        new ServingReply.CanaryLoans(leadership.fencing(), told.sequence(), ALLOWANCE_VALIDITY_MS, loans));
   }
 
   /** Takes what was just committed. */
-  void changed() {
+  void onCommit() {
     follow();
     for (Rollout rollout : state().rollouts().all()) {
       ServiceId service = rollout.order().service();
-      RolloutWatch watch = open.get(service);
+      RolloutMonitor watch = open.get(service);
       if (rollout.phase() != logged.put(service, rollout.phase())) {
         leadership
             .context()
-            .out()
-            .rolloutTurned(rollout, watch == null ? Optional.empty() : watch.judge().verdict());
+            .actions()
+            .rolloutPhaseChanged(rollout, watch == null ? Optional.empty() : watch.analyzer().verdict());
       }
     }
     open.values().removeIf(watch -> !current(watch).phase().isOpen());
   }
 
-  void heartbeat(Registration heard) {
+  void onHeartbeat(Registration heard) {
     warm.heard(heard, leadership.nowNs());
   }
 
-  void forget(VmId vm) {
-    open.values().forEach(watch -> watch.ledger().removeVm(vm));
+  void removeVm(VmId vm) {
+    open.values().forEach(watch -> watch.budgetAllocator().removeVm(vm));
   }
 
   void tick() {
@@ -101,17 +101,17 @@
     if (open.isEmpty() || nowNs < nextCheckNs) {
       return;
     }
-    nextCheckNs = nowNs + CHECK_EVERY_NS;
+    nextCheckNs = nowNs + CHECK_INTERVAL_NS;
     warm.retain(state().registry().present());
     open.values().forEach(watch -> decide(watch, nowNs));
   }
 
   /** Returns when a look at what runs is due. */
-  OptionalLong nextDueNs() {
+  OptionalLong nextWakeupNs() {
     return open.isEmpty() ? OptionalLong.empty() : OptionalLong.of(nextCheckNs);
   }
 
-  ServingReply.RolloutUpdate update() {
+  ServingReply.RolloutUpdate buildUpdate() {
     return new ServingReply.RolloutUpdate(
         leadership.fencing(), state().rollouts().revision(), state().rollouts().all());
   }
@@ -120,32 +120,32 @@
   private void follow() {
     for (Rollout rollout : state().rollouts().all()) {
       ServiceId service = rollout.order().service();
-      RolloutWatch watch = open.get(service);
+      RolloutMonitor watch = open.get(service);
       boolean isNew = watch == null || watch.rollout().orderedMs() != rollout.orderedMs();
       if (!isNew) {
-        watch.logged(rollout);
+        watch.onCommitted(rollout);
       } else if (rollout.phase().isOpen()) {
         open.put(
             service,
-            new RolloutWatch(
+            new RolloutMonitor(
                 leadership.context().settings().rollouts(), rollout, leadership.nowNs()));
       }
     }
   }
 
-  private Rollout current(RolloutWatch watch) {
+  private Rollout current(RolloutMonitor watch) {
     return state().rollouts().find(watch.rollout().order().service()).orElseThrow();
   }
 
-  private Optional<RolloutWatch> watchOf(RolloutReport use) {
+  private Optional<RolloutMonitor> watchOf(RolloutReport use) {
     return Optional.ofNullable(open.get(use.service()))
         .filter(watch -> watch.rollout().orderedMs() == use.orderedMs());
   }
 
-  private CanaryAllowance answer(ServingMessage.Rollouts told, RolloutReport use, RolloutWatch watch) {
-    watch.ledger().recordReport(told.vm(), told.incarnation(), use);
+  private CanaryAllowance answer(ServingMessage.Rollouts told, RolloutReport use, RolloutMonitor watch) {
+    watch.budgetAllocator().recordReport(told.vm(), told.incarnation(), use);
     long heard =
-        watch.judge().recordReport(told.vm(), told.incarnation(), use.firstNumber(), use.observations());
+        watch.analyzer().recordReport(told.vm(), told.incarnation(), use.firstNumber(), use.observations());
     Rollout rollout = watch.rollout();
     boolean lends = rollout.phase() == RolloutPhase.RUNNING && watch.verdict().isEmpty();
     List<UpstreamId> targets =
@@ -153,7 +153,7 @@
     long ceiling = use.ceiling();
     if (!targets.isEmpty()) {
       writeAhead(watch);
-      ceiling = watch.ledger().allocate(told.vm(), freePlaces(targets));
+      ceiling = watch.budgetAllocator().allocate(told.vm(), freePlaces(targets));
     }
     return new CanaryAllowance(rollout.order().service(), rollout.orderedMs(), ceiling, targets, heard);
   }
@@ -169,9 +169,9 @@
   }
 
   /** Lets the log allow more before it is lent, once for some requests. */
-  private void writeAhead(RolloutWatch watch) {
-    ExposureCounters wanted = watch.ledger().wanted();
-    if (!watch.mayWrite(wanted)) {
+  private void writeAhead(RolloutMonitor watch) {
+    ExposureCounters wanted = watch.budgetAllocator().wanted();
+    if (!watch.canPersist(wanted)) {
       return;
     }
     Rollout rollout = watch.rollout();
@@ -181,18 +181,18 @@
             rollout.orderedMs(),
             wanted,
             leadership.logTimeMs(leadership.nowNs()));
-    watch.writing();
+    watch.beginPersist();
     leadership.proposeThen(
         command,
         () -> {
-          watch.written();
+          watch.endPersist();
           follow();
         },
-        watch::written);
+        watch::endPersist);
   }
 
-  private void decide(RolloutWatch watch, long nowNs) {
-    watch.judge().tick(nowNs);
+  private void decide(RolloutMonitor watch, long nowNs) {
+    watch.analyzer().tick(nowNs);
     Rollout rollout = watch.rollout();
     ServiceId service = rollout.order().service();
     watch
@@ -200,8 +200,8 @@
         .ifPresent(turn -> propose(rollout, turn));
   }
 
-  private void propose(Rollout rollout, RolloutWatch.Turn turn) {
-    leadership.proposeUnanswered(
+  private void propose(Rollout rollout, RolloutMonitor.PhaseTransition turn) {
+    leadership.proposeBestEffort(
         new Command.TurnRollout(
             rollout.order().service(),
             rollout.orderedMs(),
@@ -217,6 +217,6 @@
   }
 
   private ClusterState state() {
-    return leadership.context().replicated().state();
+    return leadership.context().stateMachine().state();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/RolloutWatch.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutMonitor.java
@@ -16,41 +16,41 @@
 import org.teaseltrail.core.rollout.CanaryAnalyzer;
 
 /** Watches, on the leader, one rollout that has not ended: whom to lend to, and when it turns. */
-final class RolloutWatch {
+final class RolloutMonitor {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /** Part of its time after which the ordered version gets all new requests. */
-  private static final double SHIFT_FROM = 0.7;
+  private static final double SHIFT_START_RATIO = 0.7;
 
   /** Part of its time after which it is too late for that: the old ones couldn't finish. */
-  private static final double SHIFT_UNTIL = 0.9;
+  private static final double SHIFT_END_RATIO = 0.9;
 
   /** Part of its time after which it is completed if nothing runs on the old upstreams. */
-  private static final double COMPLETE_FROM = 0.85;
+  private static final double COMPLETE_START_RATIO = 0.85;
 
   /** Part of its time after which it is completed with what still runs there. */
-  private static final double COMPLETE_AT_LAST = 0.92;
+  private static final double COMPLETE_FORCED_RATIO = 0.92;
 
   /**
    * Places that the ordered version needs, in relation to those of the old ones. Fewer would lose
    * more requests than a rollout that isn't completed.
    */
-  private static final double LEAST_PLACES = 0.6;
+  private static final double MIN_SLOT_RATIO = 0.6;
 
   /** Answers without which nothing is known of a version, unless there are hardly any requests. */
-  private static final int LEAST_LOOKS = 20;
+  private static final int MIN_OBSERVATIONS = 20;
 
   /** Part of all requests that is enough to look at where there are few. */
-  private static final double LEAST_LOOKS_PART = 0.03;
+  private static final double MIN_OBSERVATION_RATIO = 0.03;
 
   /** Time after which the canary goes on to other upstreams of the version. */
-  private static final long TARGETS_FOR_NS = 2_000 * NS_PER_MS;
+  private static final long TARGET_ROTATION_NS = 2_000 * NS_PER_MS;
 
   /** Says how far all VMs are with what the record asks of them. */
-  enum HandOverState {
+  enum TrafficShiftState {
     /** Some VM in touch doesn't have the record yet. */
-    UNTOLD,
+    PROPAGATING,
     /** All have it; some requests still run on old upstreams. */
     FINISHING,
     /** Nothing runs on old upstreams any longer. */
@@ -58,63 +58,63 @@
   }
 
   /** What a rollout is to turn to. */
-  record Turn(RolloutPhase phase, RolloutReason reason) {}
+  record PhaseTransition(RolloutPhase phase, RolloutReason reason) {}
 
   private final RolloutSettings settings;
-  private final CanaryAnalyzer judge;
-  private final CanaryBudgetAllocator ledger;
+  private final CanaryAnalyzer analyzer;
+  private final CanaryBudgetAllocator budgetAllocator;
   private final long beganNs;
   private Rollout rollout;
   private boolean writes;
 
-  RolloutWatch(RolloutSettings settings, Rollout rollout, long nowNs) {
+  RolloutMonitor(RolloutSettings settings, Rollout rollout, long nowNs) {
     this.settings = settings;
     this.rollout = rollout;
     beganNs = nowNs;
-    judge = new CanaryAnalyzer(nowNs);
-    ledger = new CanaryBudgetAllocator(settings.limit(), rollout.account());
+    analyzer = new CanaryAnalyzer(nowNs);
+    budgetAllocator = new CanaryBudgetAllocator(settings.limit(), rollout.account());
   }
 
   Rollout rollout() {
     return rollout;
   }
 
-  CanaryAnalyzer judge() {
-    return judge;
+  CanaryAnalyzer analyzer() {
+    return analyzer;
   }
 
-  CanaryBudgetAllocator ledger() {
-    return ledger;
+  CanaryBudgetAllocator budgetAllocator() {
+    return budgetAllocator;
   }
 
   /** Takes over what is in the log by now. */
-  void logged(Rollout newer) {
+  void onCommitted(Rollout newer) {
     rollout = newer;
-    ledger.updateCommitted(newer.account());
+    budgetAllocator.updateCommitted(newer.account());
   }
 
   /** Tells whether an account is to be written down, and nothing is being written yet. */
-  boolean mayWrite(ExposureCounters wanted) {
+  boolean canPersist(ExposureCounters wanted) {
     return !writes && !wanted.equals(rollout.account());
   }
 
-  void writing() {
+  void beginPersist() {
     writes = true;
   }
 
-  void written() {
+  void endPersist() {
     writes = false;
   }
 
   Optional<Verdict> verdict() {
-    return judge.verdict();
+    return analyzer.verdict();
   }
 
   /**
    * Returns the upstreams that get the canary's requests now: so few that they run as full as the
    * old ones, since some faults show under load only.
    */
-  List<UpstreamId> targets(List<Registration> upstreams, WarmUpstreams warm, long nowNs) {
+  List<UpstreamId> targets(List<Registration> upstreams, WarmUpTracker warm, long nowNs) {
     List<UpstreamId> ready = new ArrayList<>();
     for (Registration upstream : upstreams) {
       if (rollout.isTargetVersion(upstream.version()) && warm.isWarm(upstream, nowNs)) {
@@ -123,7 +123,7 @@
     }
     long old = upstreams.stream().filter(this::isOldAndReady).count();
     int wanted = (int) Math.max(1, Math.ceil(settings.limit().effectiveShare() * old));
-    int turn = (int) ((nowNs - beganNs) / TARGETS_FOR_NS);
+    int turn = (int) ((nowNs - beganNs) / TARGET_ROTATION_NS);
     List<UpstreamId> targets = new ArrayList<>();
     for (int i = 0; i < Math.min(wanted, ready.size()); i++) {
       targets.add(ready.get((turn * wanted + i) % ready.size()));
@@ -140,14 +140,14 @@
    * @param handedOver whether all VMs have the record, and nothing runs on the old upstreams
    * @param nowNs time
    */
-  Optional<Turn> turn(
+  Optional<PhaseTransition> turn(
       long logTimeMs,
       List<Registration> upstreams,
-      WarmUpstreams warm,
-      HandOverState handedOver,
+      WarmUpTracker warm,
+      TrafficShiftState handedOver,
       long nowNs) {
     if (verdict().isPresent()) {
-      return Optional.of(new Turn(RolloutPhase.ROLLED_BACK, verdict().get().reason()));
+      return Optional.of(new PhaseTransition(RolloutPhase.ROLLED_BACK, verdict().get().reason()));
     }
     double passed = rollout.elapsedFraction(logTimeMs);
     boolean roomy = hasPlaces(upstreams, warm, nowNs);
@@ -155,35 +155,35 @@
       return whileShifting(passed, roomy, handedOver);
     }
     boolean known = isLookedAtEnough();
-    if (passed >= SHIFT_FROM && passed < SHIFT_UNTIL && roomy && known) {
-      return Optional.of(new Turn(RolloutPhase.SHIFTING, RolloutReason.PROVEN));
+    if (passed >= SHIFT_START_RATIO && passed < SHIFT_END_RATIO && roomy && known) {
+      return Optional.of(new PhaseTransition(RolloutPhase.SHIFTING, RolloutReason.PROVEN));
     }
     if (passed >= 1) {
       RolloutReason why = roomy ? RolloutReason.UNPROVEN : RolloutReason.TOO_FEW_UPSTREAMS;
-      return Optional.of(new Turn(RolloutPhase.ROLLED_BACK, why));
+      return Optional.of(new PhaseTransition(RolloutPhase.ROLLED_BACK, why));
     }
     return Optional.empty();
   }
 
-  private static Optional<Turn> whileShifting(
-      double passed, boolean roomy, HandOverState handedOver) {
-    boolean finished = passed >= COMPLETE_FROM && handedOver == HandOverState.FINISHED;
-    boolean atLast = passed >= COMPLETE_AT_LAST && handedOver != HandOverState.UNTOLD;
+  private static Optional<PhaseTransition> whileShifting(
+      double passed, boolean roomy, TrafficShiftState handedOver) {
+    boolean finished = passed >= COMPLETE_START_RATIO && handedOver == TrafficShiftState.FINISHED;
+    boolean atLast = passed >= COMPLETE_FORCED_RATIO && handedOver != TrafficShiftState.PROPAGATING;
     if (finished || atLast || passed >= 1) {
       return Optional.of(
           roomy
-              ? new Turn(RolloutPhase.COMPLETED, RolloutReason.IN_FORCE)
-              : new Turn(RolloutPhase.ROLLED_BACK, RolloutReason.TOO_FEW_UPSTREAMS));
+              ? new PhaseTransition(RolloutPhase.COMPLETED, RolloutReason.IN_FORCE)
+              : new PhaseTransition(RolloutPhase.ROLLED_BACK, RolloutReason.TOO_FEW_UPSTREAMS));
     }
     return Optional.empty();
   }
 
   private boolean isLookedAtEnough() {
-    double wanted = Math.min(LEAST_LOOKS, LEAST_LOOKS_PART * ledger.reached());
-    return judge.targetAnswerCount() >= wanted && !judge.isSuspicious();
+    double wanted = Math.min(MIN_OBSERVATIONS, MIN_OBSERVATION_RATIO * budgetAllocator.reached());
+    return analyzer.targetAnswerCount() >= wanted && !analyzer.isSuspicious();
   }
 
-  private boolean hasPlaces(List<Registration> upstreams, WarmUpstreams warm, long nowNs) {
+  private boolean hasPlaces(List<Registration> upstreams, WarmUpTracker warm, long nowNs) {
     int ordered = 0;
     int old = 0;
     for (Registration upstream : upstreams) {
@@ -193,14 +193,14 @@
         old += upstream.slots();
       }
     }
-    return ordered > 0 && ordered >= LEAST_PLACES * old;
+    return ordered > 0 && ordered >= MIN_SLOT_RATIO * old;
   }
 
   /**
    * Tells whether an upstream of the ordered version may take any request. Once all turn to it, it
    * has been warm; a leader that has just begun has not heard of it yet.
    */
-  private boolean takesAll(Registration upstream, WarmUpstreams warm, long nowNs) {
+  private boolean takesAll(Registration upstream, WarmUpTracker warm, long nowNs) {
     boolean turned = rollout.phase() == RolloutPhase.SHIFTING;
     return turned ? upstream.phase() == RegistrationPhase.READY : warm.isWarm(upstream, nowNs);
   }
--- a/core/src/main/java/org/teaseltrail/core/control/ServingDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ServingCoordinator.java
@@ -30,38 +30,38 @@
  * Serves, on the leader, the entry VMs that place requests themselves: confirms their sessions,
  * pushes the plan and the registrations, and tells each what goes on elsewhere.
  */
-final class ServingDesk {
+final class ServingCoordinator {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /** Silence after which a VM no longer counts; a session's lifetime in the users' settings. */
-  private static final long VM_SILENT_NS = 3_000 * NS_PER_MS;
+  private static final long VM_TIMEOUT_NS = 3_000 * NS_PER_MS;
 
   /** Time after which a push that shows no effect is sent again: four syncs. */
-  private static final long PUSH_AGAIN_NS = 1_000 * NS_PER_MS;
+  private static final long PUSH_RETRY_NS = 1_000 * NS_PER_MS;
 
   /**
    * Silence after which an upstream is dropped: a dozen of the users' heartbeats of 1.2 s. Entry
    * VMs notice a dead one much sooner by its failures; one that only can't reach the control
    * members goes on serving meanwhile.
    */
-  private static final long UPSTREAM_SILENT_NS = 15_000 * NS_PER_MS;
+  private static final long UPSTREAM_TIMEOUT_NS = 15_000 * NS_PER_MS;
 
   /**
    * Part of what may pass a quota by mistake that is handed out to the VMs: as much more as each
    * has in hand, the fewer callers are refused while others don't use theirs. The rest is kept for
    * what a new leader can't know.
    */
-  private static final double HANDED_OUT_TOLERANCE = 0.7;
+  private static final double GRANTED_TOLERANCE_RATIO = 0.7;
 
-  private static final long CHECK_EVERY_NS = 1_000 * NS_PER_MS;
+  private static final long CHECK_INTERVAL_NS = 1_000 * NS_PER_MS;
 
   /**
    * Time after the beginning of a leadership in which nothing is told or handed out of upstreams'
    * places: a sync of each VM. Guards against engines that are filled twice when the leader
    * changes: the new one took the places of VMs it had not heard of yet for free.
    */
-  private static final long PLACES_SETTLE_NS = 300 * NS_PER_MS;
+  private static final long SLOTS_SETTLING_NS = 300 * NS_PER_MS;
 
   private static final class Vm {
     private ServingMessage.Sync sync;
@@ -79,7 +79,7 @@
 
     /** Tells whether a version must be sent, and takes it as sent then. */
     private boolean isDue(long held, long newest, long nowNs) {
-      boolean sentLately = version == newest && nowNs - atNs < PUSH_AGAIN_NS;
+      boolean sentLately = version == newest && nowNs - atNs < PUSH_RETRY_NS;
       if (held >= newest || sentLately) {
         return false;
       }
@@ -94,26 +94,26 @@
   private final Map<UpstreamId, Long> heartbeatsNs = new HashMap<>();
   private final Map<UpstreamId, Integer> inFlight = new HashMap<>();
   private final QuotaPolicy quotaBounds;
-  private final QuotaLedger quotas;
-  private final SlotDesk slots = new SlotDesk();
-  private final PlaceShares shares = new PlaceShares();
-  private final QuarantineDesk quarantine;
-  private final RolloutDesk rollouts;
-  private final LimitDesk limits;
+  private final QuotaAllocator quotas;
+  private final SlotAllocator slots = new SlotAllocator();
+  private final SlotShareAllocator shares = new SlotShareAllocator();
+  private final QuarantineCoordinator quarantine;
+  private final RolloutCoordinator rollouts;
+  private final RateLimitCoordinator limits;
   private final RandomGenerator random;
   private final long placesSettledNs;
   private Set<ServiceId> toldContended = Set.of();
   private long nextCheckNs;
 
-  ServingDesk(Leadership leadership) {
+  ServingCoordinator(Leadership leadership) {
     this.leadership = leadership;
     quotaBounds = leadership.context().settings().quotas();
-    quotas = new QuotaLedger(quotaBounds.windowMs(), VM_SILENT_NS, leadership.nowNs());
-    quarantine = new QuarantineDesk(leadership);
-    rollouts = new RolloutDesk(leadership, new VmsView());
-    limits = new LimitDesk(leadership);
+    quotas = new QuotaAllocator(quotaBounds.windowMs(), VM_TIMEOUT_NS, leadership.nowNs());
+    quarantine = new QuarantineCoordinator(leadership);
+    rollouts = new RolloutCoordinator(leadership, new VmsView());
+    limits = new RateLimitCoordinator(leadership);
     random = new SplittableRandom(leadership.context().settings().seed());
-    placesSettledNs = leadership.nowNs() + PLACES_SETTLE_NS;
+    placesSettledNs = leadership.nowNs() + SLOTS_SETTLING_NS;
   }
 
   void message(ServingMessage message) {
@@ -149,8 +149,8 @@
     vm.heardNs = leadership.nowNs();
     slots.heard(sync.vm(), sync.inFlight(), leadership.nowNs());
     shares.heard(sync.vm(), wanted(sync));
-    quotas.told(sync.vm(), sync.incarnation(), sync.quotas(), vm.heardNs);
-    limits.synced(sync);
+    quotas.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), vm.heardNs);
+    limits.onSync(sync);
     pushWhatIsMissing(sync.vm(), vm);
     leadership.sendServing(sync.vm(), confirmation(sync));
     handOutPlaces();
@@ -202,7 +202,7 @@
               .filter(this::isFree)
               .filter(upstream -> !limits.isLimited(upstream))
               .toList();
-      for (SlotDesk.Grant grant : slots.distribute(service, upstreams, leadership.nowNs())) {
+      for (SlotAllocator.Grant grant : slots.allocate(service, upstreams, leadership.nowNs())) {
         leadership.sendServing(
             grant.vm(),
             new ServingReply.SlotGrant(
@@ -234,24 +234,24 @@
   }
 
   /** Pushes what was just committed to all VMs. */
-  void changed() {
-    quarantine.decide();
-    rollouts.changed();
+  void onCommit() {
+    quarantine.refresh();
+    rollouts.onCommit();
     vms.forEach(this::pushWhatIsMissing);
   }
 
   /** Returns any VM that was heard of lately, another each time. */
-  Optional<VmId> anyVm() {
+  Optional<VmId> pickRandomVm() {
     return vms.isEmpty()
         ? Optional.empty()
         : vms.keySet().stream().skip(random.nextInt(vms.size())).findFirst();
   }
 
   /** Notes an upstream's heartbeat. */
-  void heartbeat(Registration heard) {
+  void onHeartbeat(Registration heard) {
     heartbeatsNs.put(heard.id(), leadership.nowNs());
-    rollouts.heartbeat(heard);
-    tellIf(quarantine.heartbeat(heard));
+    rollouts.onHeartbeat(heard);
+    tellIf(quarantine.onHeartbeat(heard));
   }
 
   void tick() {
@@ -261,18 +261,18 @@
     if (nowNs < nextCheckNs) {
       return;
     }
-    nextCheckNs = nowNs + CHECK_EVERY_NS;
+    nextCheckNs = nowNs + CHECK_INTERVAL_NS;
     vms.entrySet()
         .removeIf(
             entry -> {
-              boolean silent = nowNs - entry.getValue().heardNs > VM_SILENT_NS;
+              boolean silent = nowNs - entry.getValue().heardNs > VM_TIMEOUT_NS;
               if (silent) {
                 countInFlight(entry.getValue().sync, -1);
-                quotas.forget(entry.getKey(), nowNs);
-                slots.forget(entry.getKey());
-                shares.forget(entry.getKey());
-                rollouts.forget(entry.getKey());
-                limits.forget(entry.getKey());
+                quotas.removeVm(entry.getKey(), nowNs);
+                slots.removeVm(entry.getKey());
+                shares.removeVm(entry.getKey());
+                rollouts.removeVm(entry.getKey());
+                limits.removeVm(entry.getKey());
               }
               return silent;
             });
@@ -282,7 +282,7 @@
   }
 
   OptionalLong nextWakeupNs() {
-    return OptionalLong.of(Math.min(nextCheckNs, rollouts.nextDueNs().orElse(Long.MAX_VALUE)));
+    return OptionalLong.of(Math.min(nextCheckNs, rollouts.nextWakeupNs().orElse(Long.MAX_VALUE)));
   }
 
   private void dropSilentUpstreams(long nowNs) {
@@ -290,10 +290,10 @@
     heartbeatsNs.keySet().removeIf(id -> state().registry().find(id).isEmpty());
     for (Registration registration : present) {
       long heardNs = heartbeatsNs.computeIfAbsent(registration.id(), id -> nowNs);
-      if (nowNs - heardNs > UPSTREAM_SILENT_NS) {
+      if (nowNs - heardNs > UPSTREAM_TIMEOUT_NS) {
         heartbeatsNs.remove(registration.id());
         long logTimeMs = leadership.logTimeMs(nowNs);
-        leadership.proposeUnanswered(new Command.DropUpstream(registration.id(), logTimeMs));
+        leadership.proposeBestEffort(new Command.DropUpstream(registration.id(), logTimeMs));
       }
     }
   }
@@ -302,12 +302,12 @@
     long nowNs = leadership.nowNs();
     // Before what lets a VM serve: one that starts anew must not send what is held.
     if (vm.quarantine.isDue(vm.sync.quarantineRevision(), quarantine.revision(), nowNs)) {
-      leadership.sendServing(id, quarantine.update());
+      leadership.sendServing(id, quarantine.buildUpdate());
     }
     long rolloutRevision = state().rollouts().revision();
     boolean knowsRollouts = vm.sync.rolloutRevision() >= rolloutRevision;
     if (vm.rollouts.isDue(vm.sync.rolloutRevision(), rolloutRevision, nowNs)) {
-      leadership.sendServing(id, rollouts.update());
+      leadership.sendServing(id, rollouts.buildUpdate());
       knowsRollouts = true;
     }
     if (vm.plan.isDue(vm.sync.planVersion(), planVersion(), nowNs)) {
@@ -335,7 +335,7 @@
         memberVms(),
         knowsPlaces() ? places(sync.vm()) : UpstreamSlots.NONE,
         List.copyOf(contended()),
-        quotas.grants(sync.vm(), quotaLimits(), leadership.nowNs()));
+        quotas.allocate(sync.vm(), quotaLimits(), leadership.nowNs()));
   }
 
   private UpstreamSlots places(VmId asking) {
@@ -344,7 +344,7 @@
     return UpstreamSlots.of(
         state().registry().present(),
         elsewhere,
-        shares.of(asking, state().registry(), leadership.nowNs()));
+        shares.sharesOf(asking, state().registry(), leadership.nowNs()));
   }
 
   /** Returns what there is to hand out of each customer's quota. */
@@ -356,7 +356,7 @@
   }
 
   private QuotaLimit quotaLimit(PlanCustomer customer) {
-    double handedOut = HANDED_OUT_TOLERANCE * quotaBounds.tolerance(customer);
+    double handedOut = GRANTED_TOLERANCE_RATIO * quotaBounds.tolerance(customer);
     double kept = quotaBounds.tolerance(customer) - handedOut;
     return new QuotaLimit(
         quotaBounds.limit(customer) + handedOut,
@@ -366,7 +366,7 @@
   }
 
   private List<VmId> memberVms() {
-    return leadership.context().replicated().membership().all().map(Member::vm).distinct().toList();
+    return leadership.context().stateMachine().membership().all().map(Member::vm).distinct().toList();
   }
 
   private long planVersion() {
@@ -374,26 +374,26 @@
   }
 
   private ClusterState state() {
-    return leadership.context().replicated().state();
+    return leadership.context().stateMachine().state();
   }
 
   /** Tells those who carry rollouts out of the VMs. */
-  private final class VmsView implements RolloutDesk.EntryVmsView {
+  private final class VmsView implements RolloutCoordinator.EntryVmsView {
 
     @Override
-    public RolloutWatch.HandOverState handOver(ServiceId service) {
+    public RolloutMonitor.TrafficShiftState handOver(ServiceId service) {
       long revision = state().rollouts().revision();
       boolean untold = vms.values().stream().anyMatch(vm -> vm.sync.rolloutRevision() < revision);
       // Right after the beginning of a leadership most VMs have not told anything yet.
       if (untold || !knowsPlaces()) {
-        return RolloutWatch.HandOverState.UNTOLD;
+        return RolloutMonitor.TrafficShiftState.PROPAGATING;
       }
       boolean finishing =
           state().registry().present().stream()
               .filter(upstream -> upstream.service().equals(service))
               .filter(upstream -> useOf(upstream) == TrafficPolicy.NONE)
               .anyMatch(upstream -> inFlight(upstream.id()) > 0);
-      return finishing ? RolloutWatch.HandOverState.FINISHING : RolloutWatch.HandOverState.FINISHED;
+      return finishing ? RolloutMonitor.TrafficShiftState.FINISHING : RolloutMonitor.TrafficShiftState.FINISHED;
     }
 
     @Override
--- a/core/src/main/java/org/teaseltrail/core/control/SlotDesk.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotAllocator.java
@@ -31,20 +31,20 @@
  *
  * <p>A place that was handed out counts as taken until the VM has told what it did with it.
  */
-final class SlotDesk {
+final class SlotAllocator {
 
   /**
    * Time without a waiting request after which VMs place by themselves again; two of a VM's usual
    * syncs.
    */
-  private static final long CONTENDED_NS = 500_000_000L;
+  private static final long CONTENTION_TIMEOUT_NS = 500_000_000L;
 
   /**
    * Of so many places, one goes to a less urgent kind of request that waits. Guards against a kind
    * of request that is never served while there is more load than fits: the users want each kind to
    * get at least two fifths of what it is owed.
    */
-  private static final long OTHERS_TURN = 4;
+  private static final long LESS_URGENT_INTERVAL = 4;
 
   /**
    * Part of a service's places that one kind of request may hold before it gets no such turn.
@@ -52,7 +52,7 @@
    * it comes to hold most of them. With places held four times as long, a quarter of the grants is
    * more than half of the places.
    */
-  private static final double OTHERS_PART = 0.25;
+  private static final double LESS_URGENT_MAX_RATIO = 0.25;
 
   /**
    * Is a place handed out to a VM.
@@ -65,40 +65,40 @@
    */
   record Grant(VmId vm, long sequence, ServiceId service, UpstreamId upstream, Urgency urgency) {}
 
-  private static final Comparator<SlotVm.Candidate> MOST_URGENT_FIRST =
-      Comparator.comparing(SlotVm.Candidate::urgency)
-          .thenComparingLong(SlotVm.Candidate::waitsSinceNs);
+  private static final Comparator<EntryVmSlotState.Candidate> MOST_URGENT_FIRST =
+      Comparator.comparing(EntryVmSlotState.Candidate::urgency)
+          .thenComparingLong(EntryVmSlotState.Candidate::waitingSinceNs);
 
-  private static final Comparator<SlotVm.Candidate> LEAST_URGENT_FIRST =
-      Comparator.comparing(SlotVm.Candidate::urgency)
+  private static final Comparator<EntryVmSlotState.Candidate> LEAST_URGENT_FIRST =
+      Comparator.comparing(EntryVmSlotState.Candidate::urgency)
           .reversed()
-          .thenComparingLong(SlotVm.Candidate::waitsSinceNs);
+          .thenComparingLong(EntryVmSlotState.Candidate::waitingSinceNs);
 
-  private final Map<VmId, SlotVm> vms = new TreeMap<>(Comparator.comparing(VmId::value));
+  private final Map<VmId, EntryVmSlotState> vms = new TreeMap<>(Comparator.comparing(VmId::value));
   private final Map<ServiceId, Long> granted = new HashMap<>();
   private final Map<ServiceId, Long> contendedUntilNs = new HashMap<>();
 
   /** Takes what a VM has at each upstream. */
   void heard(VmId id, Map<UpstreamId, Integer> inFlight, long nowNs) {
-    vms.computeIfAbsent(id, SlotVm::new).heard(inFlight, nowNs);
+    vms.computeIfAbsent(id, EntryVmSlotState::new).heard(inFlight, nowNs);
   }
 
   /** Takes what waits at a VM. */
   void lines(ServingMessage.Lines message, long nowNs) {
-    vms.computeIfAbsent(message.vm(), SlotVm::new).told(message, nowNs);
+    vms.computeIfAbsent(message.vm(), EntryVmSlotState::new).recordReport(message, nowNs);
     for (QueueState line : message.lines()) {
-      contendedUntilNs.put(line.service(), nowNs + CONTENDED_NS);
+      contendedUntilNs.put(line.service(), nowNs + CONTENTION_TIMEOUT_NS);
     }
   }
 
   /** Returns how many requests wait at a VM for each service. */
   Map<ServiceId, Integer> waiting(VmId id) {
-    SlotVm vm = vms.get(id);
+    EntryVmSlotState vm = vms.get(id);
     return vm == null ? new HashMap<>() : vm.waiting();
   }
 
   /** Takes a VM out that has fallen silent. */
-  void forget(VmId id) {
+  void removeVm(VmId id) {
     vms.remove(id);
   }
 
@@ -116,22 +116,22 @@
    * @param nowNs time
    * @return a grant for each place
    */
-  List<Grant> distribute(ServiceId service, Collection<Registration> upstreams, long nowNs) {
-    vms.values().forEach(vm -> vm.forgetLostGrants(nowNs));
-    if (vms.values().stream().noneMatch(vm -> vm.hasLine(service))) {
+  List<Grant> allocate(ServiceId service, Collection<Registration> upstreams, long nowNs) {
+    vms.values().forEach(vm -> vm.removeLostGrants(nowNs));
+    if (vms.values().stream().noneMatch(vm -> vm.hasQueue(service))) {
       return List.of();
     }
-    PlaceTally tally = new PlaceTally(vms.values(), service);
+    SlotUsageTotals tally = new SlotUsageTotals(vms.values(), service);
     Map<UpstreamId, Integer> free = free(upstreams, tally);
     if (free.isEmpty()) {
       return List.of();
     }
     List<Grant> grants = new ArrayList<>();
     Set<VmId> passedOver = silent(nowNs);
-    double othersMost = OTHERS_PART * places(upstreams);
-    Optional<SlotVm.Candidate> next = next(service, othersMost, tally, passedOver);
+    double othersMost = LESS_URGENT_MAX_RATIO * places(upstreams);
+    Optional<EntryVmSlotState.Candidate> next = next(service, othersMost, tally, passedOver);
     while (next.isPresent() && !free.isEmpty()) {
-      SlotVm.Candidate candidate = next.get();
+      EntryVmSlotState.Candidate candidate = next.get();
       Optional<UpstreamId> place = emptiest(service, candidate.vm(), free, tally);
       if (place.isPresent()) {
         Grant grant = grant(candidate, service, place.get(), nowNs);
@@ -149,14 +149,14 @@
   private Set<VmId> silent(long nowNs) {
     return vms.values().stream()
         .filter(vm -> vm.isSilent(nowNs))
-        .map(SlotVm::id)
+        .map(EntryVmSlotState::id)
         .collect(Collectors.toCollection(HashSet::new));
   }
 
-  private Map<UpstreamId, Integer> free(Collection<Registration> upstreams, PlaceTally tally) {
+  private Map<UpstreamId, Integer> free(Collection<Registration> upstreams, SlotUsageTotals tally) {
     Map<UpstreamId, Integer> free = new HashMap<>();
     for (Registration upstream : upstreams) {
-      int places = upstream.slots() - tally.takenAt(upstream.id());
+      int places = upstream.slots() - tally.usedAt(upstream.id());
       if (upstream.phase() == RegistrationPhase.READY && places > 0) {
         free.put(upstream.id(), places);
       }
@@ -171,17 +171,17 @@
         .sum();
   }
 
-  private Optional<SlotVm.Candidate> next(
-      ServiceId service, double othersMost, PlaceTally tally, Set<VmId> passedOver) {
-    List<SlotVm.Candidate> candidates = new ArrayList<>();
+  private Optional<EntryVmSlotState.Candidate> next(
+      ServiceId service, double othersMost, SlotUsageTotals tally, Set<VmId> passedOver) {
+    List<EntryVmSlotState.Candidate> candidates = new ArrayList<>();
     vms.forEach(
         (id, vm) -> {
           if (!passedOver.contains(id)) {
             candidates.addAll(vm.candidates(service));
           }
         });
-    Optional<SlotVm.Candidate> first = candidates.stream().min(MOST_URGENT_FIRST);
-    boolean othersTurn = granted.getOrDefault(service, 0L) % OTHERS_TURN == OTHERS_TURN - 1;
+    Optional<EntryVmSlotState.Candidate> first = candidates.stream().min(MOST_URGENT_FIRST);
+    boolean othersTurn = granted.getOrDefault(service, 0L) % LESS_URGENT_INTERVAL == LESS_URGENT_INTERVAL - 1;
     if (!othersTurn || first.isEmpty()) {
       return first;
     }
@@ -192,26 +192,26 @@
    * Returns a candidate of the least urgent route among those that are like the first otherwise and
    * whose kind holds few places.
    */
-  private Optional<SlotVm.Candidate> lessUrgentKind(
-      double othersMost, PlaceTally tally, List<SlotVm.Candidate> candidates, Urgency first) {
+  private Optional<EntryVmSlotState.Candidate> lessUrgentKind(
+      double othersMost, SlotUsageTotals tally, List<EntryVmSlotState.Candidate> candidates, Urgency first) {
     return candidates.stream()
         .filter(each -> each.urgency().customerRank() == first.customerRank())
         .filter(each -> each.urgency().late() == first.late())
-        .filter(each -> tally.heldBy(each.urgency().routeRank()) < othersMost)
+        .filter(each -> tally.usedByKind(each.urgency().routeRank()) < othersMost)
         .min(LEAST_URGENT_FIRST);
   }
 
   private Optional<UpstreamId> emptiest(
-      ServiceId service, SlotVm vm, Map<UpstreamId, Integer> free, PlaceTally tally) {
+      ServiceId service, EntryVmSlotState vm, Map<UpstreamId, Integer> free, SlotUsageTotals tally) {
     return free.entrySet().stream()
-        .filter(entry -> vm.wants(service, entry.getKey()))
-        .filter(entry -> !vm.findsSlow(service, entry.getKey()) || !tally.readsAt(entry.getKey()))
+        .filter(entry -> vm.accepts(service, entry.getKey()))
+        .filter(entry -> !vm.isSlow(service, entry.getKey()) || !tally.hasUnreadPrompt(entry.getKey()))
         .max(Map.Entry.comparingByValue())
         .map(Map.Entry::getKey);
   }
 
   private Grant grant(
-      SlotVm.Candidate candidate, ServiceId service, UpstreamId upstream, long nowNs) {
+      EntryVmSlotState.Candidate candidate, ServiceId service, UpstreamId upstream, long nowNs) {
     granted.merge(service, 1L, Long::sum);
     return candidate.vm().grant(service, upstream, candidate.urgency(), nowNs);
   }
--- a/core/src/main/java/org/teaseltrail/core/control/PlaceShares.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotShareAllocator.java
@@ -25,16 +25,16 @@
  * place belongs to one VM only, so all of them together never pass an upstream's places, whichever
  * of them go on.
  */
-final class PlaceShares {
+final class SlotShareAllocator {
 
   /** Time between two deals: VMs that were told before and after one overlap for one sync only. */
-  private static final long DEAL_EVERY_NS = 1_000_000_000L;
+  private static final long REBALANCE_INTERVAL_NS = 1_000_000_000L;
 
   /** Weight of the newest count of what a VM wants: some eight syncs, two seconds, decide. */
-  private static final double WANT_WEIGHT = 0.125;
+  private static final double DEMAND_WEIGHT = 0.125;
 
   /** Part of a service's places that is dealt evenly: callers may turn to any VM at once. */
-  private static final double EVEN_PART = 0.2;
+  private static final double EVEN_RATIO = 0.2;
 
   private record Ticket(VmId vm, double position) {}
 
@@ -48,12 +48,12 @@
   /** Takes how many requests a VM has at each service, waiting ones among them. */
   void heard(VmId vm, Map<ServiceId, Integer> wanted) {
     Map<ServiceId, Double> known = wants.computeIfAbsent(vm, id -> new HashMap<>());
-    known.replaceAll((service, before) -> before * (1 - WANT_WEIGHT));
-    wanted.forEach((service, count) -> known.merge(service, WANT_WEIGHT * count, Double::sum));
+    known.replaceAll((service, before) -> before * (1 - DEMAND_WEIGHT));
+    wanted.forEach((service, count) -> known.merge(service, DEMAND_WEIGHT * count, Double::sum));
   }
 
   /** Takes a VM out that has fallen silent. */
-  void forget(VmId vm) {
+  void removeVm(VmId vm) {
     wants.remove(vm);
   }
 
@@ -65,9 +65,9 @@
    * @param nowNs time
    * @return places by upstream, those without any left out
    */
-  Map<UpstreamId, Integer> of(VmId vm, UpstreamRegistry registry, long nowNs) {
+  Map<UpstreamId, Integer> sharesOf(VmId vm, UpstreamRegistry registry, long nowNs) {
     boolean outdated = registry.revision() != dealtRevision || wants.size() != dealtVms;
-    if (outdated || nowNs - dealtNs >= DEAL_EVERY_NS || !parts.containsKey(vm)) {
+    if (outdated || nowNs - dealtNs >= REBALANCE_INTERVAL_NS || !parts.containsKey(vm)) {
       deal(registry.present());
       dealtNs = nowNs;
       dealtRevision = registry.revision();
@@ -126,7 +126,7 @@
     double owed = 0;
     for (Map.Entry<VmId, Map<ServiceId, Double>> entry : wants.entrySet()) {
       double wanted = entry.getValue().getOrDefault(service, 0.0);
-      double share = total > 0 ? EVEN_PART * even + (1 - EVEN_PART) * wanted / total : even;
+      double share = total > 0 ? EVEN_RATIO * even + (1 - EVEN_RATIO) * wanted / total : even;
       owed += share * places;
       long count = Math.max(1, Math.round(owed - dealt));
       dealt += count;
--- a/core/src/main/java/org/teaseltrail/core/control/PlaceTally.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotUsageTotals.java
@@ -15,33 +15,33 @@
  * to their lines, and asking each VM about each of a hundred upstreams every time keeps syncs,
  * quotas and operators waiting. It costs what there is in use, not VMs times upstreams.
  */
-final class PlaceTally {
+final class SlotUsageTotals {
 
   private final Map<UpstreamId, Integer> taken = new HashMap<>();
   private final Set<UpstreamId> reading = new HashSet<>();
   private final Map<Integer, Long> heldByRank = new HashMap<>();
 
   /** Adds up what the VMs hold; by kinds of requests only for one service. */
-  PlaceTally(Collection<SlotVm> vms, ServiceId service) {
-    vms.forEach(vm -> vm.addTo(this, service));
+  SlotUsageTotals(Collection<EntryVmSlotState> vms, ServiceId service) {
+    vms.forEach(vm -> vm.addUsageTo(this, service));
   }
 
   /** Counts places in use at an upstream. */
-  void inUse(UpstreamId upstream, int places) {
+  void addInUse(UpstreamId upstream, int places) {
     taken.merge(upstream, places, Integer::sum);
   }
 
   /** Counts a place that was handed out and not heard of yet. */
-  void granted(SlotDesk.Grant grant, ServiceId service) {
-    inUse(grant.upstream(), 1);
-    noteUnread(grant.upstream());
+  void granted(SlotAllocator.Grant grant, ServiceId service) {
+    addInUse(grant.upstream(), 1);
+    addUnread(grant.upstream());
     if (grant.service().equals(service)) {
       held(grant.urgency().routeRank(), 1);
     }
   }
 
   /** Notes that an upstream may have a prompt before it that it has not read. */
-  void noteUnread(UpstreamId upstream) {
+  void addUnread(UpstreamId upstream) {
     reading.add(upstream);
   }
 
@@ -51,17 +51,17 @@
   }
 
   /** Returns how many places of an upstream are in use or handed out. */
-  int takenAt(UpstreamId upstream) {
+  int usedAt(UpstreamId upstream) {
     return taken.getOrDefault(upstream, 0);
   }
 
   /** Tells whether an upstream may have a prompt before it that it has not read. */
-  boolean readsAt(UpstreamId upstream) {
+  boolean hasUnreadPrompt(UpstreamId upstream) {
     return reading.contains(upstream);
   }
 
   /** Returns how many places a kind of request holds or is granted. */
-  long heldBy(int routeRank) {
+  long usedByKind(int routeRank) {
     return heldByRank.getOrDefault(routeRank, 0L);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/TrackedRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/control/TrackedRequest.java
@@ -62,7 +62,7 @@
     upstream = Optional.of(where);
   }
 
-  void waitsAgain() {
+  void markWaiting() {
     upstream = Optional.empty();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaLine.java
+++ b/core/src/main/java/org/teaseltrail/core/control/VmQuotaAccount.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.quota.SlidingWindowSum;
 
 /** Is what one life of a VM holds of one customer's quota, as the leader counts it. */
-final class QuotaLine {
+final class VmQuotaAccount {
 
   /** What was taken, at the latest times at which it may have been. */
   private final SlidingWindowSum history;
@@ -14,20 +14,20 @@
 
   private double used;
   private double takenEver;
-  private double mayTake;
+  private double remainingAllowance;
   private double demandPerSecond;
   private double wanted;
-  private double othersMayGrow;
-  private long toldNs;
+  private double othersMaxGrowth;
+  private long reportedNs;
   private boolean ended;
 
   /** Creates the line of a VM that comes forward with what it has used. */
-  QuotaLine(long windowMs, QuotaReport first, long nowNs) {
+  VmQuotaAccount(long windowMs, QuotaReport first, long nowNs) {
     history = new SlidingWindowSum(windowMs);
     earliest = new SlidingWindowSum(windowMs);
     history.add(first.used(), nowNs);
     takenEver = first.takenEver();
-    told(first, nowNs);
+    recordReport(first, nowNs);
   }
 
   /**
@@ -35,42 +35,42 @@
    *
    * @return how much that is
    */
-  double told(QuotaReport use, long nowNs) {
+  double recordReport(QuotaReport use, long nowNs) {
     double taken = Math.max(0, use.takenEver() - takenEver);
     history.add(taken, nowNs);
-    earliest.add(taken, toldNs);
+    earliest.add(taken, reportedNs);
     used = use.used();
     takenEver = Math.max(takenEver, use.takenEver());
-    toldNs = nowNs;
-    mayTake = use.allowance();
+    reportedNs = nowNs;
+    remainingAllowance = use.allowance();
     demandPerSecond = use.demandPerSecond();
     wanted = use.wanted();
     return taken;
   }
 
   /** Allows an amount; until the VM tells again, it may go on with the one before. */
-  void allow(double allowance) {
-    mayTake = Math.max(mayTake, allowance);
+  void raiseAllowance(double allowance) {
+    remainingAllowance = Math.max(remainingAllowance, allowance);
   }
 
   /** Notes that the VM is told that the others may come to hold so much more. */
-  void tellOthersMayGrow(double amount) {
-    othersMayGrow = amount;
+  void setOthersMaxGrowth(double amount) {
+    othersMaxGrowth = amount;
   }
 
   /** Notes that another VM has come to hold more. */
-  void othersGrew(double amount) {
-    othersMayGrow = Math.max(0, othersMayGrow - amount);
+  void consumeOthersGrowth(double amount) {
+    othersMaxGrowth = Math.max(0, othersMaxGrowth - amount);
   }
 
   /** Returns how much more the others may hold by what the VM was told. */
-  double othersMayGrow() {
-    return othersMayGrow;
+  double othersMaxGrowth() {
+    return othersMaxGrowth;
   }
 
   /** Returns when the VM told last. */
-  long toldNs() {
-    return toldNs;
+  long reportedNs() {
+    return reportedNs;
   }
 
   /**
@@ -79,8 +79,8 @@
    */
   void end(long nowNs) {
     double leftWindow = Math.max(0, used - earliest.total(nowNs));
-    history.add(mayTake + leftWindow, nowNs);
-    mayTake = 0;
+    history.add(remainingAllowance + leftWindow, nowNs);
+    remainingAllowance = 0;
     ended = true;
   }
 
@@ -90,12 +90,12 @@
   }
 
   double held(long nowNs) {
-    return used(nowNs) + mayTake;
+    return used(nowNs) + remainingAllowance;
   }
 
   /** Returns what the VM may take yet. */
-  double mayTake() {
-    return mayTake;
+  double remainingAllowance() {
+    return remainingAllowance;
   }
 
   double demandPerSecond() {
@@ -106,7 +106,7 @@
     return wanted;
   }
 
-  long lastsNs(long nowNs) {
+  long timeUntilEmptyNs(long nowNs) {
     return history.timeUntilEmptyNs(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/WarmUpstreams.java
+++ b/core/src/main/java/org/teaseltrail/core/control/WarmUpTracker.java
@@ -12,7 +12,7 @@
  *
  * <p>Guards against a version that is taken for slow because its upstreams have just started.
  */
-final class WarmUpstreams {
+final class WarmUpTracker {
 
   private static final long NS_PER_MS = 1_000_000L;
 
--- a/core/src/test/java/org/teaseltrail/core/control/ClaimServiceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ClaimServiceTest.java
@@ -202,7 +202,7 @@
     leader.thaw();
     group.run(1_000);
     List<ControlAction> late = leader.actions().subList(before, leader.actions().size());
-    assertThat(late).noneMatch(ControlAction::isOutward);
+    assertThat(late).noneMatch(ControlAction::requiresLease);
   }
 
   /**
@@ -219,7 +219,7 @@
     leader.thaw();
     group.run(500);
     assertThat(leader.actions().subList(before, leader.actions().size()))
-        .noneMatch(ControlAction::isOutward)
+        .noneMatch(ControlAction::requiresLease)
         .anyMatch(ControlAction.SendNotLeader.class::isInstance);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/CutOffLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/CutOffLeaderTest.java
@@ -27,7 +27,7 @@
     int withoutLease = 0;
     for (int ms = 0; ms < 2_000; ms++) {
       group.run(1);
-      boolean leads = leader.control().leaseHolds(group.nowNs());
+      boolean leads = leader.control().isLeaseValid(group.nowNs());
       withoutLease += leads ? 0 : 1;
       if (!leads) {
         assertThat(leader.control().nextWakeupNs().getAsLong()).isGreaterThan(group.nowNs());
--- a/core/src/test/java/org/teaseltrail/core/control/FakeControl.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeControl.java
@@ -49,7 +49,7 @@
   }
 
   boolean isServing() {
-    return control != null && !frozen && serving && control.leaseHolds(group.nowNs());
+    return control != null && !frozen && serving && control.isLeaseValid(group.nowNs());
   }
 
   boolean isCut() {
@@ -133,7 +133,7 @@
     } else if (action instanceof ControlAction.EncodeSnapshot encode) {
       byte[] state = group.codec().encodeSnapshot(encode.snapshot());
       after(() -> new ControlEvent.SnapshotEncoded(encode.index(), state));
-    } else if (action instanceof ControlAction.SendPeer send) {
+    } else if (action instanceof ControlAction.SendToPeer send) {
       group.sendPeer(this, send.envelope());
     } else {
       actions.add(action);
--- a/core/src/test/java/org/teaseltrail/core/control/FakeControlGroup.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeControlGroup.java
@@ -204,13 +204,13 @@
   }
 
   void acted(FakeControl from, ControlAction action) {
-    if (action instanceof ControlAction.SendEntry send) {
-      assertThat(from.control().leaseHolds(nowNs)).isTrue();
+    if (action instanceof ControlAction.SendToEntryVm send) {
+      assertThat(from.control().isLeaseValid(nowNs)).isTrue();
       Listener entry = entryVms.get(send.vm());
       if (entry != null) {
         after(LATENCY_NS, () -> entry.received(from, send.message()));
       }
-    } else if (action instanceof ControlAction.SendServing send) {
+    } else if (action instanceof ControlAction.SendToServingVm send) {
       ServingListener entry = servingVms.get(send.vm());
       if (entry != null) {
         after(LATENCY_NS, () -> entry.received(send.reply()));
--- a/core/src/test/java/org/teaseltrail/core/control/MembershipKeeperTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/MembershipKeeperTest.java
@@ -26,7 +26,7 @@
         new ControlSettings(
             standard.sessions(),
             standard.claims(),
-            standard.claimExpiryEveryMs(),
+            standard.claimExpiryIntervalMs(),
             standard.placement(),
             standard.seed(),
             standard.quotas(),
@@ -124,8 +124,8 @@
   @Test
   void highestVersionCounts() {
     fiveMembers();
-    assertThat(install(9)).isInstanceOf(OperatorResult.ServingChanged.class);
-    assertThat(install(7)).isInstanceOf(OperatorResult.ServingChanged.class);
+    assertThat(install(9)).isInstanceOf(OperatorResult.PlatformRequestCompleted.class);
+    assertThat(install(7)).isInstanceOf(OperatorResult.PlatformRequestCompleted.class);
     assertThat(readVersion()).isEqualTo(9);
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
@@ -58,8 +58,8 @@
 
   private List<ServingReply> replies() {
     return leader.actions().stream()
-        .filter(ControlAction.SendServing.class::isInstance)
-        .map(action -> ((ControlAction.SendServing) action).reply())
+        .filter(ControlAction.SendToServingVm.class::isInstance)
+        .map(action -> ((ControlAction.SendToServingVm) action).reply())
         .toList();
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
@@ -49,7 +49,7 @@
 
   private final List<ForwardNode> nodes = new ArrayList<>();
   private final List<Registration> engines = new ArrayList<>();
-  private final PlaceShares shares = new PlaceShares();
+  private final SlotShareAllocator shares = new SlotShareAllocator();
   private final PriorityQueue<End> ends =
       new PriorityQueue<>((one, other) -> Long.compare(one.atMs(), other.atMs()));
   private final Map<UpstreamId, Integer> atEngines = new HashMap<>();
@@ -134,7 +134,7 @@
         VMS,
         List.of(ForwardSamples.MEMBER),
         UpstreamSlots.of(
-            registry().present(), elsewhere, shares.of(sync.vm(), registry(), ms * MS)),
+            registry().present(), elsewhere, shares.sharesOf(sync.vm(), registry(), ms * MS)),
         List.of(),
         List.of());
   }
@@ -203,7 +203,7 @@
     Map<VmId, Integer> dealt = new HashMap<>();
     Map<UpstreamId, Integer> byEngine = new HashMap<>();
     for (int i = 0; i < 3; i++) {
-      Map<UpstreamId, Integer> part = shares.of(vm(i), registry(), MS);
+      Map<UpstreamId, Integer> part = shares.sharesOf(vm(i), registry(), MS);
       dealt.put(vm(i), part.values().stream().mapToInt(Integer::intValue).sum());
       part.forEach((engine, places) -> byEngine.merge(engine, places, Integer::sum));
     }
--- a/core/src/test/java/org/teaseltrail/core/control/PlanAnswerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlanAnswerTest.java
@@ -56,7 +56,7 @@
   }
 
   private static boolean bringsPlan(ControlAction action) {
-    return action instanceof ControlAction.SendServing send
+    return action instanceof ControlAction.SendToServingVm send
         && send.reply() instanceof ServingReply.PlanUpdate;
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
@@ -71,8 +71,8 @@
     tell(
         new ServingMessage.Sync(vm, new Incarnation(1), sequence, 1, 1, 0, 0, Map.of(), List.of()));
     return leader.actions().stream()
-        .filter(ControlAction.SendServing.class::isInstance)
-        .map(action -> ((ControlAction.SendServing) action).reply())
+        .filter(ControlAction.SendToServingVm.class::isInstance)
+        .map(action -> ((ControlAction.SendToServingVm) action).reply())
         .filter(ServingReply.QuarantineUpdate.class::isInstance)
         .flatMap(update -> ((ServingReply.QuarantineUpdate) update).held().stream())
         .toList();
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
@@ -24,7 +24,7 @@
   static final int TOKENS = 1_100;
   private static final FencingNumber TERM = new FencingNumber(1);
 
-  QuotaLedger ledger = new QuotaLedger(8_000, 3_000, 0);
+  QuotaAllocator ledger = new QuotaAllocator(8_000, 3_000, 0);
   final List<ForwardNode> nodes = new ArrayList<>();
   FencingNumber term = TERM;
   double kept;
@@ -49,9 +49,9 @@
     for (ForwardAction action : node.tick(nowNs)) {
       if (action instanceof ForwardAction.SendControl send) {
         ServingMessage.Sync sync = (ServingMessage.Sync) send.message();
-        ledger.told(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
+        ledger.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
         List<QuotaGrant> grants =
-            ledger.grants(
+            ledger.allocate(
                 sync.vm(),
                 Map.of(TestPlans.CUSTOMER, new QuotaLimit(LIMIT, RATE, atOnce, kept)),
                 nowNs);
@@ -78,7 +78,7 @@
 
   void leaderChanges(long nowNs) {
     term = new FencingNumber(term.value() + 1);
-    ledger = new QuotaLedger(8_000, 3_000, nowNs);
+    ledger = new QuotaAllocator(8_000, 3_000, nowNs);
   }
 
   double ask(ForwardNode node, long nowNs) {
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
@@ -41,7 +41,7 @@
   private static final int[] LARGE = {700, 700, 700, 1_900, 1_900, 1_900, 6_700, 6_700, 45_000};
   private static final FencingNumber TERM = new FencingNumber(1);
 
-  private QuotaLedger ledger;
+  private QuotaAllocator ledger;
   private final List<ForwardNode> nodes = new ArrayList<>();
   private long asked;
   private long refused;
@@ -71,7 +71,7 @@
   }
 
   private void play(int[] sizes, long seed) {
-    ledger = new QuotaLedger(8_000, 3_000, 0);
+    ledger = new QuotaAllocator(8_000, 3_000, 0);
     nodes.clear();
     for (int i = 0; i < VMS; i++) {
       nodes.add(QuotaSamples.node(new VmId("entry-" + i), 1, RATE));
@@ -115,10 +115,10 @@
     for (ForwardAction action : actions) {
       if (action instanceof ForwardAction.SendControl send
           && send.message() instanceof ServingMessage.Sync sync) {
-        ledger.told(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
+        ledger.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
         QuotaLimit limit =
             new QuotaLimit(LIMIT + HANDED_OUT_TOLERANCE, RATE, RATE + HANDED_OUT_TOLERANCE, 50_000);
-        List<QuotaGrant> grants = ledger.grants(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
+        List<QuotaGrant> grants = ledger.allocate(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
         note(
             node.onControlMessage(
                 new ServingReply.Confirmed(
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
@@ -57,7 +57,7 @@
     private final SplittableRandom random;
     private final List<Vm> vms = new ArrayList<>();
     private final SlidingWindowSum used = new SlidingWindowSum(QuotaPolicy.DEFAULT.windowMs());
-    private QuotaLedger ledger = new QuotaLedger(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, 0);
+    private QuotaAllocator ledger = new QuotaAllocator(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, 0);
     private FencingNumber term = new FencingNumber(1);
     private long lastNumber;
     private double usedEver;
@@ -117,7 +117,7 @@
     private void changeLeader(long ms) {
       if (vms.stream().anyMatch(vm -> isSound(vm, ms))) {
         term = new FencingNumber(term.value() + 1);
-        ledger = new QuotaLedger(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, ms * MS);
+        ledger = new QuotaAllocator(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, ms * MS);
       }
     }
 
@@ -126,7 +126,7 @@
         return;
       }
       if (ms - vm.heardMs > SILENT_MS) {
-        ledger.forget(vmId(vm.number), ms * MS);
+        ledger.removeVm(vmId(vm.number), ms * MS);
       }
       take(vm.node.tick(ms * MS), vm, ms);
       int asks = ms < vm.pressesUntilMs ? 3 : random.nextInt(12) == 0 ? 1 : 0;
@@ -150,7 +150,7 @@
 
     private void sync(ServingMessage.Sync sync, Vm vm, long ms) {
       vm.heardMs = ms;
-      ledger.told(sync.vm(), sync.incarnation(), sync.quotas(), ms * MS);
+      ledger.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), ms * MS);
       ServingReply.Confirmed reply =
           new ServingReply.Confirmed(
               term,
@@ -161,7 +161,7 @@
               List.of(QuotaSamples.MEMBER),
               QuotaSamples.PLACES,
               List.of(),
-              ledger.grants(
+              ledger.allocate(
                   sync.vm(),
                   Map.of(TestPlans.CUSTOMER, new QuotaLimit(LIMIT, RATE, RATE, 0)),
                   ms * MS));
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutPushTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutPushTest.java
@@ -60,8 +60,8 @@
 
   private boolean pushed(Class<? extends ServingReply> type) {
     return leader.actions().stream()
-        .filter(ControlAction.SendServing.class::isInstance)
-        .map(action -> ((ControlAction.SendServing) action).reply())
+        .filter(ControlAction.SendToServingVm.class::isInstance)
+        .map(action -> ((ControlAction.SendToServingVm) action).reply())
         .anyMatch(type::isInstance);
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
@@ -74,7 +74,7 @@
   @Test
   void orderOutlivesLeaderAndLossOfPower() {
     RolloutRun run = small(BadVersion.GOOD);
-    assertThat(run.order()).isEqualTo(new OperatorResult.RolloutAnswered(RolloutOrderResult.ACCEPTED));
+    assertThat(run.order()).isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ACCEPTED));
     run.group().leader().kill();
     run.play(1_000, FEW_PER_SECOND);
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.RUNNING);
@@ -131,7 +131,7 @@
     run.play(2_000, FEW_PER_SECOND);
     OperatorResult answer =
         run.group().ask(run.group().leader(), new OperatorRequest.AbortRollout(TestPlans.ENGINES));
-    assertThat(answer).isEqualTo(new OperatorResult.RolloutAnswered(RolloutOrderResult.ACCEPTED));
+    assertThat(answer).isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ACCEPTED));
     assertThat(run.rollout().reason()).isEqualTo(RolloutReason.ABORTED);
     run.play(50, FEW_PER_SECOND);
     long lastMs = run.lastExposedMs();
@@ -162,7 +162,7 @@
     assertThat(read(run)).isEmpty();
     run.order();
     assertThat(run.orderAgain())
-        .isEqualTo(new OperatorResult.RolloutAnswered(RolloutOrderResult.ALREADY_RUNNING));
+        .isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ALREADY_RUNNING));
   }
 
   private static RolloutOrderResult answer(
@@ -170,7 +170,7 @@
     RolloutOrder order = new RolloutOrder(service, to, durationMs);
     OperatorResult result =
         run.group().ask(run.group().leader(), new OperatorRequest.StartRollout(order));
-    return ((OperatorResult.RolloutAnswered) result).answer();
+    return ((OperatorResult.RolloutOrderAnswered) result).answer();
   }
 
   private static Optional<Rollout> read(RolloutRun run) {
--- a/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
@@ -28,7 +28,7 @@
   private static final Urgency LESS = new Urgency(1, false, 2);
   private static final Registration ENGINE = engine("e1", RegistrationPhase.READY);
 
-  private final SlotDesk desk = new SlotDesk();
+  private final SlotAllocator desk = new SlotAllocator();
   private List<UpstreamId> slow = List.of();
   private Map<UpstreamId, Integer> unread = Map.of();
   private List<SlotUsage> held = List.of();
@@ -59,8 +59,8 @@
   }
 
   private List<VmId> granted(long nowMs, Registration... upstreams) {
-    return desk.distribute(TestPlans.ENGINES, List.of(upstreams), nowMs * MS).stream()
-        .map(SlotDesk.Grant::vm)
+    return desk.allocate(TestPlans.ENGINES, List.of(upstreams), nowMs * MS).stream()
+        .map(SlotAllocator.Grant::vm)
         .toList();
   }
 
@@ -218,7 +218,7 @@
               new SlotUsage(TestPlans.ENGINES, URGENT.routeRank(), urgentEndsMs.size()),
               new SlotUsage(TestPlans.ENGINES, LESS.routeRank(), longEndsMs.size()));
       tellBoth(seen, urgentEndsMs.size() + longEndsMs.size(), ms);
-      for (SlotDesk.Grant grant : desk.distribute(TestPlans.ENGINES, List.of(engine), ms * MS)) {
+      for (SlotAllocator.Grant grant : desk.allocate(TestPlans.ENGINES, List.of(engine), ms * MS)) {
         seen = grant.sequence();
         boolean isLong = grant.urgency().equals(LESS);
         (isLong ? longEndsMs : urgentEndsMs).add(ms + (isLong ? 1_200 : 300));
--- a/session/src/test/java/org/teaseltrail/session/ControlProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/ControlProcess.java
@@ -55,7 +55,7 @@
   }
 
   boolean leaseHolds() {
-    return isUp() && member.leaseHolds(localNs());
+    return isUp() && member.isLeaseValid(localNs());
   }
 
   Configuration configuration() {
@@ -145,11 +145,11 @@
   }
 
   private void carryOut(ControlAction action) {
-    if (action.isOutward()) {
+    if (action.requiresLease()) {
       outward.addLast(action);
     } else if (action instanceof ControlAction.Persist persist) {
       disk.write(persist.write());
-    } else if (action instanceof ControlAction.SendPeer send) {
+    } else if (action instanceof ControlAction.SendToPeer send) {
       ControlProcess to = world.member(send.envelope().to());
       world
           .network()
@@ -177,8 +177,8 @@
 
   /** Sends what waits for the lease, looking at it before each message. */
   private void flush() {
-    while (!outward.isEmpty() && member.leaseHolds(localNs())) {
-      ControlAction.SendEntry send = (ControlAction.SendEntry) outward.getFirst();
+    while (!outward.isEmpty() && member.isLeaseValid(localNs())) {
+      ControlAction.SendToEntryVm send = (ControlAction.SendToEntryVm) outward.getFirst();
       if (freezesAtGrant && send.message() instanceof ControlMessage.Grant) {
         freezesAtGrant = false;
         freeze();
