--- a/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitRegistry.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitRegistry.java
@@ -36,7 +36,7 @@
    * @param observedNs when the answer came
    * @return whether the limit in force is another one now
    */
-  public boolean record(UpstreamIncarnation upstream, RateLimit limit, long observedNs) {
+  public boolean recordObservation(UpstreamIncarnation upstream, RateLimit limit, long observedNs) {
     Entry known = entries.get(upstream);
     boolean nothingNew = known == null ? !limit.isLimited() : observedNs <= known.seenNs();
     if (nothingNew) {
--- a/core/src/main/java/org/teaseltrail/core/configuration/ValueValidator.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ValueValidator.java
@@ -28,7 +28,9 @@
     double burst = customer.burstRequests();
     boolean burstFits = Double.isFinite(burst) && burst >= (rate > 0 ? 1 : 0);
     return broken(customer.keyHashes().size() <= MAX_KEYS, ValueRule.KEY_COUNT)
-        .or(() -> broken(customer.keyHashes().stream().allMatch(ValueValidator::isHash), hashRule()))
+        .or(
+            () ->
+                broken(customer.keyHashes().stream().allMatch(ValueValidator::isHash), hashRule()))
         .or(() -> broken(Double.isFinite(rate) && rate >= 0, ValueRule.RATE))
         .or(() -> broken(burstFits, ValueRule.BURST))
         .or(() -> broken(isBetween(customer.weight(), 1, MAX_WEIGHT), ValueRule.WEIGHT));
--- a/core/src/main/java/org/teaseltrail/core/control/ActionBuffer.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ActionBuffer.java
@@ -93,7 +93,8 @@
     actions.add(new ControlAction.LogDecision(decision));
   }
 
-  void requestQuarantined(Fingerprint request, Optional<CustomerId> customer, int losses, int heldInAll) {
+  void requestQuarantined(
+      Fingerprint request, Optional<CustomerId> customer, int losses, int heldInAll) {
     actions.add(new ControlAction.RequestQuarantined(request, customer, losses, heldInAll));
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/ClaimCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ClaimCoordinator.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.core.control;
 
 import java.util.Optional;
-import org.teaseltrail.core.claim.ClaimStore;
 import org.teaseltrail.core.claim.ClaimKey;
 import org.teaseltrail.core.claim.ClaimRecord;
+import org.teaseltrail.core.claim.ClaimStore;
 import org.teaseltrail.core.claim.OpenClaimResult;
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.id.UpstreamId;
@@ -154,7 +154,8 @@
     RequestId request = ticket.request();
     if (result instanceof OpenClaimResult.Opened opened) {
       boolean granted =
-          leadership.deliver(ticket.pool(), request, new SchedulerEvent.ClaimGranted(request), nowNs);
+          leadership.deliver(
+              ticket.pool(), request, new SchedulerEvent.ClaimGranted(request), nowNs);
       if (!granted) {
         // The request was withdrawn or its VM lapsed while the claim was under way: it never ran,
         // and without this its key would stay taken until the claim's retention ends.
--- a/core/src/main/java/org/teaseltrail/core/control/ControlAction.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlAction.java
@@ -120,7 +120,8 @@
    * @param losses upstreams that were lost under it, 0 if another leader held it
    * @param quarantinedCount requests that are held now
    */
-  record RequestQuarantined(Fingerprint request, Optional<CustomerId> customer, int losses, int quarantinedCount)
+  record RequestQuarantined(
+      Fingerprint request, Optional<CustomerId> customer, int losses, int quarantinedCount)
       implements ControlAction {}
 
   /**
--- a/core/src/main/java/org/teaseltrail/core/control/ControlStatusBuilder.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlStatusBuilder.java
@@ -21,7 +21,8 @@
   private final ReplicatedStateMachine replicated;
   private final Optional<Leadership> leading;
 
-  ControlStatusBuilder(MemberId self, ReplicatedStateMachine replicated, Optional<Leadership> leading) {
+  ControlStatusBuilder(
+      MemberId self, ReplicatedStateMachine replicated, Optional<Leadership> leading) {
     this.self = self;
     this.replicated = replicated;
     this.leading = leading;
--- a/core/src/main/java/org/teaseltrail/core/control/EngineOrderDispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EngineOrderDispatcher.java
@@ -35,7 +35,8 @@
       reject(callId, OrderRejection.UNKNOWN_UPSTREAM);
       return;
     }
-    Optional<Announcement> engine = leadership.announcements().find(request.upstream(), leadership.nowNs());
+    Optional<Announcement> engine =
+        leadership.announcements().find(request.upstream(), leadership.nowNs());
     if (engine.isEmpty()) {
       reject(callId, OrderRejection.SILENT_UPSTREAM);
       return;
--- a/core/src/main/java/org/teaseltrail/core/control/EntryMessageHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryMessageHandler.java
@@ -86,7 +86,8 @@
   /** Ends the sessions whose time is over. */
   void expireSessions() {
     leadership.sessions().removeExpired(leadership.nowNs()).forEach(this::lapsed);
-    if (leadership.sessions().havePriorSessionsExpired(leadership.nowNs()) && awaited.remove(UNREPORTED_VMS)) {
+    if (leadership.sessions().havePriorSessionsExpired(leadership.nowNs())
+        && awaited.remove(UNREPORTED_VMS)) {
       broadcast(new SchedulerEvent.VmSessionExpired(UNREPORTED_VMS));
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/control/EntryVmSlotState.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryVmSlotState.java
@@ -9,9 +9,9 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.core.serving.SlotUsage;
 import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
+import org.teaseltrail.core.serving.SlotUsage;
 import org.teaseltrail.core.serving.Urgency;
 
 /** Is what the leader knows of one entry VM while it hands out places. */
@@ -133,7 +133,8 @@
   /** Gives the VM a place. */
   SlotAllocator.Grant grant(ServiceId service, UpstreamId upstream, Urgency urgency, long nowNs) {
     lastSequence++;
-    SlotAllocator.Grant grant = new SlotAllocator.Grant(id, lastSequence, service, upstream, urgency);
+    SlotAllocator.Grant grant =
+        new SlotAllocator.Grant(id, lastSequence, service, upstream, urgency);
     open.addLast(new Open(grant, nowNs));
     return grant;
   }
--- a/core/src/main/java/org/teaseltrail/core/control/Leadership.java
+++ b/core/src/main/java/org/teaseltrail/core/control/Leadership.java
@@ -57,7 +57,8 @@
     gate = new LeaseGate(() -> context.stateMachine().replica().leaseHolds(this.nowNs));
     clock = new LogClock(context.stateMachine().state().logTimeMs(), nowNs);
     sessions = new SessionRegistry(settings.sessions(), nowNs);
-    schedulers = new PoolSchedulers(context.schedulerFactory(), fencing, settings.seed(), this::carryOut);
+    schedulers =
+        new PoolSchedulers(context.schedulerFactory(), fencing, settings.seed(), this::carryOut);
     claimCoordinator = new ClaimCoordinator(this);
     entryHandler = new EntryMessageHandler(this);
     inForceTracker = new InForceTracker(context.actions(), sessions);
@@ -70,7 +71,8 @@
             .repair()
             .map(
                 repair ->
-                    new MembershipReconciler(repair, context.stateMachine(), context.self(), nowNs));
+                    new MembershipReconciler(
+                        repair, context.stateMachine(), context.self(), nowNs));
   }
 
   /** Begins to serve: the schedulers learn the configuration and may not shed yet. */
@@ -112,7 +114,9 @@
         () -> {
           Configuration configuration = configuration();
           announcements.retain(configuration);
-          sessions.selectPushTargets(configuration.revision(), nowNs).forEach(vm -> sendConfiguration(vm));
+          sessions
+              .selectPushTargets(configuration.revision(), nowNs)
+              .forEach(vm -> sendConfiguration(vm));
           schedulers.configure(configuration, nowNs);
         });
   }
@@ -222,7 +226,9 @@
             placement.nextWakeupNs(),
             claimExpiry.nextWakeupNs(),
             servingCoordinator.nextWakeupNs(),
-            membershipReconciler.map(MembershipReconciler::nextWakeupNs).orElse(OptionalLong.empty()))
+            membershipReconciler
+                .map(MembershipReconciler::nextWakeupNs)
+                .orElse(OptionalLong.empty()))
         .flatMapToLong(OptionalLong::stream)
         .min();
   }
--- a/core/src/main/java/org/teaseltrail/core/control/MembershipReconciler.java
+++ b/core/src/main/java/org/teaseltrail/core/control/MembershipReconciler.java
@@ -47,7 +47,8 @@
   private long nextCheckNs;
   private boolean proposed;
 
-  MembershipReconciler(RepairSettings settings, ReplicatedStateMachine replicated, MemberId self, long nowNs) {
+  MembershipReconciler(
+      RepairSettings settings, ReplicatedStateMachine replicated, MemberId self, long nowNs) {
     this.settings = settings;
     this.replicated = replicated;
     this.self = self;
--- a/core/src/main/java/org/teaseltrail/core/control/OtherVmsQuotaSummary.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OtherVmsQuotaSummary.java
@@ -14,7 +14,11 @@
  * @param recentReporters those of them that have told lately
  */
 record OtherVmsQuotaSummary(
-    double used, double held, double remainingAllowance, double demandPerSecond, List<VmQuotaAccount> recentReporters) {
+    double used,
+    double held,
+    double remainingAllowance,
+    double demandPerSecond,
+    List<VmQuotaAccount> recentReporters) {
 
   /**
    * VMs at least whose accounts of the others must hold, all where there are fewer: of eight, one
@@ -46,7 +50,8 @@
     if (recentReporters.isEmpty()) {
       return limit;
     }
-    double[] accounts = recentReporters.stream().mapToDouble(VmQuotaAccount::othersMaxGrowth).sorted().toArray();
+    double[] accounts =
+        recentReporters.stream().mapToDouble(VmQuotaAccount::othersMaxGrowth).sorted().toArray();
     int needed = Math.max(MIN_REPORTERS, accounts.length / REPORTERS_DIVISOR);
     return accounts[Math.max(0, accounts.length - needed)];
   }
--- a/core/src/main/java/org/teaseltrail/core/control/PlacementPlanner.java
+++ b/core/src/main/java/org/teaseltrail/core/control/PlacementPlanner.java
@@ -37,7 +37,8 @@
   private long nextLoadAtNs = Long.MIN_VALUE;
   private boolean wants;
 
-  PlacementPlanner(PlacementSettings settings, AnnouncementCache fleet, EngineOrderDispatcher orders) {
+  PlacementPlanner(
+      PlacementSettings settings, AnnouncementCache fleet, EngineOrderDispatcher orders) {
     this.settings = settings;
     this.fleet = fleet;
     this.orders = orders;
--- a/core/src/main/java/org/teaseltrail/core/control/QuarantineCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuarantineCoordinator.java
@@ -9,8 +9,8 @@
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.quarantine.Fingerprint;
-import org.teaseltrail.core.quarantine.HeldRequestStore;
 import org.teaseltrail.core.quarantine.HeldRequest;
+import org.teaseltrail.core.quarantine.HeldRequestStore;
 import org.teaseltrail.core.quarantine.Loss;
 import org.teaseltrail.core.quarantine.LossTracker;
 import org.teaseltrail.core.registry.Registration;
@@ -103,7 +103,8 @@
    */
   boolean onHeartbeat(Registration heard) {
     beatsNs.put(heard.upstreamIncarnation(), leadership.nowNs());
-    boolean known = losses.alive(heard.upstreamIncarnation(), leadership.nowNs() - HEARTBEAT_DELAY_NS);
+    boolean known =
+        losses.alive(heard.upstreamIncarnation(), leadership.nowNs() - HEARTBEAT_DELAY_NS);
     return known && refresh();
   }
 
@@ -112,7 +113,8 @@
     long nowNs = leadership.nowNs();
     losses.removeExpired(nowNs);
     beatsNs.values().removeIf(atNs -> nowNs - atNs > LOSS_RETENTION_MS * NS_PER_MS);
-    for (Map.Entry<Fingerprint, Optional<CustomerId>> one : losses.findRequestsToHold().entrySet()) {
+    for (Map.Entry<Fingerprint, Optional<CustomerId>> one :
+        losses.findRequestsToHold().entrySet()) {
       boolean settled = nowNs - losses.newestLossNs(one.getKey()) >= COMMIT_DELAY_NS;
       if (settled && !heldBook().contains(one.getKey())) {
         long logTimeMs = leadership.logTimeMs(nowNs);
@@ -177,7 +179,9 @@
   private void tryIfDue(HeldRequest one) {
     long logTimeMs = leadership.logTimeMs(leadership.nowNs());
     Optional<VmId> vm =
-        one.isTrialDue(logTimeMs) ? leadership.servingCoordinator().pickRandomVm() : Optional.empty();
+        one.isTrialDue(logTimeMs)
+            ? leadership.servingCoordinator().pickRandomVm()
+            : Optional.empty();
     vm.ifPresent(
         chosen ->
             leadership.proposeThen(
@@ -186,7 +190,8 @@
   }
 
   private void allow(VmId vm, Fingerprint request) {
-    leadership.sendServing(vm, new ServingReply.Trial(leadership.fencing(), request, TRIAL_VALIDITY_MS));
+    leadership.sendServing(
+        vm, new ServingReply.Trial(leadership.fencing(), request, TRIAL_VALIDITY_MS));
   }
 
   /** Lets go what was held long enough, and what was seen to harm nobody. */
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaAllocator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaAllocator.java
@@ -193,7 +193,8 @@
   private double leftNow(CustomerId customer, QuotaLimit quota, double leftInWindow, long nowNs) {
     return buckets
         .computeIfAbsent(
-            customer, id -> new QuotaTokenBucket(Math.min(quota.burstCapacity(), leftInWindow), nowNs))
+            customer,
+            id -> new QuotaTokenBucket(Math.min(quota.burstCapacity(), leftInWindow), nowNs))
         .level(quota.perSecond(), quota.burstCapacity(), nowNs);
   }
 
@@ -211,7 +212,8 @@
             id -> new VmQuotaAccount(windowMs, new QuotaReport(id, 0, 0, 0, 0, 0, 0, 0, 0), nowNs));
   }
 
-  private static void allow(VmQuotaAccount line, OtherVmsQuotaSummary others, double allowance, long nowNs) {
+  private static void allow(
+      VmQuotaAccount line, OtherVmsQuotaSummary others, double allowance, long nowNs) {
     double heldBefore = line.held(nowNs);
     line.raiseAllowance(allowance);
     double growth = line.held(nowNs) - heldBefore;
--- a/core/src/main/java/org/teaseltrail/core/control/RateLimitCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RateLimitCoordinator.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.teaseltrail.core.backpressure.RateLimitRegistry;
-import org.teaseltrail.core.backpressure.RateLimitObservation;
 import org.teaseltrail.core.backpressure.PermitBucket;
+import org.teaseltrail.core.backpressure.RateLimitObservation;
+import org.teaseltrail.core.backpressure.RateLimitRegistry;
 import org.teaseltrail.core.backpressure.SendPermit;
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.ServiceId;
@@ -103,7 +103,8 @@
     for (RateLimitObservation sighting : sightings) {
       UpstreamIncarnation upstream = sighting.upstream();
       final boolean wasLimited = book.limit(upstream).isLimited();
-      book.record(upstream, sighting.limit(), leadership.nowNs() - sighting.agoMs() * NS_PER_MS);
+      book.recordObservation(
+          upstream, sighting.limit(), leadership.nowNs() - sighting.agoMs() * NS_PER_MS);
       changed |= wasLimited != book.limit(upstream).isLimited();
     }
     revision += changed ? 1 : 0;
@@ -135,7 +136,8 @@
 
   /** Forgets limits of upstreams that are gone. */
   void retain(Collection<Registration> present) {
-    Set<UpstreamIncarnation> lives = present.stream().map(Registration::upstreamIncarnation).collect(Collectors.toSet());
+    Set<UpstreamIncarnation> lives =
+        present.stream().map(Registration::upstreamIncarnation).collect(Collectors.toSet());
     book.removeStale(lives, leadership.nowNs());
     buckets.keySet().removeIf(upstream -> !book.limit(upstream).isLimited());
   }
@@ -146,15 +148,14 @@
         .map(other -> other.getValue().get(wanted.service()))
         .anyMatch(
             other ->
-                other != null && nowNs <= other.untilNs() && other.wanted().hasPriorityOver(wanted));
+                other != null
+                    && nowNs <= other.untilNs()
+                    && other.wanted().hasPriorityOver(wanted));
   }
 
   /** Returns how many of the wanted permits were not given. */
   private int give(
-      PermitDemand wanted,
-      Collection<Registration> upstreams,
-      List<SendPermit> given,
-      long nowNs) {
+      PermitDemand wanted, Collection<Registration> upstreams, List<SendPermit> given, long nowNs) {
     int left = wanted.requests();
     for (Registration upstream : upstreams) {
       boolean fits =
--- a/core/src/main/java/org/teaseltrail/core/control/RepairSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RepairSettings.java
@@ -4,8 +4,8 @@
  * Sets how a control group forms and repairs itself.
  *
  * @param targetVoters voters that the group wants; twice the members that may be lost, and one
- * @param voterTimeoutMs silence after which a voter gives its place to a learner that has caught up, in
- *     milliseconds
+ * @param voterTimeoutMs silence after which a voter gives its place to a learner that has caught
+ *     up, in milliseconds
  * @param learnerTimeoutMs silence after which a learner is taken out, in milliseconds
  */
 public record RepairSettings(int targetVoters, long voterTimeoutMs, long learnerTimeoutMs) {
--- a/core/src/main/java/org/teaseltrail/core/control/RolloutCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutCoordinator.java
@@ -69,7 +69,8 @@
     }
     leadership.sendServing(
         told.vm(),
-        new ServingReply.CanaryLoans(leadership.fencing(), told.sequence(), ALLOWANCE_VALIDITY_MS, loans));
+        new ServingReply.CanaryLoans(
+            leadership.fencing(), told.sequence(), ALLOWANCE_VALIDITY_MS, loans));
   }
 
   /** Takes what was just committed. */
@@ -82,7 +83,8 @@
         leadership
             .context()
             .actions()
-            .rolloutPhaseChanged(rollout, watch == null ? Optional.empty() : watch.analyzer().verdict());
+            .rolloutPhaseChanged(
+                rollout, watch == null ? Optional.empty() : watch.analyzer().verdict());
       }
     }
     open.values().removeIf(watch -> !current(watch).phase().isOpen());
@@ -142,10 +144,13 @@
         .filter(watch -> watch.rollout().orderedMs() == use.orderedMs());
   }
 
-  private CanaryAllowance answer(ServingMessage.Rollouts told, RolloutReport use, RolloutMonitor watch) {
+  private CanaryAllowance answer(
+      ServingMessage.Rollouts told, RolloutReport use, RolloutMonitor watch) {
     watch.budgetAllocator().recordReport(told.vm(), told.incarnation(), use);
     long heard =
-        watch.analyzer().recordReport(told.vm(), told.incarnation(), use.firstNumber(), use.observations());
+        watch
+            .analyzer()
+            .recordReport(told.vm(), told.incarnation(), use.firstNumber(), use.observations());
     Rollout rollout = watch.rollout();
     boolean lends = rollout.phase() == RolloutPhase.RUNNING && watch.verdict().isEmpty();
     List<UpstreamId> targets =
@@ -155,7 +160,8 @@
       writeAhead(watch);
       ceiling = watch.budgetAllocator().allocate(told.vm(), freePlaces(targets));
     }
-    return new CanaryAllowance(rollout.order().service(), rollout.orderedMs(), ceiling, targets, heard);
+    return new CanaryAllowance(
+        rollout.order().service(), rollout.orderedMs(), ceiling, targets, heard);
   }
 
   /** Guards against a canary that is slow because its few upstreams were given too much at once. */
--- a/core/src/main/java/org/teaseltrail/core/control/RolloutMonitor.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutMonitor.java
@@ -6,14 +6,14 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.rollout.ExposureCounters;
+import org.teaseltrail.core.rollout.CanaryAnalyzer;
 import org.teaseltrail.core.rollout.CanaryBudgetAllocator;
+import org.teaseltrail.core.rollout.ExposureCounters;
 import org.teaseltrail.core.rollout.Rollout;
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.core.rollout.RolloutReason;
 import org.teaseltrail.core.rollout.RolloutSettings;
 import org.teaseltrail.core.rollout.Verdict;
-import org.teaseltrail.core.rollout.CanaryAnalyzer;
 
 /** Watches, on the leader, one rollout that has not ended: whom to lend to, and when it turns. */
 final class RolloutMonitor {
@@ -206,6 +206,7 @@
   }
 
   private boolean isOldAndReady(Registration upstream) {
-    return upstream.phase() == RegistrationPhase.READY && rollout.isPreviousVersion(upstream.version());
+    return upstream.phase() == RegistrationPhase.READY
+        && rollout.isPreviousVersion(upstream.version());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ServingCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ServingCoordinator.java
@@ -366,7 +366,14 @@
   }
 
   private List<VmId> memberVms() {
-    return leadership.context().stateMachine().membership().all().map(Member::vm).distinct().toList();
+    return leadership
+        .context()
+        .stateMachine()
+        .membership()
+        .all()
+        .map(Member::vm)
+        .distinct()
+        .toList();
   }
 
   private long planVersion() {
@@ -393,7 +400,9 @@
               .filter(upstream -> upstream.service().equals(service))
               .filter(upstream -> useOf(upstream) == TrafficPolicy.NONE)
               .anyMatch(upstream -> inFlight(upstream.id()) > 0);
-      return finishing ? RolloutMonitor.TrafficShiftState.FINISHING : RolloutMonitor.TrafficShiftState.FINISHED;
+      return finishing
+          ? RolloutMonitor.TrafficShiftState.FINISHING
+          : RolloutMonitor.TrafficShiftState.FINISHED;
     }
 
     @Override
--- a/core/src/main/java/org/teaseltrail/core/control/SlotAllocator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotAllocator.java
@@ -181,7 +181,8 @@
           }
         });
     Optional<EntryVmSlotState.Candidate> first = candidates.stream().min(MOST_URGENT_FIRST);
-    boolean othersTurn = granted.getOrDefault(service, 0L) % LESS_URGENT_INTERVAL == LESS_URGENT_INTERVAL - 1;
+    boolean othersTurn =
+        granted.getOrDefault(service, 0L) % LESS_URGENT_INTERVAL == LESS_URGENT_INTERVAL - 1;
     if (!othersTurn || first.isEmpty()) {
       return first;
     }
@@ -193,7 +194,10 @@
    * whose kind holds few places.
    */
   private Optional<EntryVmSlotState.Candidate> lessUrgentKind(
-      double othersMost, SlotUsageTotals tally, List<EntryVmSlotState.Candidate> candidates, Urgency first) {
+      double othersMost,
+      SlotUsageTotals tally,
+      List<EntryVmSlotState.Candidate> candidates,
+      Urgency first) {
     return candidates.stream()
         .filter(each -> each.urgency().customerRank() == first.customerRank())
         .filter(each -> each.urgency().late() == first.late())
@@ -202,10 +206,14 @@
   }
 
   private Optional<UpstreamId> emptiest(
-      ServiceId service, EntryVmSlotState vm, Map<UpstreamId, Integer> free, SlotUsageTotals tally) {
+      ServiceId service,
+      EntryVmSlotState vm,
+      Map<UpstreamId, Integer> free,
+      SlotUsageTotals tally) {
     return free.entrySet().stream()
         .filter(entry -> vm.accepts(service, entry.getKey()))
-        .filter(entry -> !vm.isSlow(service, entry.getKey()) || !tally.hasUnreadPrompt(entry.getKey()))
+        .filter(
+            entry -> !vm.isSlow(service, entry.getKey()) || !tally.hasUnreadPrompt(entry.getKey()))
         .max(Map.Entry.comparingByValue())
         .map(Map.Entry::getKey);
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlMessageHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlMessageHandler.java
@@ -58,7 +58,8 @@
     parts.upstreams.validAnnouncements(nowNs).forEach(parts.session::sendToLeader);
     parts.requests.all().forEach(request -> reportOne(request, nowNs));
     parts.endedReports.resendAll();
-    parts.session.sendToLeader(new EntryMessage.ReportsComplete(parts.settings.vm(), welcome.fencing()));
+    parts.session.sendToLeader(
+        new EntryMessage.ReportsComplete(parts.settings.vm(), welcome.fencing()));
     link.reported(welcome.fencing(), parts.session.helloSequence());
     parts.actions.log(
         EntryDecisionKind.SESSION,
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlSession.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlSession.java
@@ -182,7 +182,8 @@
 
   /** Sends a message to the leader; without a connection to one it is left out. */
   void sendToLeader(EntryMessage message) {
-    leaderConnection().ifPresent(link -> out.add(new EntryAction.SendControl(link.member(), message)));
+    leaderConnection()
+        .ifPresent(link -> out.add(new EntryAction.SendControl(link.member(), message)));
   }
 
   OptionalLong nextHelloNs() {
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
@@ -159,7 +159,8 @@
   }
 
   private void cacheChanged(EntryEvent.CacheEventReceived heard) {
-    UpstreamVerdict verdict = parts.upstreams.authorize(heard.event().upstream(), heard.secretHash());
+    UpstreamVerdict verdict =
+        parts.upstreams.authorize(heard.event().upstream(), heard.secretHash());
     parts.actions.add(new EntryAction.AnswerUpstream(heard.exchange(), verdict));
     if (verdict == UpstreamVerdict.ACCEPTED) {
       parts.session.sendToLeader(new EntryMessage.CacheSeen(heard.event()));
--- a/core/src/main/java/org/teaseltrail/core/entry/RequestCloser.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/RequestCloser.java
@@ -36,7 +36,8 @@
 
   void completed(Request request, Usage usage, long nowNs) {
     int outputTokens = usage.outputTokens();
-    parts.estimator.recordAnswer(request.ticket().customer(), request.ticket().route(), outputTokens);
+    parts.estimator.recordAnswer(
+        request.ticket().customer(), request.ticket().route(), outputTokens);
     ended(request, EndKind.COMPLETED, usage, new Outcome.Completed(usage), nowNs);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/AdmissionController.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/AdmissionController.java
@@ -71,7 +71,10 @@
   private boolean hadSession;
 
   AdmissionController(
-      RandomGenerator random, ControlClient ties, QuotaAdmissionFilter quotaGate, Consumer<ForwardAction> out) {
+      RandomGenerator random,
+      ControlClient ties,
+      QuotaAdmissionFilter quotaGate,
+      Consumer<ForwardAction> out) {
     this.random = random;
     this.ties = ties;
     this.quotaGate = quotaGate;
--- a/core/src/main/java/org/teaseltrail/core/forward/BackpressureHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/BackpressureHandler.java
@@ -23,7 +23,8 @@
    * @param nowNs time
    * @return whether it is another one than this VM knew
    */
-  public boolean limit(UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
+  public boolean limit(
+      UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
     return limits.recordRateLimit(upstream, limit, dispatchedNs, nowNs);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/LocalQuotaTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LocalQuotaTracker.java
@@ -10,8 +10,8 @@
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.plan.PlanCustomer;
 import org.teaseltrail.core.plan.ServingPlan;
-import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaGrant;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.serving.ServingReply;
 
@@ -102,7 +102,9 @@
   /** Sets aside what a request that is to be admitted counts for. */
   QuotaReservation reserve(PlanCustomer customer, ForwardRequest request) {
     QuotaWindow window = windows.get(customer.id());
-    return window == null ? QuotaReservation.NONE : QuotaReservation.of(window, amount(customer, request));
+    return window == null
+        ? QuotaReservation.NONE
+        : QuotaReservation.of(window, amount(customer, request));
   }
 
   /** Returns when a refused request may be within the quota, in milliseconds. */
@@ -132,7 +134,9 @@
       usedBefore.pollFirstEntry();
     }
     boolean remembers = !grants.isEmpty() && nowNs - grantedNs < memoryNs;
-    return windows.values().stream().map(window -> window.createReport(mayTake, remembers, nowNs)).toList();
+    return windows.values().stream()
+        .map(window -> window.createReport(mayTake, remembers, nowNs))
+        .toList();
   }
 
   private QuotaWindow window(CustomerId id) {
--- a/core/src/main/java/org/teaseltrail/core/forward/QueueLengthLimiter.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QueueLengthLimiter.java
@@ -52,7 +52,9 @@
     if (waiting.size() <= LEAST_LINE) {
       return Optional.empty();
     }
-    return waiting.leastUrgent().filter(last -> waiting.size() > pace(nowNs) * last.maxQueueWaitS());
+    return waiting
+        .leastUrgent()
+        .filter(last -> waiting.size() > pace(nowNs) * last.maxQueueWaitS());
   }
 
   /** Returns when a caller may come back for which the line is too long, in milliseconds. */
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaAdmissionFilter.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaAdmissionFilter.java
@@ -17,7 +17,11 @@
   private final Consumer<ForwardAction> out;
   private final QuotaWaitQueue shortOfQuota = new QuotaWaitQueue();
 
-  QuotaAdmissionFilter(LocalQuotaTracker quotas, RequestCoordinator requests, ControlClient ties, Consumer<ForwardAction> out) {
+  QuotaAdmissionFilter(
+      LocalQuotaTracker quotas,
+      RequestCoordinator requests,
+      ControlClient ties,
+      Consumer<ForwardAction> out) {
     this.quotas = quotas;
     this.requests = requests;
     this.ties = ties;
@@ -95,7 +99,8 @@
   }
 
   private void refuse(ActiveRequest request, long nowNs) {
-    long waitMs = quotas.retryAfterMs(request.quotaCustomer().orElseThrow(), request.request(), nowNs);
+    long waitMs =
+        quotas.retryAfterMs(request.quotaCustomer().orElseThrow(), request.request(), nowNs);
     out.accept(ForwardAction.Refuse.of(request, RefusalReason.OVER_QUOTA, waitMs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
@@ -1,8 +1,8 @@
 package org.teaseltrail.core.forward;
 
 import org.teaseltrail.core.id.CustomerId;
-import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaGrant;
+import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.quota.SlidingWindowSum;
 
--- a/core/src/main/java/org/teaseltrail/core/forward/RateLimitClient.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RateLimitClient.java
@@ -8,9 +8,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.teaseltrail.core.backpressure.RateLimitRegistry;
-import org.teaseltrail.core.backpressure.RateLimitObservation;
 import org.teaseltrail.core.backpressure.RateLimit;
+import org.teaseltrail.core.backpressure.RateLimitObservation;
+import org.teaseltrail.core.backpressure.RateLimitRegistry;
 import org.teaseltrail.core.backpressure.SendPermit;
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.ServiceId;
@@ -61,7 +61,8 @@
    * answers that pass each other, or are read late and in any order after a freeze: one from before
    * the need would let all VMs send freely.
    */
-  boolean recordRateLimit(UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
+  boolean recordRateLimit(
+      UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
     if (!limit.isLimited() && dispatchedNs <= book.observedNs(upstream)) {
       return false;
     }
@@ -95,12 +96,14 @@
     if (book.isEmpty()) {
       return Optional.empty();
     }
-    book.removeStale(upstreams.incarnations(), nowNs).forEach(gone -> upstreams.setLimited(gone, false));
+    book.removeStale(upstreams.incarnations(), nowNs)
+        .forEach(gone -> upstreams.setLimited(gone, false));
     newsUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
     boolean all = !leadership.equals(toldTo) || nowNs - allToldNs > TELL_AGAIN_NS;
     allToldNs = all ? nowNs : allToldNs;
     toldTo = leadership;
-    List<RateLimitObservation> told = book.sightings(life -> all || newsUntilNs.containsKey(life), nowNs);
+    List<RateLimitObservation> told =
+        book.sightings(life -> all || newsUntilNs.containsKey(life), nowNs);
     List<PermitDemand> wanted = wanted(lines, nowNs);
     if (told.isEmpty() && wanted.isEmpty()) {
       return Optional.empty();
@@ -111,7 +114,7 @@
   }
 
   private boolean note(UpstreamIncarnation upstream, RateLimit limit, long seenNs) {
-    boolean changed = book.record(upstream, limit, seenNs);
+    boolean changed = book.recordObservation(upstream, limit, seenNs);
     if (changed) {
       upstreams.setLimited(upstream, limit.isLimited());
     }
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestCoordinator.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 import org.teaseltrail.core.id.ServiceId;
-import org.teaseltrail.core.serving.SlotUsage;
 import org.teaseltrail.core.serving.ServingReply;
+import org.teaseltrail.core.serving.SlotUsage;
 
 /**
  * Looks after the requests that were admitted: places them, lets them wait, repeats them where that
@@ -66,7 +66,8 @@
 
   /** Refuses a request that upstreams must not get; returns whether it is one. */
   boolean refuseIfQuarantined(ActiveRequest request, long nowNs) {
-    boolean held = quarantine.isQuarantined(request, nowNs) && !quarantine.useTrialPermit(request, nowNs);
+    boolean held =
+        quarantine.isQuarantined(request, nowNs) && !quarantine.useTrialPermit(request, nowNs);
     if (held) {
       refuse(request, RefusalReason.QUARANTINED, QuarantineTracker.RETRY_AFTER_MS);
     }
@@ -81,7 +82,11 @@
   void abortQuarantined(long nowNs) {
     for (ActiveRequest request : List.copyOf(tracked.values())) {
       if (!request.hasResponseStarted() && quarantine.isQuarantined(request, nowNs)) {
-        giveUp(request, RefusalReason.QUARANTINED, RefusalReason.BROKEN, QuarantineTracker.RETRY_AFTER_MS);
+        giveUp(
+            request,
+            RefusalReason.QUARANTINED,
+            RefusalReason.BROKEN,
+            QuarantineTracker.RETRY_AFTER_MS);
       }
     }
   }
@@ -101,7 +106,8 @@
   boolean admitToSpareCapacity(ActiveRequest request, long nowNs) {
     tracked.put(request.number(), request);
     boolean taken =
-        !lines.hasQueuedAhead(request.service(), nowNs) && placer.tryDispatchToSpareCapacity(request, nowNs);
+        !lines.hasQueuedAhead(request.service(), nowNs)
+            && placer.tryDispatchToSpareCapacity(request, nowNs);
     if (taken) {
       repeats.recordRequest(request.service(), nowNs);
     } else {
@@ -116,7 +122,8 @@
     if (request == null || request.currentUpstream().isEmpty()) {
       return;
     }
-    gate.recordOutcome(request, end, end == AttemptOutcome.BROKEN && quarantine.isSuspect(request), nowNs);
+    gate.recordOutcome(
+        request, end, end == AttemptOutcome.BROKEN && quarantine.isSuspect(request), nowNs);
     noteForQuarantine(request, end, nowNs);
     BackpressureState asked = request.currentUpstream().get().backpressure();
     if (end.isAnswer()) {
@@ -137,7 +144,9 @@
 
   private void noteForQuarantine(ActiveRequest request, AttemptOutcome end, long nowNs) {
     switch (end) {
-      case BROKEN -> quarantine.recordLoss(request, request.currentUpstream().get().registration().upstreamIncarnation(), nowNs);
+      case BROKEN ->
+          quarantine.recordLoss(
+              request, request.currentUpstream().get().registration().upstreamIncarnation(), nowNs);
       case ANSWERED, FAILED_ANSWER -> quarantine.recordCompleted(request, nowNs);
       default -> {
         // It didn't run there, so it tells nothing.
@@ -150,7 +159,9 @@
     ActiveRequest request = tracked.get(number);
     if (request != null) {
       gate.recordResponseStarted(request, nowNs);
-      request.currentUpstream().ifPresent(view -> view.backpressure().recordAccepted(request.sentNs()));
+      request
+          .currentUpstream()
+          .ifPresent(view -> view.backpressure().recordAccepted(request.sentNs()));
       request.markResponseStarted();
       changes++;
       due.schedule(request);
@@ -235,7 +246,11 @@
       request.currentUpstream().ifPresent(view -> view.eject(nowNs));
       gate.recordTimeout(request);
     }
-    giveUp(request, RefusalReason.WAITED_TOO_LONG, RefusalReason.TIMED_OUT, QueueLengthLimiter.NO_SLOT_RETRY_MS);
+    giveUp(
+        request,
+        RefusalReason.WAITED_TOO_LONG,
+        RefusalReason.TIMED_OUT,
+        QueueLengthLimiter.NO_SLOT_RETRY_MS);
   }
 
   /** Ends a request wherever it is, by whether it may have run. */
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestDispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestDispatcher.java
@@ -76,7 +76,8 @@
 
   /** Places a request at the upstream that was granted for it, if it may go there. */
   boolean tryDispatchTo(ActiveRequest request, UpstreamState view, long nowNs) {
-    boolean accepted = placement.canDispatchTo(request, gate.routableUpstreams(request.service()), view, nowNs);
+    boolean accepted =
+        placement.canDispatchTo(request, gate.routableUpstreams(request.service()), view, nowNs);
     if (accepted) {
       dispatch(request, view, nowNs);
     }
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestQueues.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestQueues.java
@@ -19,7 +19,10 @@
   private final Map<ServiceId, RequestQueue> lines = new HashMap<>();
 
   RequestQueues(
-      SlotGrantTracker slots, LoadBalancingPolicy placement, VersionRouter gate, Predicate<ServiceId> isEngine) {
+      SlotGrantTracker slots,
+      LoadBalancingPolicy placement,
+      VersionRouter gate,
+      Predicate<ServiceId> isEngine) {
     this.slots = slots;
     this.placement = placement;
     this.gate = gate;
--- a/core/src/main/java/org/teaseltrail/core/forward/RetryPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RetryPolicy.java
@@ -21,7 +21,10 @@
   private int vmCount = 1;
 
   RetryPolicy(
-      ForwardSettings settings, LoadBalancingPolicy placement, VersionRouter gate, QuarantineTracker quarantine) {
+      ForwardSettings settings,
+      LoadBalancingPolicy placement,
+      VersionRouter gate,
+      QuarantineTracker quarantine) {
     this.settings = settings;
     this.placement = placement;
     this.gate = gate;
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamState.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamState.java
@@ -193,7 +193,10 @@
 
   /** Takes the time that a part of an answer took. */
   void recordEventLatency(double elapsedMs, long nowNs) {
-    eventLatencyMs = eventLatencyMs == 0 ? elapsedMs : eventLatencyMs + PACE_WEIGHT * (elapsedMs - eventLatencyMs);
+    eventLatencyMs =
+        eventLatencyMs == 0
+            ? elapsedMs
+            : eventLatencyMs + PACE_WEIGHT * (elapsedMs - eventLatencyMs);
     pacedNs = nowNs;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamTracker.java
@@ -52,8 +52,12 @@
     newer.forEach(
         (id, registration) -> {
           UpstreamState view = views.get(id);
-          if (view == null || !view.registration().upstreamIncarnation().equals(registration.upstreamIncarnation())) {
-            view = new UpstreamState(registration, backpressure(registration.upstreamIncarnation()));
+          if (view == null
+              || !view.registration()
+                  .upstreamIncarnation()
+                  .equals(registration.upstreamIncarnation())) {
+            view =
+                new UpstreamState(registration, backpressure(registration.upstreamIncarnation()));
             views.put(id, view);
           }
           view.update(registration);
@@ -122,7 +126,9 @@
 
   /** Returns the lives of all registered upstreams. */
   Set<UpstreamIncarnation> incarnations() {
-    return inOrder.stream().map(view -> view.registration().upstreamIncarnation()).collect(Collectors.toSet());
+    return inOrder.stream()
+        .map(view -> view.registration().upstreamIncarnation())
+        .collect(Collectors.toSet());
   }
 
   /** Returns the registered upstreams that have named limits. */
--- a/core/src/main/java/org/teaseltrail/core/rollout/CanaryBudgetAllocator.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryBudgetAllocator.java
@@ -122,7 +122,8 @@
    */
   public ExposureCounters wanted() {
     long allowed = limit.allowedRequests(reached());
-    boolean enough = updateCommitted.lent() - spent() >= LOGGED_AHEAD / 2 || allowed <= updateCommitted.lent();
+    boolean enough =
+        updateCommitted.lent() - spent() >= LOGGED_AHEAD / 2 || allowed <= updateCommitted.lent();
     if (enough) {
       return updateCommitted;
     }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutStore.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutStore.java
@@ -32,7 +32,8 @@
    * @param logTimeMs log time
    * @return what became of it
    */
-  public RolloutOrderResult order(RolloutOrder order, List<UpstreamVersion> inForce, long logTimeMs) {
+  public RolloutOrderResult order(
+      RolloutOrder order, List<UpstreamVersion> inForce, long logTimeMs) {
     Rollout newest = rollouts.get(order.service());
     if (newest != null && newest.phase().isOpen()) {
       return RolloutOrderResult.ALREADY_RUNNING;
--- a/core/src/main/java/org/teaseltrail/core/rollout/SymptomMonitor.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/SymptomMonitor.java
@@ -94,7 +94,8 @@
     return meters.values().stream().anyMatch(ChangeDetector::isSuspicious);
   }
 
-  private Optional<Verdict> weighed(Optional<RouteId> route, AnswerCounts ordered, AnswerCounts before) {
+  private Optional<Verdict> weighed(
+      Optional<RouteId> route, AnswerCounts ordered, AnswerCounts before) {
     ChangeDetector meter = meters.computeIfAbsent(route, key -> new ChangeDetector());
     double tolerated = TOLERATED_TIMES * before.share() + symptom.toleratedShare();
     meter.update(ordered, Math.min(MOST_TOLERATED, tolerated));
--- a/core/src/main/java/org/teaseltrail/core/schedule/FinishTimeEstimator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/FinishTimeEstimator.java
@@ -35,7 +35,8 @@
    * Returns whether an upstream that starts a ticket now is expected to finish it before the
    * caller's deadline. Guards against engine time spent on an answer that no one waits for.
    */
-  boolean canMeetDeadline(TrackedTicket ticket, TrackedUpstream upstream, int cachedTokens, long nowNs) {
+  boolean canMeetDeadline(
+      TrackedTicket ticket, TrackedUpstream upstream, int cachedTokens, long nowNs) {
     if (ticket.deadlineNs() == TrackedTicket.NO_DEADLINE) {
       return true;
     }
--- a/core/src/main/java/org/teaseltrail/core/schedule/GrantCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/GrantCoordinator.java
@@ -27,7 +27,8 @@
   private final TicketAdmissionController admissionController;
   private final InFlightRequestReaper reaper;
 
-  GrantCoordinator(PoolState state, TicketAdmissionController intake, InFlightRequestReaper expiry) {
+  GrantCoordinator(
+      PoolState state, TicketAdmissionController intake, InFlightRequestReaper expiry) {
     this.state = state;
     this.admissionController = intake;
     this.reaper = expiry;
@@ -51,7 +52,8 @@
   }
 
   private void sendGrant(TrackedTicket ticket, InFlightRequest part, String reason) {
-    Invariant.check(!state.ticketRegistry().hasEnded(ticket.request()), InvariantName.NO_GRANT_AFTER_END);
+    Invariant.check(
+        !state.ticketRegistry().hasEnded(ticket.request()), InvariantName.NO_GRANT_AFTER_END);
     ticket.granted();
     state.output().grant(part, reason);
   }
@@ -99,7 +101,10 @@
     // Guards against a repeated decline that would undo a later grant to the same upstream: it
     // would show as a request granted twice. A decline of another upstream's grant is ignored.
     boolean noSession = declined.reason() == DeclineReason.NO_SESSION;
-    part.trackedTicket().avoid(part.upstreamId(), nowNs + (noSession ? NO_SESSION_AVOIDANCE_NS : DECLINED_AVOIDANCE_NS));
+    part.trackedTicket()
+        .avoid(
+            part.upstreamId(),
+            nowNs + (noSession ? NO_SESSION_AVOIDANCE_NS : DECLINED_AVOIDANCE_NS));
     requeue(part, nowNs, "declined=" + declined.reason());
     switch (declined.reason()) {
       case UNKNOWN_REQUEST -> dropWaiting(part.trackedTicket(), nowNs);
--- a/core/src/main/java/org/teaseltrail/core/schedule/InFlightRequestReaper.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/InFlightRequestReaper.java
@@ -15,7 +15,8 @@
 final class InFlightRequestReaper {
 
   private final PoolState state;
-  private final PriorityQueue<ScheduledExpiry> expiries = new PriorityQueue<>(Comparator.comparingLong(ScheduledExpiry::dueNs));
+  private final PriorityQueue<ScheduledExpiry> expiries =
+      new PriorityQueue<>(Comparator.comparingLong(ScheduledExpiry::dueNs));
 
   InFlightRequestReaper(PoolState state) {
     this.state = state;
--- a/core/src/main/java/org/teaseltrail/core/schedule/LoadShedder.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/LoadShedder.java
@@ -90,7 +90,8 @@
   private void checkOrder(TrackedTicket ticket) {
     Invariant.check(vmReports.hasAllReports(), InvariantName.NO_SHED_BEFORE_REPORTS);
     for (TierQueue tier : state.queue().tiers()) {
-      boolean lowerIsKept = ticket.queuePosition().tier().isHigherThan(tier.tier()) && !tier.isEmpty();
+      boolean lowerIsKept =
+          ticket.queuePosition().tier().isHigherThan(tier.tier()) && !tier.isEmpty();
       Invariant.check(!lowerIsKept, InvariantName.TIER_ORDER_AT_SHED);
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PlacementResult.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PlacementResult.java
@@ -6,8 +6,8 @@
  * Is the outcome of the search for an upstream.
  *
  * @param placement the placement, or null if the ticket can't start now
- * @param upstreamToReserve the upstream that is to drain for the ticket, because the ticket is too long for
- *     what room there is; null if there is none
+ * @param upstreamToReserve the upstream that is to drain for the ticket, because the ticket is too
+ *     long for what room there is; null if there is none
  */
 record PlacementResult(Placement placement, TrackedUpstream upstreamToReserve) {
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/PlacementSearch.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PlacementSearch.java
@@ -17,7 +17,8 @@
   private TrackedUpstream fullUpstream;
   private double fullUpstreamCostMs = Double.MAX_VALUE;
 
-  PlacementSearch(TrackedTicket ticket, TrackedUpstream reserved, FinishTimeEstimator finish, long nowNs) {
+  PlacementSearch(
+      TrackedTicket ticket, TrackedUpstream reserved, FinishTimeEstimator finish, long nowNs) {
     this.ticket = ticket;
     this.reserved = reserved;
     this.finishTimes = finish;
--- a/core/src/main/java/org/teaseltrail/core/schedule/PoolScheduler.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PoolScheduler.java
@@ -71,7 +71,8 @@
   public OptionalLong nextWakeupNs() {
     long wakeupNs = Long.MAX_VALUE;
     if (state.queue().count() > 0) {
-      wakeupNs = Math.min(lastNowNs + TICK_NS, deadlineEnforcer.nextDeadlineNs().orElse(Long.MAX_VALUE));
+      wakeupNs =
+          Math.min(lastNowNs + TICK_NS, deadlineEnforcer.nextDeadlineNs().orElse(Long.MAX_VALUE));
     }
     wakeupNs = Math.min(wakeupNs, reaper.nextExpiryNs().orElse(Long.MAX_VALUE));
     if (state.fleet().inFlightCount() > 0) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/PoolState.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PoolState.java
@@ -12,8 +12,8 @@
 import org.teaseltrail.core.schedule.queue.TierQueue;
 import org.teaseltrail.core.schedule.queue.WaitingQueue;
 import org.teaseltrail.core.schedule.ticket.Nanos;
-import org.teaseltrail.core.schedule.ticket.TicketRegistry;
 import org.teaseltrail.core.schedule.ticket.TicketEstimator;
+import org.teaseltrail.core.schedule.ticket.TicketRegistry;
 
 /** Holds the aggregates of one pool, which the parts of its scheduler share. */
 final class PoolState {
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerSettings.java
@@ -9,16 +9,19 @@
  * @param parts the parts of the policy that are on
  * @param prefillBoundMs prefill that may be in process on one engine at once, in milliseconds of
  *     its time; what a quick answer may be stalled by
- * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in milliseconds;
- *     the operators' target at the two-year size
- * @param prefillCostFactor what a millisecond of prefill counts for in the choice of an upstream: it
- *     stalls the whole batch, so more than one of decoding
+ * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in
+ *     milliseconds; the operators' target at the two-year size
+ * @param prefillCostFactor what a millisecond of prefill counts for in the choice of an upstream:
+ *     it stalls the whole batch, so more than one of decoding
  * @param maxHoldMs how long a request is held at most for the engine that holds its prefix
  * @param probeIntervalMs time between two probes of an engine that gets only probes
- * @param noUpstreamTimeoutMs how long no upstream must have served before waiting requests are refused
+ * @param noUpstreamTimeoutMs how long no upstream must have served before waiting requests are
+ *     refused
  * @param reviewIntervalMs time between two judgements of the upstreams' speeds
- * @param endedRetentionMs how long an ended request is remembered, so that late messages are harmless
- * @param expiredSessionRetentionMs how long work in flight is kept in the account after its VM lapsed
+ * @param endedRetentionMs how long an ended request is remembered, so that late messages are
+ *     harmless
+ * @param expiredSessionRetentionMs how long work in flight is kept in the account after its VM
+ *     lapsed
  * @param silentRequestTimeoutMs how long work in flight is kept of which nothing is heard
  */
 public record SchedulerSettings(
--- a/core/src/main/java/org/teaseltrail/core/schedule/TicketAdmissionController.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/TicketAdmissionController.java
@@ -142,7 +142,9 @@
    */
   private void resendLostGrant(TrackedTicket known, long nowNs) {
     Optional<InFlightRequest> part = state.fleet().find(known.request());
-    if (known.phase() == TicketPhase.GRANTED && part.isPresent() && !part.get().isDispatchConfirmed()) {
+    if (known.phase() == TicketPhase.GRANTED
+        && part.isPresent()
+        && !part.get().isDispatchConfirmed()) {
       part.get().onOfferedAgain(nowNs);
       sendOrRecall(part.get(), nowNs);
     }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/FleetPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/FleetPolicy.java
@@ -8,7 +8,8 @@
  * @param detectStragglers whether slow upstreams get less
  * @param prefixAffinity whether prefix caches are modelled
  * @param prefillBoundMs prefill that may be in process on one engine, in milliseconds of its time
- * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in milliseconds
+ * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in
+ *     milliseconds
  */
 public record FleetPolicy(
     boolean tokenWindow,
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightRequest.java
@@ -27,7 +27,8 @@
   private long heardNs;
   private long vmSessionExpiredNs = VM_SESSION_VALID;
 
-  InFlightRequest(TrackedTicket tracked, TrackedUpstream upstream, int cachedTokens, long grantedNs) {
+  InFlightRequest(
+      TrackedTicket tracked, TrackedUpstream upstream, int cachedTokens, long grantedNs) {
     this.trackedTicket = tracked;
     this.upstream = upstream;
     this.announcement = upstream.announcement();
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightTracker.java
@@ -102,7 +102,9 @@
     long footprint = parts.stream().mapToLong(InFlightRequest::footprintTokens).sum();
     long prefill = withoutFirstToken.stream().mapToLong(InFlightRequest::prefillTokens).sum();
     Invariant.check(
-        footprint == footprintTokens && prefill == prefillTokens && parts.containsAll(withoutFirstToken),
+        footprint == footprintTokens
+            && prefill == prefillTokens
+            && parts.containsAll(withoutFirstToken),
         InvariantName.IN_FLIGHT_ACCOUNT_BALANCES);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedMeter.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedMeter.java
@@ -54,7 +54,8 @@
 
   /** Takes the time from a dispatch to the end. */
   void recordServiceTime(double sampleMs) {
-    serviceTimeMs = serviceTimeMs == 0 ? sampleMs : serviceTimeMs + PREFILL_GAIN * (sampleMs - serviceTimeMs);
+    serviceTimeMs =
+        serviceTimeMs == 0 ? sampleMs : serviceTimeMs + PREFILL_GAIN * (sampleMs - serviceTimeMs);
   }
 
   int decodeSamples() {
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedStateChange.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedStateChange.java
@@ -10,4 +10,5 @@
  * @param after how it is judged
  * @param ratio its time per token against the pool's median; zero if silence decided
  */
-public record SpeedStateChange(UpstreamId upstream, SpeedState before, SpeedState after, double ratio) {}
+public record SpeedStateChange(
+    UpstreamId upstream, SpeedState before, SpeedState after, double ratio) {}
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
@@ -157,7 +157,9 @@
     typicalSpeed = MedianSpeedCalculator.calculate(accounts.values());
     accounts.values().forEach(a -> a.setTypicalSpeed(typicalSpeed));
     countServing(nowNs);
-    return policy.detectStragglers() ? stragglerDetector.review(accounts.values(), nowNs) : List.of();
+    return policy.detectStragglers()
+        ? stragglerDetector.review(accounts.values(), nowNs)
+        : List.of();
   }
 
   /**
@@ -185,7 +187,8 @@
     return add(ticket, account(upstream), 0, grantedNs);
   }
 
-  private InFlightRequest add(TrackedTicket ticket, TrackedUpstream upstream, int cached, long nowNs) {
+  private InFlightRequest add(
+      TrackedTicket ticket, TrackedUpstream upstream, int cached, long nowNs) {
     Invariant.check(!inFlight.containsKey(ticket.request()), InvariantName.ONE_GRANT_PER_TICKET);
     InFlightRequest part = upstream.add(ticket, cached, nowNs);
     inFlight.put(ticket.request(), part);
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketEstimator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketEstimator.java
@@ -82,7 +82,12 @@
     double decodeMs = output * speed.stepMs();
     double engineUs = prefillUs + output * speed.decodeUs();
     return toEstimate(
-        ticket, nowNs, engineUs, output, prefillUs / US_PER_MS + decodeMs, decodeMs * BEST_CASE_RATIO);
+        ticket,
+        nowNs,
+        engineUs,
+        output,
+        prefillUs / US_PER_MS + decodeMs,
+        decodeMs * BEST_CASE_RATIO);
   }
 
   private double outputRatio(CustomerId customer) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TrackedTicket.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TrackedTicket.java
@@ -40,7 +40,12 @@
    * @param place where it stands in the queue
    */
   public TrackedTicket(
-      Ticket ticket, VmId vm, long order, long nowNs, TicketEstimate estimate, QueuePosition place) {
+      Ticket ticket,
+      VmId vm,
+      long order,
+      long nowNs,
+      TicketEstimate estimate,
+      QueuePosition place) {
     this.ticket = ticket;
     this.vm = vm;
     this.order = order;
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
@@ -95,7 +95,8 @@
    * @param sightings what the upstreams said; now and then all that is known
    * @param wanted what the VM could send, for each service
    */
-  record Limits(VmId vm, long sequence, List<RateLimitObservation> sightings, List<PermitDemand> wanted)
+  record Limits(
+      VmId vm, long sequence, List<RateLimitObservation> sightings, List<PermitDemand> wanted)
       implements ServingMessage {
     /** Copies the lists. */
     public Limits {
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
@@ -171,7 +171,8 @@
    * @param fencing the leadership that tells
    * @param sightings what the upstreams said last, to whichever VM
    */
-  record LimitUpdate(FencingNumber fencing, List<RateLimitObservation> sightings) implements ServingReply {
+  record LimitUpdate(FencingNumber fencing, List<RateLimitObservation> sightings)
+      implements ServingReply {
     /** Copies the list. */
     public LimitUpdate {
       sightings = List.copyOf(sightings);
--- a/core/src/main/java/org/teaseltrail/core/session/HelloResult.java
+++ b/core/src/main/java/org/teaseltrail/core/session/HelloResult.java
@@ -7,7 +7,8 @@
  * @param renewed whether the session is renewed
  * @param needsConfiguration whether the VM needs the accepted configuration
  */
-public record HelloResult(SessionChange sessionChange, boolean renewed, boolean needsConfiguration) {
+public record HelloResult(
+    SessionChange sessionChange, boolean renewed, boolean needsConfiguration) {
 
   /** Says what a hello does to a session. */
   public enum SessionChange {
--- a/core/src/main/java/org/teaseltrail/core/state/Command.java
+++ b/core/src/main/java/org/teaseltrail/core/state/Command.java
@@ -184,7 +184,8 @@
    * @param account the account
    * @param logTimeMs log time
    */
-  record AccountExposure(ServiceId service, long orderedMs, ExposureCounters account, long logTimeMs)
+  record AccountExposure(
+      ServiceId service, long orderedMs, ExposureCounters account, long logTimeMs)
       implements ServingCommand {}
 
   /**
--- a/core/src/test/java/org/teaseltrail/core/backpressure/RateLimitRegistryTest.java
+++ b/core/src/test/java/org/teaseltrail/core/backpressure/RateLimitRegistryTest.java
@@ -10,7 +10,8 @@
 class RateLimitRegistryTest {
 
   private static final long NS_PER_MS = 1_000_000L;
-  private static final UpstreamIncarnation UPSTREAM = new UpstreamIncarnation(new UpstreamId("u"), 1);
+  private static final UpstreamIncarnation UPSTREAM =
+      new UpstreamIncarnation(new UpstreamId("u"), 1);
   private static final RateLimit LIMIT = new RateLimit(1.6);
 
   private final RateLimitRegistry book = new RateLimitRegistry();
@@ -18,24 +19,24 @@
   /** Another VM's sighting of the need comes after this one's of its end. */
   @Test
   void olderSightingSetsNothingAgain() {
-    assertThat(book.record(UPSTREAM, LIMIT, 100)).isTrue();
-    assertThat(book.record(UPSTREAM, RateLimit.UNLIMITED, 300)).isTrue();
-    assertThat(book.record(UPSTREAM, LIMIT, 200)).isFalse();
+    assertThat(book.recordObservation(UPSTREAM, LIMIT, 100)).isTrue();
+    assertThat(book.recordObservation(UPSTREAM, RateLimit.UNLIMITED, 300)).isTrue();
+    assertThat(book.recordObservation(UPSTREAM, LIMIT, 200)).isFalse();
     assertThat(book.limit(UPSTREAM)).isEqualTo(RateLimit.UNLIMITED);
   }
 
   @Test
   void newestSightingCounts() {
-    book.record(UPSTREAM, LIMIT, 100);
-    assertThat(book.record(UPSTREAM, new RateLimit(0.5), 200)).isTrue();
-    assertThat(book.record(UPSTREAM, new RateLimit(0.5), 300)).isFalse();
+    book.recordObservation(UPSTREAM, LIMIT, 100);
+    assertThat(book.recordObservation(UPSTREAM, new RateLimit(0.5), 200)).isTrue();
+    assertThat(book.recordObservation(UPSTREAM, new RateLimit(0.5), 300)).isFalse();
     assertThat(book.limit(UPSTREAM)).isEqualTo(new RateLimit(0.5));
   }
 
   /** The book holds every upstream that was ever in need. */
   @Test
   void forgetsWhatIsGoneOrLiftedLongAgo() {
-    book.record(UPSTREAM, LIMIT, 0);
+    book.recordObservation(UPSTREAM, LIMIT, 0);
     assertThat(book.removeStale(Set.of(), 9_000 * NS_PER_MS)).isEmpty();
     assertThat(book.removeStale(Set.of(UPSTREAM), 11_000 * NS_PER_MS)).isEmpty();
     assertThat(book.removeStale(Set.of(), 11_000 * NS_PER_MS)).containsExactly(UPSTREAM);
@@ -44,7 +45,7 @@
 
   @Test
   void upstreamWithoutLimitIsNotRemembered() {
-    assertThat(book.record(UPSTREAM, RateLimit.UNLIMITED, 100)).isFalse();
+    assertThat(book.recordObservation(UPSTREAM, RateLimit.UNLIMITED, 100)).isFalse();
     assertThat(book.isEmpty()).isTrue();
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
@@ -64,7 +64,8 @@
     this.random = random;
     group.start();
     group.ask(
-        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
+        group.leader(),
+        new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int site = 0; site < engineCount; site++) {
       engines.add(new AskingEngine(site));
     }
@@ -250,7 +251,8 @@
       engine.turnedAway(attempt.vm(), group.nowNs());
       vms.node(attempt.vm())
           .backpressure()
-          .startBackoff(engine.registration().upstreamIncarnation(), engine.backoffMs(), group.nowNs());
+          .startBackoff(
+              engine.registration().upstreamIncarnation(), engine.backoffMs(), group.nowNs());
       end(attempt, AttemptOutcome.REFUSED);
     }
   }
@@ -260,7 +262,11 @@
     AskingEngine engine = attempt.engine();
     ForwardNode node = vms.node(attempt.vm());
     node.backpressure()
-        .limit(engine.registration().upstreamIncarnation(), engine.limit(), attempt.dispatchedNs(), group.nowNs());
+        .limit(
+            engine.registration().upstreamIncarnation(),
+            engine.limit(),
+            attempt.dispatchedNs(),
+            group.nowNs());
     if (engine.isLeaving()) {
       node.backpressure().leaving(engine.registration().upstreamIncarnation());
     }
--- a/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
@@ -116,7 +116,8 @@
     this.random = random;
     group.start();
     group.ask(
-        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
+        group.leader(),
+        new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int site = 0; site < engineCount; site++) {
       engines.add(new BatchEngine(site, 1, TestPlans.ENGINES));
       engines.add(new BatchEngine(engineCount + site, 1, TestPlans.PLAIN));
--- a/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
@@ -36,7 +36,8 @@
     group.ask(first, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     group.ask(
         first,
-        new OperatorRequest.Heartbeat(ForwardSamples.upstream(ENGINE.value(), TestPlans.ENGINES, 4)));
+        new OperatorRequest.Heartbeat(
+            ForwardSamples.upstream(ENGINE.value(), TestPlans.ENGINES, 4)));
     first.kill();
     leader = group.leader();
   }
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
@@ -54,7 +54,12 @@
     List<Loss> losses = new ArrayList<>();
     for (int engine : which) {
       long apartMs = (long) MOMENTS_APART_MS * engine;
-      losses.add(new Loss(DEADLY, Optional.empty(), engines.get(engine).upstreamIncarnation(), agoMs + apartMs));
+      losses.add(
+          new Loss(
+              DEADLY,
+              Optional.empty(),
+              engines.get(engine).upstreamIncarnation(),
+              agoMs + apartMs));
     }
     tell(new ServingMessage.Losses(vm, losses, List.of()));
   }
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineInnocentsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineInnocentsTest.java
@@ -58,7 +58,9 @@
       run.askForPopular(100);
       run.askForDeadly(DeadlyRequestRun.Kind.RESUMABLE, 3);
       run.play(20_000, LOAD_PER_SECOND);
-      assertThat(run.innocentRefused()).as("seed " + seed).doesNotContainKey(RefusalReason.QUARANTINED);
+      assertThat(run.innocentRefused())
+          .as("seed " + seed)
+          .doesNotContainKey(RefusalReason.QUARANTINED);
     }
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
@@ -118,7 +118,8 @@
         ledger.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
         QuotaLimit limit =
             new QuotaLimit(LIMIT + HANDED_OUT_TOLERANCE, RATE, RATE + HANDED_OUT_TOLERANCE, 50_000);
-        List<QuotaGrant> grants = ledger.allocate(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
+        List<QuotaGrant> grants =
+            ledger.allocate(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
         note(
             node.onControlMessage(
                 new ServingReply.Confirmed(
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
@@ -57,7 +57,8 @@
     private final SplittableRandom random;
     private final List<Vm> vms = new ArrayList<>();
     private final SlidingWindowSum used = new SlidingWindowSum(QuotaPolicy.DEFAULT.windowMs());
-    private QuotaAllocator ledger = new QuotaAllocator(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, 0);
+    private QuotaAllocator ledger =
+        new QuotaAllocator(QuotaPolicy.DEFAULT.windowMs(), SILENT_MS, 0);
     private FencingNumber term = new FencingNumber(1);
     private long lastNumber;
     private double usedEver;
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
@@ -79,7 +79,8 @@
     enginesOfVersion = engineCount;
     group.start();
     group.ask(
-        group.leader(), new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
+        group.leader(),
+        new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     startEngines(OLD);
     vms = new FakeEntryVms(group, vmCount, random, this::carryOut);
     vms.start();
@@ -220,7 +221,8 @@
     lives++;
     double doublings =
         random.nextDouble() * Math.log(MOST_SLOWNESS / LEAST_SLOWNESS) + Math.log(LEAST_SLOWNESS);
-    return new VersionedEngine(version + "-" + lives, TestPlans.ENGINES, version, Math.exp(doublings));
+    return new VersionedEngine(
+        version + "-" + lives, TestPlans.ENGINES, version, Math.exp(doublings));
   }
 
   private void send() {
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
@@ -11,8 +11,8 @@
 import org.teaseltrail.core.id.UpstreamVersion;
 import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.rollout.Rollout;
-import org.teaseltrail.core.rollout.RolloutOrderResult;
 import org.teaseltrail.core.rollout.RolloutOrder;
+import org.teaseltrail.core.rollout.RolloutOrderResult;
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.core.rollout.RolloutReason;
 
@@ -74,7 +74,8 @@
   @Test
   void orderOutlivesLeaderAndLossOfPower() {
     RolloutRun run = small(BadVersion.GOOD);
-    assertThat(run.order()).isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ACCEPTED));
+    assertThat(run.order())
+        .isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ACCEPTED));
     run.group().leader().kill();
     run.play(1_000, FEW_PER_SECOND);
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.RUNNING);
@@ -131,7 +132,8 @@
     run.play(2_000, FEW_PER_SECOND);
     OperatorResult answer =
         run.group().ask(run.group().leader(), new OperatorRequest.AbortRollout(TestPlans.ENGINES));
-    assertThat(answer).isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ACCEPTED));
+    assertThat(answer)
+        .isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ACCEPTED));
     assertThat(run.rollout().reason()).isEqualTo(RolloutReason.ABORTED);
     run.play(50, FEW_PER_SECOND);
     long lastMs = run.lastExposedMs();
--- a/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
@@ -243,7 +243,8 @@
 
   private void pace(Attempt attempt, long tookMs) {
     if (attempts.get(attempt.request()) == attempt) {
-      vms.node(attempt.vm()).recordEventLatency(attempt.engine().id(), tookMs / 10.0, group.nowNs());
+      vms.node(attempt.vm())
+          .recordEventLatency(attempt.engine().id(), tookMs / 10.0, group.nowNs());
     }
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
@@ -13,9 +13,9 @@
 import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.registry.RegistrationPhase;
-import org.teaseltrail.core.serving.SlotUsage;
 import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
+import org.teaseltrail.core.serving.SlotUsage;
 import org.teaseltrail.core.serving.Urgency;
 
 /** Hands out free places over all entry VMs. */
@@ -233,7 +233,9 @@
     QueueState line =
         new QueueState(
             TestPlans.ENGINES,
-            List.of(new QueueState.WaitTimes(URGENT, waitedMs), new QueueState.WaitTimes(LESS, waitedMs)),
+            List.of(
+                new QueueState.WaitTimes(URGENT, waitedMs),
+                new QueueState.WaitTimes(LESS, waitedMs)),
             List.of(),
             List.of());
     Map<UpstreamId, Integer> there = Map.of(ENGINE.id(), inFlight);
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryNodeTest.java
@@ -131,7 +131,8 @@
 
     assertThat(vm.transmitCount(id)).isEqualTo(1);
     assertThat(vm.sentMessages(EntryMessage.Ended.class)).hasSize(2);
-    assertThat(vm.sentMessages(EntryMessage.Ended.class).get(1).kind()).isEqualTo(EndKind.COMPLETED);
+    assertThat(vm.sentMessages(EntryMessage.Ended.class).get(1).kind())
+        .isEqualTo(EndKind.COMPLETED);
   }
 
   @Test
--- a/core/src/test/java/org/teaseltrail/core/example/EmbeddedSchedulerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/example/EmbeddedSchedulerTest.java
@@ -83,7 +83,8 @@
         new UpstreamTarget(grant.upstream(), grant.address()), grant.upstreamIncarnation(), nowNs);
     request.dispatch(nowNs);
     final RequestId id = request.id();
-    assertThat(request.accept(new StreamFrame.Text(id, 0, "Yes."))).isEqualTo(FrameDisposition.NEXT);
+    assertThat(request.accept(new StreamFrame.Text(id, 0, "Yes.")))
+        .isEqualTo(FrameDisposition.NEXT);
     Usage usage = new Usage(12, 0, 1);
     assertThat(request.accept(new StreamFrame.End(id, 1, usage))).isEqualTo(FrameDisposition.NEXT);
     request.end(new Outcome.Completed(usage));
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
@@ -97,7 +97,8 @@
 
   @Test
   void repeatsSafeRequestElsewhere() {
-    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
+    serveWith(
+        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
     List<String> first = dispatches();
     end(number, AttemptOutcome.BROKEN);
@@ -109,7 +110,8 @@
   /** A doubled quiz submission muddles a record: what may have run is not sent again. */
   @Test
   void sendsUnsafeRequestOnce() {
-    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
+    serveWith(
+        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
     end(number, AttemptOutcome.BROKEN);
     assertThat(dispatches()).isEmpty();
@@ -119,7 +121,8 @@
   /** No connection was made, so nothing was sent: even an unsafe request may go elsewhere. */
   @Test
   void sendsUnsafeRequestElsewhereIfNothingWasSent() {
-    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
+    serveWith(
+        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/unsafe/x");
     end(number, AttemptOutcome.NOT_CONNECTED);
     assertThat(dispatches()).hasSize(1);
@@ -140,7 +143,8 @@
   /** A first attempt may have run and the second was refused: "not run" would be false. */
   @Test
   void refusalAfterBrokenAttemptIsNoPromise() {
-    serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
+    serveWith(
+        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6), upstream("p2", TestPlans.PLAIN, 6));
     long number = arrive("/safe/x");
     end(number, AttemptOutcome.BROKEN);
     end(number, AttemptOutcome.REFUSED);
@@ -150,7 +154,8 @@
   @Test
   void waitsForPlaceInOrderOfRank() {
     serveWith(
-        TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 0), second()), upstream("e1", TestPlans.ENGINES, 1));
+        TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 0), second()),
+        upstream("e1", TestPlans.ENGINES, 1));
     long running = arrive("/stream/x");
     final long low = arrive("/stream/x", Optional.of("key-2"));
     assertThatNothingHappensToRequests();
@@ -207,7 +212,9 @@
 
   @Test
   void refusesOverQuota() {
-    serveWith(TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 100)), upstream("p1", TestPlans.PLAIN, 100));
+    serveWith(
+        TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 100)),
+        upstream("p1", TestPlans.PLAIN, 100));
     arrive("/safe/x");
     assertThat(refusals()).isEmpty();
     arrive("/safe/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
@@ -24,7 +24,8 @@
     long running = arrive("/stream/x");
     arrive("/stream/x");
     node.onControlMessage(
-        new ServingReply.RegistryUpdate(TERM, 2, List.of(ready.withPhase(RegistrationPhase.DRAINING))),
+        new ServingReply.RegistryUpdate(
+            TERM, 2, List.of(ready.withPhase(RegistrationPhase.DRAINING))),
         nowNs);
     end(running, AttemptOutcome.ANSWERED);
     assertThat(dispatches()).isEmpty();
@@ -142,7 +143,8 @@
   @Test
   void tellsOfGrantThatNothingCanUse() {
     contended = List.of(TestPlans.ENGINES);
-    Registration leaving = upstream("e1", TestPlans.ENGINES, 8).withPhase(RegistrationPhase.DRAINING);
+    Registration leaving =
+        upstream("e1", TestPlans.ENGINES, 8).withPhase(RegistrationPhase.DRAINING);
     serveWith(TestPlans.plan(1), leaving);
     arrive("/stream/x");
     grant(leaving);
@@ -200,7 +202,8 @@
             1,
             first.version(),
             0);
-    actions = node.onControlMessage(new ServingReply.RegistryUpdate(TERM, 2, List.of(later)), nowNs);
+    actions =
+        node.onControlMessage(new ServingReply.RegistryUpdate(TERM, 2, List.of(later)), nowNs);
     assertThat(dispatches()).containsExactly("e1");
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
@@ -146,7 +146,9 @@
   @Test
   void heldRequestGetsNoSecondTry() {
     serveWith(
-        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, PLACES), upstream("p2", TestPlans.PLAIN, PLACES));
+        TestPlans.plan(1),
+        upstream("p1", TestPlans.PLAIN, PLACES),
+        upstream("p2", TestPlans.PLAIN, PLACES));
     final long copy = arrive("/resumable/x");
     final long safe = arrive("/safe/x");
     assertThat(isDispatched(safe)).isTrue();
@@ -162,7 +164,9 @@
   @Test
   void trialSendsOneCopyOnce() {
     serveWith(
-        TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, PLACES), upstream("p2", TestPlans.PLAIN, PLACES));
+        TestPlans.plan(1),
+        upstream("p1", TestPlans.PLAIN, PLACES),
+        upstream("p2", TestPlans.PLAIN, PLACES));
     hold("/safe/x");
     node.onControlMessage(new ServingReply.Trial(TERM, fingerprintOf("/safe/x"), 1_000), nowNs);
     final long copy = arrive("/safe/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
@@ -84,7 +84,8 @@
 
   private void lend(long sequence, long ceiling) {
     CanaryAllowance loan =
-        new CanaryAllowance(TestPlans.ENGINES, ORDERED_MS, ceiling, List.of(new UpstreamId("new")), 0);
+        new CanaryAllowance(
+            TestPlans.ENGINES, ORDERED_MS, ceiling, List.of(new UpstreamId("new")), 0);
     node.onControlMessage(
         new ServingReply.CanaryLoans(TERM, sequence, LENT_FOR_MS, List.of(loan)), nowNs);
   }
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
@@ -47,7 +47,9 @@
     }
     nowNs += LONGEST_WAIT_MS * MS;
     actions = node.tick(nowNs);
-    assertThat(refusals()).hasSize(REQUESTS_IN_QUOTA - 1).containsOnly(RefusalReason.WAITED_TOO_LONG);
+    assertThat(refusals())
+        .hasSize(REQUESTS_IN_QUOTA - 1)
+        .containsOnly(RefusalReason.WAITED_TOO_LONG);
     for (int i = 1; i < REQUESTS_IN_QUOTA; i++) {
       arriveWithPrompt(TOKENS);
       assertThat(refusals()).isEmpty();
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.plan.TestPlans;
-import org.teaseltrail.core.quota.QuotaPolicy;
 import org.teaseltrail.core.quota.QuotaGrant;
+import org.teaseltrail.core.quota.QuotaPolicy;
 
 /** Holds a quota over several VMs that hear of each other late, or not at all. */
 class QuotaWindowTest {
--- a/core/src/test/java/org/teaseltrail/core/rollout/CanaryBudgetAllocatorTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/CanaryBudgetAllocatorTest.java
@@ -17,7 +17,8 @@
   private static final VmId OTHER = new VmId("other");
   private static final long PLENTY = 1_000;
 
-  private final CanaryBudgetAllocator ledger = new CanaryBudgetAllocator(LIMIT, ExposureCounters.NONE);
+  private final CanaryBudgetAllocator ledger =
+      new CanaryBudgetAllocator(LIMIT, ExposureCounters.NONE);
 
   private static RolloutReport use(long reached, long exposed, long ceiling) {
     return new RolloutReport(new ServiceId("s"), 1, reached, exposed, ceiling, 0, List.of());
--- a/core/src/test/java/org/teaseltrail/core/rollout/RolloutStoreTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/RolloutStoreTest.java
@@ -133,7 +133,8 @@
   void absurdDurationsAreRefused() {
     for (long durationMs : new long[] {-1, 0, Long.MAX_VALUE}) {
       RolloutOrder order = new RolloutOrder(SERVICE, V2, durationMs);
-      assertThat(book.order(order, List.of(V1), ORDERED_MS)).isEqualTo(RolloutOrderResult.BAD_DURATION);
+      assertThat(book.order(order, List.of(V1), ORDERED_MS))
+          .isEqualTo(RolloutOrderResult.BAD_DURATION);
     }
     assertThat(book.all()).isEmpty();
   }
--- a/entry/src/main/java/org/teaseltrail/entry/Problem.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Problem.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import org.reactivestreams.Publisher;
 import org.teaseltrail.core.id.RequestId;
+import org.teaseltrail.core.request.ExecutionStatus;
 import org.teaseltrail.core.request.NotRunReason;
 import org.teaseltrail.core.request.Outcome;
-import org.teaseltrail.core.request.ExecutionStatus;
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
@@ -39,7 +39,13 @@
 
   static Problem of(ProblemKind kind, String detail) {
     return new Problem(
-        kind.httpStatus(), kind.problemName(), kind.title(), detail, ExecutionStatus.NO, Optional.empty(), 0);
+        kind.httpStatus(),
+        kind.problemName(),
+        kind.title(),
+        detail,
+        ExecutionStatus.NO,
+        Optional.empty(),
+        0);
   }
 
   /** Returns the problem that stands for an outcome other than completed. */
--- a/session/src/test/java/org/teaseltrail/session/CallerBook.java
+++ b/session/src/test/java/org/teaseltrail/session/CallerBook.java
@@ -7,8 +7,8 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.teaseltrail.core.id.RequestId;
-import org.teaseltrail.core.request.Outcome;
 import org.teaseltrail.core.request.ExecutionStatus;
+import org.teaseltrail.core.request.Outcome;
 
 /** Keeps all that callers have asked for and been told. */
 final class CallerBook {
--- a/session/src/test/java/org/teaseltrail/session/EntryProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/EntryProcess.java
@@ -101,7 +101,8 @@
   void hear(Announcement announcement) {
     later(
         world.network().delayNs(),
-        () -> handle(new EntryEvent.AnnouncementReceived(0, announcement, SessionWorld.SECRET_HASH)));
+        () ->
+            handle(new EntryEvent.AnnouncementReceived(0, announcement, SessionWorld.SECRET_HASH)));
   }
 
   void hear(CacheEvent event) {
