--- a/core/src/test/java/org/teaseltrail/core/forward/BackpressureHandlerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/BackpressureHandlerTest.java
@@ -43,7 +43,7 @@
    * A leader that missed the limit gives out no permits, and the upstream gets nothing for good.
    */
   @Test
-  void limitThatStandsIsToldOverAndOver() {
+  void limitInEffectIsReportedRepeatedly() {
     node.backpressure().limit(life, LIMIT, nowNs, nowNs);
     List<Long> toldMs = new ArrayList<>();
     for (int ms = 0; ms < 10_000; ms += 50) {
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
@@ -36,7 +36,7 @@
 
   /** A VM thaws; it asks the leader at once, and callers that came meanwhile needn't be refused. */
   @Test
-  void requestsThatComeAtThawWaitForTheLeadersWord() {
+  void requestsAfterSuspensionWaitForTheLeader() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     nowNs += 4_000 * MS;
     arrive("/safe/x");
@@ -47,7 +47,7 @@
 
   /** A VM that is cut off for long must let its callers go on to others, while they have time. */
   @Test
-  void vmWithoutSessionLetsCallersGoSoon() {
+  void vmWithoutSessionRefusesCallersSoon() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
     nowNs += 4_000 * MS;
     arrive("/safe/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
@@ -128,7 +128,7 @@
 
   /** The leader is lost while requests wait for its grants; they must not wait on. */
   @Test
-  void placesByItselfOnceTheLeaderIsSilent() {
+  void dispatchesWithoutLeaderAfterTimeout() {
     contended = List.of(TestPlans.ENGINES);
     serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 8));
     arrive("/stream/x");
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void tellsOfGrantThatNothingCanUse() {
+  void reportsUnusableGrant() {
     contended = List.of(TestPlans.ENGINES);
     Registration leaving =
         upstream("e1", TestPlans.ENGINES, 8).withPhase(RegistrationPhase.DRAINING);
@@ -183,7 +183,7 @@
    * the requests of the life before, and what came waited beside an empty upstream.
    */
   @Test
-  void laterLifeOfAnUpstreamBeginsEmpty() {
+  void newIncarnationOfAnUpstreamStartsIdle() {
     Registration first = upstream("e1", TestPlans.ENGINES, 1);
     serveWith(TestPlans.plan(1), first);
     arrive("/stream/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
@@ -179,7 +179,7 @@
 
   /** The next leader hears of losses that the one before had cleared, and holds the request. */
   @Test
-  void clearedLossIsNotToldToTheNextLeader() {
+  void clearedLossIsNotReportedToTheNextLeader() {
     serveWithOnePlace();
     end(arrive("/stream/x"), AttemptOutcome.BROKEN);
     advanceMs(1_500);
