--- a/core/src/main/java/org/teaseltrail/core/forward/ActiveRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ActiveRequest.java
@@ -11,25 +11,27 @@
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.serving.Urgency;
 
-/** Is a request that this VM has admitted and not answered yet. */
+/** A request that this VM has admitted and not answered yet. */
 final class ActiveRequest {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /**
-   * Part of the objective after which a waiting request counts as late: the users' prompts take
-   * some 50 to 150 ms to their first token, a fifth of their shortest objectives.
+   * Fraction of the latency objective after which a queued request counts as late. The rest is
+   * reserved for prefill: prompts take 50 to 150 ms until the first token, a fifth of the shortest
+   * objectives.
    */
-  private static final double OBJECTIVE_PART_FOR_WAITING = 0.8;
+  private static final double ON_TIME_OBJECTIVE_FRACTION = 0.8;
 
   /**
-   * Part of a caller's patience that a request may wait for a place; the rest is for the answer.
+   * Fraction of the time that a caller waits which the request may spend in the queue; the rest is
+   * for the response.
    */
-  private static final double WAIT_PART = 0.6;
+  private static final double QUEUE_TIME_FRACTION = 0.6;
 
   private static final double NS_PER_S = 1e9;
 
-  /** Rank of requests without a customer: behind all that pay. */
+  /** Rank of requests without a customer: behind those of all paying customers. */
   private static final int NO_CUSTOMER_RANK = 1_000;
 
   private final ForwardRequest request;
@@ -43,13 +45,13 @@
   private int sends;
   private long sentNs;
   private boolean maybeRan;
-  private boolean begun;
+  private boolean responseStarted;
   private boolean unread;
   private boolean late;
   private boolean trial;
   private boolean canary;
   private boolean reached;
-  private QuotaReservation quota = QuotaReservation.NONE;
+  private QuotaReservation quotaReservation = QuotaReservation.NONE;
   private Optional<Fingerprint> fingerprint = Optional.empty();
 
   ActiveRequest(
@@ -85,7 +87,7 @@
     return customer.map(PlanCustomer::id);
   }
 
-  /** Notes that it is held and may go to one upstream all the same. */
+  /** Marks a quarantined request that may be sent to one upstream as a trial. */
   void markTrial() {
     trial = true;
   }
@@ -98,7 +100,7 @@
     return request.scope(customer());
   }
 
-  /** Returns its fingerprint, made from its whole content at the first call. */
+  /** Returns its fingerprint, which is computed from the whole content at the first call. */
   Fingerprint fingerprint() {
     if (fingerprint.isEmpty()) {
       fingerprint = Optional.of(request.fingerprint(customer()));
@@ -106,56 +108,66 @@
     return fingerprint.get();
   }
 
-  /** Returns the customer whose quota it counts against. */
+  /** Returns the customer whose quota the request is charged to. */
   Optional<PlanCustomer> quotaCustomer() {
     return customer;
   }
 
-  /** Takes what it holds of its customer's quota. */
+  /** Sets the request's reservation of its customer's quota. */
   void setQuotaReservation(QuotaReservation held) {
-    quota = held;
+    quotaReservation = held;
   }
 
-  /** Notes that it has got its final answer or needs none. */
+  /** Releases the unused quota, once the request has its final answer or needs none. */
   void close() {
-    quota.close();
+    quotaReservation.close();
   }
 
   Urgency urgency() {
     return new Urgency(customerRank(), late, route.priority());
   }
 
-  /** Returns the customer's rank, which goes before the route's. */
+  /** Returns the customer's rank, which takes precedence over the route's. */
   private int customerRank() {
-    return customer.map(known -> known.rank().orElse(NO_CUSTOMER_RANK)).orElse(NO_CUSTOMER_RANK);
+    return customer
+        .map(planCustomer -> planCustomer.rank().orElse(NO_CUSTOMER_RANK))
+        .orElse(NO_CUSTOMER_RANK);
   }
 
   long arrivedNs() {
     return arrivedNs;
   }
 
-  /** Returns when the final answer is due: by the route or by the caller, whichever is sooner. */
+  /**
+   * Returns when the final answer is due: at the route's timeout or the caller's deadline,
+   * whichever is earlier.
+   */
   long dueNs() {
-    long allowedMs = Math.min(route.timeoutMs(), request.deadlineMs().orElse(Long.MAX_VALUE));
-    return arrivedNs + allowedMs * NS_PER_MS;
+    long maxMs = Math.min(route.timeoutMs(), request.deadlineMs().orElse(Long.MAX_VALUE));
+    return arrivedNs + maxMs * NS_PER_MS;
   }
 
-  /** Returns until when an answer, or a stream's first event, still finds the caller there. */
+  /** Returns until when the caller waits for a response, or for the first event of a stream. */
   long callerWaitsUntilNs() {
-    return begun ? dueNs() : Math.min(dueNs(), arrivedNs + route.callerTimeoutMs() * NS_PER_MS);
+    return responseStarted
+        ? dueNs()
+        : Math.min(dueNs(), arrivedNs + route.callerTimeoutMs() * NS_PER_MS);
   }
 
-  /** Returns until when it waits for a place. */
+  /** Returns until when it may wait in the queue. */
   long queueDeadlineNs() {
-    return arrivedNs + (long) ((callerWaitsUntilNs() - arrivedNs) * WAIT_PART);
+    return arrivedNs + (long) ((callerWaitsUntilNs() - arrivedNs) * QUEUE_TIME_FRACTION);
   }
 
-  /** Returns when its time is over as things stand: that for a place, or that for the answer. */
+  /**
+   * Returns when its current timer expires: the queue deadline, or the deadline of the answer once
+   * it is at an upstream or its response has started.
+   */
   long nextDeadlineNs() {
-    return currentUpstream.isPresent() || begun ? dueNs() : queueDeadlineNs();
+    return currentUpstream.isPresent() || responseStarted ? dueNs() : queueDeadlineNs();
   }
 
-  /** Returns how long it waits for a place at most, in seconds. */
+  /** Returns the maximum time in the queue, in seconds. */
   double maxQueueWaitS() {
     return (queueDeadlineNs() - arrivedNs) / NS_PER_S;
   }
@@ -164,32 +176,32 @@
     return Math.max(1, (dueNs() - nowNs) / NS_PER_MS);
   }
 
-  void startAttempt(UpstreamState view, long nowNs) {
-    currentUpstream = Optional.of(view);
+  void startAttempt(UpstreamState upstream, long nowNs) {
+    currentUpstream = Optional.of(upstream);
     unread = true;
     reached = false;
     attempts++;
     sends++;
     sentNs = nowNs;
-    tried.add(view.registration().id());
-    quota.commit(nowNs);
+    tried.add(upstream.registration().id());
+    quotaReservation.commit(nowNs);
   }
 
-  /** Notes that it goes to an ordered version that is still a canary. */
+  /** Marks the attempt as sent to a rollout's target version that is still a canary. */
   void markCanary() {
     canary = true;
   }
 
-  /** Tells whether its attempt was sent to an ordered version that was still a canary. */
+  /** Returns whether the attempt was sent to a target version that was still a canary. */
   boolean isCanary() {
     return canary;
   }
 
-  /** Notes that its attempt has reached an upstream; returns whether that is news. */
+  /** Marks the attempt as received by its upstream; returns whether it wasn't marked before. */
   boolean markReached() {
-    boolean news = !reached;
+    boolean isNew = !reached;
     reached = true;
-    return news;
+    return isNew;
   }
 
   boolean hasReached() {
@@ -204,31 +216,31 @@
     return sentNs;
   }
 
-  /** Notes that the attempt has ended. */
+  /** Records the outcome of the current attempt. */
   void endAttempt(AttemptOutcome end) {
     markPromptRead();
     currentUpstream = Optional.empty();
     canary = false;
     maybeRan |= end.maybeRan();
     if (!maybeRan) {
-      quota.notRun();
+      quotaReservation.notRun();
     }
     if (!end.reachedUpstream()) {
       sends--;
     }
   }
 
-  /** Returns all attempts, those that reached nobody among them. */
+  /** Returns the number of attempts, including those that reached no upstream. */
   int attempts() {
     return attempts;
   }
 
-  /** Returns how many upstreams the request was sent to. */
+  /** Returns the number of upstreams that received the request. */
   int sends() {
     return sends;
   }
 
-  /** Tells whether it may still be sent elsewhere if the next upstream turns it away. */
+  /** Returns whether another upstream may be tried if the next one rejects the request. */
   boolean canTryAnotherUpstream() {
     return sends + 1 < route.maxAttempts();
   }
@@ -242,24 +254,24 @@
   }
 
   boolean isBecomingLate(long nowNs) {
-    return !late && nowNs > onTimeUntilNs();
+    return !late && nowNs > onTimeDeadlineNs();
   }
 
-  private long onTimeUntilNs() {
-    return arrivedNs + (long) (route.objectiveMs() * NS_PER_MS * OBJECTIVE_PART_FOR_WAITING);
+  private long onTimeDeadlineNs() {
+    return arrivedNs + (long) (route.objectiveMs() * NS_PER_MS * ON_TIME_OBJECTIVE_FRACTION);
   }
 
   void markLate() {
     late = true;
   }
 
-  /** Notes that the caller has got a part of the answer. */
+  /** Records that the caller has received the first part of the response. */
   void markResponseStarted() {
-    begun = true;
+    responseStarted = true;
     markPromptRead();
   }
 
-  /** Notes that its upstream has read the prompt, or needn't read it any more. */
+  /** Records that the upstream has processed the prompt, or no longer needs to. */
   void markPromptRead() {
     if (unread) {
       currentUpstream.ifPresent(UpstreamState::recordPromptRead);
@@ -268,6 +280,6 @@
   }
 
   boolean hasResponseStarted() {
-    return begun;
+    return responseStarted;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/AdmissionController.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/AdmissionController.java
@@ -15,56 +15,66 @@
 import org.teaseltrail.core.plan.WeightedService;
 
 /**
- * Lets requests in that the plan allows. One that can't be judged yet, as this VM has no plan or
- * may not take its plan for the newest, waits for that a short while.
+ * Matches requests with the plan's routes and customer keys, and refuses those that the plan
+ * doesn't allow. A request that can't be decided yet, because this VM has no plan or can't be sure
+ * that its plan is the newest, waits for a limited time.
  *
- * <p>Guards against callers that are turned away by a VM which is about to serve: all of them come
- * within the second after a start, are told to come back, and most try again too early or not at
- * all. A request that waits is answered on time if the session comes within its objective.
+ * <p>Requests wait because a VM that has just started serves within about a second: callers that
+ * were refused in that time mostly retried too early or not at all. A request that waits is
+ * answered on time if the session is established within its latency objective.
  */
 final class AdmissionController {
 
   /**
-   * Part of a route's objective that a request waits for the first session; the rest is for the
-   * upstream's answer. All VMs may have been started together, so that no other serves sooner.
+   * Fraction of a route's latency objective that a request waits for the VM's first session; the
+   * rest is left for the upstream's response. It is large because all VMs may have been started
+   * together, so that no other VM can serve sooner.
    */
-  private static final double FIRST_SESSION_PART = 0.8;
+  private static final double FIRST_SESSION_FRACTION = 0.8;
 
   /**
-   * The same for a session that was lost: enough for a VM that was frozen to ask the leader. A VM
-   * that is cut off keeps no caller longer, since others may serve it on time.
+   * The same fraction after a session was lost: long enough for a VM that resumes after a
+   * suspension to reach the leader. It is short because other VMs may serve the request on time
+   * while this one is partitioned.
    */
-  private static final double LOST_SESSION_PART = 0.2;
+  private static final double LOST_SESSION_FRACTION = 0.2;
 
   /**
-   * The same where the route isn't known for want of a plan, in milliseconds: most of the users'
-   * objectives for streams (400 to 1,200), so that these can still be on time.
+   * Wait time for a request whose route is unknown because there is no plan, in milliseconds.
+   * Objectives of streams range from 400 to 1,200 ms, so that most of these requests can still be
+   * answered on time.
    */
   private static final long UNKNOWN_ROUTE_WAIT_MS = 400;
 
-  /** Part of a caller's deadline that it waits at most, so that another VM may still serve it. */
-  private static final double DEADLINE_PART = 0.3;
+  /**
+   * Maximum fraction of the caller's deadline that a request waits, so that another VM can still
+   * serve it.
+   */
+  private static final double DEADLINE_FRACTION = 0.3;
 
-  /** Requests that wait at most: with bodies of 8 KB, a sixteenth of the VM's memory. */
-  private static final int MOST_WAITING = 500;
+  /**
+   * Maximum number of waiting requests: with bodies of 8 KB they take a sixteenth of the VM's
+   * memory.
+   */
+  private static final int MAX_WAITING = 500;
 
-  /** Time from a process's start to its session: 0.7 to 1.0 s, seen after losses of power. */
-  private static final long USUAL_START_MS = 1_000;
+  /** Usual time from process start to the first session: 0.7 to 1.0 s after a power loss. */
+  private static final long TYPICAL_START_MS = 1_000;
 
   /**
-   * When a caller may come back that met a VM without a session, in milliseconds. Its next try goes
-   * to another VM, and with what it has waited here it can be answered within half a second.
+   * Minimum retry-after of a VM without a session, in milliseconds. The caller's next attempt goes
+   * to another VM and, including the time waited here, can be answered within half a second.
    */
-  private static final long LEAST_RETRY_MS = 200;
+  private static final long MIN_RETRY_AFTER_MS = 200;
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Waiting(ForwardRequest request, long arrivedNs, long untilNs) {}
+  private record Waiting(ForwardRequest request, long arrivedNs, long expiryNs) {}
 
   private final RandomGenerator random;
-  private final ControlClient ties;
-  private final QuotaAdmissionFilter quotaGate;
-  private final Consumer<ForwardAction> out;
+  private final ControlClient controlClient;
+  private final QuotaAdmissionFilter quotaFilter;
+  private final Consumer<ForwardAction> actions;
   private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
   private Optional<PlanIndex> plan = Optional.empty();
   private OptionalLong startedNs = OptionalLong.empty();
@@ -72,85 +82,90 @@
 
   AdmissionController(
       RandomGenerator random,
-      ControlClient ties,
-      QuotaAdmissionFilter quotaGate,
-      Consumer<ForwardAction> out) {
+      ControlClient controlClient,
+      QuotaAdmissionFilter quotaFilter,
+      Consumer<ForwardAction> actions) {
     this.random = random;
-    this.ties = ties;
-    this.quotaGate = quotaGate;
-    this.out = out;
+    this.controlClient = controlClient;
+    this.quotaFilter = quotaFilter;
+    this.actions = actions;
   }
 
-  /** Takes a plan as the one in force. */
+  /** Replaces the plan. */
   void configure(PlanIndex newer) {
     plan = Optional.of(newer);
   }
 
-  /** Returns the plan in force, if one has come. */
+  /** Returns the current plan, empty until one has been received. */
   Optional<PlanIndex> plan() {
     return plan;
   }
 
-  /** Takes a request that was read whole. */
+  /** Handles a request that has been read completely. */
   void onRequest(ForwardRequest request, long nowNs) {
     if (!decide(request, nowNs, nowNs)) {
       waitOrRefuse(request, nowNs);
     }
   }
 
-  /** Looks again at what waits, after a plan has come or the session was confirmed. */
+  /**
+   * Decides about the waiting requests again, after a plan was received or the session was
+   * confirmed.
+   */
   void retryWaiting(long nowNs) {
-    if (!isCertain(nowNs)) {
+    if (!isPlanConfirmed(nowNs)) {
       return;
     }
     hadSession = true;
-    List<Waiting> all = new ArrayList<>(waiting.values());
+    List<Waiting> entries = new ArrayList<>(waiting.values());
     waiting.clear();
-    for (Waiting each : all) {
-      if (!decide(each.request(), each.arrivedNs(), nowNs)) {
-        waiting.put(each.request().number(), each);
+    for (Waiting entry : entries) {
+      if (!decide(entry.request(), entry.arrivedNs(), nowNs)) {
+        waiting.put(entry.request().number(), entry);
       }
     }
   }
 
-  /** Refuses what has waited long enough. */
+  /** Refuses requests that have waited for their maximum time. */
   void tick(long nowNs) {
     startedNs = OptionalLong.of(startedNs.orElse(nowNs));
     List<Waiting> overdue =
-        waiting.values().stream().filter(each -> nowNs >= each.untilNs()).toList();
-    for (Waiting each : overdue) {
-      waiting.remove(each.request().number());
-      refuse(each.request(), RefusalReason.PLAN_UNCERTAIN, retryAfterMs(nowNs));
+        waiting.values().stream().filter(entry -> nowNs >= entry.expiryNs()).toList();
+    for (Waiting entry : overdue) {
+      waiting.remove(entry.request().number());
+      refuse(entry.request(), RefusalReason.PLAN_UNCERTAIN, retryAfterMs(nowNs));
     }
   }
 
   OptionalLong nextDueNs() {
-    return waiting.values().stream().mapToLong(Waiting::untilNs).min();
+    return waiting.values().stream().mapToLong(Waiting::expiryNs).min();
   }
 
   void onCallerDisconnected(long number) {
     waiting.remove(number);
   }
 
-  /** Returns how many requests wait to be judged. */
+  /** Returns the number of requests that wait for a decision. */
   int waiting() {
     return waiting.size();
   }
 
-  /** Admits or refuses a request by the plan; returns false if it can't be judged now. */
+  /**
+   * Admits or refuses a request according to the plan; returns false if that can't be decided yet.
+   */
   private boolean decide(ForwardRequest request, long arrivedNs, long nowNs) {
-    boolean certain = isCertain(nowNs);
+    boolean planConfirmed = isPlanConfirmed(nowNs);
     Optional<PlanRoute> route = route(request);
     if (route.isEmpty()) {
-      return certain && refuse(request, RefusalReason.NO_ROUTE, 0);
+      return planConfirmed && refuse(request, RefusalReason.NO_ROUTE, 0);
     }
-    boolean keyed = route.get().needsKey() && plan.orElseThrow().hasCustomers();
-    if (!keyed) {
+    boolean needsCustomer = route.get().needsKey() && plan.orElseThrow().hasCustomers();
+    if (!needsCustomer) {
       admit(request, route.get(), Optional.empty(), arrivedNs, nowNs);
       return true;
     }
     Optional<PlanCustomer> customer = request.key().flatMap(plan.orElseThrow()::customer);
-    if (!certain) {
+    if (!planConfirmed) {
       return false;
     }
     if (customer.isEmpty()) {
@@ -160,8 +175,8 @@
     return true;
   }
 
-  private boolean isCertain(long nowNs) {
-    return plan.isPresent() && ties.session().isValid(nowNs);
+  private boolean isPlanConfirmed(long nowNs) {
+    return plan.isPresent() && controlClient.session().isValid(nowNs);
   }
 
   private Optional<PlanRoute> route(ForwardRequest request) {
@@ -176,7 +191,7 @@
       long nowNs) {
     ActiveRequest admitted =
         new ActiveRequest(request, route, drawService(route), customer, arrivedNs);
-    quotaGate.onRequest(admitted, nowNs);
+    quotaFilter.onRequest(admitted, nowNs);
   }
 
   private ServiceId drawService(PlanRoute route) {
@@ -188,38 +203,38 @@
         return target.service();
       }
     }
-    throw new IllegalStateException("weights of " + route.id());
+    throw new IllegalStateException("target weights don't add up for route " + route.id());
   }
 
   private void waitOrRefuse(ForwardRequest request, long nowNs) {
-    if (waiting.size() >= MOST_WAITING) {
+    if (waiting.size() >= MAX_WAITING) {
       refuse(request, RefusalReason.PLAN_UNCERTAIN, retryAfterMs(nowNs));
       return;
     }
-    long untilNs = nowNs + longestWaitMs(request) * NS_PER_MS;
-    waiting.put(request.number(), new Waiting(request, nowNs, untilNs));
-    ties.syncSoon();
+    long expiryNs = nowNs + maxWaitMs(request) * NS_PER_MS;
+    waiting.put(request.number(), new Waiting(request, nowNs, expiryNs));
+    controlClient.syncSoon();
   }
 
-  private long longestWaitMs(ForwardRequest request) {
-    double part = hadSession ? LOST_SESSION_PART : FIRST_SESSION_PART;
-    double usefulMs =
+  private long maxWaitMs(ForwardRequest request) {
+    double part = hadSession ? LOST_SESSION_FRACTION : FIRST_SESSION_FRACTION;
+    double objectiveLimitMs =
         route(request)
             .map(known -> known.objectiveMs() * part)
             .orElse((double) UNKNOWN_ROUTE_WAIT_MS);
-    double allowedMs = request.deadlineMs().orElse(Long.MAX_VALUE) * DEADLINE_PART;
-    return (long) Math.min(usefulMs, allowedMs);
+    double deadlineLimitMs = request.deadlineMs().orElse(Long.MAX_VALUE) * DEADLINE_FRACTION;
+    return (long) Math.min(objectiveLimitMs, deadlineLimitMs);
   }
 
-  /** Returns when a session is to be expected, in milliseconds from now. */
+  /** Returns the time until a session is expected, in milliseconds. */
   private long retryAfterMs(long nowNs) {
-    long runsMs = (nowNs - startedNs.orElse(nowNs)) / NS_PER_MS;
-    long leftMs = hadSession ? 0 : USUAL_START_MS - runsMs;
-    return Math.max(LEAST_RETRY_MS, leftMs);
+    long uptimeMs = (nowNs - startedNs.orElse(nowNs)) / NS_PER_MS;
+    long remainingStartMs = hadSession ? 0 : TYPICAL_START_MS - uptimeMs;
+    return Math.max(MIN_RETRY_AFTER_MS, remainingStartMs);
   }
 
   private boolean refuse(ForwardRequest request, RefusalReason refusal, long retryAfterMs) {
-    out.accept(ForwardAction.Refuse.beforeRouting(request.number(), refusal, retryAfterMs));
+    actions.accept(ForwardAction.Refuse.beforeRouting(request.number(), refusal, retryAfterMs));
     return true;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/AttemptOutcome.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/AttemptOutcome.java
@@ -1,20 +1,22 @@
 package org.teaseltrail.core.forward;
 
-/** Says how an attempt at an upstream ended. */
+/** The outcome of an attempt at an upstream. */
 public enum AttemptOutcome {
-  /** The whole answer came. */
+  /** The complete response was received. */
   ANSWERED(true, false),
-  /** The whole answer came and tells of a failure of the upstream's own. */
+  /** The complete response was received and reports a failure of the upstream itself. */
   FAILED_ANSWER(true, true),
-  /** No connection could be made, so nothing was sent. */
+  /** No connection could be established, so nothing was sent. */
   NOT_CONNECTED(false, true),
-  /** Nothing was sent, as the upstream asked for none before there was a connection. */
+  /**
+   * Nothing was sent, because the upstream requested backoff before the connection was established.
+   */
   WITHHELD(false, false),
-  /** The upstream said that it did not run the request, as it has no room. */
+  /** The upstream reported that it did not run the request because it has no capacity. */
   REFUSED(false, false),
-  /** Another upstream has the address by now; it did not run the request. */
+  /** Another upstream now listens on the address; it did not run the request. */
   MISDIRECTED(false, true),
-  /** The connection ended, or what came was no answer; the request may have run. */
+  /** The connection was closed, or the response was malformed; the request may have run. */
   BROKEN(true, true);
 
   private final boolean maybeRan;
@@ -26,16 +28,16 @@
   }
 
   /**
-   * Tells whether the upstream may have begun to work on the request.
+   * Returns whether the upstream may have started to process the request.
    *
-   * @return false if it is known not to have run there
+   * @return false if the request is known not to have run there
    */
   public boolean maybeRan() {
     return maybeRan;
   }
 
   /**
-   * Tells whether the request was sent to anybody.
+   * Returns whether the request was sent at all.
    *
    * @return false if there was no connection, or it was not used
    */
@@ -44,25 +46,25 @@
   }
 
   /**
-   * Tells whether the upstream that was meant has got the request.
+   * Returns whether the intended upstream received the request.
    *
-   * @return false if nothing was sent, or another upstream got it
+   * @return false if nothing was sent, or another upstream received it
    */
   public boolean reachedUpstream() {
     return wasSent() && this != MISDIRECTED;
   }
 
   /**
-   * Tells whether the upstream has answered the request whole, well or not.
+   * Returns whether the upstream sent a complete response, successful or not.
    *
-   * @return true if there is an answer to deliver
+   * @return true if there is a response to deliver
    */
   public boolean isAnswer() {
     return this == ANSWERED || this == FAILED_ANSWER;
   }
 
   /**
-   * Tells whether the end speaks against the upstream.
+   * Returns whether the outcome counts as a failure of the upstream.
    *
    * @return true for failures
    */
--- a/core/src/main/java/org/teaseltrail/core/forward/BackoffMonitor.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/BackoffMonitor.java
@@ -5,64 +5,68 @@
 import org.teaseltrail.core.registry.RegistrationPhase;
 
 /**
- * Knows which requests the backoffs that upstreams asked for leave no time, and when a backoff
- * ends.
+ * Monitors the backoffs that upstreams requested: which requests can't wait until they end, and
+ * when the next one ends.
  */
 final class BackoffMonitor {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** When a caller may come back if there is room: its next try goes to another VM. */
-  private static final long ROOM_RETRY_MS = 20;
+  /**
+   * Retry-after if there is capacity, in milliseconds: the caller's next attempt goes to another
+   * VM.
+   */
+  private static final long CAPACITY_RETRY_AFTER_MS = 20;
 
-  private final VersionRouter gate;
+  private final VersionRouter versionRouter;
   private final UpstreamTracker upstreams;
   private long nextBackoffEndNs = Long.MAX_VALUE;
 
-  BackoffMonitor(VersionRouter gate, UpstreamTracker upstreams) {
-    this.gate = gate;
+  BackoffMonitor(VersionRouter versionRouter, UpstreamTracker upstreams) {
+    this.versionRouter = versionRouter;
     this.upstreams = upstreams;
   }
 
   /**
-   * Tells whether a request would wait in vain: all upstreams that it may go to want nothing for
-   * longer than it can wait.
+   * Returns whether a request would be queued in vain, because all upstreams that it may go to are
+   * backed off for longer than it can wait.
    */
   boolean exceedsMaxWait(ActiveRequest request, long nowNs) {
     if (!upstreams.mayHaveBackedOff(nowNs)) {
       return false;
     }
-    Collection<UpstreamState> views = gate.routableUpstreams(request.service());
-    long takenFromNs = LoadBalancingPolicy.availableFromNs(request, views, nowNs);
-    return takenFromNs > Math.max(nowNs, request.queueDeadlineNs());
+    Collection<UpstreamState> candidates = versionRouter.routableUpstreams(request.service());
+    long availableFromNs = LoadBalancingPolicy.availableFromNs(request, candidates, nowNs);
+    return availableFromNs > Math.max(nowNs, request.queueDeadlineNs());
   }
 
   /**
-   * Returns when a caller may come back that got no place: at once if some upstream has room, as
-   * for one that was turned away by another, and not before some upstream takes any.
+   * Returns the retry-after for a request that got no slot. It is short if any upstream has
+   * capacity, as for a request that another upstream rejected, and otherwise not before an upstream
+   * accepts requests again.
    */
   long retryAfterMs(ActiveRequest request, long nowNs) {
-    Collection<UpstreamState> views = gate.routableUpstreams(request.service());
-    if (views.stream().anyMatch(view -> hasRoom(view, nowNs))) {
-      return ROOM_RETRY_MS;
+    Collection<UpstreamState> candidates = versionRouter.routableUpstreams(request.service());
+    if (candidates.stream().anyMatch(upstream -> hasCapacity(upstream, nowNs))) {
+      return CAPACITY_RETRY_AFTER_MS;
     }
-    long backoffMs = (LoadBalancingPolicy.availableFromNs(views, nowNs) - nowNs) / NS_PER_MS;
+    long backoffMs = (LoadBalancingPolicy.availableFromNs(candidates, nowNs) - nowNs) / NS_PER_MS;
     return Math.max(QueueLengthLimiter.NO_SLOT_RETRY_MS, backoffMs);
   }
 
-  private static boolean hasRoom(UpstreamState view, long nowNs) {
-    return view.registration().phase() == RegistrationPhase.READY
-        && view.backpressure().canSend(true, nowNs)
-        && view.isEligible(nowNs)
-        && view.hasCapacity(1, nowNs);
+  private static boolean hasCapacity(UpstreamState upstream, long nowNs) {
+    return upstream.registration().phase() == RegistrationPhase.READY
+        && upstream.backpressure().canSend(true, nowNs)
+        && upstream.isEligible(nowNs)
+        && upstream.hasCapacity(1, nowNs);
   }
 
-  /** Sees to it that a service's line is looked at when the next backoff of its upstreams ends. */
+  /** Schedules a wakeup for a service's queue at the end of its upstreams' next backoff. */
   void scheduleWakeup(ServiceId service, long nowNs) {
     if (!upstreams.mayHaveBackedOff(nowNs)) {
       return;
     }
-    gate.routableUpstreams(service).stream()
+    versionRouter.routableUpstreams(service).stream()
         .map(UpstreamState::backpressure)
         .filter(asked -> asked.isBackedOff(nowNs))
         .mapToLong(BackpressureState::backoffEndNs)
@@ -70,13 +74,14 @@
   }
 
   /**
-   * Returns when the next backoff ends that is watched, {@link Long#MAX_VALUE} if there is none.
+   * Returns the end of the next backoff for which a wakeup is scheduled, {@link Long#MAX_VALUE} if
+   * there is none.
    */
   long nextBackoffEndNs() {
     return nextBackoffEndNs;
   }
 
-  /** Takes the end of a backoff out; returns whether one has ended. */
+  /** Clears the scheduled wakeup if its time has come; returns whether it had. */
   boolean pollBackoffEnd(long nowNs) {
     boolean ended = nowNs >= nextBackoffEndNs;
     nextBackoffEndNs = ended ? Long.MAX_VALUE : nextBackoffEndNs;
--- a/core/src/main/java/org/teaseltrail/core/forward/BackpressureHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/BackpressureHandler.java
@@ -3,7 +3,10 @@
 import org.teaseltrail.core.backpressure.RateLimit;
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
-/** Takes in how much work upstreams ask for in their answers. */
+/**
+ * Handles the backpressure signals in upstreams' responses: rate limits, backoffs and announcements
+ * that an upstream is leaving.
+ */
 public final class BackpressureHandler {
 
   private final UpstreamTracker upstreams;
@@ -15,13 +18,14 @@
   }
 
   /**
-   * Takes what an answer says of its upstream's limit.
+   * Records the rate limit in a response.
    *
-   * @param upstream the upstream's life
-   * @param limit the limit, {@link RateLimit#UNLIMITED} if it names none
-   * @param dispatchedNs when the answered request was dispatched
-   * @param nowNs time
-   * @return whether it is another one than this VM knew
+   * @param upstream the upstream's incarnation
+   * @param limit the limit, {@link RateLimit#UNLIMITED} if the response names none
+   * @param dispatchedNs when the request was dispatched that the response belongs to, in
+   *     nanoseconds
+   * @param nowNs current time, in nanoseconds
+   * @return whether the limit differs from the one known to this VM
    */
   public boolean limit(
       UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
@@ -29,33 +33,33 @@
   }
 
   /**
-   * Takes that an upstream turned a request away and wants none from this VM for a while.
+   * Records that an upstream rejected a request and asked this VM to back off.
    *
-   * @param upstream the upstream's life
-   * @param backoffMs for how long, in milliseconds
-   * @param nowNs time
-   * @return whether it was not backed off already
+   * @param upstream the upstream's incarnation
+   * @param backoffMs duration of the backoff, in milliseconds
+   * @param nowNs current time, in nanoseconds
+   * @return whether the upstream was not backed off already
    */
   public boolean startBackoff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
     return upstreams.startBackoff(upstream, backoffMs, nowNs);
   }
 
   /**
-   * Takes that an upstream says that it is about to leave.
+   * Records that an upstream has announced that it is about to leave.
    *
-   * @param upstream the upstream's life
-   * @return whether that is news
+   * @param upstream the upstream's incarnation
+   * @return whether it was not known to be leaving
    */
   public boolean leaving(UpstreamIncarnation upstream) {
     return upstreams.markLeaving(upstream);
   }
 
   /**
-   * Tells whether a request that was dispatched may be sent now that there is a connection.
+   * Returns whether a dispatched request may still be sent once the connection is established.
    *
-   * @param upstream the upstream's life
-   * @param nowNs time
-   * @return false if the upstream has asked to back off meanwhile, or is about to leave
+   * @param upstream the upstream's incarnation
+   * @param nowNs current time, in nanoseconds
+   * @return false if the upstream has requested backoff in the meantime, or is about to leave
    */
   public boolean canSend(UpstreamIncarnation upstream, long nowNs) {
     return !upstreams.backpressure(upstream).isUnavailable(nowNs);
--- a/core/src/main/java/org/teaseltrail/core/forward/BackpressureState.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/BackpressureState.java
@@ -4,145 +4,149 @@
 import java.util.Deque;
 
 /**
- * Is what one life of an upstream has asked of its callers, and what this VM may send there all the
- * same. It outlives the upstream's registration here, which may lapse and come back.
+ * The backpressure state of one incarnation of an upstream: its rate limit, the backoff that it
+ * requested, and the permits that this VM holds for it. The state outlives the upstream's
+ * registration here, which may expire and be renewed.
  */
 final class BackpressureState {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Longest backoff that is believed; then a request asks again. */
-  private static final long MOST_BACKOFF_MS = 600_000;
+  /** Maximum backoff that is honoured; after it a probe request is sent. */
+  private static final long MAX_BACKOFF_MS = 600_000;
 
   /**
-   * Time up to which short backoffs in a row grow. Guards against asking an upstream that stays in
-   * need every moment: each time one request goes astray, and a repeat is used up.
+   * Maximum backoff reached by lengthening consecutive short backoffs. Without the growth an
+   * upstream that stays overloaded would be probed continuously: each probe is one rejected request
+   * and consumes a retry.
    */
-  private static final long LONGEST_OWN_BACKOFF_MS = 3_000;
+  private static final long MAX_EXTENDED_BACKOFF_MS = 3_000;
 
   /**
-   * Time after a backoff in which only a request that may go elsewhere too asks whether it is over:
-   * any other would be lost to its caller if it is not.
+   * Time after a backoff in which only a request that may be retried at another upstream is used as
+   * the probe: any other request would be lost to its caller if the upstream still rejects
+   * requests.
    */
-  private static final long CAREFUL_NS = 1_000 * NS_PER_MS;
+  private static final long RETRYABLE_PROBE_NS = 1_000 * NS_PER_MS;
 
-  private final Deque<Long> permitsUntilNs = new ArrayDeque<>();
-  private boolean setLimited;
+  private final Deque<Long> permitExpiriesNs = new ArrayDeque<>();
+  private boolean rateLimited;
   private long backoffEndNs = Long.MIN_VALUE;
-  private int backoffsInRow;
-  private boolean uncertain;
-  private boolean asking;
+  private int consecutiveBackoffs;
+  private boolean needsProbe;
+  private boolean probing;
   private boolean leaving;
 
-  /** Takes whether the upstream names a limit. */
+  /** Sets whether the upstream has named a rate limit. */
   void setLimited(boolean isLimited) {
-    setLimited = isLimited;
+    rateLimited = isLimited;
     if (!isLimited) {
-      permitsUntilNs.clear();
+      permitExpiriesNs.clear();
     }
   }
 
   boolean isLimited() {
-    return setLimited;
+    return rateLimited;
   }
 
-  /** Takes permits of the leader. */
-  void addPermits(int requests, long untilNs) {
+  /** Adds permits granted by the leader. */
+  void addPermits(int requests, long expiryNs) {
     for (int i = 0; i < requests; i++) {
-      permitsUntilNs.addLast(untilNs);
+      permitExpiriesNs.addLast(expiryNs);
     }
   }
 
-  /** Returns how many permits are good now. */
+  /** Returns the number of permits that are currently valid. */
   int permits(long nowNs) {
-    permitsUntilNs.removeIf(untilNs -> nowNs > untilNs);
-    return permitsUntilNs.size();
+    permitExpiriesNs.removeIf(expiryNs -> nowNs > expiryNs);
+    return permitExpiriesNs.size();
   }
 
-  /** Takes that it wants nothing from this VM for a while; returns whether it wasn't so already. */
+  /** Starts or extends a backoff; returns whether the upstream was not backed off already. */
   boolean startBackoff(long backoffMs, long nowNs) {
     if (backoffMs <= 0) {
       return false;
     }
-    boolean news = !isBackedOff(nowNs);
-    backoffsInRow += news ? 1 : 0;
-    long askedMs = Math.min(MOST_BACKOFF_MS, backoffMs);
-    long longerMs = Math.min(LONGEST_OWN_BACKOFF_MS, askedMs * backoffsInRow);
-    backoffEndNs = Math.max(backoffEndNs, nowNs + Math.max(askedMs, longerMs) * NS_PER_MS);
-    uncertain = true;
-    asking = false;
-    return news;
+    boolean isNew = !isBackedOff(nowNs);
+    consecutiveBackoffs += isNew ? 1 : 0;
+    long requestedMs = Math.min(MAX_BACKOFF_MS, backoffMs);
+    long extendedMs = Math.min(MAX_EXTENDED_BACKOFF_MS, requestedMs * consecutiveBackoffs);
+    backoffEndNs = Math.max(backoffEndNs, nowNs + Math.max(requestedMs, extendedMs) * NS_PER_MS);
+    needsProbe = true;
+    probing = false;
+    return isNew;
   }
 
   boolean isBackedOff(long nowNs) {
     return nowNs < backoffEndNs;
   }
 
-  /** Returns until when it wants nothing; a time that is over if it doesn't ask for it. */
+  /** Returns the end of the backoff; a time in the past if there is none. */
   long backoffEndNs() {
     return backoffEndNs;
   }
 
-  /** Takes that it is about to leave; returns whether that is news. */
+  /** Marks the upstream as leaving; returns whether it wasn't marked before. */
   boolean markLeaving() {
-    boolean news = !leaving;
+    boolean isNew = !leaving;
     leaving = true;
-    return news;
+    return isNew;
   }
 
   boolean isLeaving() {
     return leaving;
   }
 
-  /** Tells whether it takes nothing from this VM at present. */
+  /** Returns whether the upstream accepts no requests from this VM at present. */
   boolean isUnavailable(long nowNs) {
     return leaving || isBackedOff(nowNs);
   }
 
-  /** Tells whether it takes fewer requests than others of its size, or none. */
+  /** Returns whether the upstream accepts fewer requests than others of its size, or none. */
   boolean isThrottled(long nowNs) {
-    return setLimited || isUnavailable(nowNs);
+    return rateLimited || isUnavailable(nowNs);
   }
 
   /**
-   * Tells whether a request may be sent now, whichever way has led it here.
+   * Returns whether a request may be sent now, whether it was dispatched locally, as a canary or by
+   * a grant of the leader.
    *
-   * @param mayGoElsewhere whether the request may be sent to another upstream if it is turned away
-   * @param nowNs time
+   * @param canTryAnother whether the request may be sent to another upstream if this one rejects it
+   * @param nowNs current time, in nanoseconds
    */
-  boolean canSend(boolean mayGoElsewhere, long nowNs) {
-    if (isUnavailable(nowNs) || (uncertain && !mayAsk(mayGoElsewhere, nowNs))) {
+  boolean canSend(boolean canTryAnother, long nowNs) {
+    if (isUnavailable(nowNs) || (needsProbe && !canProbe(canTryAnother, nowNs))) {
       return false;
     }
-    return !setLimited || permits(nowNs) > 0;
+    return !rateLimited || permits(nowNs) > 0;
   }
 
   /**
-   * Tells whether a request may ask if the backoff is over. Guards against all that waits being
-   * sent at once to an upstream that still turns everything away: one request asks.
+   * Returns whether a request may probe if the backoff is over. Only one probe is in flight at a
+   * time, so that the whole queue isn't sent to an upstream that still rejects everything.
    */
-  private boolean mayAsk(boolean mayGoElsewhere, long nowNs) {
-    return !asking && (mayGoElsewhere || nowNs >= backoffEndNs + CAREFUL_NS);
+  private boolean canProbe(boolean canTryAnother, long nowNs) {
+    return !probing && (canTryAnother || nowNs >= backoffEndNs + RETRYABLE_PROBE_NS);
   }
 
-  /** Takes in that a request is sent. */
+  /** Records that a request is sent. */
   void recordSent() {
-    permitsUntilNs.pollFirst();
-    asking = uncertain;
+    permitExpiriesNs.pollFirst();
+    probing = needsProbe;
   }
 
-  /** Takes in that the upstream works on a request, or has answered it, that was sent at a time. */
+  /** Records that the upstream accepted a request that was sent at the given time. */
   void recordAccepted(long sentNs) {
     if (sentNs >= backoffEndNs) {
-      uncertain = false;
-      backoffsInRow = 0;
+      needsProbe = false;
+      consecutiveBackoffs = 0;
     }
   }
 
-  /** Takes in that a request there is over that was sent at a time, however it ended. */
+  /** Records that a request that was sent at the given time has ended, whatever its outcome. */
   void recordEnded(long sentNs) {
     if (sentNs >= backoffEndNs) {
-      asking = false;
+      probing = false;
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/CanaryTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/CanaryTracker.java
@@ -10,7 +10,10 @@
 import org.teaseltrail.core.rollout.RolloutReport;
 import org.teaseltrail.core.rollout.Symptom;
 
-/** Is this VM's part in one rollout: what it may send to the ordered version, and what it saw. */
+/**
+ * Tracks one rollout at this VM: the canary allowance, which limits the requests that the VM may
+ * send to the target version, and the observations to be reported to the leader.
+ */
 final class CanaryTracker {
 
   private final Rollout rollout;
@@ -18,41 +21,41 @@
   private long reached;
   private long exposed;
   private long ceiling;
-  private long lentUntilNs;
+  private long allowanceExpiryNs;
   private List<UpstreamId> targets = List.of();
-  private FencingNumber heardBy = new FencingNumber(0);
+  private FencingNumber allowanceLeadership = new FencingNumber(0);
   private long heard;
 
   CanaryTracker(Rollout rollout) {
     this.rollout = rollout;
   }
 
-  /** Tells whether this is the part in a rollout, whatever its phase. */
+  /** Returns whether this object tracks the given rollout, whatever its phase. */
   boolean belongsTo(Rollout other) {
     return rollout.order().service().equals(other.order().service())
         && rollout.orderedMs() == other.orderedMs();
   }
 
-  /** Takes what the leader lends until a time. */
-  void lent(CanaryAllowance loan, FencingNumber leadership, long untilNs) {
-    if (loan.orderedMs() == rollout.orderedMs()) {
-      heardBy = leadership;
-      heard = loan.heard();
+  /** Applies the leader's canary allowance, which expires at the given time. */
+  void lent(CanaryAllowance allowance, FencingNumber leadership, long expiryNs) {
+    if (allowance.orderedMs() == rollout.orderedMs()) {
+      allowanceLeadership = leadership;
+      heard = allowance.heard();
       observations.heard(heard);
-      ceiling = loan.ceiling();
-      lentUntilNs = untilNs;
-      targets = loan.upstreams();
+      ceiling = allowance.ceiling();
+      allowanceExpiryNs = expiryNs;
+      targets = allowance.upstreams();
     }
   }
 
-  /** Returns the upstreams that a request may go to as a canary; none without a loan. */
+  /** Returns the upstreams that a request may be sent to as a canary; none without an allowance. */
   List<UpstreamId> targets(long nowNs) {
-    return exposed < ceiling && nowNs < lentUntilNs ? targets : List.of();
+    return exposed < ceiling && nowNs < allowanceExpiryNs ? targets : List.of();
   }
 
   /** Counts a request that is sent to an upstream of the service. */
-  void recordSent(UpstreamState view) {
-    exposed += isOrdered(view) ? 1 : 0;
+  void recordSent(UpstreamState upstream) {
+    exposed += isTargetVersion(upstream) ? 1 : 0;
   }
 
   /** Counts a request that has reached its upstream. */
@@ -60,23 +63,24 @@
     reached++;
   }
 
-  /** Notes what a request's answer showed. */
-  void recordObservation(ActiveRequest request, UpstreamState view, Symptom symptom, int value) {
+  /** Records an observation from a request's response. */
+  void recordObservation(
+      ActiveRequest request, UpstreamState upstream, Symptom symptom, int value) {
     int tokens = request.request().promptTokens().orElse(0);
     observations.add(
         new Observation(
             request.route().id(),
-            view.registration().id(),
-            isOrdered(view),
+            upstream.registration().id(),
+            isTargetVersion(upstream),
             symptom,
             Observation.sizeBucketOf(tokens),
             value));
   }
 
-  /** Returns what the leader of a leadership is to be told. */
+  /** Returns the report for the leader of a leadership. */
   RolloutReport createReport(FencingNumber leadership, long nowNs) {
-    long from = leadership.equals(heardBy) ? heard : 0;
-    boolean lent = nowNs < lentUntilNs;
+    long from = leadership.equals(allowanceLeadership) ? heard : 0;
+    boolean lent = nowNs < allowanceExpiryNs;
     return new RolloutReport(
         rollout.order().service(),
         rollout.orderedMs(),
@@ -87,7 +91,7 @@
         observations.from(from));
   }
 
-  private boolean isOrdered(UpstreamState view) {
-    return rollout.isTargetVersion(view.registration().version());
+  private boolean isTargetVersion(UpstreamState upstream) {
+    return rollout.isTargetVersion(upstream.registration().version());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/ControlClient.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ControlClient.java
@@ -10,28 +10,34 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.ServingSession;
 
-/** Keeps this VM's session with the control members: whom to ask, and when. */
+/**
+ * Client of the control members: keeps this VM's session, and decides which members to contact and
+ * when.
+ */
 final class ControlClient {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Missed syncs after which the leader counts as lost and all members are asked. */
-  private static final int PATIENCE_SYNCS = 3;
+  /**
+   * Number of missed syncs after which the leader is considered lost and all members are contacted.
+   */
+  private static final int MAX_MISSED_SYNCS = 3;
 
-  /** Time between two syncs at least, whatever asks for them; a fifth of the usual one. */
-  private static final long LEAST_PAUSE_NS = 50 * NS_PER_MS;
+  /** Minimum time between two syncs, whatever the reason; a fifth of the usual interval. */
+  private static final long MIN_SYNC_INTERVAL_NS = 50 * NS_PER_MS;
 
   /**
-   * Time between two syncs while there is no session. Every member is asked, so it isn't less; a
-   * new leader's session comes half of it later.
+   * Time between two syncs while there is no session. It isn't shorter because every member is
+   * contacted; a session with a new leader is delayed by half of it on average.
    */
-  private static final long SEARCH_PAUSE_NS = 100 * NS_PER_MS;
+  private static final long SEARCH_INTERVAL_NS = 100 * NS_PER_MS;
 
   /**
-   * Pause for each VM between syncs of VMs where requests wait, so that the leader gets no more
-   * than 240 of them a second in all; twelve VMs or fewer come to {@link #LEAST_PAUSE_NS}.
+   * Minimum time between two syncs while requests are queued, per VM, so that the leader receives
+   * at most 240 of these syncs per second in total; with twelve VMs or fewer {@link
+   * #MIN_SYNC_INTERVAL_NS} applies.
    */
-  private static final long PAUSE_OF_VM_NS = 4 * NS_PER_MS;
+  private static final long SYNC_INTERVAL_PER_VM_NS = 4 * NS_PER_MS;
 
   private final ForwardSettings settings;
   private final ServingSession session;
@@ -68,31 +74,34 @@
     return nextSyncNs;
   }
 
-  /** Brings the next sync forward for what only the leader can give. */
+  /** Advances the next sync because of something that only the leader can provide. */
   void syncSoon() {
-    nextSyncNs = Math.min(nextSyncNs, lastSyncNs + LEAST_PAUSE_NS);
+    nextSyncNs = Math.min(nextSyncNs, lastSyncNs + MIN_SYNC_INTERVAL_NS);
   }
 
   /**
-   * Brings the next sync forward while requests wait for places: the more VMs there are, the less.
+   * Advances the next sync while requests are queued for slots, by less the more VMs there are.
    *
-   * <p>Guards against a leader that is kept busy by syncs alone: in an overload requests wait at
-   * all VMs, and sixty of them sent 1,200 syncs a second. Places for engines are handed out by
-   * other messages then, so a sync brings only what the others hold at plain services.
+   * <p>The limit protects the leader from overload by syncs alone: in an overload requests are
+   * queued at all VMs, and sixty VMs sent 1,200 syncs per second. As the slots of engines are
+   * granted by other messages then, a sync only updates what the other VMs use at plain HTTP
+   * services.
    */
   void syncForSlots() {
-    long pauseNs = Math.max(LEAST_PAUSE_NS, vmCount * PAUSE_OF_VM_NS);
-    nextSyncNs = Math.min(nextSyncNs, lastSyncNs + pauseNs);
+    long intervalNs = Math.max(MIN_SYNC_INTERVAL_NS, vmCount * SYNC_INTERVAL_PER_VM_NS);
+    nextSyncNs = Math.min(nextSyncNs, lastSyncNs + intervalNs);
   }
 
-  /** Returns the syncs that are due: one to the leader, or one to each member if none is known. */
+  /**
+   * Returns the syncs that are due: one to the leader, or one to each member if no leader is known.
+   */
   List<ForwardAction> dueSyncs(ForwardNode node, long nowNs) {
     if (nowNs < nextSyncNs) {
       return List.of();
     }
     lastSyncNs = nowNs;
-    long usualPauseNs = settings.syncIntervalMs() * NS_PER_MS;
-    nextSyncNs = nowNs + (session.isValid(nowNs) ? usualPauseNs : SEARCH_PAUSE_NS);
+    long usualIntervalNs = settings.syncIntervalMs() * NS_PER_MS;
+    nextSyncNs = nowNs + (session.isValid(nowNs) ? usualIntervalNs : SEARCH_INTERVAL_NS);
     List<VmId> asked = leader(nowNs).map(List::of).orElseGet(this::members);
     List<ForwardAction> syncs = new ArrayList<>();
     for (VmId member : asked) {
@@ -103,39 +112,42 @@
   }
 
   /**
-   * Learns of members.
+   * Updates the control members from a reply.
    *
    * @return whether the set has changed
    */
   boolean updateMembers(ServingReply reply) {
     if (reply instanceof ServingReply.Confirmed confirmed) {
       vmCount = confirmed.vmCount();
-      Set<VmId> told = new LinkedHashSet<>(confirmed.members());
-      boolean changed = !told.equals(members);
+      Set<VmId> newMembers = new LinkedHashSet<>(confirmed.members());
+      boolean changed = !newMembers.equals(members);
       members.clear();
-      members.addAll(told);
+      members.addAll(newMembers);
       return changed;
     }
     return reply instanceof ServingReply.NotLeading other && members.addAll(other.members());
   }
 
-  /** Asks the seeds again too, once nobody has confirmed the session for its whole lifetime. */
+  /**
+   * Adds the seeds to the members once the session has expired without a confirmation; returns
+   * whether any is new.
+   */
   boolean addSeedsWithoutSession(long nowNs) {
     return !session.isValid(nowNs) && members.addAll(seeds);
   }
 
-  /** Returns a message to the leader if one is known. */
+  /** Returns the action that sends a message to the leader, if one is known. */
   Optional<ForwardAction> messageToLeader(ServingMessage message, long nowNs) {
     return leader(nowNs).map(leader -> new ForwardAction.SendControl(leader, message));
   }
 
-  /** Tells whether a leader has answered lately. */
+  /** Returns whether a leader has answered recently. */
   boolean hasLeader(long nowNs) {
     return leader(nowNs).isPresent();
   }
 
   private Optional<VmId> leader(long nowNs) {
-    return session.leader(nowNs, PATIENCE_SYNCS * settings.syncIntervalMs() * NS_PER_MS);
+    return session.leader(nowNs, MAX_MISSED_SYNCS * settings.syncIntervalMs() * NS_PER_MS);
   }
 
   private ServingMessage.Sync sync(ForwardNode node, long sequence, long nowNs) {
--- a/core/src/main/java/org/teaseltrail/core/forward/DeadlineQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/DeadlineQueue.java
@@ -5,28 +5,28 @@
 import java.util.TreeMap;
 
 /**
- * Knows when the time of requests is over. A request may be scheduled several times; whoever takes
- * it looks whether its time has come.
+ * Queue of requests ordered by their next deadline. A request may be scheduled several times; the
+ * code that polls it checks whether its deadline has really passed.
  */
 final class DeadlineQueue {
 
-  private final TreeMap<Long, List<ActiveRequest>> byTimeNs = new TreeMap<>();
+  private final TreeMap<Long, List<ActiveRequest>> byDeadlineNs = new TreeMap<>();
 
   void schedule(ActiveRequest request) {
-    byTimeNs.computeIfAbsent(request.nextDeadlineNs(), key -> new ArrayList<>()).add(request);
+    byDeadlineNs.computeIfAbsent(request.nextDeadlineNs(), key -> new ArrayList<>()).add(request);
   }
 
-  /** Returns when the next is due, {@link Long#MAX_VALUE} if there is none. */
+  /** Returns the next deadline, {@link Long#MAX_VALUE} if there is none. */
   long nextDeadlineNs() {
-    return byTimeNs.isEmpty() ? Long.MAX_VALUE : byTimeNs.firstKey();
+    return byDeadlineNs.isEmpty() ? Long.MAX_VALUE : byDeadlineNs.firstKey();
   }
 
-  /** Takes out what is due. */
+  /** Removes and returns the requests whose deadline has passed. */
   List<ActiveRequest> pollUntil(long nowNs) {
-    List<ActiveRequest> due = new ArrayList<>();
+    List<ActiveRequest> expired = new ArrayList<>();
     while (nextDeadlineNs() <= nowNs) {
-      due.addAll(byTimeNs.pollFirstEntry().getValue());
+      expired.addAll(byDeadlineNs.pollFirstEntry().getValue());
     }
-    return due;
+    return expired;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardAction.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardAction.java
@@ -7,19 +7,22 @@
 import org.teaseltrail.core.registry.Registration;
 import org.teaseltrail.core.serving.ServingMessage;
 
-/** Is something that a forwarding entry VM wants done, in the order given. */
+/**
+ * An action that the request forwarding of an entry VM requests from its caller. Actions are
+ * carried out in the order in which they are returned.
+ */
 public sealed interface ForwardAction {
 
   /**
-   * Send a request to an upstream.
+   * Sends a request to an upstream.
    *
    * @param request the request's number
-   * @param attempt counts the request's attempts, from 1
-   * @param upstream the upstream
-   * @param route its route
-   * @param customer whose key it carries
-   * @param remainingMs time that the upstream may take, in milliseconds
-   * @param canary whether it goes to an ordered version that is still a canary
+   * @param attempt number of the attempt at this request, from 1
+   * @param upstream the upstream's registration
+   * @param route the request's route
+   * @param customer the customer whose key the request carries
+   * @param remainingMs time that is left for the upstream's response, in milliseconds
+   * @param canary whether the request goes to a rollout's target version that is still a canary
    */
   record Dispatch(
       long request,
@@ -32,27 +35,28 @@
       implements ForwardAction {}
 
   /**
-   * Break an attempt off, so that its upstream stops work on it.
+   * Cancels an attempt, so that the upstream stops processing the request.
    *
    * @param request the request's number
    */
   record Cancel(long request) implements ForwardAction {}
 
   /**
-   * Give the caller the answer of the attempt that has just ended.
+   * Delivers the response of the attempt that has just ended to the caller.
    *
    * @param request the request's number
    */
   record Deliver(long request) implements ForwardAction {}
 
   /**
-   * Tell the caller that there is no answer. A stream that has begun is broken off instead.
+   * Rejects a request without an upstream's response. If a streamed response has started, the
+   * stream is aborted instead.
    *
    * @param request the request's number
-   * @param refusalReason why
-   * @param retryAfterMs when the caller may come back, in milliseconds; 0 if no time can be told
-   * @param route its route, if one was found
-   * @param customer whose key it carries, if that is known
+   * @param refusalReason the reason
+   * @param retryAfterMs when the caller may retry, in milliseconds; 0 if unknown
+   * @param route the request's route, empty if none was found
+   * @param customer the customer whose key the request carries, if that is known
    */
   record Refuse(
       long request,
@@ -62,12 +66,12 @@
       Optional<CustomerId> customer)
       implements ForwardAction {
 
-    /** Refuses a request that was not judged by the plan. */
+    /** Refuses a request before it was matched with a route and a customer. */
     static Refuse beforeRouting(long request, RefusalReason refusal, long retryAfterMs) {
       return new Refuse(request, refusal, retryAfterMs, Optional.empty(), Optional.empty());
     }
 
-    /** Refuses a request that the plan allows. */
+    /** Refuses a request whose route and customer are known. */
     static Refuse of(ActiveRequest request, RefusalReason refusal, long retryAfterMs) {
       return new Refuse(
           request.number(),
@@ -79,7 +83,7 @@
   }
 
   /**
-   * Send a message to a control member.
+   * Sends a message to a control member.
    *
    * @param member the member's VM
    * @param message the message
@@ -87,7 +91,7 @@
   record SendControl(VmId member, ServingMessage message) implements ForwardAction {}
 
   /**
-   * Hold connections to these control members.
+   * Keeps connections open to exactly these control members.
    *
    * @param members their VMs
    */
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardNode.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardNode.java
@@ -18,43 +18,47 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Is an entry VM that forwards requests: admits them, places them, repeats them where that is
- * allowed, and ends each with one answer. It holds no body, socket or clock.
+ * State machine of an entry VM that forwards requests: it admits each request, dispatches it to an
+ * upstream, retries it where that is allowed, and ends it with exactly one answer. It does no I/O:
+ * callers pass in events and carry out the returned actions, and it holds no body, socket or clock.
  *
- * <p>Time is that of a clock which also counts freezes.
+ * <p>All times come from a monotonic clock that keeps counting while the VM is suspended.
  */
 public final class ForwardNode {
 
-  /** When a caller may come back that met a VM about to end; its next try goes to another VM. */
-  private static final long ENDING_RETRY_MS = 20;
+  /**
+   * Retry-after for requests that arrive during shutdown, in milliseconds. It is short because the
+   * caller's next attempt goes to another VM.
+   */
+  private static final long SHUTDOWN_RETRY_AFTER_MS = 20;
 
-  private final ControlClient ties;
+  private final ControlClient controlClient;
   private final UpstreamTracker upstreams = new UpstreamTracker();
   private final SlotGrantTracker slots = new SlotGrantTracker();
   private final RateLimitClient limits;
   private final BackpressureHandler backpressure;
   private final QuarantineTracker quarantine;
-  private final VersionRouter gate;
+  private final VersionRouter versionRouter;
   private final LocalQuotaTracker quotas;
   private final RequestCoordinator requests;
-  private final QuotaAdmissionFilter quotaGate;
-  private final AdmissionController reception;
+  private final QuotaAdmissionFilter quotaFilter;
+  private final AdmissionController admission;
   private final LeaderReporter reports;
-  private boolean ending;
-  private List<ForwardAction> out = new ArrayList<>();
+  private boolean shuttingDown;
+  private List<ForwardAction> actions = new ArrayList<>();
 
   /**
-   * Creates a VM without a plan.
+   * Creates an entry VM that has no plan yet.
    *
-   * @param settings its settings
+   * @param settings the VM's settings
    */
   public ForwardNode(ForwardSettings settings) {
     final RandomGenerator random = new SplittableRandom(settings.seed());
-    ties = new ControlClient(settings);
-    quarantine = new QuarantineTracker(settings.vm(), ties::hasLeader);
+    controlClient = new ControlClient(settings);
+    quarantine = new QuarantineTracker(settings.vm(), controlClient::hasLeader);
     limits = new RateLimitClient(settings.vm(), upstreams);
     backpressure = new BackpressureHandler(upstreams, limits);
-    gate = new VersionRouter(settings.vm(), settings.incarnation(), upstreams);
+    versionRouter = new VersionRouter(settings.vm(), settings.incarnation(), upstreams);
     requests =
         new RequestCoordinator(
             settings,
@@ -62,119 +66,129 @@
             upstreams,
             slots,
             quarantine,
-            gate,
+            versionRouter,
             this::isEngine,
-            action -> out.add(action));
+            action -> actions.add(action));
     quotas = new LocalQuotaTracker(settings.quotas(), settings.sessionLifetimeMs());
-    quotaGate = new QuotaAdmissionFilter(quotas, requests, ties, action -> out.add(action));
-    reception = new AdmissionController(random, ties, quotaGate, action -> out.add(action));
+    quotaFilter =
+        new QuotaAdmissionFilter(quotas, requests, controlClient, action -> actions.add(action));
+    admission =
+        new AdmissionController(random, controlClient, quotaFilter, action -> actions.add(action));
     reports =
         new LeaderReporter(
-            ties, upstreams, slots, requests, quarantine, gate, limits, action -> out.add(action));
+            controlClient,
+            upstreams,
+            slots,
+            requests,
+            quarantine,
+            versionRouter,
+            limits,
+            action -> actions.add(action));
   }
 
   /**
-   * Begins: connects to the seeds.
+   * Starts the VM: requests connections to the seeds.
    *
-   * @return what is to be done
+   * @return the actions to carry out, in this order
    */
   public List<ForwardAction> start() {
-    out.add(new ForwardAction.ConnectToMembers(ties.members()));
+    actions.add(new ForwardAction.ConnectToMembers(controlClient.members()));
     return drain();
   }
 
   /**
-   * Takes other seeds, to be asked once the members known now don't answer.
+   * Replaces the seeds, which are contacted once no known control member answers.
    *
-   * @param seeds control members' VMs
+   * @param seeds the VMs of control members
    */
   public void seeds(List<VmId> seeds) {
-    ties.seeds(seeds);
+    controlClient.seeds(seeds);
   }
 
   /**
-   * Takes no requests from now on. Guards against a request that comes late in a shutdown, over a
-   * connection that was kept: it would be cut at the end, though another VM could have served it.
+   * Rejects all requests from now on. During a shutdown a request may still arrive over a
+   * keep-alive connection; it would be aborted when the process exits, although another VM could
+   * have served it.
    */
   public void end() {
-    ending = true;
+    shuttingDown = true;
   }
 
   /**
-   * Takes a request that was read whole.
+   * Handles a request that has been read completely.
    *
    * @param request the request
-   * @param nowNs time
-   * @return what is to be done
+   * @param nowNs current time, in nanoseconds
+   * @return the actions to carry out, in this order
    */
   public List<ForwardAction> onRequest(ForwardRequest request, long nowNs) {
-    if (ending) {
-      refuse(request.number(), RefusalReason.ENDING, ENDING_RETRY_MS);
-      return take(nowNs);
+    if (shuttingDown) {
+      refuse(request.number(), RefusalReason.ENDING, SHUTDOWN_RETRY_AFTER_MS);
+      return collectActions(nowNs);
     }
-    reception.onRequest(request, nowNs);
-    return take(nowNs);
+    admission.onRequest(request, nowNs);
+    return collectActions(nowNs);
   }
 
   /**
-   * Takes the end of an attempt.
+   * Handles the end of an attempt at an upstream.
    *
    * @param number the request's number
-   * @param end how it ended
-   * @param nowNs time
-   * @return what is to be done
+   * @param end the outcome of the attempt
+   * @param nowNs current time, in nanoseconds
+   * @return the actions to carry out, in this order
    */
   public List<ForwardAction> onAttemptEnded(long number, AttemptOutcome end, long nowNs) {
     requests.onAttemptEnded(number, end, nowNs);
-    return take(nowNs);
+    return collectActions(nowNs);
   }
 
   /**
-   * Notes that the caller has got the first part of a stream.
+   * Records that the caller has received the first part of a streamed response.
    *
    * @param number the request's number
-   * @param nowNs time
-   * @return what is to be done
+   * @param nowNs current time, in nanoseconds
+   * @return the actions to carry out, in this order
    */
   public List<ForwardAction> onResponseStarted(long number, long nowNs) {
     requests.onResponseStarted(number, nowNs);
-    return take(nowNs);
+    return collectActions(nowNs);
   }
 
   /**
-   * Takes the load that an upstream has told with an answer.
+   * Records the load that an upstream reported with a response.
    *
    * @param upstream the upstream
-   * @param requests requests that it works on or that wait there
-   * @param nowNs time
+   * @param requests requests that run or are queued at the upstream
+   * @param nowNs current time, in nanoseconds
    */
   public void onLoadReport(UpstreamId upstream, int requests, long nowNs) {
     upstreams.recordLoad(upstream, requests, nowNs);
   }
 
   /**
-   * Returns what takes in how much work upstreams ask for.
+   * Returns the handler of the backpressure signals in upstreams' responses.
    *
-   * @return the upstreams' signals
+   * @return the handler
    */
   public BackpressureHandler backpressure() {
     return backpressure;
   }
 
   /**
-   * Takes what an upstream needed for a part of an answer: a stream's event, or the whole answer of
-   * a plain service.
+   * Records the time that an upstream took for one part of a response: one event of a stream, or
+   * the whole response of a plain HTTP service.
    *
    * @param upstream the upstream
    * @param elapsedMs the time, in milliseconds
-   * @param nowNs time
+   * @param nowNs current time, in nanoseconds
    */
   public void recordEventLatency(UpstreamId upstream, double elapsedMs, long nowNs) {
     upstreams.recordEventLatency(upstream, elapsedMs, nowNs);
   }
 
   /**
-   * Takes the mean time between the events of a stream that is about to end.
+   * Records the mean time between the events of a stream that is about to end.
    *
    * @param number the request's number
    * @param elapsedMs the time, in milliseconds
@@ -184,150 +198,151 @@
   }
 
   /**
-   * Takes a caller's leaving: nothing more is done for its request.
+   * Handles a caller that disconnected: its request is dropped, and cancelled if it is at an
+   * upstream.
    *
    * @param number the request's number
-   * @param nowNs time
-   * @return what is to be done
+   * @param nowNs current time, in nanoseconds
+   * @return the actions to carry out, in this order
    */
   public List<ForwardAction> onCallerDisconnected(long number, long nowNs) {
-    reception.onCallerDisconnected(number);
-    quotaGate.onCallerDisconnected(number);
+    admission.onCallerDisconnected(number);
+    quotaFilter.onCallerDisconnected(number);
     requests.onCallerDisconnected(number, nowNs);
-    return take(nowNs);
+    return collectActions(nowNs);
   }
 
   /**
-   * Takes what a control member says.
+   * Handles a message from a control member.
    *
    * @param reply the message
-   * @param nowNs time
-   * @return what is to be done
+   * @param nowNs current time, in nanoseconds
+   * @return the actions to carry out, in this order
    */
   public List<ForwardAction> onControlMessage(ServingReply reply, long nowNs) {
     if (reply instanceof ServingReply.Confirmed confirmed) {
-      confirmed(confirmed, nowNs);
+      onConfirmed(confirmed, nowNs);
     } else if (reply instanceof ServingReply.NotLeading other) {
-      ties.session().notLeading(other);
-      learnMembers(other);
+      controlClient.session().notLeading(other);
+      updateMembers(other);
     } else if (reply instanceof ServingReply.Contention contention) {
-      if (ties.session().isCurrentLeadership(contention.fencing())) {
+      if (controlClient.session().isCurrentLeadership(contention.fencing())) {
         slots.contended(contention.fencing(), contention.services(), nowNs);
         requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.SlotGrant grant) {
-      if (ties.session().isCurrentLeadership(grant.fencing())) {
+      if (controlClient.session().isCurrentLeadership(grant.fencing())) {
         slots.granted(grant.fencing(), grant.sequence(), nowNs);
         requests.granted(grant, nowNs);
       }
     } else if (reply instanceof ServingReply.PlanUpdate update) {
-      if (ties.session().isCurrentLeadership(update.fencing())) {
+      if (controlClient.session().isCurrentLeadership(update.fencing())) {
         apply(update.plan(), nowNs);
       }
     } else if (reply instanceof ServingReply.RegistryUpdate update) {
-      if (ties.session().isCurrentLeadership(update.fencing())) {
+      if (controlClient.session().isCurrentLeadership(update.fencing())) {
         upstreams.update(update.revision(), update.present());
         requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.RolloutUpdate update) {
-      if (ties.session().isCurrentLeadership(update.fencing())) {
-        gate.applyUpdate(update);
+      if (controlClient.session().isCurrentLeadership(update.fencing())) {
+        versionRouter.applyUpdate(update);
         requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.CanaryLoans loans) {
-      if (ties.session().isCurrentLeadership(loans.fencing())) {
-        gate.lent(loans);
+      if (controlClient.session().isCurrentLeadership(loans.fencing())) {
+        versionRouter.lent(loans);
       }
     } else if (reply instanceof ServingReply.LimitUpdate update) {
-      if (ties.session().isCurrentLeadership(update.fencing())) {
+      if (controlClient.session().isCurrentLeadership(update.fencing())) {
         limits.applyUpdate(update, nowNs);
         requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.SendPermits permits) {
-      if (ties.session().isCurrentLeadership(permits.fencing())) {
+      if (controlClient.session().isCurrentLeadership(permits.fencing())) {
         limits.applyPermits(permits);
         requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.QuarantineUpdate update) {
-      if (ties.session().isCurrentLeadership(update.fencing())) {
+      if (controlClient.session().isCurrentLeadership(update.fencing())) {
         quarantine.applyUpdate(update, nowNs);
         requests.abortQuarantined(nowNs);
         requests.dispatchQueued(nowNs);
       }
     } else if (reply instanceof ServingReply.Trial trial) {
-      if (ties.session().isCurrentLeadership(trial.fencing())) {
+      if (controlClient.session().isCurrentLeadership(trial.fencing())) {
         quarantine.addTrialPermit(trial, nowNs);
       }
     }
-    return take(nowNs);
+    return collectActions(nowNs);
   }
 
   /**
-   * Does what is due.
+   * Handles all timers that have expired and sends the syncs that are due.
    *
-   * @param nowNs time
-   * @return what is to be done
+   * @param nowNs current time, in nanoseconds
+   * @return the actions to carry out, in this order
    */
   public List<ForwardAction> tick(long nowNs) {
-    List<ForwardAction> syncs = ties.dueSyncs(this, nowNs);
-    out.addAll(syncs);
+    List<ForwardAction> syncs = controlClient.dueSyncs(this, nowNs);
+    actions.addAll(syncs);
     if (!syncs.isEmpty()) {
       reports.reportWithSync(nowNs);
     }
-    if (ties.addSeedsWithoutSession(nowNs)) {
-      out.add(new ForwardAction.ConnectToMembers(ties.members()));
+    if (controlClient.addSeedsWithoutSession(nowNs)) {
+      actions.add(new ForwardAction.ConnectToMembers(controlClient.members()));
     }
-    reception.tick(nowNs);
-    quotaGate.tick(nowNs);
+    admission.tick(nowNs);
+    quotaFilter.tick(nowNs);
     requests.tick(nowNs);
-    return take(nowNs);
+    return collectActions(nowNs);
   }
 
   /**
-   * Returns when the next tick is wanted.
+   * Returns when {@link #tick} must be called next.
    *
-   * @return time in nanoseconds
+   * @return the time, in nanoseconds
    */
   public long nextWakeupNs() {
     return LongStream.of(
-            ties.nextSyncNs(),
+            controlClient.nextSyncNs(),
             requests.nextDueNs().orElse(Long.MAX_VALUE),
-            quotaGate.nextDueNs().orElse(Long.MAX_VALUE),
-            reception.nextDueNs().orElse(Long.MAX_VALUE))
+            quotaFilter.nextDueNs().orElse(Long.MAX_VALUE),
+            admission.nextDueNs().orElse(Long.MAX_VALUE))
         .min()
         .getAsLong();
   }
 
   /**
-   * Tells whether callers may be sent here.
+   * Returns whether load balancers may send requests to this VM.
    *
-   * @param nowNs time
-   * @return true while the plan is known to be the newest
+   * @param nowNs current time, in nanoseconds
+   * @return true while the plan is confirmed to be the newest
    */
   public boolean isReady(long nowNs) {
-    return reception.plan().isPresent() && ties.session().isValid(nowNs);
+    return admission.plan().isPresent() && controlClient.session().isValid(nowNs);
   }
 
   /**
-   * Returns the plan in force.
+   * Returns the plan that this VM applies.
    *
-   * @return the plan, if one has come
+   * @return the plan, empty until one has been received
    */
   public Optional<ServingPlan> plan() {
-    return reception.plan().map(PlanIndex::plan);
+    return admission.plan().map(PlanIndex::plan);
   }
 
   /**
-   * Returns how many requests have no answer yet.
+   * Returns the number of requests without a final answer.
    *
-   * @return those that wait and those at upstreams
+   * @return queued requests and requests at upstreams
    */
   public int openRequests() {
-    return requests.openRequests() + quotaGate.waiting() + reception.waiting();
+    return requests.openRequests() + quotaFilter.waiting() + admission.waiting();
   }
 
   long planVersion() {
-    return reception.plan().map(held -> held.plan().version()).orElse(-1L);
+    return admission.plan().map(held -> held.plan().version()).orElse(-1L);
   }
 
   long registryRevision() {
@@ -335,11 +350,11 @@
   }
 
   long quarantineRevision() {
-    return quarantine.revision(ties.session().newestFencing());
+    return quarantine.revision(controlClient.session().newestFencing());
   }
 
   long rolloutRevision() {
-    return gate.revision();
+    return versionRouter.revision();
   }
 
   Map<UpstreamId, Integer> inFlight() {
@@ -347,27 +362,27 @@
   }
 
   List<QuotaReport> quotaReports(long sequence, long nowNs) {
-    return quotas.uses(sequence, ties.session().isValid(nowNs), nowNs);
+    return quotas.uses(sequence, controlClient.session().isValid(nowNs), nowNs);
   }
 
-  private void confirmed(ServingReply.Confirmed confirmed, long nowNs) {
-    FencingNumber before = ties.session().newestFencing();
-    if (!ties.session().confirmed(confirmed, nowNs)) {
+  private void onConfirmed(ServingReply.Confirmed confirmed, long nowNs) {
+    FencingNumber before = controlClient.session().newestFencing();
+    if (!controlClient.session().confirmed(confirmed, nowNs)) {
       return;
     }
     quarantine.scheduleResend(!confirmed.fencing().equals(before), nowNs);
-    learnMembers(confirmed);
+    updateMembers(confirmed);
     requests.vmCount(confirmed.vmCount());
     upstreams.updateSlots(confirmed.places(), confirmed.registryRevision(), nowNs);
     slots.contended(confirmed.fencing(), confirmed.contended(), nowNs);
-    quotaGate.onConfirmed(confirmed, nowNs);
-    reception.retryWaiting(nowNs);
+    quotaFilter.onConfirmed(confirmed, nowNs);
+    admission.retryWaiting(nowNs);
     requests.dispatchQueued(nowNs);
   }
 
-  private void learnMembers(ServingReply reply) {
-    if (ties.updateMembers(reply)) {
-      out.add(new ForwardAction.ConnectToMembers(ties.members()));
+  private void updateMembers(ServingReply reply) {
+    if (controlClient.updateMembers(reply)) {
+      actions.add(new ForwardAction.ConnectToMembers(controlClient.members()));
     }
   }
 
@@ -376,13 +391,13 @@
       return;
     }
     quotas.configure(newer);
-    reception.configure(new PlanIndex(newer));
-    ties.session().recordPlanVersion(newer.version());
-    reception.retryWaiting(nowNs);
+    admission.configure(new PlanIndex(newer));
+    controlClient.session().recordPlanVersion(newer.version());
+    admission.retryWaiting(nowNs);
   }
 
   private boolean isEngine(ServiceId service) {
-    return reception
+    return admission
         .plan()
         .flatMap(held -> held.service(service))
         .map(PlanService::engine)
@@ -390,21 +405,23 @@
   }
 
   private void refuse(long number, RefusalReason refusal, long retryAfterMs) {
-    out.add(ForwardAction.Refuse.beforeRouting(number, refusal, retryAfterMs));
+    actions.add(ForwardAction.Refuse.beforeRouting(number, refusal, retryAfterMs));
   }
 
-  /** Takes what is to be done; the leader is told of changes to what waits. */
-  private List<ForwardAction> take(long nowNs) {
+  /**
+   * Returns the pending actions, after adding reports to the leader about changes of the queues.
+   */
+  private List<ForwardAction> collectActions(long nowNs) {
     if (requests.lines().hasWaiting()) {
-      ties.syncForSlots();
+      controlClient.syncForSlots();
     }
     reports.reportChanges(nowNs);
     return drain();
   }
 
   private List<ForwardAction> drain() {
-    List<ForwardAction> taken = out;
-    out = new ArrayList<>();
+    List<ForwardAction> taken = actions;
+    actions = new ArrayList<>();
     return taken;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardRequest.java
@@ -9,18 +9,19 @@
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /**
- * Is what decides about a request that is to be forwarded. Its body stays with the connection.
+ * The properties of a request that forwarding decisions depend on. The body stays with the
+ * connection.
  *
- * @param number names it within this process
- * @param id the caller's id for this attempt
- * @param host the host it names
+ * @param number identifies the request within this process
+ * @param id the caller's id of this attempt
+ * @param host the host that the request names
  * @param path its path without the query
  * @param key the customer's key, if it carries one
- * @param deadlineMs how long the caller waits, in milliseconds
+ * @param deadlineMs how long the caller waits for the response, in milliseconds
  * @param promptTokens length of its prompt, in tokens
- * @param maxOutputTokens most tokens of its answer
- * @param prompt the parts of its prompt
- * @param content what it asks for
+ * @param maxOutputTokens maximum length of the response, in tokens
+ * @param prompt the parts of its prompt, used for prefix affinity
+ * @param content its content, from which the fingerprint is computed
  */
 public record ForwardRequest(
     long number,
@@ -40,9 +41,10 @@
   }
 
   /**
-   * Returns the hash that tells nearly all requests apart from a few known ones.
+   * Returns a hash that is cheap to compute and differs for nearly all requests other than a few
+   * known ones. The fingerprint is computed only where this hash matches.
    *
-   * @param customer whose it is, if that is known
+   * @param customer the customer that sent it, if known
    * @return the scope of its fingerprint
    */
   public int scope(Optional<CustomerId> customer) {
@@ -50,9 +52,9 @@
   }
 
   /**
-   * Makes its fingerprint, from the whole content.
+   * Computes the request's fingerprint from its whole content.
    *
-   * @param customer whose it is, if that is known
+   * @param customer the customer that sent it, if known
    * @return the fingerprint
    */
   public Fingerprint fingerprint(Optional<CustomerId> customer) {
@@ -60,10 +62,10 @@
   }
 
   /**
-   * Returns what it counts for in a quota of tokens.
+   * Returns the number of tokens that the request consumes of a quota that is counted in tokens.
    *
-   * @param plainTokens what a request without a token count stands for
-   * @return tokens
+   * @param plainTokens tokens charged for a request without a token count
+   * @return the tokens
    */
   public int quotaTokens(int plainTokens) {
     if (promptTokens.isEmpty()) {
--- a/core/src/main/java/org/teaseltrail/core/forward/ForwardSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/ForwardSettings.java
@@ -6,18 +6,20 @@
 import org.teaseltrail.core.quota.QuotaPolicy;
 
 /**
- * Sets how an entry VM forwards.
+ * Settings of request forwarding at an entry VM.
  *
- * @param vm this VM
- * @param incarnation which life of its process
- * @param seeds control members to ask first
- * @param sessionLifetimeMs how long a confirmation by the leader is good for, in milliseconds
- * @param syncIntervalMs time between two syncs with the leader, in milliseconds
- * @param retryRatio repeats that a service may get, in relation to its requests
- * @param retryWindowMs the time over which they are counted, in milliseconds
- * @param retrySlack repeats that may come besides, over all VMs
- * @param quotas how quotas are counted
- * @param seed seeds what is drawn by chance
+ * @param vm the VM
+ * @param incarnation the incarnation of its process
+ * @param seeds control members to contact first
+ * @param sessionLifetimeMs how long the session lasts after a confirmation by the leader, in
+ *     milliseconds
+ * @param syncIntervalMs interval between two syncs with the leader, in milliseconds
+ * @param retryRatio retries of a service that are allowed per request of the service
+ * @param retryWindowMs the sliding window over which retries and requests are counted, in
+ *     milliseconds
+ * @param retrySlack retries that are allowed in addition within the window, over all VMs together
+ * @param quotas how customers' quotas are counted
+ * @param seed seed of the random number generator
  */
 public record ForwardSettings(
     VmId vm,
--- a/core/src/main/java/org/teaseltrail/core/forward/LeaderReporter.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LeaderReporter.java
@@ -5,77 +5,81 @@
 import org.teaseltrail.core.serving.QueueState;
 import org.teaseltrail.core.serving.ServingMessage;
 
-/** Tells the leader, beside syncs, what it needs to know of this VM to decide for all. */
+/**
+ * Reports to the leader, in addition to syncs, the state of this VM that its decisions for all VMs
+ * depend on.
+ */
 final class LeaderReporter {
 
-  private final ControlClient ties;
+  private final ControlClient controlClient;
   private final UpstreamTracker upstreams;
   private final SlotGrantTracker slots;
   private final RequestCoordinator requests;
   private final QuarantineTracker quarantine;
-  private final VersionRouter gate;
+  private final VersionRouter versionRouter;
   private final RateLimitClient limits;
-  private final Consumer<ForwardAction> out;
-  private long toldChanges;
+  private final Consumer<ForwardAction> actions;
+  private long reportedChanges;
 
   LeaderReporter(
-      ControlClient ties,
+      ControlClient controlClient,
       UpstreamTracker upstreams,
       SlotGrantTracker slots,
       RequestCoordinator requests,
       QuarantineTracker quarantine,
-      VersionRouter gate,
+      VersionRouter versionRouter,
       RateLimitClient limits,
-      Consumer<ForwardAction> out) {
-    this.ties = ties;
+      Consumer<ForwardAction> actions) {
+    this.controlClient = controlClient;
     this.upstreams = upstreams;
     this.slots = slots;
     this.requests = requests;
     this.quarantine = quarantine;
-    this.gate = gate;
+    this.versionRouter = versionRouter;
     this.limits = limits;
-    this.out = out;
+    this.actions = actions;
   }
 
-  /** Tells what goes with a sync. */
+  /** Sends the reports that go with a sync. */
   void reportWithSync(long nowNs) {
     quarantine.scheduleResend(false, nowNs);
-    gate.createReport(ties.session().newestFencing(), nowNs)
-        .flatMap(report -> ties.messageToLeader(report, nowNs))
-        .ifPresent(out);
-    if (ties.hasLeader(nowNs)) {
+    versionRouter
+        .createReport(controlClient.session().newestFencing(), nowNs)
+        .flatMap(report -> controlClient.messageToLeader(report, nowNs))
+        .ifPresent(actions);
+    if (controlClient.hasLeader(nowNs)) {
       limits
-          .createReport(ties.session().newestFencing(), requests.lines(), nowNs)
-          .flatMap(report -> ties.messageToLeader(report, nowNs))
-          .ifPresent(out);
+          .createReport(controlClient.session().newestFencing(), requests.lines(), nowNs)
+          .flatMap(report -> controlClient.messageToLeader(report, nowNs))
+          .ifPresent(actions);
     }
   }
 
-  /** Tells of changes to what waits, and of what ended upstreams. */
+  /** Reports changes of the queues, and losses of upstreams. */
   void reportChanges(long nowNs) {
-    tellLines(nowNs);
-    if (quarantine.hasPendingReport() && ties.hasLeader(nowNs)) {
-      ties.messageToLeader(quarantine.createReport(nowNs), nowNs).ifPresent(out);
+    reportQueues(nowNs);
+    if (quarantine.hasPendingReport() && controlClient.hasLeader(nowNs)) {
+      controlClient.messageToLeader(quarantine.createReport(nowNs), nowNs).ifPresent(actions);
     }
   }
 
-  private void tellLines(long nowNs) {
-    boolean changed = requests.changes() != toldChanges;
+  private void reportQueues(long nowNs) {
+    boolean changed = requests.changes() != reportedChanges;
     if (!changed) {
       return;
     }
     List<QueueState> lines = requests.lines().queueStates(nowNs);
     if (!lines.isEmpty() || slots.hasContendedService()) {
-      toldChanges = requests.changes();
-      ServingMessage.Lines told =
+      reportedChanges = requests.changes();
+      ServingMessage.Lines message =
           new ServingMessage.Lines(
-              ties.vm(),
+              controlClient.vm(),
               slots.grantsSeen(),
               upstreams.inFlight(),
               upstreams.unread(),
               requests.held(),
               lines);
-      ties.messageToLeader(told, nowNs).ifPresent(out);
+      controlClient.messageToLeader(message, nowNs).ifPresent(actions);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/LoadBalancingPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LoadBalancingPolicy.java
@@ -8,32 +8,44 @@
 import org.teaseltrail.core.registry.RegistrationPhase;
 
 /**
- * Chooses the upstream for a request: the one with the least work for its size, that which is known
- * to hold the prompt's parts before others.
+ * Load balancing policy: selects the upstream with the least work in relation to its size and
+ * speed, and prefers the one that is likely to have the prompt's prefix cached.
  */
 final class LoadBalancingPolicy {
 
-  /** Prompt length whose prefill costs as much as a full upstream's queue, in tokens. */
+  /**
+   * Prompt length whose prefill costs as much as the queue of an upstream at full utilization, in
+   * tokens.
+   */
   private static final double FULL_AFFINITY_TOKENS = 12_000;
 
-  /** Greatest part of an upstream's places that affinity may outweigh. */
+  /** Maximum fraction of an upstream's slots that prefix affinity may outweigh. */
   private static final double MAX_AFFINITY = 0.5;
 
-  /** Draws between equals, so that many VMs with the same view don't all choose the same. */
+  /** Random tie breaker, so that VMs with the same view don't all select the same upstream. */
   private static final double JITTER = 0.02;
 
-  /** Bound on how far a measured speed counts; the users' servers differ by a factor of five. */
-  private static final double MOST_SLOWNESS = 2.5;
+  /**
+   * Bound on the measured slowness of an upstream; servers of one service differ in speed by a
+   * factor of up to five.
+   */
+  private static final double MAX_SLOWNESS = 2.5;
 
-  /** Requests at a plain service's upstream, in relation to its places, beyond which ours wait. */
-  private static final double PLAIN_FILL = 2.0;
+  /**
+   * Utilization of the slots of a plain HTTP service's upstream from which on requests are queued
+   * here.
+   */
+  private static final double PLAIN_MAX_UTILIZATION = 2.0;
 
-  /** Slowness from which on an upstream gets no long prompts; the slow third of the users'. */
+  /**
+   * Slowness from which on an upstream receives no long prompts; it covers about the slowest third
+   * of the servers.
+   */
   private static final double SLOW = 1.4;
 
   /**
-   * Prompt tokens that hold up the streams of a slow upstream longer than callers accept: three of
-   * the users' chunks, each of which takes it as long as eight tokens of every stream.
+   * Prompt length that delays the streams of a slow upstream longer than callers accept, in tokens:
+   * three prefill chunks, each of which takes as long there as eight tokens of every stream.
    */
   private static final int LONG_PROMPT_TOKENS = 6_000;
 
@@ -44,181 +56,203 @@
   }
 
   /**
-   * Chooses an upstream.
+   * Selects an upstream for a request.
    *
-   * @param tracked the request
-   * @param views the service's upstreams
-   * @param engine whether they are engines
-   * @param fill requests at an engine, in relation to its places, beyond which the request waits
-   * @param nowNs monotonic time
-   * @return the upstream, or empty if the request must wait
+   * @param request the request
+   * @param upstreams the service's upstreams
+   * @param engine whether the upstreams are engines
+   * @param maxUtilization utilization of an engine's slots from which on the request is queued
+   * @param nowNs current time, in nanoseconds
+   * @return the upstream, empty if the request must be queued
    */
   Optional<UpstreamState> select(
-      ActiveRequest tracked,
-      Collection<UpstreamState> views,
+      ActiveRequest request,
+      Collection<UpstreamState> upstreams,
       boolean engine,
-      double fill,
+      double maxUtilization,
       long nowNs) {
-    List<UpstreamState> usable = usable(tracked, views, nowNs);
-    double allowedFill = engine ? fill : PLAIN_FILL;
-    Optional<String> home =
-        engine ? lastPart(tracked).flatMap(part -> homeOf(part, usable)) : Optional.empty();
-    double usualPaceMs = usualPaceMs(usable);
-    boolean avoidsSlow = engine && avoidsSlow(tracked, usable, usualPaceMs, nowNs);
+    List<UpstreamState> candidates = candidates(request, upstreams, nowNs);
+    double utilizationLimit = engine ? maxUtilization : PLAIN_MAX_UTILIZATION;
+    Optional<String> preferred =
+        engine
+            ? lastPromptPart(request).flatMap(part -> preferredUpstream(part, candidates))
+            : Optional.empty();
+    double meanLatencyMs = meanLatencyMs(candidates);
+    boolean avoidsSlowUpstreams =
+        engine && avoidsSlowUpstreams(request, candidates, meanLatencyMs, nowNs);
     UpstreamState best = null;
     double bestScore = Double.POSITIVE_INFINITY;
-    for (UpstreamState view : usable) {
-      if (!view.hasCapacity(allowedFill, nowNs)) {
+    for (UpstreamState upstream : candidates) {
+      if (!upstream.hasCapacity(utilizationLimit, nowNs)) {
         continue;
       }
-      double slowness = slowness(view, usualPaceMs, nowNs);
-      boolean tooSlow = slowness >= SLOW && (avoidsSlow || view.unread() > 0);
+      double slowness = slowness(upstream, meanLatencyMs, nowNs);
+      boolean tooSlow = slowness >= SLOW && (avoidsSlowUpstreams || upstream.unread() > 0);
       if (engine && tooSlow) {
         continue;
       }
-      int slots = Math.max(1, view.registration().slots());
-      double work = (view.load(nowNs) + 1.0) / slots * slowness / view.successRate(nowNs);
+      int slots = Math.max(1, upstream.registration().slots());
+      double work = (upstream.load(nowNs) + 1.0) / slots * slowness / upstream.successRate(nowNs);
       double score = work + random.nextDouble() * JITTER;
-      boolean isHome = home.isPresent() && home.get().equals(view.registration().id().value());
-      score -= isHome ? affinity(tracked) : 0;
+      boolean isPreferred =
+          preferred.isPresent() && preferred.get().equals(upstream.registration().id().value());
+      score -= isPreferred ? affinity(request) : 0;
       if (score < bestScore) {
-        best = view;
+        best = upstream;
         bestScore = score;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  /** Tells whether a request has a long prompt and there is a quicker upstream for it. */
-  private static boolean avoidsSlow(
-      ActiveRequest tracked, List<UpstreamState> views, double usualPaceMs, long nowNs) {
-    boolean isLong = tracked.request().promptTokens().orElse(0) >= LONG_PROMPT_TOKENS;
-    return isLong && views.stream().anyMatch(view -> slowness(view, usualPaceMs, nowNs) < SLOW);
+  /** Returns whether a request has a long prompt and there is a faster upstream for it. */
+  private static boolean avoidsSlowUpstreams(
+      ActiveRequest request, List<UpstreamState> upstreams, double meanLatencyMs, long nowNs) {
+    boolean isLong = request.request().promptTokens().orElse(0) >= LONG_PROMPT_TOKENS;
+    return isLong
+        && upstreams.stream().anyMatch(upstream -> slowness(upstream, meanLatencyMs, nowNs) < SLOW);
   }
 
   /**
-   * Returns the upstreams where one prompt after the other is to be read, as two at once would hold
-   * up all streams there longer than callers accept.
+   * Returns the slow upstreams, which process one prompt at a time: two at once would delay all
+   * streams there longer than callers accept.
    */
-  List<UpstreamId> slow(Collection<UpstreamState> views, long nowNs) {
-    double usualPaceMs = usualPaceMs(List.copyOf(views));
-    return views.stream()
-        .filter(view -> slowness(view, usualPaceMs, nowNs) >= SLOW)
-        .map(view -> view.registration().id())
+  List<UpstreamId> slow(Collection<UpstreamState> upstreams, long nowNs) {
+    double meanLatencyMs = meanLatencyMs(List.copyOf(upstreams));
+    return upstreams.stream()
+        .filter(upstream -> slowness(upstream, meanLatencyMs, nowNs) >= SLOW)
+        .map(upstream -> upstream.registration().id())
         .toList();
   }
 
-  /** Tells whether a request may go to an upstream that was chosen for it. */
+  /**
+   * Returns whether a request may be dispatched to the upstream that the leader selected for it.
+   */
   boolean canDispatchTo(
-      ActiveRequest tracked, Collection<UpstreamState> views, UpstreamState chosen, long nowNs) {
-    List<UpstreamState> usable = usable(tracked, views, nowNs);
-    double usualPaceMs = usualPaceMs(usable);
+      ActiveRequest request,
+      Collection<UpstreamState> upstreams,
+      UpstreamState selected,
+      long nowNs) {
+    List<UpstreamState> candidates = candidates(request, upstreams, nowNs);
+    double meanLatencyMs = meanLatencyMs(candidates);
     boolean tooSlow =
-        slowness(chosen, usualPaceMs, nowNs) >= SLOW
-            && avoidsSlow(tracked, usable, usualPaceMs, nowNs);
-    return usable.contains(chosen) && !tooSlow;
+        slowness(selected, meanLatencyMs, nowNs) >= SLOW
+            && avoidsSlowUpstreams(request, candidates, meanLatencyMs, nowNs);
+    return candidates.contains(selected) && !tooSlow;
   }
 
-  /** Returns the mean pace of the upstreams that have one, or 0. */
-  private static double usualPaceMs(List<UpstreamState> views) {
-    return views.stream()
+  /** Returns the mean event latency of the upstreams for which one is known, otherwise 0. */
+  private static double meanLatencyMs(List<UpstreamState> upstreams) {
+    return upstreams.stream()
         .mapToDouble(UpstreamState::eventLatencyMs)
-        .filter(paceMs -> paceMs > 0)
+        .filter(latencyMs -> latencyMs > 0)
         .average()
         .orElse(0);
   }
 
-  /** Returns how much longer an upstream takes than usual; servers of a service differ in speed. */
-  private static double slowness(UpstreamState view, double usualPaceMs, long nowNs) {
-    if (view.eventLatencyMs() == 0 || usualPaceMs == 0) {
+  /**
+   * Returns an upstream's event latency relative to the mean of the service, as servers of a
+   * service differ in speed.
+   */
+  private static double slowness(UpstreamState upstream, double meanLatencyMs, long nowNs) {
+    if (upstream.eventLatencyMs() == 0 || meanLatencyMs == 0) {
       return 1;
     }
-    double ratio = view.eventLatencyMs() / usualPaceMs;
-    double bounded = Math.max(1 / MOST_SLOWNESS, Math.min(MOST_SLOWNESS, ratio));
-    return 1 + (bounded - 1) * view.eventLatencyWeight(nowNs);
+    double ratio = upstream.eventLatencyMs() / meanLatencyMs;
+    double bounded = Math.max(1 / MAX_SLOWNESS, Math.min(MAX_SLOWNESS, ratio));
+    return 1 + (bounded - 1) * upstream.eventLatencyWeight(nowNs);
   }
 
-  /** Tells whether any upstream could take the request, now or when it has room. */
-  boolean hasCandidate(ActiveRequest tracked, Collection<UpstreamState> views) {
-    return !untried(tracked, views).isEmpty();
+  /** Returns whether any upstream could serve the request, now or once it has capacity. */
+  boolean hasCandidate(ActiveRequest request, Collection<UpstreamState> upstreams) {
+    return !untried(request, upstreams).isEmpty();
   }
 
-  private static List<UpstreamState> usable(
-      ActiveRequest tracked, Collection<UpstreamState> views, long nowNs) {
-    List<UpstreamState> careful = allowing(tracked, views, tracked.canTryAnotherUpstream(), nowNs);
-    List<UpstreamState> allowing =
-        careful.isEmpty() ? allowing(tracked, views, true, nowNs) : careful;
-    List<UpstreamState> trusted = allowing.stream().filter(view -> view.isEligible(nowNs)).toList();
-    return trusted.isEmpty() ? allowing : trusted;
+  private static List<UpstreamState> candidates(
+      ActiveRequest request, Collection<UpstreamState> upstreams, long nowNs) {
+    List<UpstreamState> strict =
+        accepting(request, upstreams, request.canTryAnotherUpstream(), nowNs);
+    List<UpstreamState> accepting =
+        strict.isEmpty() ? accepting(request, upstreams, true, nowNs) : strict;
+    List<UpstreamState> eligible =
+        accepting.stream().filter(upstream -> upstream.isEligible(nowNs)).toList();
+    return eligible.isEmpty() ? accepting : eligible;
   }
 
-  /** Returns those that a request may be sent to now, as one that may go elsewhere or not. */
-  private static List<UpstreamState> allowing(
-      ActiveRequest tracked, Collection<UpstreamState> views, boolean mayGoElsewhere, long nowNs) {
-    return views.stream()
-        .filter(view -> isUntried(tracked, view))
-        .filter(view -> view.backpressure().canSend(mayGoElsewhere, nowNs))
+  /** Returns the upstreams that a request may be sent to now. */
+  private static List<UpstreamState> accepting(
+      ActiveRequest request,
+      Collection<UpstreamState> upstreams,
+      boolean canTryAnother,
+      long nowNs) {
+    return upstreams.stream()
+        .filter(upstream -> isUntried(request, upstream))
+        .filter(upstream -> upstream.backpressure().canSend(canTryAnother, nowNs))
         .toList();
   }
 
-  /** Returns when the first of the upstreams that a request may go to takes requests at all. */
-  static long availableFromNs(ActiveRequest tracked, Collection<UpstreamState> views, long nowNs) {
-    return availableFromNs(untried(tracked, views), nowNs);
+  /** Returns when the first upstream that the request may go to accepts requests again. */
+  static long availableFromNs(
+      ActiveRequest request, Collection<UpstreamState> upstreams, long nowNs) {
+    return availableFromNs(untried(request, upstreams), nowNs);
   }
 
-  /** Returns when the first of some upstreams takes requests at all: now, or after its backoff. */
-  static long availableFromNs(Collection<UpstreamState> views, long nowNs) {
-    return views.stream()
-        .filter(view -> !view.backpressure().isLeaving())
-        .mapToLong(view -> view.backpressure().backoffEndNs())
+  /**
+   * Returns when the first of the upstreams accepts requests again: now, or at the end of its
+   * backoff.
+   */
+  static long availableFromNs(Collection<UpstreamState> upstreams, long nowNs) {
+    return upstreams.stream()
+        .filter(upstream -> !upstream.backpressure().isLeaving())
+        .mapToLong(upstream -> upstream.backpressure().backoffEndNs())
         .map(untilNs -> Math.max(nowNs, untilNs))
         .min()
         .orElse(nowNs);
   }
 
   private static List<UpstreamState> untried(
-      ActiveRequest tracked, Collection<UpstreamState> views) {
-    return views.stream().filter(view -> isUntried(tracked, view)).toList();
+      ActiveRequest request, Collection<UpstreamState> upstreams) {
+    return upstreams.stream().filter(upstream -> isUntried(request, upstream)).toList();
   }
 
-  /** Tells whether an upstream takes requests, as far as is known, and has not had this one. */
-  private static boolean isUntried(ActiveRequest tracked, UpstreamState view) {
-    return view.registration().phase() == RegistrationPhase.READY
-        && !view.isMisdirected()
-        && !view.backpressure().isLeaving()
-        && !tracked.hasTried(view.registration().id());
+  /** Returns whether an upstream is known to accept requests and has not received this one yet. */
+  private static boolean isUntried(ActiveRequest request, UpstreamState upstream) {
+    return upstream.registration().phase() == RegistrationPhase.READY
+        && !upstream.isMisdirected()
+        && !upstream.backpressure().isLeaving()
+        && !request.hasTried(upstream.registration().id());
   }
 
-  private static Optional<String> lastPart(ActiveRequest tracked) {
-    List<PromptPart> prompt = tracked.request().prompt();
+  private static Optional<String> lastPromptPart(ActiveRequest request) {
+    List<PromptPart> prompt = request.request().prompt();
     return prompt.isEmpty() ? Optional.empty() : Optional.of(prompt.get(prompt.size() - 1).id());
   }
 
-  private static double affinity(ActiveRequest tracked) {
-    int tokens = tracked.request().promptTokens().orElse(0);
+  private static double affinity(ActiveRequest request) {
+    int tokens = request.request().promptTokens().orElse(0);
     return Math.min(MAX_AFFINITY, tokens / FULL_AFFINITY_TOKENS);
   }
 
   /**
-   * Returns the upstream where a prompt's parts are looked for first. All VMs find the same without
-   * speaking (rendezvous hashing, Thaler and Ravishankar, 1998), and little moves when an upstream
-   * comes or goes.
+   * Returns the upstream where a prompt's prefix is most likely cached. All VMs compute the same
+   * one without communication (rendezvous hashing, Thaler and Ravishankar, 1998), and few prompts
+   * move when an upstream joins or leaves.
    */
-  private static Optional<String> homeOf(String part, List<UpstreamState> usable) {
-    String home = null;
-    long greatest = Long.MIN_VALUE;
-    for (UpstreamState view : usable) {
-      String id = view.registration().id().value();
+  private static Optional<String> preferredUpstream(String part, List<UpstreamState> candidates) {
+    String preferred = null;
+    long maxWeight = Long.MIN_VALUE;
+    for (UpstreamState upstream : candidates) {
+      String id = upstream.registration().id().value();
       long weight = mix(part.hashCode() * 31L + id.hashCode());
-      if (weight > greatest) {
-        greatest = weight;
-        home = id;
+      if (weight > maxWeight) {
+        maxWeight = weight;
+        preferred = id;
       }
     }
-    return Optional.ofNullable(home);
+    return Optional.ofNullable(preferred);
   }
 
-  /** Spreads a number over all its bits (the finalizer of SplitMix64, Steele et al., 2014). */
+  /** Mixes the bits of a number (the finalizer of SplitMix64, Steele et al., 2014). */
   private static long mix(long number) {
     long mixed = (number ^ (number >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/core/src/main/java/org/teaseltrail/core/forward/LocalQuotaTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/LocalQuotaTracker.java
@@ -15,69 +15,76 @@
 import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Keeps customers' quotas at this VM. */
+/** Tracks customers' quotas at this VM: the use here and the allowances granted by the leader. */
 final class LocalQuotaTracker {
 
   /**
-   * Part of the tolerance that requests may use, so that callers near their quota are not refused
-   * by mistake; the rest is for what the VMs use between two syncs.
+   * Fraction of the tolerance that requests may use, so that callers near their quota are not
+   * refused by mistake; the rest covers what the VMs use between two syncs.
    */
-  private static final double USED_TOLERANCE = 0.25;
+  private static final double USABLE_TOLERANCE_FRACTION = 0.25;
 
-  /** When a caller may come back that lacks only this VM's allowance: after the next sync. */
-  private static final long ALLOWANCE_RETRY_MS = 300;
+  /**
+   * Retry-after for a request that exceeds only this VM's allowance, in milliseconds: after the
+   * next sync.
+   */
+  private static final long ALLOWANCE_RETRY_AFTER_MS = 300;
 
-  /** Syncs remembered for their answers: a session's lifetime of them to each of five members. */
-  private static final int MOST_OPEN = 64;
+  /**
+   * Maximum number of unanswered syncs that are retained: those of a session's lifetime to each of
+   * five members.
+   */
+  private static final int MAX_UNANSWERED_SYNCS = 64;
 
   private static final long NS_PER_MS = 1_000_000L;
 
   private final QuotaPolicy bounds;
-  private final long memoryNs;
+  private final long retentionNs;
   private final Map<CustomerId, QuotaWindow> windows = new HashMap<>();
-  private final TreeMap<Long, Map<CustomerId, Double>> usedBefore = new TreeMap<>();
+  private final TreeMap<Long, Map<CustomerId, Double>> usedBySync = new TreeMap<>();
   private Map<CustomerId, QuotaGrant> grants = Map.of();
   private long grantedNs;
 
   /**
-   * Creates a desk without customers.
+   * Creates a tracker without customers.
    *
    * @param bounds how quotas are counted
-   * @param sessionLifetimeMs how long other VMs may use what they were allowed, in milliseconds
+   * @param sessionLifetimeMs how long other VMs may use their allowances, in milliseconds
    */
   LocalQuotaTracker(QuotaPolicy bounds, long sessionLifetimeMs) {
     this.bounds = bounds;
-    memoryNs = (bounds.windowMs() + sessionLifetimeMs) * NS_PER_MS;
+    retentionNs = (bounds.windowMs() + sessionLifetimeMs) * NS_PER_MS;
   }
 
-  /** Takes what the leader tells. */
+  /** Applies the quota grants in a confirmation by the leader. */
   void applyGrants(ServingReply.Confirmed confirmed, long nowNs) {
     grants =
         confirmed.quotas().stream()
             .collect(Collectors.toMap(QuotaGrant::customer, Function.identity()));
     grantedNs = nowNs;
-    Map<CustomerId, Double> before = usedBefore.getOrDefault(confirmed.sequence(), Map.of());
-    usedBefore.headMap(confirmed.sequence(), true).clear();
-    windows.forEach((id, window) -> tell(id, window, before.getOrDefault(id, 0.0)));
+    Map<CustomerId, Double> before = usedBySync.getOrDefault(confirmed.sequence(), Map.of());
+    usedBySync.headMap(confirmed.sequence(), true).clear();
+    windows.forEach((id, window) -> applyGrant(id, window, before.getOrDefault(id, 0.0)));
   }
 
-  /** Takes a plan's quotas over; what was used stays used. */
+  /** Applies a plan's quotas; what was used stays counted. */
   void configure(ServingPlan plan) {
-    Set<CustomerId> limited =
+    Set<CustomerId> withQuota =
         plan.customers().stream()
             .filter(PlanCustomer::hasQuota)
             .map(PlanCustomer::id)
             .collect(Collectors.toSet());
-    windows.keySet().retainAll(limited);
+    windows.keySet().retainAll(withQuota);
     for (PlanCustomer customer : plan.customers()) {
       if (customer.hasQuota()) {
-        QuotaWindow window = windows.computeIfAbsent(customer.id(), this::window);
-        window.configure(bounds.limit(customer), USED_TOLERANCE * bounds.tolerance(customer));
+        QuotaWindow window = windows.computeIfAbsent(customer.id(), this::createWindow);
+        window.configure(
+            bounds.limit(customer), USABLE_TOLERANCE_FRACTION * bounds.tolerance(customer));
       }
     }
   }
 
-  /** Notes that a request has come. */
+  /** Records a request as demand. */
   void asked(PlanCustomer customer, ForwardRequest request, long nowNs) {
     QuotaWindow window = windows.get(customer.id());
     if (window != null) {
@@ -85,13 +92,13 @@
     }
   }
 
-  /** Says how a request stands to its customer's quota. */
+  /** Decides whether a request is within its customer's quota. */
   QuotaVerdict verdict(PlanCustomer customer, ForwardRequest request, long nowNs) {
     QuotaWindow window = windows.get(customer.id());
     return window == null ? QuotaVerdict.WITHIN : window.verdict(amount(customer, request), nowNs);
   }
 
-  /** Notes that a request waits until the leader allows more. */
+  /** Records a request that waits until the leader grants more allowance. */
   void recordShortage(PlanCustomer customer, ForwardRequest request) {
     QuotaWindow window = windows.get(customer.id());
     if (window != null) {
@@ -99,7 +106,7 @@
     }
   }
 
-  /** Sets aside what a request that is to be admitted counts for. */
+  /** Reserves the quota that an admitted request is charged. */
   QuotaReservation reserve(PlanCustomer customer, ForwardRequest request) {
     QuotaWindow window = windows.get(customer.id());
     return window == null
@@ -107,11 +114,14 @@
         : QuotaReservation.of(window, amount(customer, request));
   }
 
-  /** Returns when a refused request may be within the quota, in milliseconds. */
+  /**
+   * Returns the retry-after for a refused request: the time until it may be within the quota, in
+   * milliseconds.
+   */
   long retryAfterMs(PlanCustomer customer, ForwardRequest request, long nowNs) {
     QuotaWindow window = windows.get(customer.id());
     long untilFreeMs = window == null ? 0 : window.retryAfterMs(amount(customer, request), nowNs);
-    return Math.max(ALLOWANCE_RETRY_MS, untilFreeMs);
+    return Math.max(ALLOWANCE_RETRY_AFTER_MS, untilFreeMs);
   }
 
   private static double amount(PlanCustomer customer, ForwardRequest request) {
@@ -119,33 +129,33 @@
   }
 
   /**
-   * Tells the leader what is used here. What is used from now on counts against the allowance that
-   * the leader answers with.
+   * Returns the reports of the quota used here. What is used from now on counts against the
+   * allowance in the leader's answer.
    *
-   * @param sequence the sync's, which the answer carries back
-   * @param mayTake whether requests may be admitted; if not, allowances are given back
-   * @param nowNs time
+   * @param sequence the sequence number of the sync, which the answer carries back
+   * @param canAdmit whether requests may be admitted; if not, allowances are returned
+   * @param nowNs current time, in nanoseconds
    */
-  List<QuotaReport> uses(long sequence, boolean mayTake, long nowNs) {
+  List<QuotaReport> uses(long sequence, boolean canAdmit, long nowNs) {
     Map<CustomerId, Double> used = new HashMap<>();
     windows.forEach((id, window) -> used.put(id, window.used(nowNs)));
-    usedBefore.put(sequence, used);
-    if (usedBefore.size() > MOST_OPEN) {
-      usedBefore.pollFirstEntry();
+    usedBySync.put(sequence, used);
+    if (usedBySync.size() > MAX_UNANSWERED_SYNCS) {
+      usedBySync.pollFirstEntry();
     }
-    boolean remembers = !grants.isEmpty() && nowNs - grantedNs < memoryNs;
+    boolean retainsGrants = !grants.isEmpty() && nowNs - grantedNs < retentionNs;
     return windows.values().stream()
-        .map(window -> window.createReport(mayTake, remembers, nowNs))
+        .map(window -> window.createReport(canAdmit, retainsGrants, nowNs))
         .toList();
   }
 
-  private QuotaWindow window(CustomerId id) {
+  private QuotaWindow createWindow(CustomerId id) {
     QuotaWindow window = new QuotaWindow(id, bounds);
-    tell(id, window, 0);
+    applyGrant(id, window, 0);
     return window;
   }
 
-  private void tell(CustomerId id, QuotaWindow window, double used) {
+  private void applyGrant(CustomerId id, QuotaWindow window, double used) {
     QuotaGrant grant = grants.get(id);
     if (grant != null) {
       window.applyGrant(grant, used);
--- a/core/src/main/java/org/teaseltrail/core/forward/PromptPart.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/PromptPart.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.core.forward;
 
 /**
- * Is one part of a request's prompt. Requests share parts; the last one is the request's own or its
- * session's.
+ * One part of a request's prompt. Requests may share parts; the last part belongs to the request or
+ * its session alone.
  *
- * @param id names the part's content
+ * @param id identifies the part's content
  * @param tokens its length, in tokens
  */
 public record PromptPart(String id, int tokens) {}
--- a/core/src/main/java/org/teaseltrail/core/forward/QuarantineTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuarantineTracker.java
@@ -16,107 +16,122 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Knows at an entry VM which requests no upstream may get, and tells the leader what this VM sees.
+ * Tracks quarantined requests at an entry VM, and reports to the leader under which requests
+ * upstreams were lost.
  *
- * <p>Guards against a request that ends each upstream which runs it and comes again under another
- * id, at any VM. The leader, which hears of all losses, says which are held; what it said last
- * holds on without it, and then what this VM saw itself counts too.
+ * <p>The quarantine stops a request that crashes each upstream which runs it and returns under
+ * another id, at any VM. The leader receives the losses of all VMs and decides which requests are
+ * quarantined. Without a leader its last decisions stay in effect, and this VM's own losses count
+ * in addition.
  */
 final class QuarantineTracker {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** When a caller may ask again, in milliseconds; a hold that was wrong ends sooner. */
+  /**
+   * Retry-after for quarantined requests, in milliseconds; a quarantine that was wrong ends
+   * earlier.
+   */
   static final long RETRY_AFTER_MS = 60_000;
 
   /**
-   * How long this VM remembers what it saw, in milliseconds: for a leader that begins anew. The
-   * leader tells of each suspect for as long.
+   * How long this VM retains what it observed, in milliseconds, so that it can be reported to a new
+   * leader. The leader publishes each suspect for as long.
    */
-  private static final long MEMORY_MS = 30_000;
+  private static final long RETENTION_MS = 30_000;
 
-  /** Time after a loss by which the leader has heard of it and tells of the suspect. */
-  private static final long TOLD_BACK_NS = 1_000_000_000L;
+  /** Time after a loss by which the leader has received it and published the suspect. */
+  private static final long SUSPECT_PUBLISHED_NS = 1_000_000_000L;
 
-  /** Time for which a report is told again: one that is lost with its connection comes again. */
-  private static final long TELL_AGAIN_NS = 2_000_000_000L;
+  /** Time for which a report is repeated, as one may be lost with its connection. */
+  private static final long RESEND_NS = 2_000_000_000L;
 
-  /** Suspects seen served whole that are told at most. */
-  private static final int MOST_SERVED = 32;
+  /** Maximum number of reported suspects whose request was completed. */
+  private static final int MAX_COMPLETED = 32;
 
   private final VmId vm;
   private final LongPredicate hasLeader;
-  private final LossTracker own = new LossTracker(MEMORY_MS);
-  private final Map<Fingerprint, Long> servedNs = new LinkedHashMap<>();
-  private final Map<Fingerprint, Long> trialsUntilNs = new HashMap<>();
+  private final LossTracker ownLosses = new LossTracker(RETENTION_MS);
+  private final Map<Fingerprint, Long> completedAtNs = new LinkedHashMap<>();
+  private final Map<Fingerprint, Long> trialPermitExpiriesNs = new HashMap<>();
   private Set<Fingerprint> held = Set.of();
   private Set<Fingerprint> watched = Set.of();
-  private Set<Integer> toldScopes = Set.of();
+  private Set<Integer> knownScopes = Set.of();
   private FencingNumber fencing = new FencingNumber(0);
   private long revision;
-  private long changedNs;
-  private boolean untold;
+  private long lastChangeNs;
+  private boolean reportPending;
 
   QuarantineTracker(VmId vm, LongPredicate leaderHeard) {
     this.vm = vm;
     this.hasLeader = leaderHeard;
   }
 
-  /** Tells whether a request must not be sent to any upstream. */
+  /** Returns whether a request must not be sent to any upstream. */
   boolean isQuarantined(ActiveRequest request, long nowNs) {
-    if (knowsNone() || request.isTrial() || !isKnownScope(request.scope())) {
+    if (hasNoSuspects() || request.isTrial() || !isKnownScope(request.scope())) {
       return false;
     }
-    Fingerprint print = request.fingerprint();
-    return held.contains(print) || (!hasLeader.test(nowNs) && own.mustHold(print));
+    Fingerprint fingerprint = request.fingerprint();
+    return held.contains(fingerprint)
+        || (!hasLeader.test(nowNs) && ownLosses.mustHold(fingerprint));
   }
 
-  /** Tells whether upstreams' connections lately ended under a request. */
+  /**
+   * Returns whether upstreams' connections have recently ended while they processed the request.
+   */
   boolean isSuspect(ActiveRequest request) {
-    if (knowsNone() || !isKnownScope(request.scope())) {
+    if (hasNoSuspects() || !isKnownScope(request.scope())) {
       return false;
     }
-    Fingerprint print = request.fingerprint();
-    return watched.contains(print) || held.contains(print) || own.losses(print) > 0;
+    Fingerprint fingerprint = request.fingerprint();
+    return watched.contains(fingerprint)
+        || held.contains(fingerprint)
+        || ownLosses.losses(fingerprint) > 0;
   }
 
-  /** Uses the leader's leave to send a held request once; returns whether there is one. */
+  /**
+   * Uses up the leader's permit to send a quarantined request once; returns whether there was one.
+   */
   boolean useTrialPermit(ActiveRequest request, long nowNs) {
-    Long untilNs = trialsUntilNs.remove(request.fingerprint());
-    boolean taken = untilNs != null && nowNs <= untilNs;
+    Long expiryNs = trialPermitExpiriesNs.remove(request.fingerprint());
+    boolean taken = expiryNs != null && nowNs <= expiryNs;
     if (taken) {
       request.markTrial();
     }
     return taken;
   }
 
-  /** Takes the leader's leave to send a held request once. */
+  /** Adds a permit of the leader to send a quarantined request once. */
   void addTrialPermit(ServingReply.Trial trial, long nowNs) {
-    trialsUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
-    trialsUntilNs.put(trial.request(), nowNs + trial.forMs() * NS_PER_MS);
+    trialPermitExpiriesNs.values().removeIf(expiryNs -> nowNs > expiryNs);
+    trialPermitExpiriesNs.put(trial.request(), nowNs + trial.forMs() * NS_PER_MS);
   }
 
-  /** Notes that the connection to an upstream ended while it had a request. */
+  /** Records that the connection to an upstream ended while it processed a request. */
   void recordLoss(ActiveRequest request, UpstreamIncarnation upstream, long nowNs) {
-    own.recordLoss(request.fingerprint(), request.customer(), upstream, nowNs);
-    servedNs.remove(request.fingerprint());
-    changed(nowNs);
+    ownLosses.recordLoss(request.fingerprint(), request.customer(), upstream, nowNs);
+    completedAtNs.remove(request.fingerprint());
+    markChanged(nowNs);
   }
 
-  /** Notes that an upstream has answered a request whole and lives on: it harms nobody. */
+  /**
+   * Records that an upstream completed a request and is still alive, so that the request is
+   * harmless.
+   */
   void recordCompleted(ActiveRequest request, long nowNs) {
     if (isSuspect(request)) {
-      Fingerprint print = request.fingerprint();
-      own.recordSuccess(print);
-      servedNs.put(print, nowNs);
-      if (servedNs.size() > MOST_SERVED) {
-        servedNs.remove(servedNs.keySet().iterator().next());
+      Fingerprint fingerprint = request.fingerprint();
+      ownLosses.recordSuccess(fingerprint);
+      completedAtNs.put(fingerprint, nowNs);
+      if (completedAtNs.size() > MAX_COMPLETED) {
+        completedAtNs.remove(completedAtNs.keySet().iterator().next());
       }
-      changed(nowNs);
+      markChanged(nowNs);
     }
   }
 
-  /** Takes what the leader says is held. */
+  /** Applies the leader's list of quarantined requests and suspects. */
   void applyUpdate(ServingReply.QuarantineUpdate update, long nowNs) {
     fencing = update.fencing();
     revision = update.revision();
@@ -127,63 +142,67 @@
     held = newlyHeld;
     watched = Set.copyOf(update.watched());
     if (update.whole()) {
-      excuseCleared(nowNs);
+      discardCleared(nowNs);
     }
     Set<Integer> scopes = new HashSet<>();
-    held.forEach(print -> scopes.add(print.scope()));
-    watched.forEach(print -> scopes.add(print.scope()));
-    toldScopes = scopes;
+    held.forEach(fingerprint -> scopes.add(fingerprint.scope()));
+    watched.forEach(fingerprint -> scopes.add(fingerprint.scope()));
+    knownScopes = scopes;
   }
 
   /**
-   * Excuses own losses of what the leader doesn't suspect any longer. Guards against a request that
-   * was cleared and is held by the next leader, which hears of the losses alone.
+   * Discards own losses of requests that the leader no longer suspects. Otherwise a cleared request
+   * would be quarantined by the next leader, which receives only the losses.
    */
-  private void excuseCleared(long nowNs) {
-    for (Fingerprint print : own.findLostBefore(nowNs - TOLD_BACK_NS)) {
-      if (!held.contains(print) && !watched.contains(print)) {
-        own.recordSuccess(print);
+  private void discardCleared(long nowNs) {
+    for (Fingerprint fingerprint : ownLosses.findLostBefore(nowNs - SUSPECT_PUBLISHED_NS)) {
+      if (!held.contains(fingerprint) && !watched.contains(fingerprint)) {
+        ownLosses.recordSuccess(fingerprint);
       }
     }
   }
 
-  /** Returns the revision in force here if a leadership has told it, or else 0. */
+  /** Returns the revision applied here if it is of the given leadership, otherwise 0. */
   long revision(FencingNumber leadership) {
     return leadership.equals(fencing) ? revision : 0;
   }
 
-  /** Tells all anew to a leader that may not have heard it; forgets what is old. */
+  /**
+   * Schedules another report for a leader that may not have received the last one, and drops
+   * expired losses.
+   */
   void scheduleResend(boolean newLeader, long nowNs) {
-    own.removeExpired(nowNs);
-    boolean lately = nowNs - changedNs < TELL_AGAIN_NS;
-    untold |= changedNs > 0 && (newLeader || lately);
+    ownLosses.removeExpired(nowNs);
+    boolean recent = nowNs - lastChangeNs < RESEND_NS;
+    reportPending |= lastChangeNs > 0 && (newLeader || recent);
   }
 
-  /** Tells whether there is something that the leader hasn't been told. */
+  /** Returns whether there is an unsent report. */
   boolean hasPendingReport() {
-    return untold;
+    return reportPending;
   }
 
-  /** Returns what the leader is to be told. */
+  /** Returns the report for the leader. */
   ServingMessage.Losses createReport(long nowNs) {
-    untold = false;
-    servedNs.values().removeIf(atNs -> nowNs - atNs > TELL_AGAIN_NS);
-    return new ServingMessage.Losses(vm, own.all(nowNs), List.copyOf(servedNs.keySet()));
+    reportPending = false;
+    completedAtNs.values().removeIf(atNs -> nowNs - atNs > RESEND_NS);
+    return new ServingMessage.Losses(vm, ownLosses.all(nowNs), List.copyOf(completedAtNs.keySet()));
   }
 
   /**
-   * Tells whether there is neither a suspect nor a held request, so that nothing need be looked up.
+   * Returns whether there is neither a suspect nor a quarantined request, so that no lookup is
+   * needed.
    */
-  private boolean knowsNone() {
-    return toldScopes.isEmpty() && own.isEmpty();
+  private boolean hasNoSuspects() {
+    return knownScopes.isEmpty() && ownLosses.isEmpty();
   }
 
   private boolean isKnownScope(int scope) {
-    return toldScopes.contains(scope) || own.hasScope(scope);
+    return knownScopes.contains(scope) || ownLosses.hasScope(scope);
   }
 
-  private void changed(long nowNs) {
-    changedNs = nowNs;
-    untold = true;
+  private void markChanged(long nowNs) {
+    lastChangeNs = nowNs;
+    reportPending = true;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QueueLengthLimiter.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QueueLengthLimiter.java
@@ -4,67 +4,74 @@
 import java.util.function.IntSupplier;
 
 /**
- * Bounds a line by the pace at which it is served.
+ * Limits the length of a queue by the rate at which it is served.
  *
- * <p>Guards against a line that grows under more load than fits: each request in it would be held
- * until its caller leaves, and told nothing it can act on. What can't be served at the line's pace
- * before its patience ends is told so at once, the least urgent first.
+ * <p>Without a limit the queue grows while there is more load than capacity, and each request in it
+ * is held until its caller disconnects without an answer that the caller could act on. Requests
+ * that can't be served at the current rate before their callers give up are refused at once, the
+ * least urgent first.
  */
 final class QueueLengthLimiter {
 
-  /** When a caller may come back that found no place: about a short answer's time. */
+  /**
+   * Retry-after for a caller whose request found no slot, in milliseconds: about the duration of a
+   * short response.
+   */
   static final long NO_SLOT_RETRY_MS = 400;
 
-  /** Longest such time; a third of the shortest deadline that callers honour it for. */
-  private static final long LONGEST_RETRY_MS = 1_500;
+  /**
+   * Maximum retry-after, in milliseconds: a third of the shortest deadline of callers that honour
+   * it.
+   */
+  private static final long MAX_RETRY_AFTER_MS = 1_500;
 
-  /** Pace that a line is given at least, so that a service that is just back isn't shed. */
-  private static final double LEAST_PACE_PER_S = 4;
+  /** Minimum assumed rate, so that the queue of a service that has just recovered isn't shed. */
+  private static final double MIN_RATE_PER_S = 4;
 
   /**
-   * Requests a second that a place is taken to serve at least: the users' streams hold one for 0.2
-   * to 1.3 s. It counts while a line has no pace yet, as after a start.
+   * Requests per second that one slot is assumed to serve at least: streams occupy a slot for 0.2
+   * to 1.3 s. It applies while a queue has no measured rate, as after a start.
    */
-  private static final double PACE_OF_PLACE_PER_S = 2;
+  private static final double RATE_OF_SLOT_PER_S = 2;
 
-  /** Requests that may wait whatever the pace. */
-  private static final int LEAST_LINE = 4;
+  /** Number of requests that may be queued whatever the rate. */
+  private static final int MIN_QUEUE_LENGTH = 4;
 
   private static final double MS_PER_S = 1e3;
 
   private final RequestQueue waiting;
-  private final IntSupplier ownPlaces;
+  private final IntSupplier ownSlots;
 
   /**
-   * Creates the bound of a line.
+   * Creates the limit of a queue.
    *
-   * @param waiting the line
-   * @param ownPlaces counts the service's places that this VM may fill if it hears from no leader;
-   *     asked only for a line that may be too long
+   * @param waiting the queue
+   * @param ownSlots returns the number of the service's slots that this VM may use without a
+   *     leader; called only for a queue that may be too long
    */
-  QueueLengthLimiter(RequestQueue waiting, IntSupplier ownPlaces) {
+  QueueLengthLimiter(RequestQueue waiting, IntSupplier ownSlots) {
     this.waiting = waiting;
-    this.ownPlaces = ownPlaces;
+    this.ownSlots = ownSlots;
   }
 
-  /** Returns the least urgent request of a line that is too long. */
+  /** Returns the least urgent request if the queue is too long. */
   Optional<ActiveRequest> findExcess(long nowNs) {
-    if (waiting.size() <= LEAST_LINE) {
+    if (waiting.size() <= MIN_QUEUE_LENGTH) {
       return Optional.empty();
     }
     return waiting
         .leastUrgent()
-        .filter(last -> waiting.size() > pace(nowNs) * last.maxQueueWaitS());
+        .filter(leastUrgent -> waiting.size() > ratePerSecond(nowNs) * leastUrgent.maxQueueWaitS());
   }
 
-  /** Returns when a caller may come back for which the line is too long, in milliseconds. */
+  /** Returns the retry-after for a request that the queue is too long for, in milliseconds. */
   long retryAfterMs(long nowNs) {
-    long servedInMs = (long) (waiting.size() / pace(nowNs) * MS_PER_S);
-    return Math.max(NO_SLOT_RETRY_MS, Math.min(LONGEST_RETRY_MS, servedInMs));
+    long drainTimeMs = (long) (waiting.size() / ratePerSecond(nowNs) * MS_PER_S);
+    return Math.max(NO_SLOT_RETRY_MS, Math.min(MAX_RETRY_AFTER_MS, drainTimeMs));
   }
 
-  private double pace(long nowNs) {
-    double usual = Math.max(LEAST_PACE_PER_S, PACE_OF_PLACE_PER_S * ownPlaces.getAsInt());
-    return Math.max(usual, waiting.dispatchesPerSecond(nowNs));
+  private double ratePerSecond(long nowNs) {
+    double expected = Math.max(MIN_RATE_PER_S, RATE_OF_SLOT_PER_S * ownSlots.getAsInt());
+    return Math.max(expected, waiting.dispatchesPerSecond(nowNs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaAdmissionFilter.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaAdmissionFilter.java
@@ -6,29 +6,29 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Lets requests pass to the request desk as far as their customers' quotas allow, and asks the
- * leader for more where only this VM's allowance is too small.
+ * Admits requests according to their customers' quotas, and requests more allowance from the leader
+ * where a request is within the quota but exceeds this VM's allowance.
  */
 final class QuotaAdmissionFilter {
 
   private final LocalQuotaTracker quotas;
   private final RequestCoordinator requests;
-  private final ControlClient ties;
-  private final Consumer<ForwardAction> out;
-  private final QuotaWaitQueue shortOfQuota = new QuotaWaitQueue();
+  private final ControlClient controlClient;
+  private final Consumer<ForwardAction> actions;
+  private final QuotaWaitQueue waitQueue = new QuotaWaitQueue();
 
   QuotaAdmissionFilter(
       LocalQuotaTracker quotas,
       RequestCoordinator requests,
-      ControlClient ties,
-      Consumer<ForwardAction> out) {
+      ControlClient controlClient,
+      Consumer<ForwardAction> actions) {
     this.quotas = quotas;
     this.requests = requests;
-    this.ties = ties;
-    this.out = out;
+    this.controlClient = controlClient;
+    this.actions = actions;
   }
 
-  /** Takes a request that the plan allows. */
+  /** Handles a request that the plan allows. */
   void onRequest(ActiveRequest request, long nowNs) {
     if (requests.refuseIfQuarantined(request, nowNs)) {
       return;
@@ -41,10 +41,10 @@
     decide(request, nowNs);
   }
 
-  /** Takes what the leader tells, and looks again at what waits for it. */
+  /** Applies the quota grants in a confirmation, and decides about the waiting requests again. */
   void onConfirmed(ServingReply.Confirmed confirmed, long nowNs) {
     quotas.applyGrants(confirmed, nowNs);
-    for (ActiveRequest waiting : shortOfQuota.drain()) {
+    for (ActiveRequest waiting : waitQueue.drain()) {
       if (!requests.refuseIfQuarantined(waiting, nowNs)) {
         decide(waiting, nowNs);
       }
@@ -52,21 +52,21 @@
   }
 
   void onCallerDisconnected(long number) {
-    shortOfQuota.remove(number);
+    waitQueue.remove(number);
   }
 
-  /** Refuses what has waited long enough for the leader. */
+  /** Refuses requests that have waited for the leader for their maximum time. */
   void tick(long nowNs) {
-    shortOfQuota.pollExpired(nowNs).forEach(overdue -> refuse(overdue, nowNs));
+    waitQueue.pollExpired(nowNs).forEach(expired -> refuse(expired, nowNs));
   }
 
   OptionalLong nextDueNs() {
-    return shortOfQuota.nextDueNs();
+    return waitQueue.nextDueNs();
   }
 
-  /** Returns how many requests wait for the leader. */
+  /** Returns the number of requests that wait for the leader. */
   int waiting() {
-    return shortOfQuota.size();
+    return waitQueue.size();
   }
 
   private void decide(ActiveRequest request, long nowNs) {
@@ -82,25 +82,25 @@
           refuse(request, nowNs);
         }
       }
-      case NEEDS_ALLOWANCE -> askForMore(request, customer, nowNs);
+      case NEEDS_ALLOWANCE -> requestAllowance(request, customer, nowNs);
       case OVER -> refuse(request, nowNs);
-      default -> throw new IllegalStateException("a verdict without a rule");
+      default -> throw new IllegalStateException("unhandled quota verdict");
     }
   }
 
-  private void askForMore(ActiveRequest request, PlanCustomer customer, long nowNs) {
+  private void requestAllowance(ActiveRequest request, PlanCustomer customer, long nowNs) {
     if (QuotaWaitQueue.isExpired(request, nowNs)) {
       refuse(request, nowNs);
       return;
     }
     quotas.recordShortage(customer, request.request());
-    shortOfQuota.add(request);
-    ties.syncSoon();
+    waitQueue.add(request);
+    controlClient.syncSoon();
   }
 
   private void refuse(ActiveRequest request, long nowNs) {
-    long waitMs =
+    long retryAfterMs =
         quotas.retryAfterMs(request.quotaCustomer().orElseThrow(), request.request(), nowNs);
-    out.accept(ForwardAction.Refuse.of(request, RefusalReason.OVER_QUOTA, waitMs));
+    actions.accept(ForwardAction.Refuse.of(request, RefusalReason.OVER_QUOTA, retryAfterMs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaReservation.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaReservation.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.core.forward;
 
 /**
- * Is the part of a customer's quota that one request holds: set aside while it waits, used from the
- * moment at which it is sent, and given back once it is known that it has not run.
+ * The reservation that one request holds of its customer's quota: reserved while the request is
+ * queued, consumed when it is sent, and refunded once it is known not to have run.
  *
- * <p>Guards against a quota that is spent by requests that never run: in an overload they are
- * refused after a wait, their callers come back and spend it again, and the customer is refused as
- * over its quota though little of it was served.
+ * <p>Without it, requests that never run would consume the quota: in an overload they are refused
+ * after waiting, their callers retry and consume it again, and the customer is refused as over its
+ * quota although few of its requests were served.
  */
 abstract class QuotaReservation {
 
-  /** Holds nothing, for customers without a quota. */
+  /** The reservation of a customer without a quota. */
   static final QuotaReservation NONE =
       new QuotaReservation() {
         @Override
@@ -27,20 +27,22 @@
     return new WindowReservation(window, amount);
   }
 
-  /** Notes that the request is sent to an upstream. */
+  /** Consumes the reserved amount, when the request is sent to an upstream. */
   abstract void commit(long nowNs);
 
-  /** Notes that it is known not to have run where it was sent. */
+  /**
+   * Refunds the consumed amount and reserves it again, once the request is known not to have run.
+   */
   abstract void notRun();
 
-  /** Notes that the request is over: what was not used is free again. */
+  /** Releases what was not consumed, when the request has ended. */
   abstract void close();
 
   private static final class WindowReservation extends QuotaReservation {
     private final QuotaWindow window;
     private final double amount;
     private boolean used;
-    private long usedNs;
+    private long consumedNs;
 
     WindowReservation(QuotaWindow window, double amount) {
       this.window = window;
@@ -52,7 +54,7 @@
     void commit(long nowNs) {
       if (!used) {
         used = true;
-        usedNs = nowNs;
+        consumedNs = nowNs;
         window.release(amount);
         window.consume(amount, nowNs);
       }
@@ -62,7 +64,7 @@
     void notRun() {
       if (used) {
         used = false;
-        window.refund(amount, usedNs);
+        window.refund(amount, consumedNs);
         window.reserve(amount);
       }
     }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaVerdict.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaVerdict.java
@@ -1,16 +1,19 @@
 package org.teaseltrail.core.forward;
 
-/** Says how a request stands to its customer's quota. */
+/** The result of checking a request against its customer's quota. */
 enum QuotaVerdict {
-  /** It is owed a place. */
+  /** The request is within the quota. */
   WITHIN,
-  /** It is within the quota, but this VM must ask the leader for more of it first. */
+  /**
+   * The request is within the quota but exceeds this VM's allowance, so that the VM must request
+   * more from the leader first.
+   */
   NEEDS_ALLOWANCE,
   /**
-   * It may be over the quota, by less than the users tolerate. It gets a place that is free now and
-   * takes none from those that are owed one.
+   * The request may be over the quota, by less than the tolerance. It may use capacity that is free
+   * now, and takes no slot from requests that are within their quotas.
    */
   WITHIN_TOLERANCE,
-  /** It is refused. */
+  /** The request is over the quota and is refused. */
   OVER
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaWaitQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaWaitQueue.java
@@ -7,24 +7,22 @@
 import java.util.OptionalLong;
 
 /**
- * Holds requests that are within their customer's quota while this VM asks the leader to be allowed
- * more of it.
+ * The queue of requests that are within their customer's quota but exceed this VM's allowance,
+ * while the VM requests more allowance from the leader.
  *
- * <p>Guards against refusing callers that are within their quota: allowances are small, so that
- * little is set aside for a VM that dies, and a customer's requests don't come evenly.
+ * <p>The wait avoids refusing callers that are within their quota: allowances are small, so that
+ * little quota is lost with a VM that dies, and a customer's requests don't arrive evenly.
  */
 final class QuotaWaitQueue {
 
-  /**
-   * Least time that the leader's answer is waited for: some round trips between the users' regions.
-   */
-  private static final long LEAST_PATIENCE_NS = 120_000_000L;
+  /** Minimum wait for the leader's answer: several round trips between regions. */
+  private static final long MIN_WAIT_NS = 120_000_000L;
 
   /**
-   * Part of the objective that it is waited for: a new leader allows nothing for a quarter of a
-   * second, and the rest is for the upstream's answer.
+   * Fraction of the latency objective that a request waits: a new leader grants nothing for a
+   * quarter of a second, and the rest is left for the upstream's response.
    */
-  private static final double OBJECTIVE_PART = 0.5;
+  private static final double OBJECTIVE_FRACTION = 0.5;
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -42,32 +40,32 @@
     return waiting.size();
   }
 
-  /** Takes all out, as they came. */
+  /** Removes and returns all requests in order of arrival. */
   List<ActiveRequest> drain() {
-    List<ActiveRequest> taken = new ArrayList<>(waiting.values());
+    List<ActiveRequest> drained = new ArrayList<>(waiting.values());
     waiting.clear();
-    return taken;
+    return drained;
   }
 
-  /** Takes those out that have waited long enough. */
+  /** Removes and returns the requests whose wait has expired. */
   List<ActiveRequest> pollExpired(long nowNs) {
-    List<ActiveRequest> overdue = new ArrayList<>();
-    waiting.values().stream().filter(request -> isExpired(request, nowNs)).forEach(overdue::add);
-    overdue.forEach(request -> waiting.remove(request.number()));
-    return overdue;
+    List<ActiveRequest> expired = new ArrayList<>();
+    waiting.values().stream().filter(request -> isExpired(request, nowNs)).forEach(expired::add);
+    expired.forEach(request -> waiting.remove(request.number()));
+    return expired;
   }
 
-  /** Tells whether a request has waited long enough. */
+  /** Returns whether a request's wait has expired. */
   static boolean isExpired(ActiveRequest request, long nowNs) {
-    return nowNs >= overdueNs(request);
+    return nowNs >= expiryNs(request);
   }
 
-  private static long overdueNs(ActiveRequest request) {
-    long objectiveNs = (long) (request.route().objectiveMs() * NS_PER_MS * OBJECTIVE_PART);
-    return request.arrivedNs() + Math.max(LEAST_PATIENCE_NS, objectiveNs);
+  private static long expiryNs(ActiveRequest request) {
+    long objectiveNs = (long) (request.route().objectiveMs() * NS_PER_MS * OBJECTIVE_FRACTION);
+    return request.arrivedNs() + Math.max(MIN_WAIT_NS, objectiveNs);
   }
 
   OptionalLong nextDueNs() {
-    return waiting.values().stream().mapToLong(QuotaWaitQueue::overdueNs).min();
+    return waiting.values().stream().mapToLong(QuotaWaitQueue::expiryNs).min();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/QuotaWindow.java
@@ -7,67 +7,68 @@
 import org.teaseltrail.core.quota.SlidingWindowSum;
 
 /**
- * Is a customer's quota as one VM sees it: what was used here within the window, what the leader
- * says was used elsewhere, and what the leader allows this VM until it tells again.
+ * A customer's quota as one VM sees it: the use here within the sliding window, the use elsewhere
+ * as reported by the leader, and the allowance that the leader granted to this VM in its last
+ * answer.
  *
- * <p>Guards against a quota that is overrun by VMs that don't hear of each other, as those that are
- * cut off or that have lost their leader: a customer would run its whole quota at each of them.
- * What the leader allows adds up to the quota over all VMs and stays set aside for a silent one, so
- * a VM may use up its allowance whenever it likes, and nothing beyond it.
+ * <p>The allowance bounds the total use over VMs that can't communicate because they are
+ * partitioned or have lost their leader; without it a customer could use its whole quota at each of
+ * them. The allowances of all VMs add up to the quota, and that of an unreachable VM stays
+ * reserved, so that a VM may use up its allowance at any time but no more.
  */
 final class QuotaWindow {
 
   private static final double NS_PER_S = 1e9;
 
-  /** Time over which demand is averaged: eight syncs, and a quarter of the users' window. */
+  /** Time constant of the demand average: eight syncs, and a quarter of the usual quota window. */
   private static final double DEMAND_WINDOW_S = 2;
 
   private final CustomerId customer;
   private final QuotaPolicy bounds;
-  private final SlidingWindowSum history;
+  private final SlidingWindowSum usage;
   private QuotaGrant grant;
-  private double holdable;
+  private double grantedTotal;
   private double reserved;
   private double takenEver;
   private double wanted;
   private double limit;
   private double tolerance;
   private double demandPerSecond;
-  private long lastNs;
-  private boolean begun;
+  private long lastDecayNs;
+  private boolean started;
 
   QuotaWindow(CustomerId customer, QuotaPolicy bounds) {
     this.customer = customer;
     this.bounds = bounds;
-    history = new SlidingWindowSum(bounds.windowMs());
+    usage = new SlidingWindowSum(bounds.windowMs());
     grant = new QuotaGrant(customer, 0, 0, 0, 0, 0);
   }
 
-  /** Sets what may be used within the window at all VMs together, and what may pass it. */
+  /** Sets the limit of the use within the window over all VMs, and the tolerance above it. */
   void configure(double newLimit, double newTolerance) {
     limit = newLimit;
     tolerance = newTolerance;
   }
 
   /**
-   * Takes what the leader tells.
+   * Applies the leader's grant.
    *
-   * @param told the grant
-   * @param usedBefore what was told as used in the sync that it answers
+   * @param newGrant the grant
+   * @param usedBefore the use that was reported in the sync which the grant answers
    */
-  void applyGrant(QuotaGrant told, double usedBefore) {
-    grant = told;
-    holdable = usedBefore + told.allowance();
+  void applyGrant(QuotaGrant newGrant, double usedBefore) {
+    grant = newGrant;
+    grantedTotal = usedBefore + newGrant.allowance();
     wanted = 0;
   }
 
-  /** Notes that an amount is asked for, whether it is taken or not. */
+  /** Records an amount as demand, whether it is consumed or not. */
   void asked(double amount, long nowNs) {
-    pass(nowNs);
+    decayDemand(nowNs);
     demandPerSecond += amount / DEMAND_WINDOW_S;
   }
 
-  /** Says how an amount stands to the quota. */
+  /** Checks an amount against the quota. */
   QuotaVerdict verdict(double amount, long nowNs) {
     double usedBefore = used(nowNs) + grant.usedElsewhere();
     double used = usedBefore + amount;
@@ -82,30 +83,30 @@
     return within ? QuotaVerdict.WITHIN : QuotaVerdict.WITHIN_TOLERANCE;
   }
 
-  /** Notes that a request waits until the leader allows more. */
+  /** Records an amount that waits until the leader grants more allowance. */
   void recordShortage(double amount) {
     wanted += amount;
   }
 
-  /** Sets an amount aside for a request that has not been sent yet. */
+  /** Reserves an amount for a request that has not been sent yet. */
   void reserve(double amount) {
     reserved += amount;
   }
 
-  /** Gives back what was set aside. */
+  /** Releases a reserved amount. */
   void release(double amount) {
     reserved = Math.max(0, reserved - amount);
   }
 
   /** Counts an amount as used. */
   void consume(double amount, long nowNs) {
-    history.add(amount, nowNs);
+    usage.add(amount, nowNs);
     takenEver += amount;
   }
 
-  /** Takes back what was counted as used at a time, since the request did not run. */
+  /** Refunds an amount that was counted as used at the given time, as its request did not run. */
   void refund(double amount, long takenNs) {
-    history.remove(amount, takenNs);
+    usage.remove(amount, takenNs);
   }
 
   /** Returns the time until an amount may be within the quota, in milliseconds. */
@@ -116,47 +117,46 @@
   }
 
   /**
-   * Returns what may still be taken here.
+   * Returns the amount that may still be consumed here.
    *
-   * <p>Guards against callers that are refused though they are within their quota while no member
-   * leads: they show as refusals for the quota at all VMs at once, a second after the leader went.
-   * The leader counts all that the VM may hold until it tells again, so what was used here and has
-   * left the window may be used again.
+   * <p>Use that has left the window may be used again, since the leader counts all that the VM may
+   * hold until its next grant. Otherwise callers within their quota would be refused at all VMs
+   * from a second after the leader was lost.
    */
   double allowance(long nowNs) {
-    return Math.max(0, holdable - used(nowNs));
+    return Math.max(0, grantedTotal - used(nowNs));
   }
 
-  /** Returns what was used here within the window or is set aside for requests that wait. */
+  /** Returns the use here within the window plus the amounts reserved for queued requests. */
   double used(long nowNs) {
-    return history.total(nowNs) + reserved;
+    return usage.total(nowNs) + reserved;
   }
 
   /**
-   * Tells what the leader must know.
+   * Returns the report for the leader.
    *
-   * @param mayTake whether requests may be admitted; if not, the allowance is given back
-   * @param remembers whether what a leader counted for others may still matter
-   * @param nowNs time
+   * @param canAdmit whether requests may be admitted; if not, the allowance is returned
+   * @param retainsGrant whether the amounts that a leader reserved for other VMs may still matter
+   * @param nowNs current time, in nanoseconds
    */
-  QuotaReport createReport(boolean mayTake, boolean remembers, long nowNs) {
-    pass(nowNs);
+  QuotaReport createReport(boolean canAdmit, boolean retainsGrant, long nowNs) {
+    decayDemand(nowNs);
     return new QuotaReport(
         customer,
         used(nowNs),
         takenEver,
-        mayTake ? allowance(nowNs) : 0,
+        canAdmit ? allowance(nowNs) : 0,
         demandPerSecond,
         wanted,
-        remembers ? grant.heldElsewhere() : 0,
-        remembers ? grant.heldByEnded() : 0,
-        remembers ? grant.endedForMs() : 0);
+        retainsGrant ? grant.heldElsewhere() : 0,
+        retainsGrant ? grant.heldByEnded() : 0,
+        retainsGrant ? grant.endedForMs() : 0);
   }
 
-  private void pass(long nowNs) {
-    double passedS = begun ? Math.max(0, (nowNs - lastNs) / NS_PER_S) : 0;
-    begun = true;
-    lastNs = nowNs;
-    demandPerSecond *= Math.exp(-passedS / DEMAND_WINDOW_S);
+  private void decayDemand(long nowNs) {
+    double elapsedS = started ? Math.max(0, (nowNs - lastDecayNs) / NS_PER_S) : 0;
+    started = true;
+    lastDecayNs = nowNs;
+    demandPerSecond *= Math.exp(-elapsedS / DEMAND_WINDOW_S);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/RateLimitClient.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RateLimitClient.java
@@ -21,32 +21,33 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Tells the leader which limits upstreams name to this VM, asks for permits to send to them, and
- * takes over what other VMs heard.
+ * Reports upstreams' rate limits to the leader, requests permits to send to rate-limited upstreams,
+ * and applies the limits that other VMs observed.
  */
 final class RateLimitClient {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /**
-   * Time for which news is told with each sync, and after which all is told again. Guards against a
-   * leader that missed a limit, as the connection broke: it would give out no permits for it.
+   * Time for which a new limit is reported with each sync, and after which all limits are reported
+   * again. A leader that missed a limit, because the connection broke, would grant no permits for
+   * it.
    */
-  private static final long TELL_AGAIN_NS = 2_000 * NS_PER_MS;
+  private static final long RESEND_NS = 2_000 * NS_PER_MS;
 
-  /** Time after which an answer to a question is no longer waited for. */
-  private static final long ANSWERED_WITHIN_NS = 2_000 * NS_PER_MS;
+  /** Time after which the answer to a permit request is no longer expected. */
+  private static final long ANSWER_TIMEOUT_NS = 2_000 * NS_PER_MS;
 
-  /** Permits of a service that are asked for at once, at most. */
-  private static final int MOST_WANTED = 32;
+  /** Maximum number of permits of a service that are requested at once. */
+  private static final int MAX_PERMITS_REQUESTED = 32;
 
   private final VmId vm;
   private final UpstreamTracker upstreams;
-  private final RateLimitRegistry book = new RateLimitRegistry();
-  private final Map<UpstreamIncarnation, Long> newsUntilNs = new HashMap<>();
-  private final TreeMap<Long, Long> askedNs = new TreeMap<>();
-  private FencingNumber toldTo = new FencingNumber(0);
-  private long allToldNs;
+  private final RateLimitRegistry registry = new RateLimitRegistry();
+  private final Map<UpstreamIncarnation, Long> newLimitsUntilNs = new HashMap<>();
+  private final TreeMap<Long, Long> requestedNs = new TreeMap<>();
+  private FencingNumber reportedTo = new FencingNumber(0);
+  private long lastFullReportNs;
   private long sequence;
 
   RateLimitClient(VmId vm, UpstreamTracker upstreams) {
@@ -55,84 +56,86 @@
   }
 
   /**
-   * Takes what an answer to this VM says; returns whether the limit is another one now.
+   * Records the rate limit in a response to this VM; returns whether the limit has changed.
    *
-   * <p>Only an answer to what was sent after the limit was last named lifts it. Guards against
-   * answers that pass each other, or are read late and in any order after a freeze: one from before
-   * the need would let all VMs send freely.
+   * <p>Only a response to a request that was sent after the limit was last named lifts the limit.
+   * Responses may overtake each other, or be read late and out of order after a suspension, and one
+   * from before the overload would let all VMs send without limit.
    */
   boolean recordRateLimit(
       UpstreamIncarnation upstream, RateLimit limit, long dispatchedNs, long nowNs) {
-    if (!limit.isLimited() && dispatchedNs <= book.observedNs(upstream)) {
+    if (!limit.isLimited() && dispatchedNs <= registry.observedNs(upstream)) {
       return false;
     }
-    boolean changed = note(upstream, limit, nowNs);
+    boolean changed = recordObservation(upstream, limit, nowNs);
     if (changed) {
-      newsUntilNs.put(upstream, nowNs + TELL_AGAIN_NS);
+      newLimitsUntilNs.put(upstream, nowNs + RESEND_NS);
     }
     return changed;
   }
 
-  /** Takes what answers to other VMs said. */
+  /** Applies the limits that other VMs observed. */
   void applyUpdate(ServingReply.LimitUpdate update, long nowNs) {
-    for (RateLimitObservation sighting : update.sightings()) {
-      note(sighting.upstream(), sighting.limit(), nowNs - sighting.agoMs() * NS_PER_MS);
+    for (RateLimitObservation observation : update.sightings()) {
+      recordObservation(
+          observation.upstream(), observation.limit(), nowNs - observation.agoMs() * NS_PER_MS);
     }
   }
 
-  /** Takes permits, each for as long after the question as the leader says. */
+  /** Applies permits, which expire as long after the permit request as the leader says. */
   void applyPermits(ServingReply.SendPermits permits) {
-    Long whenAskedNs = askedNs.remove(permits.sequence());
-    if (whenAskedNs != null) {
-      long untilNs = whenAskedNs + permits.forMs() * NS_PER_MS;
+    Long requestTimeNs = requestedNs.remove(permits.sequence());
+    if (requestTimeNs != null) {
+      long expiryNs = requestTimeNs + permits.forMs() * NS_PER_MS;
       for (SendPermit permit : permits.permits()) {
-        upstreams.backpressure(permit.upstream()).addPermits(permit.requests(), untilNs);
+        upstreams.backpressure(permit.upstream()).addPermits(permit.requests(), expiryNs);
       }
     }
   }
 
-  /** Returns what the leader is to be told with a sync, if any limit is known. */
+  /** Returns the report for the leader that goes with a sync, if any limit is known. */
   Optional<ServingMessage> createReport(FencingNumber leadership, RequestQueues lines, long nowNs) {
-    if (book.isEmpty()) {
+    if (registry.isEmpty()) {
       return Optional.empty();
     }
-    book.removeStale(upstreams.incarnations(), nowNs)
-        .forEach(gone -> upstreams.setLimited(gone, false));
-    newsUntilNs.values().removeIf(untilNs -> nowNs > untilNs);
-    boolean all = !leadership.equals(toldTo) || nowNs - allToldNs > TELL_AGAIN_NS;
-    allToldNs = all ? nowNs : allToldNs;
-    toldTo = leadership;
-    List<RateLimitObservation> told =
-        book.sightings(life -> all || newsUntilNs.containsKey(life), nowNs);
+    registry
+        .removeStale(upstreams.incarnations(), nowNs)
+        .forEach(removed -> upstreams.setLimited(removed, false));
+    newLimitsUntilNs.values().removeIf(expiryNs -> nowNs > expiryNs);
+    boolean all = !leadership.equals(reportedTo) || nowNs - lastFullReportNs > RESEND_NS;
+    lastFullReportNs = all ? nowNs : lastFullReportNs;
+    reportedTo = leadership;
+    List<RateLimitObservation> toReport =
+        registry.sightings(incarnation -> all || newLimitsUntilNs.containsKey(incarnation), nowNs);
     List<PermitDemand> wanted = wanted(lines, nowNs);
-    if (told.isEmpty() && wanted.isEmpty()) {
+    if (toReport.isEmpty() && wanted.isEmpty()) {
       return Optional.empty();
     }
-    askedNs.values().removeIf(atNs -> nowNs - atNs > ANSWERED_WITHIN_NS);
-    askedNs.put(++sequence, nowNs);
-    return Optional.of(new ServingMessage.Limits(vm, sequence, told, wanted));
+    requestedNs.values().removeIf(atNs -> nowNs - atNs > ANSWER_TIMEOUT_NS);
+    requestedNs.put(++sequence, nowNs);
+    return Optional.of(new ServingMessage.Limits(vm, sequence, toReport, wanted));
   }
 
-  private boolean note(UpstreamIncarnation upstream, RateLimit limit, long seenNs) {
-    boolean changed = book.recordObservation(upstream, limit, seenNs);
+  private boolean recordObservation(UpstreamIncarnation upstream, RateLimit limit, long seenNs) {
+    boolean changed = registry.recordObservation(upstream, limit, seenNs);
     if (changed) {
       upstreams.setLimited(upstream, limit.isLimited());
     }
     return changed;
   }
 
-  /** Wants as many permits as there are requests here, less those in hand. */
+  /** Requests as many permits as there are requests here, less the permits already held. */
   private List<PermitDemand> wanted(RequestQueues lines, long nowNs) {
     Set<ServiceId> services = new HashSet<>();
-    upstreams.limited().forEach(view -> services.add(view.registration().service()));
+    upstreams.limited().forEach(upstream -> services.add(upstream.registration().service()));
     List<PermitDemand> wanted = new ArrayList<>();
     for (ServiceId service : services) {
-      int here = lines.of(service).size();
-      for (UpstreamState view : upstreams.of(service)) {
-        here += view.ownInFlight() - view.backpressure().permits(nowNs);
+      int demand = lines.of(service).size();
+      for (UpstreamState upstream : upstreams.of(service)) {
+        demand += upstream.ownInFlight() - upstream.backpressure().permits(nowNs);
       }
-      if (here > 0) {
-        int requests = Math.min(MOST_WANTED, here);
+      if (demand > 0) {
+        int requests = Math.min(MAX_PERMITS_REQUESTED, demand);
         wanted.add(new PermitDemand(service, requests, lines.of(service).mostUrgent()));
       }
     }
--- a/core/src/main/java/org/teaseltrail/core/forward/RefusalReason.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RefusalReason.java
@@ -1,28 +1,28 @@
 package org.teaseltrail.core.forward;
 
-/** Says why a request ends without an upstream's answer, and whether it may have run. */
+/** The reason why a request ends without an upstream's response, and whether it may have run. */
 public enum RefusalReason {
-  /** No route takes it. */
+  /** No route matches it. */
   NO_ROUTE(false),
   /** Its key is missing or unknown. */
   UNKNOWN_KEY(false),
   /** This VM has no plan yet, or can't be sure that its plan is the newest. */
   PLAN_UNCERTAIN(false),
-  /** This VM is about to end and couldn't finish it. */
+  /** This VM is shutting down and couldn't finish it. */
   ENDING(false),
-  /** Its customer has used its quota up. */
+  /** Its customer's quota is exhausted. */
   OVER_QUOTA(false),
-  /** No upstream takes it now. */
+  /** No upstream can serve it at present. */
   NO_UPSTREAM(false),
-  /** It waited for as long as it could still be of use. */
+  /** It waited in the queue for its maximum time. */
   WAITED_TOO_LONG(false),
-  /** Upstreams ended under it, so none gets it any longer. */
+  /** It is quarantined: several upstreams terminated while they processed it. */
   QUARANTINED(false),
-  /** Upstreams were asked and none ran it. */
+  /** No upstream that was tried ran it. */
   NOT_RUN(false),
-  /** Its upstream's answer broke off or was no answer; it may have run. */
+  /** Its upstream's response was cut off or malformed; it may have run. */
   BROKEN(true),
-  /** Its time ran out while an upstream had it; it may have run. */
+  /** It timed out at an upstream; it may have run. */
   TIMED_OUT(true);
 
   private final boolean maybeRan;
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Tells whether an upstream may have begun to work on the request.
+   * Returns whether an upstream may have started to process the request.
    *
-   * @return false is a promise: it has not run and never will
+   * @return false guarantees that it has not run and never will
    */
   public boolean maybeRan() {
     return maybeRan;
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestCoordinator.java
@@ -12,20 +12,20 @@
 import org.teaseltrail.core.serving.SlotUsage;
 
 /**
- * Looks after the requests that were admitted: places them, lets them wait, repeats them where that
- * is allowed, and ends each with one answer.
+ * Drives admitted requests through their life cycle: dispatches them, queues them while there is no
+ * free slot, retries them where that is allowed, and ends each with exactly one answer.
  */
 final class RequestCoordinator {
 
-  private final RequestDispatcher placer;
+  private final RequestDispatcher dispatcher;
   private final UpstreamTracker upstreams;
   private final QuarantineTracker quarantine;
-  private final VersionRouter gate;
-  private final Consumer<ForwardAction> out;
-  private final RetryPolicy repeats;
-  private final Map<Long, ActiveRequest> tracked = new HashMap<>();
-  private final DeadlineQueue due = new DeadlineQueue();
-  private final BackoffMonitor backoffs;
+  private final VersionRouter versionRouter;
+  private final Consumer<ForwardAction> actions;
+  private final RetryPolicy retryPolicy;
+  private final Map<Long, ActiveRequest> activeRequests = new HashMap<>();
+  private final DeadlineQueue deadlines = new DeadlineQueue();
+  private final BackoffMonitor backoffMonitor;
   private final SlotGrantTracker slots;
   private final RequestQueues lines;
   private long changes;
@@ -36,35 +36,38 @@
       UpstreamTracker upstreams,
       SlotGrantTracker slots,
       QuarantineTracker quarantine,
-      VersionRouter gate,
+      VersionRouter versionRouter,
       Predicate<ServiceId> isEngine,
-      Consumer<ForwardAction> out) {
+      Consumer<ForwardAction> actions) {
     this.slots = slots;
     this.quarantine = quarantine;
-    this.gate = gate;
-    lines = new RequestQueues(slots, placement, gate, isEngine);
-    repeats = new RetryPolicy(settings, placement, gate, quarantine);
-    placer = new RequestDispatcher(placement, gate, isEngine, due, out);
+    this.versionRouter = versionRouter;
+    lines = new RequestQueues(slots, placement, versionRouter, isEngine);
+    retryPolicy = new RetryPolicy(settings, placement, versionRouter, quarantine);
+    dispatcher = new RequestDispatcher(placement, versionRouter, isEngine, deadlines, actions);
     this.upstreams = upstreams;
-    backoffs = new BackoffMonitor(gate, upstreams);
-    this.out = out;
+    backoffMonitor = new BackoffMonitor(versionRouter, upstreams);
+    this.actions = actions;
   }
 
-  /** Takes how many VMs share the budgets of repeats. */
+  /** Sets the number of VMs that share the retry budgets. */
   void vmCount(int count) {
-    repeats.vmCount(count);
+    retryPolicy.vmCount(count);
   }
 
   int openRequests() {
-    return tracked.size();
+    return activeRequests.size();
   }
 
   OptionalLong nextDueNs() {
-    long nextNs = Math.min(due.nextDeadlineNs(), backoffs.nextBackoffEndNs());
+    long nextNs = Math.min(deadlines.nextDeadlineNs(), backoffMonitor.nextBackoffEndNs());
     return nextNs == Long.MAX_VALUE ? OptionalLong.empty() : OptionalLong.of(nextNs);
   }
 
-  /** Refuses a request that upstreams must not get; returns whether it is one. */
+  /**
+   * Refuses a request that is quarantined, unless the leader has granted a trial for it; returns
+   * whether it was refused.
+   */
   boolean refuseIfQuarantined(ActiveRequest request, long nowNs) {
     boolean held =
         quarantine.isQuarantined(request, nowNs) && !quarantine.useTrialPermit(request, nowNs);
@@ -75,14 +78,14 @@
   }
 
   /**
-   * Gives up what upstreams must not get any longer, whether it waits here, for a grant or at an
-   * upstream that has not begun to answer. What already answers shows by its end whether the hold
-   * is right.
+   * Aborts requests that have been quarantined since they were admitted, whether they are queued
+   * here, wait for a slot grant, or are at an upstream that has not started to respond. A request
+   * whose response has started runs on: its outcome shows whether the quarantine is justified.
    */
   void abortQuarantined(long nowNs) {
-    for (ActiveRequest request : List.copyOf(tracked.values())) {
+    for (ActiveRequest request : List.copyOf(activeRequests.values())) {
       if (!request.hasResponseStarted() && quarantine.isQuarantined(request, nowNs)) {
-        giveUp(
+        abort(
             request,
             RefusalReason.QUARANTINED,
             RefusalReason.BROKEN,
@@ -91,172 +94,177 @@
     }
   }
 
-  /** Takes a request that is owed a place. */
+  /** Admits a request that is within its customer's quota. */
   void admit(ActiveRequest request, long nowNs) {
-    tracked.put(request.number(), request);
-    repeats.recordRequest(request.service(), nowNs);
-    placeOrWait(request, nowNs);
+    activeRequests.put(request.number(), request);
+    retryPolicy.recordRequest(request.service(), nowNs);
+    dispatchOrQueue(request, nowNs);
   }
 
   /**
-   * Takes a request only if there is room that nobody waits for.
+   * Admits a request only if there is spare capacity and no other request is queued for it.
    *
-   * @return whether it was taken
+   * @return whether it was admitted
    */
   boolean admitToSpareCapacity(ActiveRequest request, long nowNs) {
-    tracked.put(request.number(), request);
-    boolean taken =
+    activeRequests.put(request.number(), request);
+    boolean admitted =
         !lines.hasQueuedAhead(request.service(), nowNs)
-            && placer.tryDispatchToSpareCapacity(request, nowNs);
-    if (taken) {
-      repeats.recordRequest(request.service(), nowNs);
+            && dispatcher.tryDispatchToSpareCapacity(request, nowNs);
+    if (admitted) {
+      retryPolicy.recordRequest(request.service(), nowNs);
     } else {
-      forget(request);
+      untrack(request);
     }
-    return taken;
+    return admitted;
   }
 
-  /** Takes the end of an attempt; one of a request that is over already changes nothing. */
+  /** Handles the end of an attempt; ignored if the request has already ended. */
   void onAttemptEnded(long number, AttemptOutcome end, long nowNs) {
-    ActiveRequest request = tracked.get(number);
+    ActiveRequest request = activeRequests.get(number);
     if (request == null || request.currentUpstream().isEmpty()) {
       return;
     }
-    gate.recordOutcome(
+    versionRouter.recordOutcome(
         request, end, end == AttemptOutcome.BROKEN && quarantine.isSuspect(request), nowNs);
-    noteForQuarantine(request, end, nowNs);
+    updateQuarantine(request, end, nowNs);
     BackpressureState asked = request.currentUpstream().get().backpressure();
     if (end.isAnswer()) {
       asked.recordAccepted(request.sentNs());
     }
     asked.recordEnded(request.sentNs());
     request.currentUpstream().get().recordOutcome(end, nowNs);
-    placer.releaseSlot(request);
+    dispatcher.releaseSlot(request);
     request.endAttempt(end);
     changes++;
-    if (end != AttemptOutcome.ANSWERED && repeats.tryAcquire(request, end, nowNs)) {
-      placeOrWait(request, nowNs);
+    if (end != AttemptOutcome.ANSWERED && retryPolicy.tryAcquire(request, end, nowNs)) {
+      dispatchOrQueue(request, nowNs);
     } else {
       finish(request, end, nowNs);
     }
-    serveLine(request.service(), nowNs);
+    dispatchQueue(request.service(), nowNs);
   }
 
-  private void noteForQuarantine(ActiveRequest request, AttemptOutcome end, long nowNs) {
+  private void updateQuarantine(ActiveRequest request, AttemptOutcome end, long nowNs) {
     switch (end) {
       case BROKEN ->
           quarantine.recordLoss(
               request, request.currentUpstream().get().registration().upstreamIncarnation(), nowNs);
       case ANSWERED, FAILED_ANSWER -> quarantine.recordCompleted(request, nowNs);
       default -> {
-        // It didn't run there, so it tells nothing.
+        // The request didn't run there, so the outcome shows nothing about it.
       }
     }
   }
 
-  /** Notes that the caller has got the first part of a stream. */
+  /** Records that the caller has received the first part of a streamed response. */
   void onResponseStarted(long number, long nowNs) {
-    ActiveRequest request = tracked.get(number);
+    ActiveRequest request = activeRequests.get(number);
     if (request != null) {
-      gate.recordResponseStarted(request, nowNs);
+      versionRouter.recordResponseStarted(request, nowNs);
       request
           .currentUpstream()
-          .ifPresent(view -> view.backpressure().recordAccepted(request.sentNs()));
+          .ifPresent(upstream -> upstream.backpressure().recordAccepted(request.sentNs()));
       request.markResponseStarted();
       changes++;
-      due.schedule(request);
-      serveLine(request.service(), nowNs);
+      deadlines.schedule(request);
+      dispatchQueue(request.service(), nowNs);
     }
   }
 
-  /** Notes a stream's mean time between events. */
+  /** Records the mean time between a stream's events. */
   void recordEventInterval(long number, double elapsedMs) {
-    ActiveRequest request = tracked.get(number);
+    ActiveRequest request = activeRequests.get(number);
     if (request != null) {
-      gate.recordEventInterval(request, elapsedMs);
+      versionRouter.recordEventInterval(request, elapsedMs);
     }
   }
 
   void onCallerDisconnected(long number, long nowNs) {
-    ActiveRequest request = tracked.get(number);
+    ActiveRequest request = activeRequests.get(number);
     if (request != null) {
-      gate.recordCallerDisconnected(request, nowNs);
-      forget(request);
+      versionRouter.recordCallerDisconnected(request, nowNs);
+      untrack(request);
       lines.remove(request);
       cancel(request);
       changes++;
-      serveLine(request.service(), nowNs);
+      dispatchQueue(request.service(), nowNs);
     }
   }
 
-  /** Ends what is out of time. */
+  /** Ends requests whose time is over, and dispatches queued ones. */
   void tick(long nowNs) {
-    due.pollUntil(nowNs).forEach(request -> due(request, nowNs));
-    changes += backoffs.pollBackoffEnd(nowNs) ? 1 : 0;
+    deadlines.pollUntil(nowNs).forEach(request -> onDeadline(request, nowNs));
+    changes += backoffMonitor.pollBackoffEnd(nowNs) ? 1 : 0;
     dispatchQueued(nowNs);
   }
 
-  private void placeOrWait(ActiveRequest request, long nowNs) {
-    if (placer.tryDispatchAsCanary(request, nowNs)) {
+  private void dispatchOrQueue(ActiveRequest request, long nowNs) {
+    if (dispatcher.tryDispatchAsCanary(request, nowNs)) {
       return;
     }
-    boolean othersFirst = lines.hasQueuedAhead(request.service(), nowNs);
-    if (!othersFirst && placer.tryDispatch(request, nowNs)) {
+    boolean queuedAhead = lines.hasQueuedAhead(request.service(), nowNs);
+    if (!queuedAhead && dispatcher.tryDispatch(request, nowNs)) {
       lines.of(request.service()).served(nowNs);
       return;
     }
-    if (backoffs.exceedsMaxWait(request, nowNs)) {
-      forget(request);
-      endWithout(request, backoffs.retryAfterMs(request, nowNs));
+    if (backoffMonitor.exceedsMaxWait(request, nowNs)) {
+      untrack(request);
+      refuseWithoutUpstream(request, backoffMonitor.retryAfterMs(request, nowNs));
       return;
     }
     lines.add(request);
     changes++;
-    due.schedule(request);
-    serveLine(request.service(), nowNs);
+    deadlines.schedule(request);
+    dispatchQueue(request.service(), nowNs);
   }
 
-  private void forget(ActiveRequest request) {
-    tracked.remove(request.number());
+  private void untrack(ActiveRequest request) {
+    activeRequests.remove(request.number());
     request.close();
   }
 
   private void finish(ActiveRequest request, AttemptOutcome end, long nowNs) {
-    forget(request);
+    untrack(request);
     if (end.isAnswer()) {
-      out.accept(new ForwardAction.Deliver(request.number()));
+      actions.accept(new ForwardAction.Deliver(request.number()));
     } else if (request.maybeRan()) {
       refuse(request, RefusalReason.BROKEN, 0);
     } else {
-      refuse(request, RefusalReason.NOT_RUN, backoffs.retryAfterMs(request, nowNs));
+      refuse(request, RefusalReason.NOT_RUN, backoffMonitor.retryAfterMs(request, nowNs));
     }
   }
 
-  /** Looks after a request whose time may have come. */
-  private void due(ActiveRequest request, long nowNs) {
-    boolean over = tracked.get(request.number()) != request;
-    if (over) {
+  /** Handles the expiry of a request's timer, which may have been rescheduled meanwhile. */
+  private void onDeadline(ActiveRequest request, long nowNs) {
+    boolean ended = activeRequests.get(request.number()) != request;
+    if (ended) {
       return;
     }
     if (nowNs < request.nextDeadlineNs()) {
-      due.schedule(request);
+      deadlines.schedule(request);
       return;
     }
     if (!request.hasResponseStarted()) {
-      request.currentUpstream().ifPresent(view -> view.eject(nowNs));
-      gate.recordTimeout(request);
+      request.currentUpstream().ifPresent(upstream -> upstream.eject(nowNs));
+      versionRouter.recordTimeout(request);
     }
-    giveUp(
+    abort(
         request,
         RefusalReason.WAITED_TOO_LONG,
         RefusalReason.TIMED_OUT,
         QueueLengthLimiter.NO_SLOT_RETRY_MS);
   }
 
-  /** Ends a request wherever it is, by whether it may have run. */
-  private void giveUp(
-      ActiveRequest request, RefusalReason notRun, RefusalReason maybeRan, long notRunRetryMs) {
-    forget(request);
+  /**
+   * Ends a request that is queued or at an upstream; the reason depends on whether it may have run.
+   */
+  private void abort(
+      ActiveRequest request,
+      RefusalReason notRun,
+      RefusalReason maybeRan,
+      long notRunRetryAfterMs) {
+    untrack(request);
     lines.remove(request);
     final boolean atUpstream = request.currentUpstream().isPresent();
     cancel(request);
@@ -264,7 +272,7 @@
     if (atUpstream || request.maybeRan()) {
       refuse(request, maybeRan, 0);
     } else {
-      refuse(request, notRun, notRunRetryMs);
+      refuse(request, notRun, notRunRetryAfterMs);
     }
   }
 
@@ -273,67 +281,73 @@
       request.markPromptRead();
       request.currentUpstream().get().backpressure().recordEnded(request.sentNs());
       request.currentUpstream().get().cancelled();
-      placer.releaseSlot(request);
-      out.accept(new ForwardAction.Cancel(request.number()));
+      dispatcher.releaseSlot(request);
+      actions.accept(new ForwardAction.Cancel(request.number()));
     }
   }
 
-  /** Places what waits, as far as there is room. */
+  /** Dispatches queued requests as far as there is capacity. */
   void dispatchQueued(long nowNs) {
-    lines.services().forEach(service -> serveLine(service, nowNs));
+    lines.services().forEach(service -> dispatchQueue(service, nowNs));
   }
 
-  private void serveLine(ServiceId service, long nowNs) {
+  private void dispatchQueue(ServiceId service, long nowNs) {
     RequestQueue waiting = lines.of(service);
     if (!waiting.isEmpty()) {
       if (lines.isLeaderAllocated(service, nowNs)) {
         waiting.demoteLate(nowNs);
-        servePermitted(service, waiting, nowNs);
+        dispatchWithPermits(service, waiting, nowNs);
       } else {
-        waiting.dispatchReady(request -> placer.tryDispatch(request, nowNs), nowNs);
+        waiting.dispatchReady(request -> dispatcher.tryDispatch(request, nowNs), nowNs);
       }
       if (upstreams.mayHaveBackedOff(nowNs)) {
-        giveUpBeforeBackoffEnds(waiting, nowNs);
+        refuseBackedOff(waiting, nowNs);
       }
       shed(service, waiting, nowNs);
-      backoffs.scheduleWakeup(service, nowNs);
+      backoffMonitor.scheduleWakeup(service, nowNs);
     }
   }
 
   /**
-   * Gives up what would wait in vain, as all upstreams that it may go to want nothing for longer.
+   * Ends queued requests that can't be dispatched in time, because all upstreams that may serve
+   * them are backed off for longer than the requests can wait.
    */
-  private void giveUpBeforeBackoffEnds(RequestQueue waiting, long nowNs) {
+  private void refuseBackedOff(RequestQueue waiting, long nowNs) {
     for (ActiveRequest request : waiting.all()) {
-      if (backoffs.exceedsMaxWait(request, nowNs)) {
+      if (backoffMonitor.exceedsMaxWait(request, nowNs)) {
         waiting.remove(request);
-        forget(request);
-        endWithout(request, backoffs.retryAfterMs(request, nowNs));
+        untrack(request);
+        refuseWithoutUpstream(request, backoffMonitor.retryAfterMs(request, nowNs));
       }
     }
   }
 
-  /** Places what waits at upstreams with limits: the leader gives permits for them, not places. */
-  private void servePermitted(ServiceId service, RequestQueue waiting, long nowNs) {
-    List<UpstreamState> permitted = gate.upstreamsWithPermits(service, nowNs);
-    if (!permitted.isEmpty()) {
-      waiting.dispatchReady(request -> placer.tryDispatchAmong(request, permitted, nowNs), nowNs);
+  /**
+   * Dispatches queued requests to upstreams with rate limits. The leader grants permits for these
+   * upstreams instead of slots.
+   */
+  private void dispatchWithPermits(ServiceId service, RequestQueue waiting, long nowNs) {
+    List<UpstreamState> upstreamsWithPermits = versionRouter.upstreamsWithPermits(service, nowNs);
+    if (!upstreamsWithPermits.isEmpty()) {
+      waiting.dispatchReady(
+          request -> dispatcher.tryDispatchAmong(request, upstreamsWithPermits, nowNs), nowNs);
     }
   }
 
-  /** Gives up what the line is too long for. */
+  /** Sheds requests while the queue exceeds its maximum length. */
   private void shed(ServiceId service, RequestQueue waiting, long nowNs) {
-    QueueLengthLimiter bound = new QueueLengthLimiter(waiting, () -> gate.ownSlots(service, nowNs));
-    Optional<ActiveRequest> excess = bound.findExcess(nowNs);
+    QueueLengthLimiter limiter =
+        new QueueLengthLimiter(waiting, () -> versionRouter.ownSlots(service, nowNs));
+    Optional<ActiveRequest> excess = limiter.findExcess(nowNs);
     while (excess.isPresent()) {
       waiting.remove(excess.get());
-      forget(excess.get());
-      endWithout(excess.get(), bound.retryAfterMs(nowNs));
-      excess = bound.findExcess(nowNs);
+      untrack(excess.get());
+      refuseWithoutUpstream(excess.get(), limiter.retryAfterMs(nowNs));
+      excess = limiter.findExcess(nowNs);
     }
   }
 
-  private void endWithout(ActiveRequest request, long retryAfterMs) {
+  private void refuseWithoutUpstream(ActiveRequest request, long retryAfterMs) {
     if (request.maybeRan()) {
       refuse(request, RefusalReason.BROKEN, 0);
     } else {
@@ -342,33 +356,39 @@
   }
 
   private void refuse(ActiveRequest request, RefusalReason refusal, long retryAfterMs) {
-    out.accept(ForwardAction.Refuse.of(request, refusal, retryAfterMs));
+    actions.accept(ForwardAction.Refuse.of(request, refusal, retryAfterMs));
   }
 
-  /** Uses a place that the leader has granted. */
+  /** Uses a slot that the leader granted. */
   void granted(ServingReply.SlotGrant grant, long nowNs) {
     changes++;
     boolean used =
-        upstreams.find(grant.upstream()).map(view -> use(grant, view, nowNs)).orElse(false);
+        upstreams
+            .find(grant.upstream())
+            .map(upstream -> useGrant(grant, upstream, nowNs))
+            .orElse(false);
     if (!used) {
       slots.markUnwanted(grant.service(), grant.upstream());
     }
   }
 
-  private boolean use(ServingReply.SlotGrant grant, UpstreamState view, long nowNs) {
+  private boolean useGrant(ServingReply.SlotGrant grant, UpstreamState upstream, long nowNs) {
     return lines
         .of(grant.service())
-        .dispatchOne(grant.urgency(), request -> placer.tryDispatchTo(request, view, nowNs), nowNs);
+        .dispatchOne(
+            grant.urgency(), request -> dispatcher.tryDispatchTo(request, upstream, nowNs), nowNs);
   }
 
-  /** Returns a number that grows with each change of the lines or of what is at upstreams. */
+  /**
+   * Returns a counter that grows with each change of the queues or of the requests at upstreams.
+   */
   long changes() {
-    return changes + placer.dispatchCount();
+    return changes + dispatcher.dispatchCount();
   }
 
-  /** Tells which kinds of requests hold the places that are in use. */
+  /** Returns the slots in use for each kind of request. */
   List<SlotUsage> held() {
-    return placer.held();
+    return dispatcher.held();
   }
 
   RequestQueues lines() {
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestDispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestDispatcher.java
@@ -8,122 +8,141 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.serving.SlotUsage;
 
-/** Sends requests to upstreams that have room, and counts the places that they hold there. */
+/**
+ * Dispatches requests to upstreams with free capacity, and counts the slots that they use there.
+ */
 final class RequestDispatcher {
 
-  /** Requests at an engine, in relation to its places, beyond which others wait here. */
-  private static final double ENGINE_FILL = 1.0;
+  /** Utilization of an engine's slots from which on requests are queued here. */
+  private static final double ENGINE_MAX_UTILIZATION = 1.0;
 
-  /** The same for requests that nobody is owed a place for. */
-  private static final double FREE_ROOM_FILL = 0.6;
+  /** The same for requests that exceed their customer's quota within the tolerance. */
+  private static final double SPARE_CAPACITY_MAX_UTILIZATION = 0.6;
 
   private final LoadBalancingPolicy placement;
-  private final VersionRouter gate;
+  private final VersionRouter versionRouter;
   private final Predicate<ServiceId> isEngine;
-  private final DeadlineQueue due;
-  private final Consumer<ForwardAction> out;
+  private final DeadlineQueue deadlines;
+  private final Consumer<ForwardAction> actions;
   private final SlotUsageCounter places = new SlotUsageCounter();
   private long dispatchCount;
 
   RequestDispatcher(
       LoadBalancingPolicy placement,
-      VersionRouter gate,
+      VersionRouter versionRouter,
       Predicate<ServiceId> isEngine,
-      DeadlineQueue due,
-      Consumer<ForwardAction> out) {
+      DeadlineQueue deadlines,
+      Consumer<ForwardAction> actions) {
     this.placement = placement;
-    this.gate = gate;
+    this.versionRouter = versionRouter;
     this.isEngine = isEngine;
-    this.due = due;
-    this.out = out;
+    this.deadlines = deadlines;
+    this.actions = actions;
   }
 
-  /** Places a request if there is room for it; returns whether it was placed. */
+  /** Dispatches a request if there is capacity for it; returns whether it was dispatched. */
   boolean tryDispatch(ActiveRequest request, long nowNs) {
-    return tryDispatchAmong(request, gate.routableUpstreams(request.service()), nowNs);
+    return tryDispatchAmong(request, versionRouter.routableUpstreams(request.service()), nowNs);
   }
 
-  /** Does the same at some upstreams only. */
-  boolean tryDispatchAmong(ActiveRequest request, Collection<UpstreamState> views, long nowNs) {
-    return placeIfRoom(request, views, ENGINE_FILL, nowNs);
+  /** Like {@link #tryDispatch}, limited to the given upstreams. */
+  boolean tryDispatchAmong(ActiveRequest request, Collection<UpstreamState> upstreams, long nowNs) {
+    return dispatchIfCapacity(request, upstreams, ENGINE_MAX_UTILIZATION, nowNs);
   }
 
-  /** Does the same for a request that nobody is owed a place for. */
+  /**
+   * Like {@link #tryDispatch}, for a request that exceeds its customer's quota within the tolerance
+   * and may use spare capacity only.
+   */
   boolean tryDispatchToSpareCapacity(ActiveRequest request, long nowNs) {
-    return placeIfRoom(request, gate.routableUpstreams(request.service()), FREE_ROOM_FILL, nowNs);
+    return dispatchIfCapacity(
+        request,
+        versionRouter.routableUpstreams(request.service()),
+        SPARE_CAPACITY_MAX_UTILIZATION,
+        nowNs);
   }
 
   /**
-   * Sends a request to the ordered version of a rollout if the leader has lent that. A repeat never
-   * goes there: its caller has waited once already.
+   * Dispatches a request to the target version of a rollout if the leader's canary allowance covers
+   * it. A retry never goes there, as its caller has already waited through one attempt.
    */
   boolean tryDispatchAsCanary(ActiveRequest request, long nowNs) {
     if (request.attempts() > 0) {
       return false;
     }
-    List<UpstreamState> targets = gate.canaryUpstreams(request.service(), nowNs);
+    List<UpstreamState> targets = versionRouter.canaryUpstreams(request.service(), nowNs);
     if (targets.isEmpty()) {
       return false;
     }
-    Optional<UpstreamState> chosen = choose(request, targets, ENGINE_FILL, nowNs);
-    chosen.ifPresent(
-        view -> {
+    Optional<UpstreamState> selected = select(request, targets, ENGINE_MAX_UTILIZATION, nowNs);
+    selected.ifPresent(
+        upstream -> {
           request.markCanary();
-          dispatch(request, view, nowNs);
+          dispatch(request, upstream, nowNs);
         });
-    return chosen.isPresent();
+    return selected.isPresent();
   }
 
-  /** Places a request at the upstream that was granted for it, if it may go there. */
-  boolean tryDispatchTo(ActiveRequest request, UpstreamState view, long nowNs) {
+  /**
+   * Dispatches a request to the upstream for which the leader granted a slot, if the request may go
+   * there.
+   */
+  boolean tryDispatchTo(ActiveRequest request, UpstreamState upstream, long nowNs) {
     boolean accepted =
-        placement.canDispatchTo(request, gate.routableUpstreams(request.service()), view, nowNs);
+        placement.canDispatchTo(
+            request, versionRouter.routableUpstreams(request.service()), upstream, nowNs);
     if (accepted) {
-      dispatch(request, view, nowNs);
+      dispatch(request, upstream, nowNs);
     }
     return accepted;
   }
 
-  /** Takes in that a request no longer holds its place. */
+  /** Records that a request no longer uses its slot. */
   void releaseSlot(ActiveRequest request) {
     places.release(request);
   }
 
-  /** Tells which kinds of requests hold the places that are in use. */
+  /** Returns the slots in use for each kind of request. */
   List<SlotUsage> held() {
     return places.snapshot();
   }
 
-  /** Returns how many requests were sent in all. */
+  /** Returns the total number of dispatches. */
   long dispatchCount() {
     return dispatchCount;
   }
 
-  private boolean placeIfRoom(
-      ActiveRequest request, Collection<UpstreamState> views, double fill, long nowNs) {
-    Optional<UpstreamState> chosen = choose(request, views, fill, nowNs);
-    chosen.ifPresent(view -> dispatch(request, view, nowNs));
-    return chosen.isPresent();
+  private boolean dispatchIfCapacity(
+      ActiveRequest request,
+      Collection<UpstreamState> upstreams,
+      double maxUtilization,
+      long nowNs) {
+    Optional<UpstreamState> selected = select(request, upstreams, maxUtilization, nowNs);
+    selected.ifPresent(upstream -> dispatch(request, upstream, nowNs));
+    return selected.isPresent();
   }
 
-  private Optional<UpstreamState> choose(
-      ActiveRequest request, Collection<UpstreamState> views, double fill, long nowNs) {
+  private Optional<UpstreamState> select(
+      ActiveRequest request,
+      Collection<UpstreamState> upstreams,
+      double maxUtilization,
+      long nowNs) {
     boolean engine = isEngine.test(request.service());
-    return placement.select(request, views, engine, fill, nowNs);
+    return placement.select(request, upstreams, engine, maxUtilization, nowNs);
   }
 
-  private void dispatch(ActiveRequest request, UpstreamState view, long nowNs) {
-    view.recordSent();
-    gate.recordSent(request, view);
+  private void dispatch(ActiveRequest request, UpstreamState upstream, long nowNs) {
+    upstream.recordSent();
+    versionRouter.recordSent(request, upstream);
     places.acquire(request);
     dispatchCount++;
-    request.startAttempt(view, nowNs);
-    due.schedule(request);
-    out.accept(
+    request.startAttempt(upstream, nowNs);
+    deadlines.schedule(request);
+    actions.accept(
         new ForwardAction.Dispatch(
             request.number(),
             request.attempts(),
-            view.registration(),
+            upstream.registration(),
             request.route(),
             request.customer(),
             request.remainingMs(nowNs),
--- a/core/src/main/java/org/teaseltrail/core/forward/RequestQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestQueue.java
@@ -15,29 +15,29 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /**
- * Holds requests that wait for a place at a service's upstreams, by {@link Urgency}, then as they
- * came.
+ * The queue of requests that wait for a slot at a service's upstreams, ordered by {@link Urgency},
+ * then by arrival.
  */
 final class RequestQueue {
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final long NS_PER_S = 1_000_000_000L;
 
-  /** Time over which the pace of the line is measured; longer than a burst's first moment. */
-  private static final long PACE_WINDOW_NS = 2 * NS_PER_S;
+  /** Window over which the dispatch rate is measured; longer than the first moment of a burst. */
+  private static final long RATE_WINDOW_NS = 2 * NS_PER_S;
 
   private static final Comparator<ActiveRequest> ORDER =
       Comparator.comparing(ActiveRequest::urgency).thenComparingLong(ActiveRequest::number);
 
   private final TreeSet<ActiveRequest> waiting = new TreeSet<>(ORDER);
-  private final Deque<Long> servedNs = new ArrayDeque<>();
+  private final Deque<Long> dispatchedNs = new ArrayDeque<>();
 
-  void add(ActiveRequest tracked) {
-    waiting.add(tracked);
+  void add(ActiveRequest request) {
+    waiting.add(request);
   }
 
-  void remove(ActiveRequest tracked) {
-    waiting.remove(tracked);
+  void remove(ActiveRequest request) {
+    waiting.remove(request);
   }
 
   boolean isEmpty() {
@@ -48,86 +48,90 @@
     return waiting.size();
   }
 
-  /** Returns what waits, the most urgent first. */
+  /** Returns the queued requests, the most urgent first. */
   List<ActiveRequest> all() {
     return List.copyOf(waiting);
   }
 
-  /** Returns the urgency of the request that goes first, if any waits. */
+  /** Returns the urgency of the first request, if any is queued. */
   Optional<Urgency> mostUrgent() {
     return waiting.isEmpty() ? Optional.empty() : Optional.of(waiting.first().urgency());
   }
 
-  /** Takes out, the most urgent first, those that a place is found for. */
-  void dispatchReady(Predicate<ActiveRequest> place, long nowNs) {
+  /**
+   * Offers the queued requests to the dispatch function, the most urgent first, and removes those
+   * that were dispatched.
+   */
+  void dispatchReady(Predicate<ActiveRequest> tryDispatch, long nowNs) {
     demoteLate(nowNs);
-    Iterator<ActiveRequest> inOrder = waiting.iterator();
-    while (inOrder.hasNext()) {
-      ActiveRequest request = inOrder.next();
-      if (place.test(request)) {
-        inOrder.remove();
+    Iterator<ActiveRequest> iterator = waiting.iterator();
+    while (iterator.hasNext()) {
+      ActiveRequest request = iterator.next();
+      if (tryDispatch.test(request)) {
+        iterator.remove();
         served(nowNs);
       }
     }
   }
 
   /**
-   * Takes out the first request of an urgency for which a place is found, or else the first of all.
+   * Dispatches and removes the first request of the given urgency that the dispatch function
+   * accepts, or else the first one of any urgency.
    *
-   * @return whether there is one
+   * @return whether a request was dispatched
    */
-  boolean dispatchOne(Urgency meantFor, Predicate<ActiveRequest> place, long nowNs) {
+  boolean dispatchOne(Urgency grantedFor, Predicate<ActiveRequest> tryDispatch, long nowNs) {
     demoteLate(nowNs);
-    Stream<ActiveRequest> meant =
-        waiting.stream().filter(tracked -> tracked.urgency().equals(meantFor));
+    Stream<ActiveRequest> matching =
+        waiting.stream().filter(request -> request.urgency().equals(grantedFor));
     Optional<ActiveRequest> served =
-        Stream.concat(meant, waiting.stream()).filter(place).findFirst();
+        Stream.concat(matching, waiting.stream()).filter(tryDispatch).findFirst();
     served.ifPresent(waiting::remove);
     served.ifPresent(request -> served(nowNs));
     return served.isPresent();
   }
 
-  /** Tells what waits by urgency, the most urgent first. */
+  /** Returns the wait times by urgency, the most urgent first. */
   List<QueueState.WaitTimes> waitTimesByUrgency(long nowNs) {
-    TreeMap<Urgency, List<Long>> waits = new TreeMap<>();
-    for (ActiveRequest tracked : waiting) {
-      long waitedMs = (nowNs - tracked.arrivedNs()) / NS_PER_MS;
-      waits.computeIfAbsent(tracked.urgency(), key -> new ArrayList<>()).add(waitedMs);
+    TreeMap<Urgency, List<Long>> waitsMs = new TreeMap<>();
+    for (ActiveRequest request : waiting) {
+      long waitedMs = (nowNs - request.arrivedNs()) / NS_PER_MS;
+      waitsMs.computeIfAbsent(request.urgency(), key -> new ArrayList<>()).add(waitedMs);
     }
-    return waits.entrySet().stream()
+    return waitsMs.entrySet().stream()
         .map(entry -> new QueueState.WaitTimes(entry.getKey(), entry.getValue()))
         .toList();
   }
 
-  /** Notes that a request found a place. */
+  /** Counts a dispatched request. */
   void served(long nowNs) {
-    servedNs.addLast(nowNs);
-    forget(nowNs);
+    dispatchedNs.addLast(nowNs);
+    dropExpired(nowNs);
   }
 
-  /** Returns how many requests find a place in a second. */
+  /** Returns the number of requests dispatched per second. */
   double dispatchesPerSecond(long nowNs) {
-    forget(nowNs);
-    return servedNs.size() * (double) NS_PER_S / PACE_WINDOW_NS;
+    dropExpired(nowNs);
+    return dispatchedNs.size() * (double) NS_PER_S / RATE_WINDOW_NS;
   }
 
-  /** Returns the request to be given up first: the least urgent, the newest among its equals. */
+  /** Returns the request to be shed first: the least urgent one, the newest among its equals. */
   Optional<ActiveRequest> leastUrgent() {
     return waiting.isEmpty() ? Optional.empty() : Optional.of(waiting.last());
   }
 
-  /** Puts those that can no longer be answered on time behind the others. */
+  /** Moves requests that can no longer be answered on time behind the others. */
   void demoteLate(long nowNs) {
-    List<ActiveRequest> turned = new ArrayList<>();
-    waiting.stream().filter(tracked -> tracked.isBecomingLate(nowNs)).forEach(turned::add);
-    waiting.removeAll(turned);
-    turned.forEach(ActiveRequest::markLate);
-    waiting.addAll(turned);
+    List<ActiveRequest> newlyLate = new ArrayList<>();
+    waiting.stream().filter(request -> request.isBecomingLate(nowNs)).forEach(newlyLate::add);
+    waiting.removeAll(newlyLate);
+    newlyLate.forEach(ActiveRequest::markLate);
+    waiting.addAll(newlyLate);
   }
 
-  private void forget(long nowNs) {
-    while (!servedNs.isEmpty() && nowNs - servedNs.peekFirst() > PACE_WINDOW_NS) {
-      servedNs.removeFirst();
+  private void dropExpired(long nowNs) {
+    while (!dispatchedNs.isEmpty() && nowNs - dispatchedNs.peekFirst() > RATE_WINDOW_NS) {
+      dispatchedNs.removeFirst();
     }
   }
 }
