--- a/core/src/main/java/org/teaseltrail/core/forward/RequestQueues.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RequestQueues.java
@@ -9,23 +9,26 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.serving.QueueState;
 
-/** Holds the lines of all services, and knows who serves them: this VM or the leader. */
+/**
+ * The request queues of all services, and whether each is served by this VM or by slot grants of
+ * the leader.
+ */
 final class RequestQueues {
 
   private final SlotGrantTracker slots;
   private final LoadBalancingPolicy placement;
-  private final VersionRouter gate;
+  private final VersionRouter versionRouter;
   private final Predicate<ServiceId> isEngine;
   private final Map<ServiceId, RequestQueue> lines = new HashMap<>();
 
   RequestQueues(
       SlotGrantTracker slots,
       LoadBalancingPolicy placement,
-      VersionRouter gate,
+      VersionRouter versionRouter,
       Predicate<ServiceId> isEngine) {
     this.slots = slots;
     this.placement = placement;
-    this.gate = gate;
+    this.versionRouter = versionRouter;
     this.isEngine = isEngine;
   }
 
@@ -46,22 +49,22 @@
     of(request.service()).remove(request);
   }
 
-  /** Tells whether the leader hands out a service's places. */
+  /** Returns whether the leader allocates a service's slots. */
   boolean isLeaderAllocated(ServiceId service, long nowNs) {
     return slots.isLeaderAllocated(service, nowNs);
   }
 
-  /** Tells whether a request that comes must let others go first, here or at other VMs. */
+  /** Returns whether other requests go before a newly arrived one, here or at other VMs. */
   boolean hasQueuedAhead(ServiceId service, long nowNs) {
     return !of(service).isEmpty() || isLeaderAllocated(service, nowNs);
   }
 
-  /** Tells whether any request waits for a place. */
+  /** Returns whether any request is queued. */
   boolean hasWaiting() {
     return lines.values().stream().anyMatch(waiting -> !waiting.isEmpty());
   }
 
-  /** Tells what waits for engines. */
+  /** Returns the states of the engines' queues that aren't empty. */
   List<QueueState> queueStates(long nowNs) {
     List<QueueState> states = new ArrayList<>();
     lines.forEach(
@@ -72,18 +75,19 @@
                     service,
                     waiting.waitTimesByUrgency(nowNs),
                     unwanted(service, nowNs),
-                    placement.slow(gate.routableUpstreams(service), nowNs)));
+                    placement.slow(versionRouter.routableUpstreams(service), nowNs)));
           }
         });
     return states;
   }
 
   /**
-   * Returns the upstreams that nothing here may or can go to, so that no place there is granted.
+   * Returns the upstreams that no queued request may or can use, so that the leader grants no slot
+   * there.
    */
   private List<UpstreamId> unwanted(ServiceId service, long nowNs) {
     List<UpstreamId> unwanted = new ArrayList<>(slots.unwanted(service));
-    unwanted.addAll(gate.unavailableUpstreams(service, nowNs));
+    unwanted.addAll(versionRouter.unavailableUpstreams(service, nowNs));
     return unwanted;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/RetryBudget.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RetryBudget.java
@@ -4,19 +4,21 @@
 import java.util.Deque;
 
 /**
- * Bounds the repeats of one service's requests at this VM, so that all VMs together stay under the
- * bound that the users set. Guards against repeats that feed on themselves: upstreams that are slow
- * or refuse get more to do by each of them.
+ * The retry budget of one service at this VM, which keeps all VMs together below the configured
+ * ratio of retries. It prevents retry storms: upstreams that are slow or reject requests would get
+ * more load by each retry.
  */
 final class RetryBudget {
 
-  /** Part of the bound that is used; the rest covers the unlike ends of the VMs' windows. */
-  private static final double USED_PART = 0.7;
+  /**
+   * Fraction of the budget that is used; the rest allows for the VMs' windows not being aligned.
+   */
+  private static final double USED_FRACTION = 0.7;
 
   private final long windowNs;
   private final double ratio;
   private final Deque<Long> requestsNs = new ArrayDeque<>();
-  private final Deque<Long> repeatsNs = new ArrayDeque<>();
+  private final Deque<Long> retriesNs = new ArrayDeque<>();
 
   RetryBudget(long windowMs, double ratio) {
     windowNs = windowMs * 1_000_000L;
@@ -25,26 +27,26 @@
 
   void request(long nowNs) {
     requestsNs.addLast(nowNs);
-    forget(nowNs);
+    dropExpired(nowNs);
   }
 
-  /** Takes one repeat if the budget allows it. */
+  /** Consumes one retry if the budget allows it. */
   boolean tryAcquire(double ownSlack, long nowNs) {
-    forget(nowNs);
-    double allowed = USED_PART * (ratio * requestsNs.size() + ownSlack);
-    if (repeatsNs.size() + 1 > allowed) {
+    dropExpired(nowNs);
+    double allowed = USED_FRACTION * (ratio * requestsNs.size() + ownSlack);
+    if (retriesNs.size() + 1 > allowed) {
       return false;
     }
-    repeatsNs.addLast(nowNs);
+    retriesNs.addLast(nowNs);
     return true;
   }
 
-  private void forget(long nowNs) {
-    forget(requestsNs, nowNs);
-    forget(repeatsNs, nowNs);
+  private void dropExpired(long nowNs) {
+    dropExpired(requestsNs, nowNs);
+    dropExpired(retriesNs, nowNs);
   }
 
-  private void forget(Deque<Long> times, long nowNs) {
+  private void dropExpired(Deque<Long> times, long nowNs) {
     while (!times.isEmpty() && nowNs - times.peekFirst() > windowNs) {
       times.removeFirst();
     }
--- a/core/src/main/java/org/teaseltrail/core/forward/RetryPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/RetryPolicy.java
@@ -5,17 +5,17 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /**
- * Says which requests may be tried again at another upstream: where their route allows it, some
- * upstream is left, and the budget of repeats that all VMs share has room.
+ * Decides which requests may be retried at another upstream: the route must allow it, an upstream
+ * must be left, and the retry budget that all VMs share must not be exhausted.
  */
 final class RetryPolicy {
 
-  /** Attempts at most, those that reached nobody among them. */
+  /** Maximum number of attempts, including those that reached no upstream. */
   private static final int MAX_ATTEMPTS = 5;
 
   private final ForwardSettings settings;
   private final LoadBalancingPolicy placement;
-  private final VersionRouter gate;
+  private final VersionRouter versionRouter;
   private final QuarantineTracker quarantine;
   private final Map<ServiceId, RetryBudget> budgets = new HashMap<>();
   private int vmCount = 1;
@@ -23,33 +23,34 @@
   RetryPolicy(
       ForwardSettings settings,
       LoadBalancingPolicy placement,
-      VersionRouter gate,
+      VersionRouter versionRouter,
       QuarantineTracker quarantine) {
     this.settings = settings;
     this.placement = placement;
-    this.gate = gate;
+    this.versionRouter = versionRouter;
     this.quarantine = quarantine;
   }
 
-  /** Takes how many VMs share the budgets. */
+  /** Sets the number of VMs that share the budgets. */
   void vmCount(int count) {
     vmCount = Math.max(1, count);
   }
 
-  /** Notes a request that is owed a place. */
+  /** Counts an admitted request, which adds to the budget. */
   void recordRequest(ServiceId service, long nowNs) {
     budget(service).request(nowNs);
   }
 
-  /** Tells whether a request whose attempt has ended may be tried again, and counts that. */
+  /** Returns whether a request whose attempt has ended may be retried, and counts the retry. */
   boolean tryAcquire(ActiveRequest request, AttemptOutcome end, long nowNs) {
-    boolean mayRepeat = !end.maybeRan() || request.route().canRetry();
+    boolean canRetry = !end.maybeRan() || request.route().canRetry();
     boolean attemptsLeft =
         request.sends() < request.route().maxAttempts() && request.attempts() < MAX_ATTEMPTS;
     boolean timeLeft = nowNs < request.callerWaitsUntilNs();
-    boolean elsewhere = placement.hasCandidate(request, gate.routableUpstreams(request.service()));
+    boolean elsewhere =
+        placement.hasCandidate(request, versionRouter.routableUpstreams(request.service()));
     boolean held = request.isTrial() || quarantine.isQuarantined(request, nowNs);
-    if (!mayRepeat || !attemptsLeft || !timeLeft || !elsewhere || held) {
+    if (!canRetry || !attemptsLeft || !timeLeft || !elsewhere || held) {
       return false;
     }
     double ownSlack = settings.retrySlack() / vmCount;
--- a/core/src/main/java/org/teaseltrail/core/forward/SlotGrantTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/SlotGrantTracker.java
@@ -10,19 +10,20 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Knows for which services the leader hands out the places at present, and what of its grants this
- * VM has seen.
+ * Tracks for which services the leader allocates the slots at present, and which of its grants this
+ * VM has received.
  *
- * <p>Guards against requests that wait for grants of a leader that is gone: they would all miss
- * their objective though upstreams have room. Without a word from the leader for a short while the
- * VM places by itself again.
+ * <p>The VM dispatches on its own again shortly after the last message of the leader. Otherwise
+ * requests would wait for grants of a leader that is gone, and all would miss their latency
+ * objective although upstreams have capacity.
  */
 final class SlotGrantTracker {
 
   /**
-   * Silence after which the leader's word no longer counts: six of the syncs of a VM that waits.
+   * Time without a message after which the leader's allocation no longer applies: six syncs of a VM
+   * with queued requests.
    */
-  private static final long HEARD_NS = 300_000_000L;
+  private static final long LEADER_TIMEOUT_NS = 300_000_000L;
 
   private final Map<ServiceId, Set<UpstreamId>> unwanted = new HashMap<>();
   private FencingNumber fencing = new FencingNumber(0);
@@ -30,21 +31,21 @@
   private long heardNs;
   private long grantsSeen;
 
-  /** Takes which services' places a leader hands out. */
+  /** Sets the services whose slots the leader allocates. */
   void contended(FencingNumber leadership, List<ServiceId> services, long nowNs) {
-    follow(leadership);
+    resetOnNewLeadership(leadership);
     contended = Set.copyOf(services);
     heardNs = nowNs;
   }
 
-  /** Takes a grant in; whether it is used or not, the leader is told that it was seen. */
+  /** Records a grant; it is acknowledged to the leader whether it is used or not. */
   void granted(FencingNumber leadership, long sequence, long nowNs) {
-    follow(leadership);
+    resetOnNewLeadership(leadership);
     grantsSeen = sequence;
     heardNs = nowNs;
   }
 
-  private void follow(FencingNumber leadership) {
+  private void resetOnNewLeadership(FencingNumber leadership) {
     if (!leadership.equals(fencing)) {
       fencing = leadership;
       grantsSeen = 0;
@@ -53,12 +54,12 @@
     }
   }
 
-  /** Tells whether requests of a service wait for the leader's grants. */
+  /** Returns whether requests of a service wait for the leader's grants. */
   boolean isLeaderAllocated(ServiceId service, long nowNs) {
-    return contended.contains(service) && nowNs - heardNs <= HEARD_NS;
+    return contended.contains(service) && nowNs - heardNs <= LEADER_TIMEOUT_NS;
   }
 
-  /** Tells whether the leader wants to know what waits here. */
+  /** Returns whether the leader needs reports about this VM's queues. */
   boolean hasContendedService() {
     return !contended.isEmpty();
   }
@@ -67,12 +68,12 @@
     return grantsSeen;
   }
 
-  /** Notes that nothing that waits here can use an upstream. */
+  /** Records that no queued request can use an upstream. */
   void markUnwanted(ServiceId service, UpstreamId upstream) {
     unwanted.computeIfAbsent(service, key -> new HashSet<>()).add(upstream);
   }
 
-  /** Notes that what waits has changed, so that any upstream may be of use again. */
+  /** Records that the queue has changed, so that any upstream may be usable again. */
   void onQueueChanged(ServiceId service) {
     unwanted.remove(service);
   }
--- a/core/src/main/java/org/teaseltrail/core/forward/SlotUsageCounter.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/SlotUsageCounter.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.serving.SlotUsage;
 
-/** Counts the places that requests of each kind hold. */
+/** Counts the slots that requests of each kind use. */
 final class SlotUsageCounter {
 
   private record Kind(ServiceId service, int routeRank) {}
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamState.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamState.java
@@ -4,68 +4,69 @@
 import org.teaseltrail.core.registry.Registration;
 
 /**
- * Is what this VM believes of one upstream: what it has there itself, what the others have, and how
- * its answers went.
+ * The state of one upstream as this VM sees it: its own requests there, those of other VMs, and the
+ * health and speed that responses showed.
  */
 final class UpstreamState {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Age up to which the others' counts are taken as they are: two syncs. */
-  private static final long FRESH_NS = 500 * NS_PER_MS;
+  /** Age up to which the counts of other VMs' requests are used unchanged: two syncs. */
+  private static final long FRESH_COUNT_NS = 500 * NS_PER_MS;
 
   /**
-   * Silence of the leader after which this VM keeps to its own part of the places: one sync that
-   * did not come back, and as long again for a slow one.
+   * Time without a report of the leader after which this VM keeps to its own share of the slots:
+   * one sync without an answer, and as long again for a slow one.
    */
-  private static final long ALONE_NS = 400 * NS_PER_MS;
+  private static final long LEADER_TIMEOUT_NS = 400 * NS_PER_MS;
 
   /**
-   * This VM's part of an upstream's places before a leader has told: all VMs may have been started
-   * together, and each has the requests that waited for it.
+   * This VM's share of an upstream's slots before the first report of a leader: all VMs may have
+   * been started together, and each has requests that were waiting for it.
    */
-  private static final int UNTOLD_PART = 1;
+  private static final int INITIAL_SHARE = 1;
 
-  /** Time in which an older count falls to a third: about that of a middling answer. */
-  private static final double FADING_NS = 700 * NS_PER_MS;
+  /** Time in which an older count decays to a third: about the duration of a medium response. */
+  private static final double COUNT_DECAY_NS = 700 * NS_PER_MS;
 
-  /** First time for which a failure keeps requests away; a few of the users' round trips. */
-  private static final long FIRST_AVOIDANCE_MS = 250;
+  /** Duration of the first ejection after a failure, in milliseconds: several round trips. */
+  private static final long MIN_EJECTION_MS = 250;
 
-  /** Longest such time; a crashed upstream of the users is back after 3 to 6 s. */
-  private static final long LONGEST_AVOIDANCE_MS = 3_000;
+  /**
+   * Maximum duration of an ejection, in milliseconds; a crashed upstream is back after 3 to 6 s.
+   */
+  private static final long MAX_EJECTION_MS = 3_000;
 
-  /** Weight of the newest outcome in the share of good ones: some ten outcomes decide. */
+  /** Weight of the newest outcome in the success rate: about ten outcomes dominate it. */
   private static final double OUTCOME_WEIGHT = 0.1;
 
-  /** Weight of the newest time in the pace: some five answers decide. */
-  private static final double PACE_WEIGHT = 0.2;
+  /** Weight of the newest sample in the event latency: about five responses dominate it. */
+  private static final double LATENCY_WEIGHT = 0.2;
+
+  /** Minimum success rate; an upstream at this rate is used only when the others are full. */
+  private static final double MIN_SUCCESS_RATE = 0.2;
 
   /**
-   * Least share of good outcomes that is believed; so much worse an upstream is used only when the
-   * others are full.
+   * Time in which the observations from an upstream's responses lose two thirds of their weight.
    */
-  private static final double LEAST_GOOD_SHARE = 0.2;
-
-  /** Time in which what an upstream's answers showed loses two thirds of its weight. */
-  private static final double FORGETTING_NS = 3_000 * NS_PER_MS;
+  private static final double OBSERVATION_DECAY_NS = 3_000 * NS_PER_MS;
 
   private final BackpressureState backpressure;
   private Registration registration;
   private int ownInFlight;
   private int unread;
   private int elsewhere;
-  private long elsewhereToldNs;
+  private long elsewhereUpdatedNs;
   private OptionalInt ownShare = OptionalInt.empty();
-  private long placesToldNs;
+  private long slotsUpdatedNs;
   private double successRate = 1;
-  private int failuresInRow;
-  private long avoidedUntilNs;
+  private int consecutiveFailures;
+  private long ejectedUntilNs;
   private boolean avoided;
   private boolean misdirected;
   private double eventLatencyMs;
-  private long pacedNs;
-  private long answeredNs;
+  private long latencyUpdatedNs;
+  private long lastOutcomeNs;
 
   UpstreamState(Registration registration, BackpressureState backpressure) {
     this.registration = registration;
@@ -86,31 +87,33 @@
 
   void elsewhere(int count, long nowNs) {
     elsewhere = count;
-    elsewhereToldNs = nowNs;
+    elsewhereUpdatedNs = nowNs;
   }
 
-  /** Takes what the leader tells: what the others have there, and this VM's part of the places. */
-  void updateSlots(int othersHave, int part, long nowNs) {
-    elsewhere(othersHave, nowNs);
+  /**
+   * Applies the leader's report: the requests of other VMs there, and this VM's share of the slots.
+   */
+  void updateSlots(int usedElsewhere, int part, long nowNs) {
+    elsewhere(usedElsewhere, nowNs);
     ownShare = OptionalInt.of(part);
-    placesToldNs = nowNs;
+    slotsUpdatedNs = nowNs;
   }
 
   /**
-   * Tells whether a request has room there.
+   * Returns whether the upstream has capacity for a request.
    *
-   * @param fill requests, in relation to places, beyond which it has none
-   * @param nowNs time
+   * @param maxUtilization utilization of the slots from which on it has none
+   * @param nowNs current time, in nanoseconds
    */
-  boolean hasCapacity(double fill, long nowNs) {
-    boolean alone = ownShare.isEmpty() || nowNs - placesToldNs > ALONE_NS;
-    boolean beyondOwnPart = alone && ownInFlight >= fill * ownShare();
-    return !beyondOwnPart && load(nowNs) < fill * Math.max(1, registration.slots());
+  boolean hasCapacity(double maxUtilization, long nowNs) {
+    boolean withoutLeader = ownShare.isEmpty() || nowNs - slotsUpdatedNs > LEADER_TIMEOUT_NS;
+    boolean ownShareUsed = withoutLeader && ownInFlight >= maxUtilization * ownShare();
+    return !ownShareUsed && load(nowNs) < maxUtilization * Math.max(1, registration.slots());
   }
 
-  /** Returns how many of its places this VM may fill if it hears from no leader. */
+  /** Returns the number of slots that this VM may use without a leader. */
   int ownShare() {
-    return ownShare.orElse(UNTOLD_PART);
+    return ownShare.orElse(INITIAL_SHARE);
   }
 
   int ownInFlight() {
@@ -118,15 +121,15 @@
   }
 
   /**
-   * Returns the requests that all VMs have there, as far as this one knows.
+   * Returns the number of requests that all VMs have there, as far as this VM knows.
    *
-   * <p>Guards against a count that nobody corrects while no member leads: an upstream that was full
-   * then would count as full until the next leader, though its requests have long ended. What the
-   * others had fades once it is older than a few syncs.
+   * <p>The count of other VMs' requests decays once it is older than two syncs, because nobody
+   * corrects it while there is no leader: an upstream that was full then would count as full until
+   * the next leader, although its requests have long ended.
    */
   double load(long nowNs) {
-    double ageNs = Math.max(0, nowNs - elsewhereToldNs - FRESH_NS);
-    return ownInFlight + elsewhere * Math.exp(-ageNs / FADING_NS);
+    double ageNs = Math.max(0, nowNs - elsewhereUpdatedNs - FRESH_COUNT_NS);
+    return ownInFlight + elsewhere * Math.exp(-ageNs / COUNT_DECAY_NS);
   }
 
   void recordSent() {
@@ -135,17 +138,17 @@
     unread++;
   }
 
-  /** Takes in that a prompt was read, or that there is nothing more to read it for. */
+  /** Records that a prompt has been processed, or no longer needs to be. */
   void recordPromptRead() {
     unread--;
   }
 
-  /** Returns this VM's requests there that have no first event yet. */
+  /** Returns the number of this VM's requests there that have no first event yet. */
   int unread() {
     return unread;
   }
 
-  /** Takes an attempt's end in. */
+  /** Records the outcome of an attempt. */
   void recordOutcome(AttemptOutcome end, long nowNs) {
     ownInFlight--;
     if (end == AttemptOutcome.WITHHELD) {
@@ -157,27 +160,30 @@
     }
     double before = successRate(nowNs);
     successRate = before + OUTCOME_WEIGHT * ((end.isFailure() ? 0 : 1) - before);
-    successRate = Math.max(LEAST_GOOD_SHARE, successRate);
-    answeredNs = nowNs;
-    boolean silent = end == AttemptOutcome.NOT_CONNECTED || end == AttemptOutcome.BROKEN;
-    if (!silent) {
-      failuresInRow = 0;
+    successRate = Math.max(MIN_SUCCESS_RATE, successRate);
+    lastOutcomeNs = nowNs;
+    boolean noAnswer = end == AttemptOutcome.NOT_CONNECTED || end == AttemptOutcome.BROKEN;
+    if (!noAnswer) {
+      consecutiveFailures = 0;
       avoided = false;
       return;
     }
     eject(nowNs);
   }
 
-  /** Takes a timeout or another doubt in: nothing is sent there for a while. */
+  /**
+   * Ejects the upstream for a limited time after a timeout or another sign of failure: nothing is
+   * sent there.
+   */
   void eject(long nowNs) {
-    long avoidanceMs =
-        Math.min(LONGEST_AVOIDANCE_MS, FIRST_AVOIDANCE_MS << Math.min(failuresInRow, 4));
-    failuresInRow++;
+    long ejectionMs =
+        Math.min(MAX_EJECTION_MS, MIN_EJECTION_MS << Math.min(consecutiveFailures, 4));
+    consecutiveFailures++;
     avoided = true;
-    avoidedUntilNs = nowNs + avoidanceMs * NS_PER_MS;
+    ejectedUntilNs = nowNs + ejectionMs * NS_PER_MS;
   }
 
-  /** Takes the end of an attempt that the caller or this VM broke off. */
+  /** Records the end of an attempt that was cancelled by the caller or this VM. */
   void cancelled() {
     ownInFlight--;
   }
@@ -186,39 +192,41 @@
     return misdirected;
   }
 
-  /** Returns whether requests go there now unless there is nothing better. */
+  /**
+   * Returns whether the upstream isn't ejected; an ejected one is used only if there is no other.
+   */
   boolean isEligible(long nowNs) {
-    return !avoided || nowNs >= avoidedUntilNs;
+    return !avoided || nowNs >= ejectedUntilNs;
   }
 
-  /** Takes the time that a part of an answer took. */
+  /** Records the time that a part of a response took. */
   void recordEventLatency(double elapsedMs, long nowNs) {
     eventLatencyMs =
         eventLatencyMs == 0
             ? elapsedMs
-            : eventLatencyMs + PACE_WEIGHT * (elapsedMs - eventLatencyMs);
-    pacedNs = nowNs;
+            : eventLatencyMs + LATENCY_WEIGHT * (elapsedMs - eventLatencyMs);
+    latencyUpdatedNs = nowNs;
   }
 
-  /** Returns how far the measured pace still counts, from 1 when it is new down to 0. */
+  /** Returns the weight of the measured event latency, from 1 when it is new down to 0. */
   double eventLatencyWeight(long nowNs) {
-    return Math.exp(-Math.max(0, nowNs - pacedNs) / FORGETTING_NS);
+    return Math.exp(-Math.max(0, nowNs - latencyUpdatedNs) / OBSERVATION_DECAY_NS);
   }
 
-  /** Returns the time that a part of an answer takes, in milliseconds; 0 if none is known. */
+  /** Returns the time that a part of a response takes, in milliseconds; 0 if unknown. */
   double eventLatencyMs() {
     return eventLatencyMs;
   }
 
   /**
-   * Returns the share of good outcomes among the newest ones.
+   * Returns the fraction of successful outcomes among the recent ones.
    *
-   * <p>Guards against an upstream that failed for a while and is given nothing ever after: it shows
-   * as a healthy upstream without work while the others are full. Without new answers the belief
-   * goes back to good by itself, and a request tries the upstream again.
+   * <p>Without new responses the rate recovers to 1 over time, so that a request tries the upstream
+   * again. Otherwise an upstream that failed for a while would never receive a request again, and
+   * stay idle while the others are full.
    */
   double successRate(long nowNs) {
-    double weight = Math.exp(-Math.max(0, nowNs - answeredNs) / FORGETTING_NS);
+    double weight = Math.exp(-Math.max(0, nowNs - lastOutcomeNs) / OBSERVATION_DECAY_NS);
     return 1 - (1 - successRate) * weight;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/UpstreamTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/UpstreamTracker.java
@@ -17,28 +17,31 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.UpstreamSlots;
 
-/** Holds this VM's views of all registered upstreams. */
+/** Tracks the state of all registered upstreams as this VM sees it. */
 final class UpstreamTracker {
 
-  /** Lives of which it is remembered what they asked for, though their registration has lapsed. */
-  private static final int MOST_LAPSED = 1_000;
+  /**
+   * Maximum number of incarnations whose backpressure state is retained after their registration
+   * has expired.
+   */
+  private static final int MAX_EXPIRED = 1_000;
 
-  private final Map<UpstreamId, UpstreamState> views = new LinkedHashMap<>();
+  private final Map<UpstreamId, UpstreamState> byId = new LinkedHashMap<>();
   private final Map<UpstreamIncarnation, BackpressureState> asked = new LinkedHashMap<>();
   private Map<ServiceId, List<UpstreamState>> byService = Map.of();
   private List<UpstreamState> inOrder = List.of();
   private long revision = -1;
   private long latestBackoffEndNs = Long.MIN_VALUE;
-  private int limitedLives;
-  private boolean anyLeaves;
+  private int limitedCount;
+  private boolean anyLeaving;
 
   long revision() {
     return revision;
   }
 
   /**
-   * Takes newer registrations over; what is believed of those that stay is kept. A new life under
-   * the same id begins with nothing believed: it holds no prompt and works on no request.
+   * Applies newer registrations; the state of upstreams that remain is kept. A new incarnation
+   * under the same id starts with empty state: it has no cached prompts and runs no requests.
    */
   void update(long newRevision, List<Registration> present) {
     if (newRevision <= revision) {
@@ -47,99 +50,100 @@
     revision = newRevision;
     Map<UpstreamId, Registration> newer = new LinkedHashMap<>();
     present.forEach(registration -> newer.put(registration.id(), registration));
-    views.keySet().retainAll(newer.keySet());
+    byId.keySet().retainAll(newer.keySet());
     Map<ServiceId, List<UpstreamState>> grouped = new HashMap<>();
     newer.forEach(
         (id, registration) -> {
-          UpstreamState view = views.get(id);
-          if (view == null
-              || !view.registration()
+          UpstreamState state = byId.get(id);
+          if (state == null
+              || !state
+                  .registration()
                   .upstreamIncarnation()
                   .equals(registration.upstreamIncarnation())) {
-            view =
+            state =
                 new UpstreamState(registration, backpressure(registration.upstreamIncarnation()));
-            views.put(id, view);
+            byId.put(id, state);
           }
-          view.update(registration);
-          grouped.computeIfAbsent(registration.service(), key -> new ArrayList<>()).add(view);
+          state.update(registration);
+          grouped.computeIfAbsent(registration.service(), key -> new ArrayList<>()).add(state);
         });
     byService = grouped;
-    inOrder = newer.keySet().stream().map(views::get).toList();
-    forgetLapsed();
+    inOrder = newer.keySet().stream().map(byId::get).toList();
+    dropExpired();
   }
 
-  private void forgetLapsed() {
+  private void dropExpired() {
     Set<UpstreamIncarnation> present = incarnations();
-    int most = present.size() + MOST_LAPSED;
-    Iterator<UpstreamIncarnation> eldestFirst = asked.keySet().iterator();
-    while (asked.size() > most && eldestFirst.hasNext()) {
-      UpstreamIncarnation eldest = eldestFirst.next();
-      if (!present.contains(eldest)) {
-        limitedLives -= asked.get(eldest).isLimited() ? 1 : 0;
-        eldestFirst.remove();
+    int maxRetained = present.size() + MAX_EXPIRED;
+    Iterator<UpstreamIncarnation> oldestFirst = asked.keySet().iterator();
+    while (asked.size() > maxRetained && oldestFirst.hasNext()) {
+      UpstreamIncarnation oldest = oldestFirst.next();
+      if (!present.contains(oldest)) {
+        limitedCount -= asked.get(oldest).isLimited() ? 1 : 0;
+        oldestFirst.remove();
       }
     }
   }
 
-  /** Takes that an upstream wants nothing for a while; returns whether it wasn't so already. */
+  /** Records that an upstream requested backoff; returns whether it wasn't backed off already. */
   boolean startBackoff(UpstreamIncarnation upstream, long backoffMs, long nowNs) {
-    BackpressureState asking = backpressure(upstream);
-    boolean news = asking.startBackoff(backoffMs, nowNs);
-    latestBackoffEndNs = Math.max(latestBackoffEndNs, asking.backoffEndNs());
-    return news;
+    BackpressureState pressure = backpressure(upstream);
+    boolean isNew = pressure.startBackoff(backoffMs, nowNs);
+    latestBackoffEndNs = Math.max(latestBackoffEndNs, pressure.backoffEndNs());
+    return isNew;
   }
 
-  /** Takes that an upstream is about to leave; returns whether that is news. */
+  /** Records that an upstream is about to leave; returns whether that wasn't known. */
   boolean markLeaving(UpstreamIncarnation upstream) {
-    anyLeaves = true;
+    anyLeaving = true;
     return backpressure(upstream).markLeaving();
   }
 
-  /** Tells whether any upstream may take nothing now, so that each must be looked at. */
+  /** Returns whether any upstream may be unavailable now, so that each must be checked. */
   boolean mayHaveUnavailable(long nowNs) {
-    return anyLeaves || mayHaveBackedOff(nowNs);
+    return anyLeaving || mayHaveBackedOff(nowNs);
   }
 
-  /** Tells whether any upstream may be backed off now, so that each must be looked at. */
+  /** Returns whether any upstream may be backed off now, so that each must be checked. */
   boolean mayHaveBackedOff(long nowNs) {
     return nowNs < latestBackoffEndNs;
   }
 
-  /** Takes whether an upstream names a limit. */
+  /** Sets whether an upstream has named a rate limit. */
   void setLimited(UpstreamIncarnation upstream, boolean isLimited) {
-    BackpressureState asking = backpressure(upstream);
-    if (asking.isLimited() != isLimited) {
-      limitedLives += isLimited ? 1 : -1;
-      asking.setLimited(isLimited);
+    BackpressureState pressure = backpressure(upstream);
+    if (pressure.isLimited() != isLimited) {
+      limitedCount += isLimited ? 1 : -1;
+      pressure.setLimited(isLimited);
     }
   }
 
-  /** Tells whether any upstream names a limit, so that each must be looked at. */
+  /** Returns whether any upstream has named a rate limit, so that each must be checked. */
   boolean hasLimited() {
-    return limitedLives > 0;
+    return limitedCount > 0;
   }
 
-  /** Returns what a life of an upstream has asked for. */
+  /** Returns the backpressure state of an incarnation of an upstream. */
   BackpressureState backpressure(UpstreamIncarnation upstream) {
     return asked.computeIfAbsent(upstream, key -> new BackpressureState());
   }
 
-  /** Returns the lives of all registered upstreams. */
+  /** Returns the incarnations of all registered upstreams. */
   Set<UpstreamIncarnation> incarnations() {
     return inOrder.stream()
-        .map(view -> view.registration().upstreamIncarnation())
+        .map(state -> state.registration().upstreamIncarnation())
         .collect(Collectors.toSet());
   }
 
-  /** Returns the registered upstreams that have named limits. */
+  /** Returns the registered upstreams that have named rate limits. */
   List<UpstreamState> limited() {
-    return inOrder.stream().filter(view -> view.backpressure().isLimited()).toList();
+    return inOrder.stream().filter(state -> state.backpressure().isLimited()).toList();
   }
 
-  /** Takes what the leader tells of the places at the upstreams of a revision. */
-  void updateSlots(UpstreamSlots places, long ofRevision, long nowNs) {
-    boolean ofThese = ofRevision == revision && places.elsewhere().size() == inOrder.size();
-    if (places.isNone() || !ofThese) {
+  /** Applies the leader's report of the slots at the upstreams of a registry revision. */
+  void updateSlots(UpstreamSlots places, long forRevision, long nowNs) {
+    boolean matches = forRevision == revision && places.elsewhere().size() == inOrder.size();
+    if (places.isNone() || !matches) {
       return;
     }
     for (int i = 0; i < inOrder.size(); i++) {
@@ -147,23 +151,26 @@
     }
   }
 
-  /** Corrects what the others have at an upstream by what it has told itself. */
+  /**
+   * Corrects the number of other VMs' requests at an upstream by the load that the upstream itself
+   * reported.
+   */
   void recordLoad(UpstreamId upstream, int requests, long nowNs) {
-    UpstreamState view = views.get(upstream);
-    if (view != null) {
-      view.elsewhere(Math.max(0, requests - view.ownInFlight()), nowNs);
+    UpstreamState state = byId.get(upstream);
+    if (state != null) {
+      state.elsewhere(Math.max(0, requests - state.ownInFlight()), nowNs);
     }
   }
 
   void recordEventLatency(UpstreamId upstream, double elapsedMs, long nowNs) {
-    UpstreamState view = views.get(upstream);
-    if (view != null) {
-      view.recordEventLatency(elapsedMs, nowNs);
+    UpstreamState state = byId.get(upstream);
+    if (state != null) {
+      state.recordEventLatency(elapsedMs, nowNs);
     }
   }
 
   Optional<UpstreamState> find(UpstreamId upstream) {
-    return Optional.ofNullable(views.get(upstream));
+    return Optional.ofNullable(byId.get(upstream));
   }
 
   Collection<UpstreamState> of(ServiceId service) {
@@ -171,19 +178,19 @@
   }
 
   Map<UpstreamId, Integer> inFlight() {
-    return positive(UpstreamState::ownInFlight);
+    return positiveCounts(UpstreamState::ownInFlight);
   }
 
   Map<UpstreamId, Integer> unread() {
-    return positive(UpstreamState::unread);
+    return positiveCounts(UpstreamState::unread);
   }
 
-  private Map<UpstreamId, Integer> positive(ToIntFunction<UpstreamState> count) {
+  private Map<UpstreamId, Integer> positiveCounts(ToIntFunction<UpstreamState> count) {
     Map<UpstreamId, Integer> counts = new HashMap<>();
-    views.forEach(
-        (id, view) -> {
-          if (count.applyAsInt(view) > 0) {
-            counts.put(id, count.applyAsInt(view));
+    byId.forEach(
+        (id, state) -> {
+          if (count.applyAsInt(state) > 0) {
+            counts.put(id, count.applyAsInt(state));
           }
         });
     return counts;
--- a/core/src/main/java/org/teaseltrail/core/forward/VersionRouter.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/VersionRouter.java
@@ -21,24 +21,24 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Knows, at this VM, which upstreams requests may go to by their version, and takes part in the
- * rollouts that run. Without any rollout it costs a look into an empty map.
+ * Selects the upstreams that requests may be routed to by their version, and tracks this VM's part
+ * in running rollouts. Without a rollout it costs one lookup in an empty map.
  */
 final class VersionRouter {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Open(long registryRevision, List<UpstreamState> views) {}
+  private record CachedUpstreams(long registryRevision, List<UpstreamState> upstreams) {}
 
   private final VmId vm;
   private final Incarnation incarnation;
   private final UpstreamTracker upstreams;
   private final Map<ServiceId, Rollout> rollouts = new HashMap<>();
   private final Map<ServiceId, CanaryTracker> parts = new HashMap<>();
-  private final Map<ServiceId, Open> routableUpstreams = new HashMap<>();
+  private final Map<ServiceId, CachedUpstreams> routableUpstreams = new HashMap<>();
   private long revision;
-  private long askedSequence;
-  private long askedNs;
+  private long requestSequence;
+  private long requestedNs;
 
   VersionRouter(VmId vm, Incarnation incarnation, UpstreamTracker upstreams) {
     this.vm = vm;
@@ -50,7 +50,7 @@
     return revision;
   }
 
-  /** Takes the newest rollouts over. */
+  /** Applies the newest rollouts. */
   void applyUpdate(ServingReply.RolloutUpdate update) {
     if (update.revision() <= revision) {
       return;
@@ -70,74 +70,81 @@
     }
   }
 
-  /** Takes what the leader lends, unless this VM has asked again since. */
+  /**
+   * Applies the leader's canary allowances, unless this VM has sent another request for them since.
+   */
   void lent(ServingReply.CanaryLoans loans) {
-    if (loans.sequence() != askedSequence) {
+    if (loans.sequence() != requestSequence) {
       return;
     }
-    long untilNs = askedNs + loans.forMs() * NS_PER_MS;
-    for (CanaryAllowance loan : loans.loans()) {
-      Optional.ofNullable(parts.get(loan.service()))
-          .ifPresent(part -> part.lent(loan, loans.fencing(), untilNs));
+    long expiryNs = requestedNs + loans.forMs() * NS_PER_MS;
+    for (CanaryAllowance allowance : loans.loans()) {
+      Optional.ofNullable(parts.get(allowance.service()))
+          .ifPresent(part -> part.lent(allowance, loans.fencing(), expiryNs));
     }
   }
 
-  /** Returns what the leader is to be told with a sync, if a rollout runs. */
+  /** Returns the report for the leader that goes with a sync, if a rollout is running. */
   Optional<ServingMessage> createReport(FencingNumber leadership, long nowNs) {
     if (parts.isEmpty()) {
       return Optional.empty();
     }
-    askedSequence++;
-    askedNs = nowNs;
+    requestSequence++;
+    requestedNs = nowNs;
     List<RolloutReport> uses =
         parts.values().stream().map(part -> part.createReport(leadership, nowNs)).toList();
-    return Optional.of(new ServingMessage.Rollouts(vm, incarnation, askedSequence, uses));
+    return Optional.of(new ServingMessage.Rollouts(vm, incarnation, requestSequence, uses));
   }
 
-  /** Returns a service's upstreams whose version all requests may go to. */
+  /** Returns a service's upstreams whose version may receive any request. */
   Collection<UpstreamState> routableUpstreams(ServiceId service) {
     Rollout rollout = rollouts.get(service);
     if (rollout == null) {
       return upstreams.of(service);
     }
-    Open known = routableUpstreams.get(service);
-    if (known == null || known.registryRevision() != upstreams.revision()) {
-      known = new Open(upstreams.revision(), free(service, rollout));
-      routableUpstreams.put(service, known);
+    CachedUpstreams cached = routableUpstreams.get(service);
+    if (cached == null || cached.registryRevision() != upstreams.revision()) {
+      cached = new CachedUpstreams(upstreams.revision(), unrestricted(service, rollout));
+      routableUpstreams.put(service, cached);
     }
-    return known.views();
+    return cached.upstreams();
   }
 
-  /** Returns how many places of a service this VM may fill if it hears from no leader. */
+  /** Returns the number of a service's slots that this VM may use without a leader. */
   int ownSlots(ServiceId service, long nowNs) {
     return routableUpstreams(service).stream()
-        .filter(view -> !view.backpressure().isThrottled(nowNs))
+        .filter(upstream -> !upstream.backpressure().isThrottled(nowNs))
         .mapToInt(UpstreamState::ownShare)
         .sum();
   }
 
-  /** Returns those of the open upstreams that take nothing now, as they are backed off or leave. */
+  /**
+   * Returns the routable upstreams that accept no requests now, because they are backed off or
+   * leaving.
+   */
   List<UpstreamId> unavailableUpstreams(ServiceId service, long nowNs) {
     if (!upstreams.mayHaveUnavailable(nowNs)) {
       return List.of();
     }
     return routableUpstreams(service).stream()
-        .filter(view -> view.backpressure().isUnavailable(nowNs))
-        .map(view -> view.registration().id())
+        .filter(upstream -> upstream.backpressure().isUnavailable(nowNs))
+        .map(upstream -> upstream.registration().id())
         .toList();
   }
 
-  /** Returns those of the open upstreams with limits for which this VM has a permit now. */
+  /** Returns the routable upstreams with rate limits for which this VM holds a permit. */
   List<UpstreamState> upstreamsWithPermits(ServiceId service, long nowNs) {
     if (!upstreams.hasLimited()) {
       return List.of();
     }
     return routableUpstreams(service).stream()
-        .filter(view -> view.backpressure().isLimited() && view.backpressure().permits(nowNs) > 0)
+        .filter(
+            upstream ->
+                upstream.backpressure().isLimited() && upstream.backpressure().permits(nowNs) > 0)
         .toList();
   }
 
-  /** Returns the upstreams that a request may go to as a canary now. */
+  /** Returns the upstreams that a request may be sent to as a canary now. */
   List<UpstreamState> canaryUpstreams(ServiceId service, long nowNs) {
     CanaryTracker part = parts.get(service);
     if (part == null) {
@@ -145,66 +152,69 @@
     }
     return part.targets(nowNs).stream()
         .flatMap(id -> upstreams.find(id).stream())
-        .filter(view -> view.registration().service().equals(service))
-        .filter(view -> useOf(view) == TrafficPolicy.CANARY)
+        .filter(upstream -> upstream.registration().service().equals(service))
+        .filter(upstream -> trafficPolicy(upstream) == TrafficPolicy.CANARY)
         .toList();
   }
 
-  void recordSent(ActiveRequest request, UpstreamState view) {
+  void recordSent(ActiveRequest request, UpstreamState upstream) {
     CanaryTracker part = parts.get(request.service());
     if (part != null) {
-      part.recordSent(view);
+      part.recordSent(upstream);
     }
   }
 
-  /** Notes a stream's first event. */
+  /** Records the first event of a stream. */
   void recordResponseStarted(ActiveRequest request, long nowNs) {
-    sawFirst(request, nowNs);
+    recordFirstEvent(request, nowNs);
     reached(request);
   }
 
-  /** Notes that a caller has left; one that gives up on a slow version before it begins counts. */
+  /**
+   * Records that a caller has disconnected. If that was before the response started it counts as an
+   * observation, so that callers that give up on a slow version are counted.
+   */
   void recordCallerDisconnected(ActiveRequest request, long nowNs) {
     if (!request.hasReached()) {
-      sawFirst(request, nowNs);
+      recordFirstEvent(request, nowNs);
     }
   }
 
-  /** Notes that a request's time is over before its upstream has begun to answer. */
+  /** Records a timeout before the upstream started to respond. */
   void recordTimeout(ActiveRequest request) {
-    saw(request, Symptom.FAILURE, Observation.FAILED);
+    recordObservation(request, Symptom.FAILURE, Observation.FAILED);
   }
 
-  /** Notes a stream's mean time between events. */
+  /** Records the mean time between a stream's events. */
   void recordEventInterval(ActiveRequest request, double elapsedMs) {
-    saw(request, Symptom.SLOW_STREAM, TimeBuckets.of(elapsedMs));
+    recordObservation(request, Symptom.SLOW_STREAM, TimeBuckets.of(elapsedMs));
   }
 
   /**
-   * Notes how an attempt ended.
+   * Records the outcome of an attempt.
    *
-   * @param end the end
-   * @param suspected whether the request itself is suspected of ending upstreams
+   * @param end the outcome
+   * @param suspected whether the request itself is suspected of crashing upstreams
    */
   void recordOutcome(ActiveRequest request, AttemptOutcome end, boolean suspected, long nowNs) {
     if (parts.isEmpty() || !end.wasSent()) {
       return;
     }
-    boolean plainAnswer = end == AttemptOutcome.ANSWERED && !request.hasReached();
-    if (plainAnswer) {
-      sawFirst(request, nowNs);
+    boolean unstreamed = end == AttemptOutcome.ANSWERED && !request.hasReached();
+    if (unstreamed) {
+      recordFirstEvent(request, nowNs);
     }
     reached(request);
     switch (end) {
-      case ANSWERED -> saw(request, Symptom.FAILURE, Observation.GOOD);
-      case FAILED_ANSWER -> saw(request, Symptom.FAILURE, Observation.FAILED);
+      case ANSWERED -> recordObservation(request, Symptom.FAILURE, Observation.GOOD);
+      case FAILED_ANSWER -> recordObservation(request, Symptom.FAILURE, Observation.FAILED);
       case BROKEN -> {
         if (!suspected) {
-          saw(request, Symptom.FAILURE, Observation.BROKEN);
+          recordObservation(request, Symptom.FAILURE, Observation.BROKEN);
         }
       }
       default -> {
-        // It didn't run there, so it tells nothing of the version.
+        // The request didn't run there, so the outcome shows nothing about the version.
       }
     }
   }
@@ -217,25 +227,29 @@
     }
   }
 
-  private void sawFirst(ActiveRequest request, long nowNs) {
+  private void recordFirstEvent(ActiveRequest request, long nowNs) {
     double elapsedMs = (double) (nowNs - request.sentNs()) / NS_PER_MS;
-    saw(request, Symptom.LATE_START, TimeBuckets.of(elapsedMs));
+    recordObservation(request, Symptom.LATE_START, TimeBuckets.of(elapsedMs));
   }
 
-  private void saw(ActiveRequest request, Symptom symptom, int value) {
+  private void recordObservation(ActiveRequest request, Symptom symptom, int value) {
     CanaryTracker part = parts.get(request.service());
     if (part != null && request.currentUpstream().isPresent()) {
       part.recordObservation(request, request.currentUpstream().get(), symptom, value);
     }
   }
 
-  private List<UpstreamState> free(ServiceId service, Rollout rollout) {
+  private List<UpstreamState> unrestricted(ServiceId service, Rollout rollout) {
     return upstreams.of(service).stream()
-        .filter(view -> rollout.trafficPolicy(view.registration().version()) == TrafficPolicy.ALL)
+        .filter(
+            upstream ->
+                rollout.trafficPolicy(upstream.registration().version()) == TrafficPolicy.ALL)
         .toList();
   }
 
-  private TrafficPolicy useOf(UpstreamState view) {
-    return rollouts.get(view.registration().service()).trafficPolicy(view.registration().version());
+  private TrafficPolicy trafficPolicy(UpstreamState upstream) {
+    return rollouts
+        .get(upstream.registration().service())
+        .trafficPolicy(upstream.registration().version());
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/forward/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/forward/package-info.java
@@ -1,5 +1,6 @@
 /**
- * An entry VM that forwards plain HTTP requests and places them itself: by its own view of the
- * upstreams, under shares of quotas and a budget of repeats. All decisions, without I/O.
+ * Request forwarding of an entry VM: admission, load balancing, queueing and retries of plain HTTP
+ * requests. The VM selects upstreams from its own view of their load, within the quota allowances
+ * and the retry budget that all VMs share. The package holds all decisions and does no I/O.
  */
 package org.teaseltrail.core.forward;
--- a/core/src/test/java/org/teaseltrail/core/forward/BackpressureHandlerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/BackpressureHandlerTest.java
@@ -12,14 +12,14 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 import org.teaseltrail.core.serving.ServingMessage;
 
-/** What upstreams ask for in their answers, as one VM takes it in. */
+/** Tests how one entry VM applies the backpressure signals in upstreams' responses. */
 class BackpressureHandlerTest extends ForwardNodeTestBase {
 
   private static final RateLimit LIMIT = new RateLimit(1.6);
-  private static final int PLACES = 4;
+  private static final int SLOTS = 4;
   private static final int BACKOFF_MS = 1_000;
 
-  private final Registration upstream = upstream("e1", TestPlans.ENGINES, PLACES);
+  private final Registration upstream = upstream("e1", TestPlans.ENGINES, SLOTS);
   private final UpstreamIncarnation life = upstream.upstreamIncarnation();
 
   @BeforeEach
@@ -27,7 +27,7 @@
     serveWith(TestPlans.plan(1), upstream);
   }
 
-  /** An answer to a request from before the need is read after one that names the limit. */
+  /** A response to a request from before the overload is read after one that names the limit. */
   @Test
   void olderAnswerLiftsNoLimit() {
     long beforeNs = nowNs;
@@ -40,7 +40,8 @@
   }
 
   /**
-   * A leader that missed the limit gives out no permits, and the upstream gets nothing for good.
+   * A leader that missed the limit grants no permits, so that the upstream never receives a request
+   * again.
    */
   @Test
   void limitInEffectIsReportedRepeatedly() {
@@ -48,13 +49,13 @@
     List<Long> toldMs = new ArrayList<>();
     for (int ms = 0; ms < 10_000; ms += 50) {
       advanceMs(50);
-      boolean told =
+      boolean reported =
           actions.stream()
               .filter(ForwardAction.SendControl.class::isInstance)
               .map(action -> ((ForwardAction.SendControl) action).message())
               .filter(ServingMessage.Limits.class::isInstance)
               .anyMatch(message -> !((ServingMessage.Limits) message).sightings().isEmpty());
-      if (told) {
+      if (reported) {
         toldMs.add((long) ms);
       }
       confirm(1);
@@ -74,7 +75,8 @@
   }
 
   /**
-   * A stream from before the backoff ends after it, and all that waits is sent to be turned away.
+   * A stream from before the backoff ends after it. If that counted as the end of the backoff, all
+   * queued requests would be sent and rejected.
    */
   @Test
   void oldAnswerDoesNotShowThatTheBackoffIsOver() {
@@ -92,7 +94,9 @@
     assertThat(dispatches()).hasSize(1);
   }
 
-  /** An upstream that is full for a moment asks for no time, and is given one request at a time. */
+  /**
+   * An upstream that is full for a moment names no duration, and receives one request at a time.
+   */
   @Test
   void backoffOfNoTimeIsNone() {
     assertThat(node.backpressure().startBackoff(life, 0, nowNs)).isFalse();
@@ -102,7 +106,7 @@
     assertThat(dispatches()).hasSize(1);
   }
 
-  /** A request that was dispatched gets its connection after the upstream asked to back off. */
+  /** A dispatched request gets its connection only after the upstream requested backoff. */
   @Test
   void dispatchedRequestIsWithheldAndTriesElsewhereForFree() {
     long number = arrive("/stream/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTest.java
@@ -8,10 +8,10 @@
 import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Admits, repeats and ends requests. */
+/** Tests how requests are admitted, retried and ended. */
 class ForwardNodeTest extends ForwardNodeTestBase {
 
-  /** A VM that has just started knows no routes; it must not say that there is none. */
+  /** A VM that has just started has no routes yet and must not refuse requests as matching none. */
   @Test
   void withoutPlanNothingIsUnknown() {
     arrive("/safe/x");
@@ -22,8 +22,8 @@
   }
 
   /**
-   * All VMs lose power and start again. Requests that came half a second before the session were
-   * told to come back; most came back too early, or their objective had passed.
+   * All VMs are started together after a power loss. Requests that arrived half a second before the
+   * session were refused; most callers retried too early, or after their latency objective.
    */
   @Test
   void requestsThatComeJustBeforeTheFirstSessionAreServed() {
@@ -34,7 +34,10 @@
     assertThat(dispatches()).containsExactly("p1");
   }
 
-  /** A VM thaws; it asks the leader at once, and callers that came meanwhile needn't be refused. */
+  /**
+   * A VM resumes after a suspension and contacts the leader at once, so that callers that arrived
+   * meanwhile needn't be refused.
+   */
   @Test
   void requestsAfterSuspensionWaitForTheLeader() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
@@ -45,7 +48,10 @@
     assertThat(dispatches()).containsExactly("p1");
   }
 
-  /** A VM that is cut off for long must let its callers go on to others, while they have time. */
+  /**
+   * A VM that is partitioned for long must refuse its callers while they still have time to try
+   * other VMs.
+   */
   @Test
   void vmWithoutSessionRefusesCallersSoon() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
@@ -68,8 +74,8 @@
   }
 
   /**
-   * A VM freezes while a key is revoked, wakes 4 s later and takes the requests that have come
-   * meanwhile. The key must not run, and a key that it doesn't know may be new.
+   * A VM is suspended while a key is revoked, resumes 4 s later and reads the requests that have
+   * arrived meanwhile. Requests with the key must not run, and an unknown key may be a new one.
    */
   @Test
   void afterFreezeNoKeyRuns() {
@@ -87,7 +93,7 @@
     assertThat(refusals()).hasSize(3).containsOnly(RefusalReason.PLAN_UNCERTAIN);
   }
 
-  /** A plan that an operator replaced comes once more, over a slow link. */
+  /** A plan that an operator has replaced is received again over a slow connection. */
   @Test
   void neverGoesBackToAnOlderPlan() {
     serveWith(TestPlans.plan(5), upstream("p1", TestPlans.PLAIN, 6));
@@ -107,7 +113,10 @@
     assertThat(refusals()).containsExactly(RefusalReason.BROKEN);
   }
 
-  /** A doubled quiz submission muddles a record: what may have run is not sent again. */
+  /**
+   * Running a quiz submission twice corrupts a record: a request that may have run is not sent
+   * again.
+   */
   @Test
   void sendsUnsafeRequestOnce() {
     serveWith(
@@ -118,7 +127,10 @@
     assertThat(refusals()).containsExactly(RefusalReason.BROKEN);
   }
 
-  /** No connection was made, so nothing was sent: even an unsafe request may go elsewhere. */
+  /**
+   * No connection was established, so nothing was sent: even an unsafe request may be retried
+   * elsewhere.
+   */
   @Test
   void sendsUnsafeRequestElsewhereIfNothingWasSent() {
     serveWith(
@@ -128,7 +140,7 @@
     assertThat(dispatches()).hasSize(1);
   }
 
-  /** An upstream that refused is told to the caller as "not run", which must be true. */
+  /** A rejection by an upstream is reported to the caller as "not run", which must be true. */
   @Test
   void refusedRequestHasNotRun() {
     serveWith(TestPlans.plan(1), upstream("p1", TestPlans.PLAIN, 6));
@@ -140,7 +152,7 @@
     assertThat(refusals()).containsExactly(RefusalReason.BROKEN);
   }
 
-  /** A first attempt may have run and the second was refused: "not run" would be false. */
+  /** The first attempt may have run and the second was rejected: "not run" would be false. */
   @Test
   void refusalAfterBrokenAttemptIsNoPromise() {
     serveWith(
@@ -154,7 +166,7 @@
   @Test
   void waitsForPlaceInOrderOfRank() {
     serveWith(
-        TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 0), second()),
+        TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, 0), secondCustomer()),
         upstream("e1", TestPlans.ENGINES, 1));
     long running = arrive("/stream/x");
     final long low = arrive("/stream/x", Optional.of("key-2"));
@@ -167,7 +179,7 @@
     assertThat(dispatchedRequests()).containsExactly(low);
   }
 
-  /** A request that found no place is told so while the caller can still do something else. */
+  /** A request that found no slot is refused while its caller still has time to try elsewhere. */
   @Test
   void givesUpWaitingInTime() {
     serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 1));
@@ -189,8 +201,8 @@
   }
 
   /**
-   * A VM is told to end. A caller's kept connection brings a request 3 s later; it ran, and was cut
-   * when the process ended.
+   * A VM is shutting down, and a request arrives over a keep-alive connection 3 s later. It was run
+   * and aborted when the process exited.
    */
   @Test
   void takesNothingShortlyBeforeItsEnd() {
@@ -221,7 +233,7 @@
     assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
-  /** Thousands of refusals named neither route nor customer, and nobody could tell who was hit. */
+  /** Refusals that name neither route nor customer don't show who was affected. */
   @Test
   void refusalOfRequestThatWaitedNamesRouteAndCustomer() {
     serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 1));
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTestBase.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardNodeTestBase.java
@@ -26,7 +26,10 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.UpstreamSlots;
 
-/** Is a forwarding node with what tests ask and see of it. */
+/**
+ * Base class of tests of one forwarding entry VM, with helpers to drive it and to inspect its
+ * actions.
+ */
 abstract class ForwardNodeTestBase {
 
   static final long MS = 1_000_000L;
@@ -60,13 +63,13 @@
     confirm(plan.version());
   }
 
-  /** Returns what the leader grants. */
+  /** Returns the quota grants of the leader. */
   List<QuotaGrant> grants() {
     return List.of(new QuotaGrant(TestPlans.CUSTOMER, 1e9, 0, 0, 0, 0));
   }
 
   void confirm(long version) {
-    noteSyncs(node.tick(nowNs));
+    recordSyncs(node.tick(nowNs));
     actions =
         node.onControlMessage(
             new ServingReply.Confirmed(
@@ -112,10 +115,10 @@
   void advanceMs(long ms) {
     nowNs += ms * MS;
     actions = node.tick(nowNs);
-    noteSyncs(actions);
+    recordSyncs(actions);
   }
 
-  private void noteSyncs(List<ForwardAction> from) {
+  private void recordSyncs(List<ForwardAction> from) {
     for (ForwardAction action : from) {
       if (action instanceof ForwardAction.SendControl send
           && send.message() instanceof ServingMessage.Sync sync) {
@@ -156,7 +159,7 @@
         .toList();
   }
 
-  static PlanCustomer second() {
+  static PlanCustomer secondCustomer() {
     return new PlanCustomer(
         new CustomerId("customer-2"), List.of("key-2"), OptionalInt.of(2), true, 200, 0, 0);
   }
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardPlacementTest.java
@@ -13,10 +13,13 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.Urgency;
 
-/** Places requests, by itself and by what the leader grants. */
+/** Tests how requests are dispatched by the VM itself and by slot grants of the leader. */
 class ForwardPlacementTest extends ForwardNodeTestBase {
 
-  /** An upstream acknowledged as leaving must get nothing more, waiting requests included. */
+  /**
+   * An upstream whose leaving was acknowledged must receive no more requests, including queued
+   * ones.
+   */
   @Test
   void sendsNothingToDrainingUpstream() {
     Registration ready = upstream("e1", TestPlans.ENGINES, 1);
@@ -32,8 +35,9 @@
   }
 
   /**
-   * All of an upstream's answers fail for a while. It recovers, and yet gets nothing for the rest
-   * of the day while the other one is full: nothing ever showed that it works again.
+   * All responses of an upstream fail for a while. After it has recovered it received nothing for
+   * the rest of the day while the other one was full, because no response could show that it works
+   * again.
    */
   @Test
   void triesUpstreamAgainThatHadFailed() {
@@ -57,8 +61,9 @@
   }
 
   /**
-   * A leader is lost while an upstream was full of the others' requests. Nothing goes there any
-   * longer, though its work has long ended: the count stands until the next leader.
+   * The leader is lost while an upstream is full of other VMs' requests. The count is not corrected
+   * until there is a new leader, so that nothing was sent there long after those requests had
+   * ended.
    */
   @Test
   void oldCountsOfOthersFade() {
@@ -72,8 +77,8 @@
   }
 
   /**
-   * Half of the streams of a slow upstream pause longer than callers accept: while it reads a long
-   * prompt, chunk by chunk, each chunk holds up every stream there.
+   * Half of the streams of a slow upstream paused longer than callers accept: while it processes a
+   * long prompt chunk by chunk, each chunk delays every stream there.
    */
   @Test
   void sendsLongPromptsToQuickUpstreams() {
@@ -92,7 +97,7 @@
     assertThat(dispatches()).containsExactly(slow.id().value());
   }
 
-  /** Two prompts at once hold up all streams of a slow upstream longer than callers accept. */
+  /** Two prompts at once delay all streams of a slow upstream longer than callers accept. */
   @Test
   void sendsSlowUpstreamOnePromptAfterTheOther() {
     Registration slow = upstream("e1", TestPlans.ENGINES, 8);
@@ -110,8 +115,8 @@
   }
 
   /**
-   * Requests wait at several VMs. Whichever VM's request ended took the free place, though
-   * something more urgent waited at another one.
+   * Requests are queued at several VMs. Each VM used a slot that its own request had freed,
+   * although a more urgent request was queued at another VM.
    */
   @Test
   void waitsForTheLeadersGrantWhileOthersWait() {
@@ -120,13 +125,13 @@
     serveWith(TestPlans.plan(1), engine);
     arrive("/stream/x");
     assertThat(dispatches()).isEmpty();
-    assertThat(toldWaiting()).isEqualTo(1);
+    assertThat(reportedWaiting()).isEqualTo(1);
     grant(engine);
     assertThat(dispatches()).containsExactly("e1");
-    assertThat(toldWaiting()).isZero();
+    assertThat(reportedWaiting()).isZero();
   }
 
-  /** The leader is lost while requests wait for its grants; they must not wait on. */
+  /** The leader is lost while requests wait for its grants; they must not keep waiting. */
   @Test
   void dispatchesWithoutLeaderAfterTimeout() {
     contended = List.of(TestPlans.ENGINES);
@@ -149,9 +154,9 @@
     arrive("/stream/x");
     grant(leaving);
     assertThat(dispatches()).isEmpty();
-    ServingMessage.Lines told = told();
-    assertThat(told.grantsSeen()).isEqualTo(1);
-    assertThat(told.lines().get(0).unwanted()).containsExactly(leaving.id());
+    ServingMessage.Lines report = reportedQueues();
+    assertThat(report.grantsSeen()).isEqualTo(1);
+    assertThat(report.lines().get(0).unwanted()).containsExactly(leaving.id());
   }
 
   private void grant(Registration upstream) {
@@ -161,7 +166,7 @@
     actions = node.onControlMessage(grant, nowNs);
   }
 
-  private ServingMessage.Lines told() {
+  private ServingMessage.Lines reportedQueues() {
     return actions.stream()
         .filter(ForwardAction.SendControl.class::isInstance)
         .map(action -> ((ForwardAction.SendControl) action).message())
@@ -171,16 +176,16 @@
         .orElseThrow();
   }
 
-  private int toldWaiting() {
-    return told().lines().stream()
+  private int reportedWaiting() {
+    return reportedQueues().lines().stream()
         .flatMap(line -> line.waiting().stream())
         .mapToInt(waiting -> waiting.waitedMs().size())
         .sum();
   }
 
   /**
-   * An upstream with its places full crashes and starts again under its id. The VM went on counting
-   * the requests of the life before, and what came waited beside an empty upstream.
+   * An upstream whose slots are all in use crashes and restarts under its id. The VM kept counting
+   * the requests of the previous incarnation, and new requests were queued beside an idle upstream.
    */
   @Test
   void newIncarnationOfAnUpstreamStartsIdle() {
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardQuarantineTest.java
@@ -15,10 +15,13 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.Urgency;
 
-/** A held request goes to no upstream, wherever it was when the hold came. */
+/**
+ * Tests that a quarantined request is sent to no upstream, in whatever state the quarantine finds
+ * it.
+ */
 class ForwardQuarantineTest extends ForwardNodeTestBase {
 
-  private static final int PLACES = 1;
+  private static final int SLOTS = 1;
 
   private long revision;
 
@@ -36,8 +39,8 @@
             new ServingReply.QuarantineUpdate(TERM, revision, true, held, List.of()), nowNs);
   }
 
-  private void serveWithOnePlace() {
-    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, PLACES));
+  private void serveWithOneSlot() {
+    serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, SLOTS));
   }
 
   private List<RefusalReason> refused(long number) {
@@ -58,16 +61,18 @@
 
   @Test
   void heldRequestThatArrivesIsRefusedAndOthersAreSent() {
-    serveWithOnePlace();
+    serveWithOneSlot();
     hold("/stream/x");
     assertThat(refused(arrive("/stream/x"))).containsExactly(RefusalReason.QUARANTINED);
     assertThat(isDispatched(arrive("/stream/y"))).isTrue();
   }
 
-  /** The hold comes while a copy waits for a place, and the place becomes free. */
+  /**
+   * The request is quarantined while a copy is queued for a slot, and then the slot becomes free.
+   */
   @Test
   void copyInTheLineIsRefusedAndNeverSent() {
-    serveWithOnePlace();
+    serveWithOneSlot();
     long other = arrive("/stream/y");
     long copy = arrive("/stream/x");
     hold("/stream/x");
@@ -76,10 +81,10 @@
     assertThat(isDispatched(copy)).isFalse();
   }
 
-  /** The hold comes while a copy waits for the leader's grant, which comes next. */
+  /** The request is quarantined while a copy waits for the leader's grant, which arrives next. */
   @Test
   void grantIsNotUsedForCopy() {
-    serveWithOnePlace();
+    serveWithOneSlot();
     contended = List.of(TestPlans.ENGINES);
     advanceMs(250);
     confirm(1);
@@ -92,7 +97,7 @@
                 TERM,
                 1,
                 TestPlans.ENGINES,
-                upstream("e1", TestPlans.ENGINES, PLACES).id(),
+                upstream("e1", TestPlans.ENGINES, SLOTS).id(),
                 new Urgency(1, false, 1)),
             nowNs);
     assertThat(isDispatched(copy)).isFalse();
@@ -108,20 +113,20 @@
         .toList();
   }
 
-  /** A copy queues at an upstream and would end it once it begins to run. */
+  /** A copy is queued at an upstream and would crash it once it runs. */
   @Test
   void copyAtUpstreamIsBrokenOffAndMayHaveRun() {
-    serveWithOnePlace();
+    serveWithOneSlot();
     final long copy = arrive("/stream/x");
     hold("/stream/x");
     assertThat(actions).contains(new ForwardAction.Cancel(copy));
     assertThat(refused(copy)).containsExactly(RefusalReason.BROKEN);
   }
 
-  /** A copy that is being answered shows by its end whether the hold is right. */
+  /** The outcome of a copy whose response has started shows whether the quarantine is justified. */
   @Test
   void copyThatAnswersGoesOnAndItsEndIsTold() {
-    serveWithOnePlace();
+    serveWithOneSlot();
     final long copy = arrive("/stream/x");
     node.onResponseStarted(copy, nowNs);
     hold("/stream/x");
@@ -142,13 +147,13 @@
         .toList();
   }
 
-  /** A request that may be repeated is held between its tries. */
+  /** A retryable request is quarantined between its attempts. */
   @Test
   void heldRequestGetsNoSecondTry() {
     serveWith(
         TestPlans.plan(1),
-        upstream("p1", TestPlans.PLAIN, PLACES),
-        upstream("p2", TestPlans.PLAIN, PLACES));
+        upstream("p1", TestPlans.PLAIN, SLOTS),
+        upstream("p2", TestPlans.PLAIN, SLOTS));
     final long copy = arrive("/resumable/x");
     final long safe = arrive("/safe/x");
     assertThat(isDispatched(safe)).isTrue();
@@ -160,13 +165,13 @@
     assertThat(refused(safe)).containsExactly(RefusalReason.BROKEN);
   }
 
-  /** The leader lets it go once; a second copy at the same moment must not go with it. */
+  /** The leader permits one trial; a second copy at the same time must not be sent. */
   @Test
   void trialSendsOneCopyOnce() {
     serveWith(
         TestPlans.plan(1),
-        upstream("p1", TestPlans.PLAIN, PLACES),
-        upstream("p2", TestPlans.PLAIN, PLACES));
+        upstream("p1", TestPlans.PLAIN, SLOTS),
+        upstream("p2", TestPlans.PLAIN, SLOTS));
     hold("/safe/x");
     node.onControlMessage(new ServingReply.Trial(TERM, fingerprintOf("/safe/x"), 1_000), nowNs);
     final long copy = arrive("/safe/x");
@@ -177,10 +182,13 @@
     assertThat(refused(copy)).containsExactly(RefusalReason.BROKEN);
   }
 
-  /** The next leader hears of losses that the one before had cleared, and holds the request. */
+  /**
+   * A new leader would receive losses that its predecessor had cleared, and quarantine the request
+   * again.
+   */
   @Test
   void clearedLossIsNotReportedToTheNextLeader() {
-    serveWithOnePlace();
+    serveWithOneSlot();
     end(arrive("/stream/x"), AttemptOutcome.BROKEN);
     advanceMs(1_500);
     hold();
@@ -204,15 +212,15 @@
         .isEqualTo(List.of());
   }
 
-  /** A VM that hears from no leader holds what ended three upstreams before its own eyes. */
+  /** A VM without a leader quarantines a request under which it lost three upstreams itself. */
   @Test
   void withoutLeaderOwnLossesHold() {
     serveWith(
         TestPlans.plan(1),
-        upstream("e1", TestPlans.ENGINES, PLACES),
-        upstream("e2", TestPlans.ENGINES, PLACES),
-        upstream("e3", TestPlans.ENGINES, PLACES),
-        upstream("e4", TestPlans.ENGINES, PLACES));
+        upstream("e1", TestPlans.ENGINES, SLOTS),
+        upstream("e2", TestPlans.ENGINES, SLOTS),
+        upstream("e3", TestPlans.ENGINES, SLOTS),
+        upstream("e4", TestPlans.ENGINES, SLOTS));
     advanceMs(1_000);
     for (int i = 0; i < 3; i++) {
       long copy = arrive("/stream/x");
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardRolloutTest.java
@@ -24,19 +24,19 @@
   private static final UpstreamVersion OLD = new UpstreamVersion("v1");
   private static final UpstreamVersion ORDERED = new UpstreamVersion("v2");
   private static final long ORDERED_MS = 7;
-  private static final long LENT_FOR_MS = 1_000;
-  private static final int PLACES = 20;
+  private static final long ALLOWANCE_MS = 1_000;
+  private static final int SLOTS = 20;
 
   private long revision;
 
   @BeforeEach
   void order() {
     serveWith(TestPlans.plan(1), version("old", OLD), version("new", ORDERED));
-    tell(RolloutPhase.RUNNING);
+    updateRollout(RolloutPhase.RUNNING);
   }
 
   private static Registration version(String id, UpstreamVersion version) {
-    Registration plain = upstream(id, TestPlans.ENGINES, PLACES);
+    Registration plain = upstream(id, TestPlans.ENGINES, SLOTS);
     return new Registration(
         plain.id(),
         plain.bornMs(),
@@ -50,7 +50,7 @@
         0);
   }
 
-  private void tell(RolloutPhase phase) {
+  private void updateRollout(RolloutPhase phase) {
     revision++;
     Rollout rollout =
         new Rollout(
@@ -63,7 +63,10 @@
     node.onControlMessage(new ServingReply.RolloutUpdate(TERM, revision, List.of(rollout)), nowNs);
   }
 
-  /** Lets time pass until the VM asks, and returns the number of its message. */
+  /**
+   * Advances the time until the VM requests an allowance, and returns the sequence number of its
+   * message.
+   */
   private long asked() {
     for (int ms = 0; ms < 1_000; ms++) {
       advanceMs(1);
@@ -79,18 +82,18 @@
         return sequence.get();
       }
     }
-    throw new AssertionError("the VM has not asked for requests that it may send");
+    throw new AssertionError("the VM sent no request for a canary allowance");
   }
 
-  private void lend(long sequence, long ceiling) {
-    CanaryAllowance loan =
+  private void grantAllowance(long sequence, long ceiling) {
+    CanaryAllowance allowance =
         new CanaryAllowance(
             TestPlans.ENGINES, ORDERED_MS, ceiling, List.of(new UpstreamId("new")), 0);
     node.onControlMessage(
-        new ServingReply.CanaryLoans(TERM, sequence, LENT_FOR_MS, List.of(loan)), nowNs);
+        new ServingReply.CanaryLoans(TERM, sequence, ALLOWANCE_MS, List.of(allowance)), nowNs);
   }
 
-  private String next() {
+  private String dispatchNext() {
     arrive("/stream/x");
     return dispatches().get(0);
   }
@@ -98,39 +101,42 @@
   @Test
   void orderedVersionGetsNothingThatIsNotLent() {
     for (int i = 0; i < 5; i++) {
-      assertThat(next()).isEqualTo("old");
+      assertThat(dispatchNext()).isEqualTo("old");
     }
   }
 
   @Test
   void orderedVersionGetsWhatIsLentAndNoMore() {
-    lend(asked(), 2);
-    assertThat(next()).isEqualTo("new");
-    assertThat(next()).isEqualTo("new");
-    assertThat(next()).isEqualTo("old");
+    grantAllowance(asked(), 2);
+    assertThat(dispatchNext()).isEqualTo("new");
+    assertThat(dispatchNext()).isEqualTo("new");
+    assertThat(dispatchNext()).isEqualTo("old");
   }
 
-  /** A VM that is cut off still has a loan when the version has long been rolled back. */
+  /** A partitioned VM still has an allowance long after the version has been rolled back. */
   @Test
   void loanEndsByItself() {
-    lend(asked(), 2);
-    nowNs += (LENT_FOR_MS + 1) * MS;
-    assertThat(next()).isEqualTo("old");
+    grantAllowance(asked(), 2);
+    nowNs += (ALLOWANCE_MS + 1) * MS;
+    assertThat(dispatchNext()).isEqualTo("old");
   }
 
-  /** The leader counts a loan as returned once the VM asks again, and the answer comes late. */
+  /**
+   * The leader regards an allowance as returned once the VM requests another one, and the earlier
+   * answer arrives late.
+   */
   @Test
   void loanOfAnEarlierMessageIsNotTaken() {
     long first = asked();
     asked();
-    lend(first, 2);
-    assertThat(next()).isEqualTo("old");
+    grantAllowance(first, 2);
+    assertThat(dispatchNext()).isEqualTo("old");
   }
 
-  /** A caller waits through the failure of a canary and then through that of another one. */
+  /** A caller would wait through the failure of one canary and then through that of another. */
   @Test
   void repeatNeverGoesToTheOrderedVersion() {
-    lend(asked(), 2);
+    grantAllowance(asked(), 2);
     long number = arrive("/resumable/x");
     assertThat(dispatches()).containsExactly("new");
     end(number, AttemptOutcome.FAILED_ANSWER);
@@ -139,14 +145,14 @@
 
   @Test
   void orderedVersionAloneGetsRequestsWhileAllTurnToIt() {
-    tell(RolloutPhase.SHIFTING);
-    assertThat(next()).isEqualTo("new");
+    updateRollout(RolloutPhase.SHIFTING);
+    assertThat(dispatchNext()).isEqualTo("new");
   }
 
   @Test
   void versionThatWasRolledBackGetsNothing() {
-    lend(asked(), 2);
-    tell(RolloutPhase.ROLLED_BACK);
-    assertThat(next()).isEqualTo("old");
+    grantAllowance(asked(), 2);
+    updateRollout(RolloutPhase.ROLLED_BACK);
+    assertThat(dispatchNext()).isEqualTo("old");
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/forward/ForwardSamples.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/ForwardSamples.java
@@ -12,20 +12,20 @@
 import org.teaseltrail.core.registry.RegistrationPhase;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Makes settings of entry VMs and registrations of upstreams for tests. */
+/** Creates settings of entry VMs and registrations of upstreams for tests. */
 public final class ForwardSamples {
 
-  /** The control member that the VMs ask first. */
+  /** The control member that the VMs contact first. */
   public static final VmId MEMBER = new VmId("10.0.0.9:7600");
 
   private ForwardSamples() {}
 
-  /** Makes settings with the users' times; the seed follows from the VM's name. */
+  /** Creates settings with typical times; the seed is derived from the VM's name. */
   public static ForwardSettings settings(VmId vm, long incarnation) {
     return settings(vm, incarnation, List.of(MEMBER), vm.value().hashCode());
   }
 
-  /** Makes settings with the users' times for given control members. */
+  /** Creates settings with typical times for the given control members. */
   public static ForwardSettings settings(VmId vm, long incarnation, List<VmId> members, long seed) {
     return new ForwardSettings(
         vm,
@@ -40,7 +40,7 @@
         seed);
   }
 
-  /** Makes the first heartbeat of an upstream that takes requests. */
+  /** Creates the registration that the first heartbeat of a ready upstream yields. */
   public static Registration upstream(String id, ServiceId service, int places) {
     return new Registration(
         new UpstreamId(id),
--- a/core/src/test/java/org/teaseltrail/core/forward/QueueUnderLoadTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QueueUnderLoadTest.java
@@ -10,13 +10,13 @@
 import org.teaseltrail.core.plan.TestPlans;
 
 /**
- * Plays more requests than places at one entry VM. The patterns: a short overload, and callers that
- * have waited for a start. Figures: an objective of 0.5 s as most of the users' streams have it, an
- * engine of four or eight places, and 0.3 s for a request.
+ * Sends more requests than there are slots to one entry VM: a short overload, and callers that
+ * waited for a start. Most streams have a latency objective of 0.5 s; an engine has four or eight
+ * slots, and a request takes 0.3 s.
  */
 class QueueUnderLoadTest extends ForwardNodeTestBase {
 
-  private static final int HELD_MS = 300;
+  private static final int REQUEST_MS = 300;
 
   private final Map<Long, Long> arrivedMs = new HashMap<>();
   private final Map<Long, Long> endsMs = new HashMap<>();
@@ -27,10 +27,10 @@
     return nowNs / MS;
   }
 
-  private void take() {
+  private void recordActions() {
     for (ForwardAction action : actions) {
       if (action instanceof ForwardAction.Dispatch dispatch) {
-        endsMs.put(dispatch.request(), nowMs() + HELD_MS);
+        endsMs.put(dispatch.request(), nowMs() + REQUEST_MS);
         dispatchedAfterMs.add(nowMs() - arrivedMs.get(dispatch.request()));
       } else if (action instanceof ForwardAction.Refuse refuse) {
         refusedAfterMs.add(nowMs() - arrivedMs.get(refuse.request()));
@@ -39,14 +39,14 @@
     actions = List.of();
   }
 
-  /** A short overload ends: those that wait are served, though late, and nobody is refused. */
+  /** After a short overload queued requests are answered, though late, and none is refused. */
   @Test
   void shortOverloadCostsNobodyTheAnswer() {
     serveWith(TestPlans.plan(1), upstream("e1", TestPlans.ENGINES, 4));
     for (int i = 0; i < 6; i++) {
       arrivedMs.put(lastNumber + 1, nowMs());
       arrive("/stream/x");
-      take();
+      recordActions();
     }
     int ms = 0;
     while (!endsMs.isEmpty()) {
@@ -56,7 +56,7 @@
       for (long id : ended) {
         endsMs.remove(id);
         end(id, AttemptOutcome.ANSWERED);
-        take();
+        recordActions();
       }
     }
     assertThat(refusedAfterMs).isEmpty();
@@ -65,8 +65,8 @@
   }
 
   /**
-   * A VM has just been started, and twenty callers have waited for it. Its line had no pace yet and
-   * was cut to seven, though its places serve all of them within a second.
+   * A VM has just started, and twenty callers have waited for it. Its queue had no measured rate
+   * yet and was shed down to seven requests, although the slots serve all of them within a second.
    */
   @Test
   void callersThatWaitedForStartAreNotShed() {
@@ -74,7 +74,7 @@
     for (int i = 0; i < 20; i++) {
       arrivedMs.put(lastNumber + 1, nowMs());
       arrive("/stream/x");
-      take();
+      recordActions();
     }
     assertThat(dispatchedAfterMs).hasSize(8);
     assertThat(refusedAfterMs).isEmpty();
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaUnderLoadTest.java
@@ -8,9 +8,9 @@
 import org.teaseltrail.core.quota.QuotaGrant;
 
 /**
- * Holds a customer's quota while there are more requests than places. The pattern: engines are full
- * for longer than requests wait, callers come back once. Figures: a request of 1,100 tokens, and a
- * quota that has room for four of them besides the one at the engine: as many as may wait anyway.
+ * Checks a customer's quota while there are more requests than slots: the engines are full for
+ * longer than requests may be queued, and callers retry once. A request has 1,100 tokens, and the
+ * quota allows four of them besides the one at the engine, as many as may be queued in any case.
  */
 class QuotaUnderLoadTest extends ForwardNodeTestBase {
 
@@ -25,7 +25,7 @@
     return List.of(new QuotaGrant(TestPlans.CUSTOMER, allowance, 0, 0, 0, 0));
   }
 
-  private void serveOnePlace() {
+  private void serveOneSlot() {
     double tokensPerSecond = REQUESTS_IN_QUOTA * TOKENS_OF_REQUEST / 9.0;
     serveWith(
         TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, tokensPerSecond)),
@@ -35,13 +35,13 @@
   }
 
   /**
-   * Four requests wait at a full engine and are refused. They had spent the customer's quota, so
-   * that its next requests were refused as over the quota, though one single request of it was
-   * served.
+   * Four requests are queued at a full engine and then refused. They had consumed the customer's
+   * quota, so that its next requests were refused as over the quota although only one of its
+   * requests was served.
    */
   @Test
   void requestsThatNeverRanSpendNoQuota() {
-    serveOnePlace();
+    serveOneSlot();
     for (int i = 1; i < REQUESTS_IN_QUOTA; i++) {
       arriveWithPrompt(TOKENS);
     }
@@ -58,10 +58,10 @@
     assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
-  /** What waits is set aside: more than the quota must not get into the line. */
+  /** Queued requests reserve quota: no more than the quota may be queued. */
   @Test
   void waitingRequestsHoldTheirPartOfTheQuota() {
-    serveOnePlace();
+    serveOneSlot();
     for (int i = 1; i < REQUESTS_IN_QUOTA; i++) {
       arriveWithPrompt(TOKENS);
       assertThat(refusals()).isEmpty();
@@ -70,10 +70,10 @@
     assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
-  /** A caller leaves while its request runs: it has used its part. */
+  /** A caller disconnects while its request runs: the request has consumed its quota. */
   @Test
   void requestThatMayHaveRunHasUsedItsPart() {
-    serveOnePlace();
+    serveOneSlot();
     node.onCallerDisconnected(lastNumber, nowNs);
     for (int i = 1; i < REQUESTS_IN_QUOTA; i++) {
       arriveWithPrompt(TOKENS);
@@ -83,10 +83,13 @@
     assertThat(refusals()).containsExactly(RefusalReason.OVER_QUOTA);
   }
 
-  /** No connection could be made, so nothing ran, and nobody else takes the request. */
+  /**
+   * No connection could be established and no other upstream takes the request, so that nothing
+   * ran.
+   */
   @Test
   void requestThatReachedNobodyGivesItsPartBack() {
-    serveOnePlace();
+    serveOneSlot();
     for (int i = 0; i < 2 * REQUESTS_IN_QUOTA; i++) {
       end(lastNumber, AttemptOutcome.NOT_CONNECTED);
       assertThat(refusals()).containsExactly(RefusalReason.NOT_RUN);
--- a/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
+++ b/core/src/test/java/org/teaseltrail/core/forward/QuotaWindowTest.java
@@ -9,14 +9,14 @@
 import org.teaseltrail.core.quota.QuotaGrant;
 import org.teaseltrail.core.quota.QuotaPolicy;
 
-/** Holds a quota over several VMs that hear of each other late, or not at all. */
+/** Checks a quota over several VMs that receive each other's use late or not at all. */
 class QuotaWindowTest {
 
   private static final long MS = 1_000_000L;
   private static final int VMS = 6;
   private static final double RATE = 1_000;
 
-  /** Rate times window, and a burst of one second. */
+  /** Rate times window, plus a burst of one second. */
   private static final double LIMIT = RATE * 9;
 
   private final List<QuotaWindow> windows = new ArrayList<>();
@@ -24,17 +24,17 @@
   private QuotaWindow window() {
     QuotaWindow window = new QuotaWindow(TestPlans.CUSTOMER, QuotaPolicy.DEFAULT);
     window.configure(LIMIT, 0);
-    tell(window, 0, LIMIT / VMS, 0);
+    applyGrants(window, 0, LIMIT / VMS, 0);
     windows.add(window);
     return window;
   }
 
-  /** Asks for amounts at all VMs from one time to another, and returns what was admitted. */
+  /** Requests amounts at all VMs during a period, and returns the sum that was admitted. */
   private double admitted(long fromMs, long untilMs, boolean leaderKnown) {
     double sum = 0;
     for (long ms = fromMs; ms < untilMs; ms += 10) {
       if (leaderKnown && ms % 250 == 0) {
-        tell(ms);
+        applyGrants(ms);
       }
       for (QuotaWindow window : windows) {
         window.asked(20, ms * MS);
@@ -47,15 +47,16 @@
     return sum;
   }
 
-  private void tell(long ms) {
+  private void applyGrants(long ms) {
     double used = windows.stream().mapToDouble(window -> usedAt(window, ms)).sum();
     for (QuotaWindow window : windows) {
       double usedElsewhere = used - usedAt(window, ms);
-      tell(window, usedElsewhere, (LIMIT - used) / VMS, ms);
+      applyGrants(window, usedElsewhere, (LIMIT - used) / VMS, ms);
     }
   }
 
-  private static void tell(QuotaWindow window, double usedElsewhere, double allowance, long ms) {
+  private static void applyGrants(
+      QuotaWindow window, double usedElsewhere, double allowance, long ms) {
     QuotaGrant grant = new QuotaGrant(TestPlans.CUSTOMER, allowance, usedElsewhere, 0, 0, 0);
     window.applyGrant(grant, window.used(ms * MS));
   }
@@ -73,27 +74,27 @@
   }
 
   /**
-   * The leader is lost while a customer has used little, and the customer then sends many times its
-   * usual. Each VM saw most of the quota left and gave it out alone. Used parts come back with the
-   * window, but none beyond what the leader allowed last.
+   * The leader is lost while a customer has used little, and then the customer sends many times its
+   * usual load. Each VM saw most of the quota unused and granted it on its own. Use that has left
+   * the window may be used again, but no more than the leader allowed last.
    */
   @Test
   void withoutLeaderEachVmKeepsToItsPart() {
     for (int i = 0; i < VMS; i++) {
       window();
     }
-    tell(0);
+    applyGrants(0);
     assertThat(admitted(1_000, 9_000, false)).isBetween(0.8 * LIMIT, 1.1 * LIMIT);
   }
 
   @Test
   void usedQuotaComesBackWithTheWindow() {
     QuotaWindow window = window();
-    tell(window, 0, LIMIT, 0);
+    applyGrants(window, 0, LIMIT, 0);
     window.consume(LIMIT, 0);
     assertThat(window.verdict(20, 100 * MS)).isEqualTo(QuotaVerdict.OVER);
     assertThat(usedAt(window, 8_100)).isZero();
-    tell(window, 0, LIMIT, 8_100);
+    applyGrants(window, 0, LIMIT, 8_100);
     assertThat(window.verdict(20, 8_100 * MS)).isEqualTo(QuotaVerdict.WITHIN);
   }
 }
