--- a/core/src/main/java/org/teaseltrail/core/schedule/DeadlineEnforcer.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/DeadlineEnforcer.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.schedule.ticket.Nanos;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Gives waiting requests up whose deadline has passed, or whose route no upstream serves. */
+/** Refuses waiting requests whose deadline has passed or whose route has no serving upstream. */
 final class DeadlineEnforcer {
 
   private final PoolState state;
@@ -20,19 +20,19 @@
   private final RefusalHandler refusals;
   private final Map<RouteId, Long> lastServedNs = new HashMap<>();
 
-  DeadlineEnforcer(PoolState state, VmReportTracker gate, RefusalHandler refusals) {
+  DeadlineEnforcer(PoolState state, VmReportTracker vmReports, RefusalHandler refusals) {
     this.state = state;
-    this.vmReports = gate;
+    this.vmReports = vmReports;
     this.refusals = refusals;
   }
 
-  /** Returns when the next deadline passes, in monotonic nanoseconds. */
+  /** Returns the earliest deadline of a waiting request, in monotonic nanoseconds. */
   OptionalLong nextDeadlineNs() {
     Optional<TrackedTicket> first = state.queue().firstDeadline();
     return first.isEmpty() ? OptionalLong.empty() : OptionalLong.of(first.get().deadlineNs());
   }
 
-  /** Gives up the requests whose deadline has passed. */
+  /** Refuses the waiting requests whose deadline has passed. */
   void refuseExpired(long nowNs) {
     Optional<TrackedTicket> first = state.queue().firstDeadline();
     while (first.isPresent() && first.get().deadlineNs() <= nowNs) {
@@ -44,9 +44,10 @@
   }
 
   /**
-   * Gives up the requests of routes that no upstream has served for a while. It takes time for
-   * upstreams to announce themselves after a change, and until every VM has reported there may be
-   * some that are not known yet.
+   * Refuses the waiting requests of routes that have had no serving upstream for longer than the
+   * configured timeout. The timeout is there because upstreams take time to announce themselves
+   * after a change. Nothing is refused until every VM has reported, since a VM that has not
+   * reported may know further upstreams.
    */
   void refuseRoutesWithoutUpstream(long nowNs) {
     lastServedNs.keySet().retainAll(state.configuration().routes().keySet());
@@ -64,7 +65,7 @@
     }
   }
 
-  /** Returns whether no upstream has served a route for too long. */
+  /** Returns whether a route has had no serving upstream for longer than the timeout. */
   boolean isUnserved(RouteId route, long nowNs) {
     long limitNs = Nanos.fromMs(state.settings().noUpstreamTimeoutMs());
     return nowNs - lastServedNs.getOrDefault(route, nowNs) > limitNs;
--- a/core/src/main/java/org/teaseltrail/core/schedule/FinishTimeEstimator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/FinishTimeEstimator.java
@@ -3,13 +3,14 @@
 import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Estimates when an upstream would finish a ticket. */
+/** Estimates how long an upstream would take to finish a ticket that it starts now. */
 final class FinishTimeEstimator {
 
   /**
-   * Part of the estimate in which a ticket may well be done: it holds for an average answer amid
-   * prompts. With the whole estimate, a request whose length makes it a close call would never be
-   * tried, not even on an idle pool.
+   * Fraction of the estimated time that is compared with the deadline. The estimate is for an
+   * average answer on an engine that also processes other prompts, and many answers finish sooner.
+   * With the full estimate, a request that would only just meet its deadline would never be
+   * started, not even on an idle pool.
    */
   private static final double BEST_CASE_RATIO = 0.7;
 
@@ -18,13 +19,13 @@
 
   private final double prefillCostFactor;
 
-  FinishTimeEstimator(double prefillPrice) {
-    this.prefillCostFactor = prefillPrice;
+  FinishTimeEstimator(double prefillCostFactor) {
+    this.prefillCostFactor = prefillCostFactor;
   }
 
   /**
-   * Returns the cost of a ticket on an upstream that starts it now: the time to finish, with the
-   * ticket's own prefill counted at its price, in milliseconds.
+   * Returns the cost of starting a ticket on an upstream now, in milliseconds: the estimated time
+   * to finish, with the ticket's own prefill time multiplied by the prefill cost factor.
    */
   double costMs(TrackedTicket ticket, TrackedUpstream upstream, int cachedTokens) {
     int uncached = ticket.ticket().promptTokens() - cachedTokens;
@@ -33,7 +34,8 @@
 
   /**
    * Returns whether an upstream that starts a ticket now is expected to finish it before the
-   * caller's deadline. Guards against engine time spent on an answer that no one waits for.
+   * caller's deadline. A ticket that can't is not started, since the engine time would be spent on
+   * an answer that the caller no longer waits for.
    */
   boolean canMeetDeadline(
       TrackedTicket ticket, TrackedUpstream upstream, int cachedTokens, long nowNs) {
@@ -41,8 +43,8 @@
       return true;
     }
     int uncached = ticket.ticket().promptTokens() - cachedTokens;
-    double luckyMs = BEST_CASE_RATIO * finishMs(ticket, upstream, uncached);
-    return nowNs + luckyMs * NS_PER_MS <= ticket.deadlineNs();
+    double bestCaseMs = BEST_CASE_RATIO * finishMs(ticket, upstream, uncached);
+    return nowNs + bestCaseMs * NS_PER_MS <= ticket.deadlineNs();
   }
 
   private static double finishMs(TrackedTicket ticket, TrackedUpstream upstream, int uncached) {
@@ -51,7 +53,7 @@
     return prefillUs / US_PER_MS + ticket.estimate().outputTokens() * stepMs;
   }
 
-  /** Returns the price of processing prompt tokens, in milliseconds. */
+  /** Returns the cost of processing prompt tokens on an upstream, in milliseconds. */
   double prefillCostMs(TrackedUpstream upstream, int tokens) {
     return prefillCostFactor * tokens * upstream.prefillUs() / US_PER_MS;
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/GrantCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/GrantCoordinator.java
@@ -14,13 +14,19 @@
 import org.teaseltrail.core.schedule.ticket.TicketPhase;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Carries grants from the placement over the claim to the end, or back to the queue. */
+/**
+ * Coordinates the life cycle of grants: from the placement through the commit of the claim to the
+ * end of the request, or back to the queue if the grant is not used.
+ */
 final class GrantCoordinator {
 
-  /** How long a ticket is kept away from the upstream that declined it last. */
+  /** Time for which a ticket is not granted the upstream of its last declined grant again. */
   private static final long DECLINED_AVOIDANCE_NS = Nanos.fromMs(2_000);
 
-  /** The same for a VM without a session: its next hello, half a second on, may bring it one. */
+  /**
+   * The same if the VM declined because it had no valid session. The VM sends its next Hello, which
+   * may renew the session, half a second later.
+   */
   private static final long NO_SESSION_AVOIDANCE_NS = Nanos.fromMs(500);
 
   private final PoolState state;
@@ -28,13 +34,15 @@
   private final InFlightRequestReaper reaper;
 
   GrantCoordinator(
-      PoolState state, TicketAdmissionController intake, InFlightRequestReaper expiry) {
+      PoolState state,
+      TicketAdmissionController admissionController,
+      InFlightRequestReaper reaper) {
     this.state = state;
-    this.admissionController = intake;
-    this.reaper = expiry;
+    this.admissionController = admissionController;
+    this.reaper = reaper;
   }
 
-  /** Grants a placement at once, or asks for its claim first. */
+  /** Sends the grant of a placement, or requests the commit of the ticket's claim first. */
   void grantPlacement(Placement placement, long nowNs) {
     TrackedTicket ticket = placement.ticket();
     state.queue().remove(ticket);
@@ -58,7 +66,9 @@
     state.output().grant(part, reason);
   }
 
-  /** Sends the grant whose claim is committed, unless its upstream has left meanwhile. */
+  /**
+   * Sends the grant whose claim is committed, or requeues it if the upstream has left meanwhile.
+   */
   void onClaimGranted(RequestId request, long nowNs) {
     Optional<TrackedTicket> claiming = claiming(request);
     if (claiming.isEmpty()) {
@@ -73,7 +83,10 @@
     }
   }
 
-  /** Drops a ticket whose key another request holds; its caller has been told. */
+  /**
+   * Removes a ticket whose idempotency key is claimed by another request. The caller has already
+   * received its answer.
+   */
   void onClaimDenied(RequestId request, long nowNs) {
     Optional<TrackedTicket> claiming = claiming(request);
     if (claiming.isPresent()) {
@@ -88,18 +101,19 @@
     return state.ticketRegistry().find(request).filter(t -> t.phase() == TicketPhase.CLAIMING);
   }
 
-  /** Takes a grant back that a VM could not use; nothing ran. */
+  /** Requeues the ticket of a grant that a VM declined; the request has not been dispatched. */
   void declined(EntryMessage.Declined declined, long nowNs) {
     Optional<InFlightRequest> found = state.fleet().find(declined.request());
-    // A stale grant is one of an older leadership: its decline, passed on to this scheduler, must
-    // not undo this scheduler's own grant, or the request would be granted twice.
+    // A stale grant was issued under an earlier leadership. Its decline is also forwarded to this
+    // scheduler and must not cancel this scheduler's own grant: the request would be granted twice.
     boolean stale = declined.reason() == DeclineReason.STALE_GRANT;
     if (stale || found.isEmpty() || !isOutstanding(found.get(), declined)) {
       return;
     }
     InFlightRequest part = found.get();
-    // Guards against a repeated decline that would undo a later grant to the same upstream: it
-    // would show as a request granted twice. A decline of another upstream's grant is ignored.
+    // The upstream is avoided for a while so that a duplicated decline can't cancel a later grant
+    // to the same upstream, which would grant the request twice. A decline that names another
+    // upstream than the current grant is ignored.
     boolean noSession = declined.reason() == DeclineReason.NO_SESSION;
     part.trackedTicket()
         .avoid(
@@ -140,8 +154,8 @@
   }
 
   /**
-   * Takes a ticket back that its VM no longer wants. A VM withdraws only what it has not
-   * dispatched, so nothing ran, unless the VM itself has told of the dispatch.
+   * Removes a ticket that its VM has withdrawn. A VM withdraws only requests that it has not
+   * dispatched, so a withdrawal is ignored if the VM has already reported the dispatch.
    */
   void onWithdrawn(RequestId request, long nowNs) {
     Optional<InFlightRequest> part = state.fleet().find(request);
@@ -156,7 +170,7 @@
     state.ticketRegistry().end(request, nowNs);
   }
 
-  /** Takes the end of a dispatched request. */
+  /** Releases the capacity of a request that has ended, and updates the estimates from it. */
   void onEnded(EntryMessage.Ended ended, long nowNs) {
     Optional<InFlightRequest> part = state.fleet().find(ended.request());
     part.ifPresent(p -> updateEstimates(p, ended, nowNs));
@@ -176,7 +190,7 @@
     }
   }
 
-  /** Counts a request that was dispatched under an older scheduler. */
+  /** Accounts for a request that was dispatched under an earlier scheduler and still runs. */
   void onStillRunning(VmId vm, EntryMessage.StillRunning running, long nowNs) {
     Ticket ticket = running.ticket();
     if (state.ticketRegistry().hasEnded(ticket.request())) {
@@ -213,7 +227,10 @@
     reaper.track(part);
   }
 
-  /** Drops what a lapsed VM had waiting, and keeps for a while what it may have dispatched. */
+  /**
+   * Removes the waiting tickets of a VM whose session has expired. Its granted requests may have
+   * been dispatched, so they stay accounted for until their retention time ends.
+   */
   void onVmSessionExpired(VmId vm, long nowNs) {
     for (TrackedTicket ticket : state.ticketRegistry().notGrantedOf(vm)) {
       state.fleet().find(ticket.request()).ifPresent(p -> removeUngranted(p, nowNs));
--- a/core/src/main/java/org/teaseltrail/core/schedule/InFlightRequestReaper.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/InFlightRequestReaper.java
@@ -8,9 +8,10 @@
 import org.teaseltrail.core.schedule.ticket.Nanos;
 
 /**
- * Drops work from the account of which no one will ever tell the end. Guards against slots that
- * stay taken for ever after a VM died with requests running, which would show as an upstream that
- * gets less and less. What is dropped is not granted again: it may have run.
+ * Removes in-flight requests whose end will not be reported any more, because their VM has died or
+ * has sent nothing about them for too long. Otherwise their slots would stay occupied and their
+ * upstream would receive less and less work. A removed request is not granted again, since it may
+ * have run.
  */
 final class InFlightRequestReaper {
 
@@ -22,23 +23,23 @@
     this.state = state;
   }
 
-  /** Watches a part of the account from now on. */
+  /** Starts tracking an in-flight request. */
   void track(InFlightRequest part) {
     expiries.add(new ScheduledExpiry(silentUntilNs(part), part));
   }
 
-  /** Notes that the VM of a part has lapsed. */
+  /** Schedules the removal of an in-flight request whose VM's session has expired. */
   void onVmSessionExpired(InFlightRequest part, long nowNs) {
     part.markVmSessionExpired(nowNs);
-    expiries.add(new ScheduledExpiry(keepUntilNs(part), part));
+    expiries.add(new ScheduledExpiry(retainUntilNs(part), part));
   }
 
-  /** Returns when the next part may be dropped, in monotonic nanoseconds. */
+  /** Returns when the next in-flight request may have to be removed, in monotonic nanoseconds. */
   OptionalLong nextExpiryNs() {
     return expiries.isEmpty() ? OptionalLong.empty() : OptionalLong.of(expiries.peek().dueNs());
   }
 
-  /** Drops the parts that are due. */
+  /** Removes the in-flight requests whose retention time has passed. */
   void expire(long nowNs) {
     while (!expiries.isEmpty() && expiries.peek().dueNs() <= nowNs) {
       expireOne(expiries.poll().part(), nowNs);
@@ -50,8 +51,8 @@
     if (present.isEmpty() || present.get() != part) {
       return;
     }
-    if (keepUntilNs(part) > nowNs) {
-      expiries.add(new ScheduledExpiry(keepUntilNs(part), part));
+    if (retainUntilNs(part) > nowNs) {
+      expiries.add(new ScheduledExpiry(retainUntilNs(part), part));
       return;
     }
     state.fleet().remove(part, nowNs);
@@ -60,8 +61,9 @@
   }
 
   /**
-   * Forgets a request. One whose dispatch is proven is remembered as ended. One whose VM never
-   * spoke of it may still wait there; only that VM's own new offer, which says so, starts it again.
+   * Removes a request from the ticket registry. If its dispatch is confirmed, the request is
+   * recorded as ended. Otherwise it may still wait at its VM, and it is started again only if that
+   * VM offers it again.
    */
   private void drop(InFlightRequest part, long nowNs) {
     if (part.isDispatchConfirmed()) {
@@ -71,13 +73,13 @@
     }
   }
 
-  private long keepUntilNs(InFlightRequest part) {
-    long silentNs = silentUntilNs(part);
+  private long retainUntilNs(InFlightRequest part) {
+    long silentUntilNs = silentUntilNs(part);
     if (!part.isVmSessionExpired()) {
-      return silentNs;
+      return silentUntilNs;
     }
-    long keepNs = Nanos.fromMs(state.settings().expiredSessionRetentionMs());
-    return Math.min(silentNs, Nanos.plus(part.vmSessionExpiredNs(), keepNs));
+    long retentionNs = Nanos.fromMs(state.settings().expiredSessionRetentionMs());
+    return Math.min(silentUntilNs, Nanos.plus(part.vmSessionExpiredNs(), retentionNs));
   }
 
   private long silentUntilNs(InFlightRequest part) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/LoadShedder.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/LoadShedder.java
@@ -9,8 +9,8 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
- * Bounds the waiting work: over the bound, the lowest tier goes first, newest first. Requests that
- * run are left alone.
+ * Sheds waiting requests when waiting work exceeds its bound, lowest tier first and newest request
+ * first. Running requests are never shed.
  */
 final class LoadShedder {
 
@@ -18,13 +18,13 @@
   private final VmReportTracker vmReports;
   private final RefusalHandler refusals;
 
-  LoadShedder(PoolState state, VmReportTracker gate, RefusalHandler refusals) {
+  LoadShedder(PoolState state, VmReportTracker vmReports, RefusalHandler refusals) {
     this.state = state;
-    this.vmReports = gate;
+    this.vmReports = vmReports;
     this.refusals = refusals;
   }
 
-  /** Sheds what can't be served in time, as far as the order of tiers allows. */
+  /** Sheds the requests that can't be served in time, as far as the tier order allows. */
   void shed(long nowNs) {
     if (!vmReports.hasAllReports()) {
       return;
@@ -59,9 +59,10 @@
   }
 
   /**
-   * Returns how long what waits takes to drain: all of it at the pool's rate, or the lowest tier's
-   * own at the rate which the higher tiers leave it, whichever is longer. By the pool's rate alone,
-   * a tier that gets a tenth of the pool would wait ten times as long as operators allow.
+   * Returns the time in milliseconds that the waiting work takes to drain: all of it at the pool's
+   * rate, or that of the lowest tier at the rate that the higher tiers leave to it, whichever is
+   * longer. By the pool's rate alone, a tier that receives a tenth of the pool would wait ten times
+   * as long as the configured bound.
    */
   private double drainTimeMs(TierQueue lowest) {
     double allMs = state.queue().waitingUs() / state.drainUsPerMs();
@@ -86,7 +87,7 @@
     refusals.refuseWaiting(ticket, kind, retryAfterMs, reason, nowNs);
   }
 
-  /** Checks the promise that callers pay for, whichever way the ticket was picked. */
+  /** Checks that no ticket of a lower tier is kept while this one is shed. */
   private void checkOrder(TrackedTicket ticket) {
     Invariant.check(vmReports.hasAllReports(), InvariantName.NO_SHED_BEFORE_REPORTS);
     for (TierQueue tier : state.queue().tiers()) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/PlacementResult.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PlacementResult.java
@@ -3,15 +3,15 @@
 import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 
 /**
- * Is the outcome of the search for an upstream.
+ * The result of selecting an upstream for a ticket.
  *
  * @param placement the placement, or null if the ticket can't start now
- * @param upstreamToReserve the upstream that is to drain for the ticket, because the ticket is too
- *     long for what room there is; null if there is none
+ * @param upstreamToReserve the upstream to keep free of later tickets until the ticket fits,
+ *     because the ticket is longer than the room that any upstream has left; null if there is none
  */
 record PlacementResult(Placement placement, TrackedUpstream upstreamToReserve) {
 
-  /** The ticket finds no room and needs none kept. */
+  /** No upstream can start the ticket now, and none is to be reserved for it. */
   static final PlacementResult NONE = new PlacementResult(null, null);
 
   static PlacementResult of(Placement placement) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/PlacementSearch.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PlacementSearch.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.schedule.fleet.TrackedUpstream;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Searches the upstream with the least cost for one ticket. */
+/** Searches for the upstream with the lowest cost for one ticket. */
 final class PlacementSearch {
 
   private final TrackedTicket ticket;
@@ -18,24 +18,25 @@
   private double fullUpstreamCostMs = Double.MAX_VALUE;
 
   PlacementSearch(
-      TrackedTicket ticket, TrackedUpstream reserved, FinishTimeEstimator finish, long nowNs) {
+      TrackedTicket ticket, TrackedUpstream reserved, FinishTimeEstimator finishTimes, long nowNs) {
     this.ticket = ticket;
     this.reserved = reserved;
-    this.finishTimes = finish;
+    this.finishTimes = finishTimes;
     this.nowNs = nowNs;
   }
 
   /**
-   * Weighs an upstream that may be granted work.
+   * Compares an upstream that may be granted work with the best one so far.
    *
    * @param upstream the upstream
-   * @param askCache whether to ask what it has cached; otherwise nothing is taken to be
+   * @param checkCache whether to look the prompt up in the upstream's cache model; otherwise
+   *     nothing is assumed to be cached
    */
-  void consider(TrackedUpstream upstream, boolean askCache) {
+  void consider(TrackedUpstream upstream, boolean checkCache) {
     if (!hasUsableSlot(upstream)) {
       return;
     }
-    int cached = askCache ? upstream.cachedTokens(ticket) : 0;
+    int cached = checkCache ? upstream.cachedTokens(ticket) : 0;
     double costMs = finishTimes.costMs(ticket, upstream, cached);
     if (!finishTimes.canMeetDeadline(ticket, upstream, cached, nowNs)) {
       return;
@@ -58,7 +59,7 @@
     }
   }
 
-  /** Returns whether an upstream has a slot that this ticket may take. */
+  /** Returns whether an upstream has a free slot that this ticket may use. */
   boolean hasUsableSlot(TrackedUpstream upstream) {
     return upstream != reserved
         && upstream.state() != SpeedState.PROBED
@@ -66,13 +67,15 @@
         && !ticket.isAvoiding(upstream.id(), nowNs);
   }
 
-  /** Returns whether the ticket's tokens fit what room an upstream has. */
+  /** Returns whether the ticket's tokens fit into the capacity that an upstream has left. */
   boolean fits(TrackedUpstream upstream, int cachedTokens) {
     return upstream.fitsWindow(ticket.footprintTokens())
         && upstream.fitsPrefill(ticket.ticket().promptTokens() - cachedTokens);
   }
 
-  /** Returns whether an upstream could start the ticket now. */
+  /**
+   * Returns whether an upstream has both a usable slot and the capacity to start the ticket now.
+   */
   boolean canStartNow(TrackedUpstream upstream, int cachedTokens) {
     return hasUsableSlot(upstream) && fits(upstream, cachedTokens);
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PlacementSelector.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PlacementSelector.java
@@ -11,10 +11,13 @@
 import org.teaseltrail.core.schedule.queue.ServiceOrderIterator;
 import org.teaseltrail.core.schedule.queue.TierQueue;
 
-/** Finds the tickets that can start now, in strict tier order. */
+/** Selects the waiting tickets that can start now and their upstreams, in strict tier order. */
 final class PlacementSelector {
 
-  /** Tickets tried behind one that finds no room, so that a long one doesn't idle the pool. */
+  /**
+   * Number of tickets that are tried per route queue in one round. Trying those behind the head
+   * avoids head-of-line blocking: a long ticket that fits nowhere would leave the pool idle.
+   */
   private static final int LOOK_AHEAD = 8;
 
   private final PoolState state;
@@ -27,7 +30,10 @@
     this.selector = new UpstreamSelector(state.fleet(), state.settings());
   }
 
-  /** Begins a round of placements: upstreams may have come, left or come free since the last. */
+  /**
+   * Begins a round of placements and discards the candidates of the previous round, since upstreams
+   * may have joined, left or freed a slot in between.
+   */
   void beginRound() {
     candidatesByGroup.clear();
   }
@@ -65,9 +71,9 @@
   }
 
   /**
-   * Keeps an upstream free of later tickets until a long one fits there. Guards against starvation:
-   * short requests would fill every bit of room that comes free, and a long one of a higher tier
-   * would never find enough at once.
+   * Reserves an upstream for a long ticket that does not fit yet: later tickets of the round are
+   * not placed there. Without the reservation a long ticket of a higher tier starves, because short
+   * requests take any capacity as soon as it is freed.
    */
   private void reserve(PlacementResult choice) {
     if (reserved == null) {
@@ -76,12 +82,12 @@
   }
 
   private List<TrackedUpstream> candidatesIn(TargetGroup group, long nowNs) {
-    List<TrackedUpstream> known = candidatesByGroup.get(group);
-    if (known == null) {
-      known = group.candidates(nowNs);
-      candidatesByGroup.put(group, known);
+    List<TrackedUpstream> candidates = candidatesByGroup.get(group);
+    if (candidates == null) {
+      candidates = group.candidates(nowNs);
+      candidatesByGroup.put(group, candidates);
     }
-    known.removeIf(account -> !account.hasFreeSlot(nowNs));
-    return known;
+    candidates.removeIf(account -> !account.hasFreeSlot(nowNs));
+    return candidates;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PolicyPart.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PolicyPart.java
@@ -1,31 +1,40 @@
 package org.teaseltrail.core.schedule;
 
-/** Names a part of the policy that can be switched off, so that its effect can be measured. */
+/** A part of the scheduling policy that can be disabled, so that its effect can be measured. */
 public enum PolicyPart {
-  /** Tiers go strictly in paid order; off: all tickets wait as one tier. */
+  /** Tiers are served in strict priority order; off: all tickets wait in a single tier. */
   TIER_ORDER,
-  /** Customers of a tier share engine time by weight; off: all count as one customer. */
+  /** Customers of a tier share engine time by weight; off: all are treated as one customer. */
   FAIR_SHARE,
-  /** Tickets go by useful deadline, short before long; off: first come, first served. */
+  /** Tickets are ordered by useful deadline, short before long; off: first come, first served. */
   DEADLINE_ORDER,
-  /** A bound on prompt tokens in process per engine; off: no bound. */
+  /** The prompt tokens processed at once by an engine are bounded; off: no bound. */
   PREFILL_BOUND,
-  /** A learned window on tokens in flight per engine; off: only the engine's greatest batch. */
+  /**
+   * The tokens in flight on an engine are limited by an adaptive window; off: only the engine's
+   * maximum batch size limits the work.
+   */
   TOKEN_WINDOW,
-  /** Estimated finish time chooses the upstream; off: the next in turn that has room. */
+  /** The upstream is selected by estimated finish time; off: round robin among those with room. */
   FINISH_TIME_CHOICE,
-  /** Prompt prefixes known to be cached draw requests; off: caches are ignored. */
+  /** Upstreams that have a prompt's prefix cached are preferred; off: caches are ignored. */
   PREFIX_AFFINITY,
-  /** A long request is held shortly for the engine that holds its prefix; off: never held. */
+  /** A long request may wait briefly for the engine that has its prefix cached; off: never. */
   PREFIX_HOLD,
-  /** Slow engines get less, then only probes; off: all count as equally fast. */
+  /** Slow engines receive fewer requests, then only probes; off: all are treated alike. */
   STRAGGLERS,
-  /** Customers are held to their rate; off: no rates. */
+  /** Customers are limited to their configured request rate; off: no rate limits. */
   RATE_LIMIT,
-  /** Over the bound, a customer above its share of the waiting work gives way first. */
+  /**
+   * When waiting work exceeds its bound, requests of a customer above its share of it are shed
+   * first; off: the newest request of the tier is shed, whoever sent it.
+   */
   CUSTOMER_SHARE,
-  /** Waiting work is bounded; off: it grows without bound. */
+  /** Requests are shed when waiting work exceeds its bound; off: it grows without bound. */
   SHEDDING,
-  /** Tickets of the lowest waiting tier that can't meet their deadline are shed early. */
+  /**
+   * Tickets of the lowest waiting tier that can't meet their deadline any more are shed early; off:
+   * they stay in the queue until the deadline has passed.
+   */
   DEADLINE_PREDICTION
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PoolScheduler.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PoolScheduler.java
@@ -12,12 +12,13 @@
 import org.teaseltrail.core.schedule.ticket.Nanos;
 
 /**
- * Schedules one pool by exact accounts of all that waits and all that is in flight.
+ * The scheduler of one pool, which keeps an exact account of all waiting and all in-flight
+ * requests.
  *
- * <p>Tickets wait in one queue: tiers strictly in paid order, customers of a tier by their share of
- * engine time, a customer's tickets by useful deadline. A ticket is granted only when an upstream
- * can start it now. Waiting work is bounded; over the bound, the lowest tier is shed first, newest
- * first.
+ * <p>Tickets wait in one queue: tiers in strict priority order, the customers of a tier by weighted
+ * fair sharing of engine time, a customer's tickets by useful deadline. A ticket is granted only
+ * when an upstream can start it now. Waiting work is bounded; when it exceeds the bound, the lowest
+ * tier is shed first, newest request first.
  */
 public final class PoolScheduler implements Scheduler {
 
@@ -36,12 +37,12 @@
   private long lastNowNs;
 
   /**
-   * Creates the scheduler of a pool, with nothing waiting and nothing in flight.
+   * Creates the scheduler of a pool, with no requests waiting or in flight.
    *
    * @param pool the pool
-   * @param fencing the leadership it grants under
+   * @param fencing the fencing number of the leadership under which it grants
    * @param settings its policy
-   * @param seed seeds what it draws by chance; nothing is drawn at present
+   * @param seed the seed for random decisions; at present there are none
    */
   public PoolScheduler(PoolId pool, FencingNumber fencing, SchedulerSettings settings, long seed) {
     this.state = new PoolState(pool, fencing, settings);
@@ -84,9 +85,10 @@
   }
 
   /**
-   * Checks that every account equals the sum of its parts. Linear in all that waits and runs.
+   * Checks that every maintained sum equals the sum over its requests. The time is linear in the
+   * number of waiting and in-flight requests.
    *
-   * @throws org.teaseltrail.core.invariant.InvariantViolation if one does not
+   * @throws org.teaseltrail.core.invariant.InvariantViolation if a sum is wrong
    */
   public void audit() {
     state.queue().audit();
--- a/core/src/main/java/org/teaseltrail/core/schedule/PoolState.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PoolState.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.schedule.ticket.TicketEstimator;
 import org.teaseltrail.core.schedule.ticket.TicketRegistry;
 
-/** Holds the aggregates of one pool, which the parts of its scheduler share. */
+/** The state of one pool that the components of its scheduler share. */
 final class PoolState {
 
   private static final double US_PER_MS = 1_000;
@@ -96,19 +96,19 @@
     return route != null && route.pool().equals(pool);
   }
 
-  /** Returns the bound on waiting work, in milliseconds of the pool's time. */
+  /** Returns the bound on waiting work, as the time that the pool needs to drain it. */
   long maxWaitingMs() {
     Pool definition = configuration.pools().get(pool);
     return definition == null ? Long.MAX_VALUE : definition.maxWaitingMs();
   }
 
-  /** Moves the measures of drain on, before anything of an event is done. */
+  /** Advances the drain rate meters to the present; called before an event is handled. */
   void advanceDrainMeters(long nowNs) {
     drain.advance(nowNs);
     queue.tiers().forEach(tier -> tier.drain().advance(nowNs));
   }
 
-  /** Notes what waits, after all of an event is done. */
+  /** Updates the drain rate meters on whether requests wait; called after an event is handled. */
   void updateBusy() {
     drain.setBusy(queue.count() > 0);
     queue.tiers().forEach(tier -> tier.drain().setBusy(!tier.isEmpty()));
@@ -118,12 +118,12 @@
     return drain;
   }
 
-  /** Returns how fast the pool drains, in microseconds of engine time for each millisecond. */
+  /** Returns the pool's drain rate, in microseconds of engine time per millisecond. */
   double drainUsPerMs() {
     return drain.rateUsPerMs(US_PER_MS * Math.max(1, fleet.servingCount()));
   }
 
-  /** Returns how fast a tier drains, in microseconds of engine time for each millisecond. */
+  /** Returns a tier's drain rate, in microseconds of engine time per millisecond. */
   double drainUsPerMs(TierQueue tier) {
     return tier.drain().rateUsPerMs(drainUsPerMs());
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/PrefixHoldPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/PrefixHoldPolicy.java
@@ -7,15 +7,16 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
- * Decides whether a ticket waits a little for the engine that holds its prefix, when that engine is
- * expected to be free sooner than another could process the prompt again.
+ * Decides whether a ticket is held back for a busy engine that has its prompt prefix cached. It is
+ * worth it if that engine is expected to be free sooner than another engine could process the
+ * prompt again.
  */
 final class PrefixHoldPolicy {
 
-  /** Fewest tokens that must be saved; below, the wait costs more than it can bring. */
+  /** Minimum number of saved prompt tokens; below it, the wait costs more than the cache saves. */
   private static final int MIN_SAVED_TOKENS = 1_024;
 
-  /** The same for a caller with a deadline, which is held for a tenth of a second or so. */
+  /** The same for a caller with a deadline, whose ticket is held for about 100 ms at most. */
   private static final int MIN_SAVED_TOKENS_WITH_DEADLINE = 256;
 
   private static final double US_PER_MS = 1_000;
@@ -23,12 +24,12 @@
   private final SchedulerSettings settings;
   private final FinishTimeEstimator finishTimes;
 
-  PrefixHoldPolicy(SchedulerSettings settings, FinishTimeEstimator finish) {
+  PrefixHoldPolicy(SchedulerSettings settings, FinishTimeEstimator finishTimes) {
     this.settings = settings;
-    this.finishTimes = finish;
+    this.finishTimes = finishTimes;
   }
 
-  /** Returns whether the ticket of a search is better held than placed now. */
+  /** Returns whether the ticket of a search should be held back instead of being placed now. */
   boolean shouldHold(PlacementSearch search, List<TrackedUpstream> holders) {
     if (!settings.isEnabled(PolicyPart.PREFIX_HOLD) || !search.isFound()) {
       return false;
@@ -48,17 +49,17 @@
     }
     TrackedTicket ticket = search.ticket();
     int cached = holder.cachedTokens(ticket);
-    int saved = cached - search.bestCachedTokens();
-    if (saved < minSavedTokens(ticket) || search.canStartNow(holder, cached)) {
+    int savedTokens = cached - search.bestCachedTokens();
+    if (savedTokens < minSavedTokens(ticket) || search.canStartNow(holder, cached)) {
       return false;
     }
-    return isSooner(search, holder, cached) && isWithinLimit(ticket, holder, saved, nowNs);
+    return isSooner(search, holder, cached) && isWithinLimit(ticket, holder, savedTokens, nowNs);
   }
 
   /**
-   * Returns whether waiting for a holder ends sooner than starting elsewhere now. A caller that
-   * told no deadline is patient: for it only the engine time counts, which waiting doesn't cost,
-   * for the room is taken by the tickets behind.
+   * Returns whether waiting for a holder of the prefix is better than starting elsewhere now. With
+   * a deadline, the ticket must finish sooner. Without one, only engine time counts, and waiting
+   * costs none because the tickets behind use the free capacity; the wait is merely limited.
    */
   private boolean isSooner(PlacementSearch search, TrackedUpstream holder, int cached) {
     TrackedTicket ticket = search.ticket();
@@ -73,7 +74,10 @@
     return hasNoDeadline(ticket) ? MIN_SAVED_TOKENS : MIN_SAVED_TOKENS_WITH_DEADLINE;
   }
 
-  /** Returns the expected time until a full holder has room: a slot, or its prompts processed. */
+  /**
+   * Returns the expected time in milliseconds until a holder can take the ticket: until a slot is
+   * free and the prompts in progress are processed.
+   */
   private double waitMs(TrackedUpstream holder, long nowNs) {
     double slotMs = holder.hasFreeSlot(nowNs) ? 0 : holder.serviceTimeMs() / holder.inFlightCount();
     double prefillMs = holder.prefillTokens() * holder.prefillUs() / US_PER_MS;
@@ -85,11 +89,11 @@
   }
 
   private boolean isWithinLimit(
-      TrackedTicket ticket, TrackedUpstream holder, int saved, long nowNs) {
+      TrackedTicket ticket, TrackedUpstream holder, int savedTokens, long nowNs) {
     double limitMs =
         hasNoDeadline(ticket)
             ? settings.maxHoldMs()
-            : Math.min(settings.maxHoldMs(), finishTimes.prefillCostMs(holder, saved));
+            : Math.min(settings.maxHoldMs(), finishTimes.prefillCostMs(holder, savedTokens));
     long heldNs = nowNs - ticket.holdStartNs(nowNs);
     return Nanos.toMs(heldNs) < limitMs;
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/RefusalHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/RefusalHandler.java
@@ -5,7 +5,7 @@
 import org.teaseltrail.core.schedule.queue.TierQueue;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Gives requests up: each gets its final answer at once, with when to come back. */
+/** Refuses requests: each gets its final answer at once, with a time after which to retry. */
 final class RefusalHandler {
 
   private static final long MIN_RETRY_AFTER_MS = 200;
@@ -17,7 +17,7 @@
     this.state = state;
   }
 
-  /** Refuses a ticket that waits. */
+  /** Removes a waiting ticket from the queue and refuses it. */
   void refuseWaiting(
       TrackedTicket ticket, RefusalKind kind, long retryAfterMs, String reason, long nowNs) {
     state.queue().remove(ticket);
@@ -33,7 +33,7 @@
     state.output().refuse(ticket, refused, reason);
   }
 
-  /** Returns when what waits in a ticket's tier will have drained, at the measured rate. */
+  /** Returns the time in which the ticket's tier is expected to drain, within fixed bounds. */
   long retryAfterMs(TrackedTicket ticket) {
     TierQueue tier = state.queue().tierQueueOf(ticket);
     double drainMs = tier.waitingUs() / state.drainUsPerMs(tier);
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerAction.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerAction.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.Ticket;
 
-/** Is something that a scheduler wants done. */
+/** An action that a scheduler requests from its caller. */
 public sealed interface SchedulerAction {
 
   /**
@@ -19,7 +19,8 @@
   record Send(VmId vm, ControlMessage message) implements SchedulerAction {}
 
   /**
-   * Commit a claim, then tell the scheduler; the upstream is set aside until then.
+   * Commit a claim, then pass the result to the scheduler. The upstream's slot stays reserved until
+   * then.
    *
    * @param vm the entry VM
    * @param ticket the ticket with its claim
@@ -35,7 +36,7 @@
   record ReleaseClaim(RequestId request) implements SchedulerAction {}
 
   /**
-   * Write a decision to the log.
+   * Write a decision to the decision log.
    *
    * @param decision the decision
    */
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerEvent.java
@@ -6,18 +6,18 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.EntryMessage;
 
-/** Is something that has happened and that a scheduler must know. */
+/** An event that a scheduler handles. */
 public sealed interface SchedulerEvent {
 
   /**
-   * A configuration is in force.
+   * A configuration has been applied.
    *
    * @param configuration the whole configuration
    */
   record ConfigurationChanged(Configuration configuration) implements SchedulerEvent {}
 
   /**
-   * An entry VM has sent a message; hellos aren't passed on.
+   * An entry VM has sent a message. Hello messages are not forwarded to the scheduler.
    *
    * @param vm the entry VM
    * @param message the message
@@ -25,28 +25,30 @@
   record FromEntry(VmId vm, EntryMessage message) implements SchedulerEvent {}
 
   /**
-   * A claim asked for is committed; the grant may go out.
+   * A requested claim is committed; the grant may be sent.
    *
    * @param request the request
    */
   record ClaimGranted(RequestId request) implements SchedulerEvent {}
 
   /**
-   * A claim asked for is held by another request; the caller has been told.
+   * A requested claim is held by another request. The caller has already received its answer.
    *
    * @param request the request
    */
   record ClaimDenied(RequestId request) implements SchedulerEvent {}
 
   /**
-   * The scheduler is new: it may not shed until each of these VMs has reported or lapsed.
+   * The scheduler is new: it must not shed until each of these VMs has reported or its session has
+   * expired.
    *
-   * @param vms the VMs with a session
+   * @param vms the entry VMs with a session
    */
   record ReportsAwaited(Set<VmId> vms) implements SchedulerEvent {}
 
   /**
-   * A VM's session has ended. Its waiting tickets are gone; what it dispatched may still run.
+   * An entry VM's session has expired. Its waiting tickets are void; requests that it has
+   * dispatched may still run.
    *
    * @param vm the entry VM
    */
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerOutput.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerOutput.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 import org.teaseltrail.core.upstream.Announcement;
 
-/** Collects the actions of one event, each decision with its log line. */
+/** Collects the actions that result from one event, with a log entry for each decision. */
 final class SchedulerOutput {
 
   private final FencingNumber fencing;
@@ -37,7 +37,7 @@
     log(DecisionKind.GRANT, part.trackedTicket(), Optional.of(part.upstreamId()), reason);
   }
 
-  /** Sends a grant, or sends the same grant again. */
+  /** Sends a grant. Also used to resend an outstanding grant unchanged. */
   void sendGrant(InFlightRequest part) {
     Announcement announcement = part.announcement();
     ControlMessage.Grant grant =
@@ -50,7 +50,7 @@
     send(part.vm(), grant);
   }
 
-  /** Asks a grant back whose upstream serves no longer. */
+  /** Recalls a grant whose upstream no longer serves: its VM is to return it undispatched. */
   void recall(InFlightRequest part) {
     send(part.vm(), new ControlMessage.Recall(part.request(), part.upstreamId(), fencing));
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/SchedulerSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/SchedulerSettings.java
@@ -4,25 +4,27 @@
 import java.util.Set;
 
 /**
- * Tunes a scheduler.
+ * The settings of a scheduler.
  *
- * @param parts the parts of the policy that are on
- * @param prefillBoundMs prefill that may be in process on one engine at once, in milliseconds of
- *     its time; what a quick answer may be stalled by
- * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in
- *     milliseconds; the operators' target at the two-year size
- * @param prefillCostFactor what a millisecond of prefill counts for in the choice of an upstream:
- *     it stalls the whole batch, so more than one of decoding
- * @param maxHoldMs how long a request is held at most for the engine that holds its prefix
- * @param probeIntervalMs time between two probes of an engine that gets only probes
- * @param noUpstreamTimeoutMs how long no upstream must have served before waiting requests are
- *     refused
- * @param reviewIntervalMs time between two judgements of the upstreams' speeds
- * @param endedRetentionMs how long an ended request is remembered, so that late messages are
- *     harmless
- * @param expiredSessionRetentionMs how long work in flight is kept in the account after its VM
- *     lapsed
- * @param silentRequestTimeoutMs how long work in flight is kept of which nothing is heard
+ * @param parts the enabled parts of the policy
+ * @param prefillBoundMs maximum prefill in progress on one engine, in milliseconds of engine time;
+ *     bounds how long prefill can stall a short answer
+ * @param interTokenTargetMs target time between two tokens of an answer, in milliseconds; an engine
+ *     above it counts as overloaded. It is the operators' latency target for the platform size
+ *     planned in two years
+ * @param prefillCostFactor factor by which prefill time counts more than decoding time when an
+ *     upstream is selected, since prefill stalls the whole batch
+ * @param maxHoldMs maximum time for which a request waits for an engine that has its prefix cached
+ * @param probeIntervalMs time between two probe requests to an engine that receives only probes
+ * @param noUpstreamTimeoutMs time without a serving upstream after which a route's waiting requests
+ *     are refused
+ * @param reviewIntervalMs time between two comparisons of the upstreams' speeds
+ * @param endedRetentionMs time for which ended requests are remembered, so that late messages about
+ *     them have no effect
+ * @param expiredSessionRetentionMs time for which an in-flight request stays accounted for after
+ *     its VM's session has expired
+ * @param silentRequestTimeoutMs time for which an in-flight request stays accounted for while no
+ *     message about it arrives
  */
 public record SchedulerSettings(
     Set<PolicyPart> parts,
@@ -37,12 +39,12 @@
     long expiredSessionRetentionMs,
     long silentRequestTimeoutMs) {
 
-  /** Copies the set, so that no one can change it. */
+  /** Creates the settings with an immutable copy of the set. */
   public SchedulerSettings {
     parts = Set.copyOf(parts);
   }
 
-  /** Returns the settings in use unless an operator says otherwise: every part on. */
+  /** Returns the default settings, with every part of the policy enabled. */
   public static SchedulerSettings defaults() {
     return new SchedulerSettings(
         EnumSet.allOf(PolicyPart.class),
@@ -58,7 +60,7 @@
         600_000);
   }
 
-  /** Returns the same settings with one part of the policy off. */
+  /** Returns the same settings with one part of the policy disabled. */
   public SchedulerSettings without(PolicyPart part) {
     EnumSet<PolicyPart> rest = EnumSet.noneOf(PolicyPart.class);
     rest.addAll(parts);
@@ -66,7 +68,7 @@
     return withParts(rest);
   }
 
-  /** Returns the same settings with just these parts of the policy on. */
+  /** Returns the same settings with only these parts of the policy enabled. */
   public SchedulerSettings withParts(Set<PolicyPart> newParts) {
     return new SchedulerSettings(
         newParts,
@@ -82,7 +84,7 @@
         silentRequestTimeoutMs);
   }
 
-  /** Returns whether a part of the policy is on. */
+  /** Returns whether a part of the policy is enabled. */
   public boolean isEnabled(PolicyPart part) {
     return parts.contains(part);
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/TicketAdmissionController.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/TicketAdmissionController.java
@@ -16,22 +16,25 @@
 import org.teaseltrail.core.schedule.ticket.TicketPhase;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Takes offers: refuses what is over a limit, queues the rest. */
+/** Admits offered tickets to the queue, or refuses those over a limit or without a route. */
 final class TicketAdmissionController {
 
-  /** Stands for every tier while tier order is off. */
+  /** The tier of all tickets while tier order is disabled. */
   private static final Tier SINGLE_TIER = new Tier(1);
 
-  /** Stands for every customer while fairness is off. */
+  /** The customer of all tickets while fair sharing is disabled. */
   private static final CustomerId SINGLE_CUSTOMER = new CustomerId("all");
 
-  /** Wait from which an offer counts as one told again, not as a new request of its customer. */
+  /**
+   * Waiting time from which an offer is treated as a repeated one, which is not counted against the
+   * customer's rate again.
+   */
   private static final long REOFFER_MIN_WAIT_MS = 1_000;
 
-  /** Time by which a request goes later for each unit of its own span. */
+  /** Multiple of its own service time by which a request moves back in the order. */
   private static final double SERVICE_TIME_WEIGHT = 5;
 
-  /** Bound on that time, so that no request is overtaken for ever. */
+  /** Maximum time by which a request moves back, so that long requests don't starve. */
   private static final double MAX_ORDER_DELAY_MS = 10_000;
 
   private static final double NS_PER_MS = 1e6;
@@ -42,13 +45,13 @@
   private final RateLimiter rateLimiter = new RateLimiter();
   private long offerCount;
 
-  TicketAdmissionController(PoolState state, VmReportTracker gate, RefusalHandler refusals) {
+  TicketAdmissionController(PoolState state, VmReportTracker vmReports, RefusalHandler refusals) {
     this.state = state;
-    this.vmReports = gate;
+    this.vmReports = vmReports;
     this.refusals = refusals;
   }
 
-  /** Takes the configured rates, and gives up what is no longer routed here. */
+  /** Applies the configured rates, and refuses waiting tickets no longer routed to this pool. */
   void onConfigurationChanged(long nowNs) {
     rateLimiter.configure(state.configuration(), nowNs);
     for (TrackedTicket ticket : state.ticketRegistry().waiting()) {
@@ -59,7 +62,7 @@
     }
   }
 
-  /** Takes an offer. */
+  /** Handles an offer: queues a new ticket, or repeats the answer to a known one. */
   void offered(VmId vm, Ticket ticket, long nowNs) {
     if (state.ticketRegistry().hasEnded(ticket.request())) {
       resendRefusal(vm, ticket);
@@ -75,9 +78,9 @@
       refusals.refuse(tracked, RefusalKind.UNKNOWN_POOL, 0, "route=" + ticket.route(), nowNs);
       return;
     }
-    OptionalLong overRateMs = rateLimitDelayMs(ticket, nowNs);
-    if (overRateMs.isPresent()) {
-      long retryAfterMs = overRateMs.getAsLong();
+    OptionalLong retryDelayMs = rateLimitDelayMs(ticket, nowNs);
+    if (retryDelayMs.isPresent()) {
+      long retryAfterMs = retryDelayMs.getAsLong();
       refusals.refuse(tracked, RefusalKind.RATE_LIMIT, retryAfterMs, "rate=exceeded", nowNs);
       return;
     }
@@ -85,7 +88,7 @@
     state.queue().add(tracked);
   }
 
-  /** Makes the scheduler's own record of a ticket. */
+  /** Creates the scheduler's record of a ticket. */
   TrackedTicket track(VmId vm, Ticket ticket, long nowNs) {
     TicketEstimate estimate = state.estimator().estimate(ticket, nowNs);
     QueuePosition place = place(ticket, estimate, nowNs);
@@ -103,12 +106,13 @@
   }
 
   /**
-   * Orders by useful deadline, but lets short requests go before long ones: with more waiting than
-   * can be served in time, as many short answers fit as one long one.
+   * Returns the order by useful deadline, with short requests moved before long ones: when more
+   * requests wait than can be served in time, several short answers fit into the time of a long
+   * one.
    */
   private static long byUsefulDeadline(TicketEstimate estimate) {
-    double laterMs = Math.min(MAX_ORDER_DELAY_MS, SERVICE_TIME_WEIGHT * estimate.serviceTimeMs());
-    return estimate.usefulDeadlineNs() + (long) (laterMs * NS_PER_MS);
+    double delayMs = Math.min(MAX_ORDER_DELAY_MS, SERVICE_TIME_WEIGHT * estimate.serviceTimeMs());
+    return estimate.usefulDeadlineNs() + (long) (delayMs * NS_PER_MS);
   }
 
   private int weightOf(Ticket ticket) {
@@ -117,16 +121,16 @@
   }
 
   private OptionalLong rateLimitDelayMs(Ticket ticket, long nowNs) {
-    boolean retold = ticket.waitedMs() >= REOFFER_MIN_WAIT_MS || !vmReports.hasAllReports();
-    if (retold || !state.isEnabled(PolicyPart.RATE_LIMIT)) {
+    boolean repeated = ticket.waitedMs() >= REOFFER_MIN_WAIT_MS || !vmReports.hasAllReports();
+    if (repeated || !state.isEnabled(PolicyPart.RATE_LIMIT)) {
       return OptionalLong.empty();
     }
     return rateLimiter.tryAcquire(ticket.customer(), nowNs);
   }
 
   /**
-   * Tells a VM again that a request was given up. Guards against a refusal lost with its
-   * connection, which shows as a caller that never gets an answer: its VM offers the ticket again.
+   * Resends a refusal to a VM that offers the ticket again. The first refusal may have been lost
+   * with its connection; without the repetition the caller would never get an answer.
    */
   private void resendRefusal(VmId vm, Ticket ticket) {
     Optional<ControlMessage.Refused> refusal = state.ticketRegistry().refusal(ticket.request());
@@ -134,11 +138,12 @@
   }
 
   /**
-   * Sends an outstanding grant again when its VM offers the ticket once more. Guards against a
-   * grant lost with its connection, which shows as a request that waits for ever while its slot
-   * stays taken. It is the same grant, and the VM dispatches a request once at most. If the
-   * upstream has left meanwhile, the grant is asked back instead. It isn't just forgotten here: it
-   * may still arrive, and a request that runs must not be granted again or refused.
+   * Resends an outstanding grant when its VM offers the ticket again. The first one may have been
+   * lost with its connection; without the repetition the request would wait forever while its slot
+   * stays occupied. Resending is safe because it is the same grant and a VM dispatches a request at
+   * most once. If the upstream has left meanwhile, the grant is recalled instead. It can't simply
+   * be dropped here: it may still arrive, and a running request must not be granted again or
+   * refused.
    */
   private void resendLostGrant(TrackedTicket known, long nowNs) {
     Optional<InFlightRequest> part = state.fleet().find(known.request());
--- a/core/src/main/java/org/teaseltrail/core/schedule/UpstreamSelector.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/UpstreamSelector.java
@@ -9,16 +9,19 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
- * Chooses the upstream that is expected to finish a ticket first, among those that can start it
- * now. Prompt tokens that must be processed count for more than their own time, because they stall
- * the batch and because another engine may have them cached.
+ * Selects the upstream that is expected to finish a ticket first, among those that can start it
+ * now. Prompt tokens that are not cached count for more than their processing time, because
+ * processing them stalls the whole batch and because another engine may have them cached.
  */
 final class UpstreamSelector {
 
-  /** Group size up to which every engine's cache model is asked; above, only known holders'. */
+  /**
+   * Number of candidates up to which the cache model of each one is consulted; above it, only the
+   * models of the known holders of the prefix are.
+   */
   private static final int MAX_FULL_CACHE_CHECK = 32;
 
-  /** Longest span of a request that is sent as a probe, in milliseconds. */
+  /** Maximum service time of a request that is sent as a probe, in milliseconds. */
   private static final double PROBE_SPAN_MS = 2_000;
 
   private final UpstreamFleet fleet;
@@ -35,34 +38,35 @@
   }
 
   /**
-   * Chooses among upstreams.
+   * Selects an upstream for a ticket.
    *
    * @param ticket the ticket
    * @param group the upstreams that serve the ticket's target
-   * @param open those of them to choose from, which may be granted work
-   * @param reserved an upstream that drains for a ticket before this one; null if none does
+   * @param candidates those of them that may be granted work, to select from
+   * @param reserved an upstream that is reserved for a ticket before this one; null if there is
+   *     none
    * @param nowNs monotonic time in nanoseconds
    */
   PlacementResult select(
       TrackedTicket ticket,
       TargetGroup group,
-      List<TrackedUpstream> open,
+      List<TrackedUpstream> candidates,
       TrackedUpstream reserved,
       long nowNs) {
     PlacementSearch search = new PlacementSearch(ticket, reserved, finishTimes, nowNs);
     if (!settings.isEnabled(PolicyPart.FINISH_TIME_CHOICE)) {
-      return selectRoundRobin(search, open);
+      return selectRoundRobin(search, candidates);
     }
-    PlacementResult probe = probe(ticket, open, nowNs);
+    PlacementResult probe = probe(ticket, candidates, nowNs);
     if (probe.isPlaced()) {
       return probe;
     }
-    boolean askAll = open.size() <= MAX_FULL_CACHE_CHECK;
-    for (TrackedUpstream account : open) {
-      search.consider(account, askAll);
+    boolean checkAllCaches = candidates.size() <= MAX_FULL_CACHE_CHECK;
+    for (TrackedUpstream account : candidates) {
+      search.consider(account, checkAllCaches);
     }
     List<TrackedUpstream> holders = fleet.prefixHolders(ticket);
-    if (!askAll) {
+    if (!checkAllCaches) {
       considerHolders(search, holders, group);
     }
     return hold.shouldHold(search, holders) ? PlacementResult.NONE : search.result();
@@ -77,15 +81,19 @@
     }
   }
 
-  /** Sends a short request to an engine that gets only probes, to see whether it has mended. */
-  private PlacementResult probe(TrackedTicket ticket, List<TrackedUpstream> open, long nowNs) {
-    boolean harmless =
+  /**
+   * Places a short request without a claim on an engine that receives only probes, to find out
+   * whether it has recovered.
+   */
+  private PlacementResult probe(
+      TrackedTicket ticket, List<TrackedUpstream> candidates, long nowNs) {
+    boolean eligible =
         ticket.ticket().claim().isEmpty() && ticket.estimate().serviceTimeMs() <= PROBE_SPAN_MS;
-    if (!harmless) {
+    if (!eligible) {
       return PlacementResult.NONE;
     }
     long dueNs = nowNs - Nanos.fromMs(settings.probeIntervalMs());
-    for (TrackedUpstream account : open) {
+    for (TrackedUpstream account : candidates) {
       if (account.state() == SpeedState.PROBED
           && account.lastGrantNs() <= dueNs
           && account.hasFreeSlot(nowNs)) {
@@ -95,11 +103,12 @@
     return PlacementResult.NONE;
   }
 
-  private PlacementResult selectRoundRobin(PlacementSearch search, List<TrackedUpstream> open) {
-    for (int i = 0; i < open.size(); i++) {
-      TrackedUpstream account = open.get((turn + i) % open.size());
+  private PlacementResult selectRoundRobin(
+      PlacementSearch search, List<TrackedUpstream> candidates) {
+    for (int i = 0; i < candidates.size(); i++) {
+      TrackedUpstream account = candidates.get((turn + i) % candidates.size());
       if (search.hasUsableSlot(account) && search.fits(account, 0)) {
-        turn = (turn + i + 1) % open.size();
+        turn = (turn + i + 1) % candidates.size();
         return PlacementResult.of(new Placement(search.ticket(), account, 0, "turn=" + turn));
       }
     }
--- a/core/src/main/java/org/teaseltrail/core/schedule/VmReportTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/VmReportTracker.java
@@ -5,9 +5,10 @@
 import org.teaseltrail.core.id.VmId;
 
 /**
- * Knows whether a new scheduler has heard of all that waits. Guards against shedding by half a
- * picture: a high tier's request would be shed while a lower tier's, not yet reported, is kept on
- * another VM. A VM counts as heard once it says so, or once its session has lapsed.
+ * Tracks which entry VMs have not yet reported their requests to a new scheduler. Nothing is shed
+ * until all have: with incomplete information, a request of a high tier could be shed while one of
+ * a lower tier, not yet reported, is kept at another VM. A VM is done once it reports completion or
+ * its session has expired.
  */
 final class VmReportTracker {
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/FleetPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/FleetPolicy.java
@@ -1,15 +1,15 @@
 package org.teaseltrail.core.schedule.fleet;
 
 /**
- * Says which limits on upstreams apply.
+ * The limits that apply to upstreams.
  *
- * @param tokenWindow whether the learned window on tokens in flight applies
- * @param prefillBound whether prompt tokens in process at once are bounded
- * @param detectStragglers whether slow upstreams get less
+ * @param tokenWindow whether the adaptive window on tokens in flight applies
+ * @param prefillBound whether the prompt tokens in progress at once are bounded
+ * @param detectStragglers whether slow upstreams receive less work
  * @param prefixAffinity whether prefix caches are modelled
- * @param prefillBoundMs prefill that may be in process on one engine, in milliseconds of its time
- * @param interTokenTargetMs time between tokens from which an engine counts as crowded, in
- *     milliseconds
+ * @param prefillBoundMs maximum prefill in progress on one engine, in milliseconds of engine time
+ * @param interTokenTargetMs target time between two tokens of an answer, in milliseconds; an engine
+ *     above it counts as overloaded
  */
 public record FleetPolicy(
     boolean tokenWindow,
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightRequest.java
@@ -7,10 +7,10 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 import org.teaseltrail.core.upstream.Announcement;
 
-/** Is one request's part of an upstream's work in flight, from the grant to the end. */
+/** A request that is in flight on an upstream, from its grant to its end. */
 public final class InFlightRequest {
 
-  /** Stands for a VM that has not lapsed. */
+  /** Expiry time of a VM session that has not expired. */
   private static final long VM_SESSION_VALID = Long.MIN_VALUE;
 
   private final TrackedTicket trackedTicket;
@@ -44,44 +44,45 @@
     return trackedTicket;
   }
 
-  /** Returns what the VM offered. */
+  /** Returns the ticket as the VM offered it. */
   public Ticket ticket() {
     return trackedTicket.ticket();
   }
 
-  /** Returns the request in flight. */
+  /** Returns the id of the request. */
   public RequestId request() {
     return trackedTicket.request();
   }
 
-  /** Returns the VM that dispatches it. */
+  /** Returns the VM that dispatches the request. */
   public VmId vm() {
     return trackedTicket.vm();
   }
 
-  /** Returns the account it is part of. */
+  /** Returns the upstream on which the request is in flight. */
   public TrackedUpstream upstream() {
     return upstream;
   }
 
   /**
-   * Returns the announcement it was granted under; null if it was granted by an older scheduler.
+   * Returns the upstream's announcement at the time of the grant; null if the request was granted
+   * by an earlier scheduler.
    */
   public Announcement announcement() {
     return announcement;
   }
 
-  /** Returns the name of the upstream. */
+  /** Returns the id of the upstream. */
   public UpstreamId upstreamId() {
     return upstream.id();
   }
 
-  /** Returns when it was granted, in monotonic nanoseconds. */
+  /** Returns when the request was granted, in monotonic nanoseconds. */
   public long grantedNs() {
     return grantedNs;
   }
 
-  /** Returns the prompt tokens that the prefix cache was expected to save. */
+  /** Returns the prompt tokens that were expected to be in the prefix cache. */
   public int cachedTokens() {
     return cachedTokens;
   }
@@ -91,57 +92,57 @@
     return prefillTokens;
   }
 
-  /** Returns the prompt tokens that were to be processed before its own when it was granted. */
+  /** Returns the prompt tokens that were queued on the engine ahead of it when it was granted. */
   public long prefillAheadTokens() {
     return prefillAheadTokens;
   }
 
-  /** Returns the tokens it may come to hold on the engine. */
+  /** Returns the maximum number of tokens that the request may occupy on the engine. */
   public long footprintTokens() {
     return trackedTicket.footprintTokens();
   }
 
-  /** Returns whether its VM has said anything that proves the dispatch. */
+  /** Returns whether a message of its VM has confirmed the dispatch. */
   public boolean isDispatchConfirmed() {
     return dispatchConfirmed;
   }
 
-  /** Returns the time from dispatch to first token, in milliseconds; zero if not known. */
+  /** Returns the time from dispatch to the first token, in milliseconds; zero if not known. */
   public double firstTokenMs() {
     return firstTokenMs;
   }
 
-  /** Returns the tokens that have arrived. */
+  /** Returns the number of output tokens reported so far. */
   public int outputTokens() {
     return outputTokens;
   }
 
-  /** Returns when the tokens were last counted, in monotonic nanoseconds; zero if never. */
+  /** Returns when the number of tokens last grew, in monotonic nanoseconds; zero if never. */
   public long progressNs() {
     return progressNs;
   }
 
-  /** Returns when its VM last spoke of it, in monotonic nanoseconds. */
+  /** Returns when the last message about the request was received, in monotonic nanoseconds. */
   public long heardNs() {
     return heardNs;
   }
 
-  /** Returns whether its VM has lapsed and not spoken of it since. */
+  /** Returns whether its VM's session has expired with no message about the request since. */
   public boolean isVmSessionExpired() {
     return vmSessionExpiredNs != VM_SESSION_VALID;
   }
 
-  /** Returns when its VM lapsed, in monotonic nanoseconds. */
+  /** Returns when its VM's session expired, in monotonic nanoseconds. */
   public long vmSessionExpiredNs() {
     return vmSessionExpiredNs;
   }
 
-  /** Notes that its VM has lapsed. */
+  /** Records that its VM's session has expired. */
   public void markVmSessionExpired(long nowNs) {
     vmSessionExpiredNs = nowNs;
   }
 
-  /** Notes that its VM is back and still has the request waiting. */
+  /** Records that its VM has offered the ticket again: it has a session and the request waits. */
   public void onOfferedAgain(long nowNs) {
     vmSessionExpiredNs = VM_SESSION_VALID;
     heardNs = nowNs;
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/InFlightTracker.java
@@ -5,13 +5,13 @@
 import org.teaseltrail.core.invariant.Invariant;
 import org.teaseltrail.core.invariant.InvariantName;
 
-/** Is the scheduler's own account of the work in flight on one life of an upstream. */
+/** Tracks the requests that the scheduler has in flight on one incarnation of an upstream. */
 final class InFlightTracker {
 
-  /** Time over which the greatest count is remembered, to compare with reports as old as that. */
+  /** Time for which the peak count is kept, to compare it with load reports up to that age. */
   private static final long PEAK_SPAN_NS = 2_000_000_000L;
 
-  /** Prompt tokens in process from which the time between tokens says little of the engine. */
+  /** Prompt tokens in progress from which the time between tokens does not reflect the engine. */
   private static final long LONG_PREFILL_TOKENS = 1_024;
 
   private final Set<InFlightRequest> parts = new LinkedHashSet<>();
@@ -35,17 +35,18 @@
     return prefillTokens;
   }
 
-  /** Returns whether no long prompt has been in process since a time. */
+  /** Returns whether no long prompt has been in progress since a time. */
   boolean hasNoLongPrefillSince(long sinceNs) {
     return prefillTokens < LONG_PREFILL_TOKENS && lastLongPrefillNs < sinceNs;
   }
 
   /**
-   * Returns the part that has waited longest for its first token; null if there is none.
+   * Returns the request that has waited longest for its first token; null if there is none.
    *
-   * <p>Guards against a dead VM whose requests make their upstreams look silent: each would get
-   * nothing but probes, for which these requests leave no slot, and the pool would stand still
-   * until they expire. Of a lapsed VM's request nothing is heard, whatever the upstream does.
+   * <p>Requests of VMs whose session has expired are skipped: no message about them arrives,
+   * whatever the upstream does. Otherwise the requests of a dead VM would make their upstreams look
+   * silent. Each would be limited to probes, for which these requests leave no slot, and the pool
+   * would stall until they expire.
    */
   InFlightRequest oldestWithoutFirstToken() {
     for (InFlightRequest part : withoutFirstToken) {
@@ -56,7 +57,7 @@
     return null;
   }
 
-  /** Returns the greatest count within the last few seconds. */
+  /** Returns the peak count of the last few seconds. */
   int recentPeak(long nowNs) {
     rotatePeak(nowNs);
     return Math.max(peak, previousPeak);
@@ -84,9 +85,10 @@
     Invariant.check(parts.remove(part), InvariantName.IN_FLIGHT_ACCOUNT_BALANCES);
     start(part, nowNs);
     footprintTokens -= part.footprintTokens();
-    boolean sane = footprintTokens >= 0 && prefillTokens >= 0;
-    boolean zero = footprintTokens == 0 && prefillTokens == 0;
-    Invariant.check(sane && (zero || !parts.isEmpty()), InvariantName.IN_FLIGHT_ACCOUNT_BALANCES);
+    boolean nonNegative = footprintTokens >= 0 && prefillTokens >= 0;
+    boolean empty = footprintTokens == 0 && prefillTokens == 0;
+    Invariant.check(
+        nonNegative && (empty || !parts.isEmpty()), InvariantName.IN_FLIGHT_ACCOUNT_BALANCES);
   }
 
   private void rotatePeak(long nowNs) {
@@ -97,7 +99,7 @@
     }
   }
 
-  /** Checks that the sums equal the sums of the parts; linear in the parts. */
+  /** Checks the maintained sums against the requests; linear in their number. */
   void audit() {
     long footprint = parts.stream().mapToLong(InFlightRequest::footprintTokens).sum();
     long prefill = withoutFirstToken.stream().mapToLong(InFlightRequest::prefillTokens).sum();
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/MedianSpeedCalculator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/MedianSpeedCalculator.java
@@ -5,14 +5,14 @@
 import java.util.function.ToDoubleFunction;
 import org.teaseltrail.core.schedule.ticket.EngineSpeed;
 
-/** Reads the speed of an ordinary engine off the upstreams of a pool. */
+/** Calculates the speed of a typical engine of a pool: the medians over its upstreams. */
 final class MedianSpeedCalculator {
 
   private static final double US_PER_MS = 1_000;
 
   private MedianSpeedCalculator() {}
 
-  /** Returns the medians over the upstreams that have been measured. */
+  /** Returns the medians over the measured upstreams, or assumed values while none is measured. */
   static EngineSpeed calculate(Collection<TrackedUpstream> accounts) {
     double prefillUs = median(accounts, a -> a.speed().prefillUs());
     double stepMs = median(accounts, MedianSpeedCalculator::fullStepMs);
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedMeter.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedMeter.java
@@ -1,14 +1,14 @@
 package org.teaseltrail.core.schedule.fleet;
 
-/** Measures how fast one life of an upstream works, from its answers and its reports. */
+/** Measures the speed of one incarnation of an upstream, from its answers and load reports. */
 final class SpeedMeter {
 
-  /** Weight of the newest sample of a token's time: a few samples show a change. */
+  /** Weight of the newest time per token in its moving average: a few samples show a change. */
   private static final double TOKEN_GAIN = 0.25;
 
   private static final double PREFILL_GAIN = 0.2;
 
-  /** Fewest tokens processed from which a prefill speed is read; below, the network shows. */
+  /** Minimum number of prompt tokens for a prefill sample; below it, network delay dominates. */
   private static final double MIN_PREFILL_TOKENS = 512;
 
   private static final double US_PER_MS = 1_000;
@@ -21,29 +21,29 @@
   private double serviceTimeMs;
 
   /**
-   * Takes the time per token that was seen in an answer.
+   * Records a time per token that was measured on an answer.
    *
-   * @param batch requests on the upstream
+   * @param batch the number of requests on the upstream
    * @param tokenMs time per token, in milliseconds
-   * @param quiet whether no long prompt was processed meanwhile, so that the time is the engine's
-   *     own and not that of its load
+   * @param noLongPrefill whether no long prompt was processed meanwhile, so that the time reflects
+   *     the engine and not its load
    */
-  void token(double batch, double tokenMs, boolean quiet) {
+  void token(double batch, double tokenMs, boolean noLongPrefill) {
     steps.addSample(batch, tokenMs);
-    if (quiet) {
+    if (noLongPrefill) {
       decodeMs = decodeSamples == 0 ? tokenMs : decodeMs + TOKEN_GAIN * (tokenMs - decodeMs);
       decodeSamples++;
     }
   }
 
-  /** Takes the step time that the upstream reports. */
+  /** Records the step time that the upstream reports. */
   void recordReport(double batch, double stepMs) {
     if (batch > 0 && stepMs > 0) {
       steps.addSample(batch, stepMs);
     }
   }
 
-  /** Takes the time to a first token after so many prompt tokens were processed. */
+  /** Records the time to the first token, before which this many prompt tokens were processed. */
   void prefill(double tokens, double sampleMs) {
     if (tokens >= MIN_PREFILL_TOKENS) {
       double sampleUs = sampleMs * US_PER_MS / tokens;
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Takes the time from a dispatch to the end. */
+  /** Records the service time of a request, from its dispatch to its end. */
   void recordServiceTime(double sampleMs) {
     serviceTimeMs =
         serviceTimeMs == 0 ? sampleMs : serviceTimeMs + PREFILL_GAIN * (sampleMs - serviceTimeMs);
@@ -66,12 +66,15 @@
     return prefillSamples;
   }
 
-  /** Returns the time per token while no long prompt is processed; zero before the first sample. */
+  /**
+   * Returns the time per token while no long prompt is processed, in milliseconds; zero before the
+   * first sample.
+   */
   double decodeMs() {
     return decodeMs;
   }
 
-  /** Returns the time of a step at a batch, in milliseconds; zero before the first sample. */
+  /** Returns the step time at a batch size, in milliseconds; zero before the first sample. */
   double stepMs(double batch) {
     return steps.isEmpty() ? 0 : steps.stepMs(batch);
   }
@@ -81,7 +84,7 @@
     return prefillUs;
   }
 
-  /** Returns the usual time from a dispatch to the end, in milliseconds. */
+  /** Returns the average service time, in milliseconds; zero before the first sample. */
   double serviceTimeMs() {
     return serviceTimeMs;
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedState.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/SpeedState.java
@@ -1,22 +1,25 @@
 package org.teaseltrail.core.schedule.fleet;
 
-/** Says how an upstream's speed compares with its pool's, and what it gets for that. */
+/** How an upstream's speed compares with its pool's, which determines how many slots it has. */
 public enum SpeedState {
-  /** As fast as others; gets all that fits. */
+  /** As fast as others; its whole batch may be used. */
   ORDINARY {
     @Override
     public int slots(int maxBatch) {
       return maxBatch;
     }
   },
-  /** Well slower than the median; gets half of what fits. */
+  /** Clearly slower than the median; half of its batch may be used. */
   SLOW {
     @Override
     public int slots(int maxBatch) {
       return Math.max(1, maxBatch / 2);
     }
   },
-  /** Far slower than the median, or silent; gets one request at a time, to see whether it mends. */
+  /**
+   * Far slower than the median, or not responding; it receives one request at a time, as a probe
+   * for recovery.
+   */
   PROBED {
     @Override
     public int slots(int maxBatch) {
@@ -24,6 +27,6 @@
     }
   };
 
-  /** Returns how many requests it may run at once, of those that its batch has room for. */
+  /** Returns how many requests an upstream with this maximum batch size may run at once. */
   public abstract int slots(int maxBatch);
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/StepTimeModel.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/StepTimeModel.java
@@ -1,18 +1,18 @@
 package org.teaseltrail.core.schedule.fleet;
 
 /**
- * Learns how an engine's time per token grows with its batch, as a straight line through recent
- * samples: a step costs a base and something for each sequence.
+ * A linear model of an engine's step time as a function of its batch size: a base time plus a time
+ * for each sequence, fitted to recent samples by exponentially weighted linear regression.
  */
 final class StepTimeModel {
 
   /** Weight of the newest sample. */
   private static final double GAIN = 0.1;
 
-  /** Part by which each sequence is taken to lengthen a step as long as batches hardly vary. */
+  /** Assumed relative increase of the step time per sequence while batch sizes hardly vary. */
   private static final double ASSUMED_SLOPE = 0.02;
 
-  /** Least variance of batches, in squared sequences, from which a slope is read off. */
+  /** Minimum variance of batch sizes, in squared sequences, from which a slope is calculated. */
   private static final double MIN_VARIANCE = 1;
 
   private double meanBatch;
@@ -35,17 +35,17 @@
     return samples == 0;
   }
 
-  /** Returns the time of a step at a batch, in milliseconds. */
+  /** Returns the step time at a batch size, in milliseconds. */
   double stepMs(double batch) {
-    double least = meanStepMs / 4;
-    return Math.max(least, meanStepMs + slope() * (batch - meanBatch));
+    double minStepMs = meanStepMs / 4;
+    return Math.max(minStepMs, meanStepMs + slope() * (batch - meanBatch));
   }
 
   private double slope() {
     if (variance < MIN_VARIANCE) {
       return ASSUMED_SLOPE * meanStepMs;
     }
-    double greatest = meanStepMs / Math.max(1, meanBatch);
-    return Math.min(Math.max(0, covariance / variance), greatest);
+    double maxSlope = meanStepMs / Math.max(1, meanBatch);
+    return Math.min(Math.max(0, covariance / variance), maxSlope);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/StragglerDetector.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/StragglerDetector.java
@@ -6,40 +6,47 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Finds engines that have become slow or silent, by their time per token generated or processed
- * against the pool's median. Guards against a straggler that holds every request it draws many
- * times longer than others would: callers would see single answers crawl while the rest of the pool
- * is quick. The measure is the scheduler's own, from answers, so an engine that reports itself
- * healthy is found too.
+ * Detects engines that have become slow or unresponsive, by comparing their time per generated or
+ * processed token with the pool's median. An undetected straggler takes many times longer than
+ * others for each request it receives, so single answers are slow while the rest of the pool is
+ * fast. The scheduler measures the times itself, on answers, so an engine that reports itself
+ * healthy is detected as well.
  */
 final class StragglerDetector {
 
-  /** Ratio to the median from which an engine counts as slow; engines of one pool differ by 2. */
+  /**
+   * Ratio to the median from which an engine counts as slow. Healthy engines of one pool differ by
+   * up to a factor of 2.
+   */
   private static final double SLOW = 2.5;
 
-  /** Ratio from which it gets only probes. */
+  /** Ratio to the median from which an engine receives only probes. */
   private static final double PROBED = 3.5;
 
-  /** Part of a threshold that the ratio must fall below to be believed recovered. */
+  /** Factor on a threshold below which the ratio must fall for the engine to count as recovered. */
   private static final double RECOVERY_FACTOR = 0.8;
 
-  /** Fewest samples of one engine, and fewest engines, that a comparison rests on. */
+  /** Minimum number of samples of an engine for it to be included in the comparison. */
   private static final int MIN_SAMPLES = 4;
 
+  /** Minimum number of such engines for a comparison. */
   private static final int MIN_ENGINES = 3;
 
-  /** Part by which each sequence of the batch lengthens a step, taken out of the comparison. */
+  /**
+   * Assumed relative increase of the step time per sequence of the batch, which the comparison
+   * corrects for.
+   */
   private static final double SLOPE = 0.02;
 
-  /** Least time without a first token that counts as silence, in milliseconds. */
+  /** Minimum time without a first token after which an engine counts as silent, in milliseconds. */
   private static final double MIN_SILENCE_MS = 3_000;
 
-  /** Multiple of the expected time to a first token that counts as silence. */
+  /** Multiple of the expected time to the first token after which an engine counts as silent. */
   private static final double SILENCE_FACTOR = 5;
 
   private static final double NS_PER_MS = 1e6;
 
-  /** Judges every upstream, and returns those whose state has changed. */
+  /** Updates the speed state of every upstream, and returns the changes. */
   List<SpeedStateChange> review(Collection<TrackedUpstream> accounts, long nowNs) {
     double medianDecode = median(accounts, StragglerDetector::decodeMs);
     double medianPrefill = median(accounts, StragglerDetector::prefillUs);
@@ -87,14 +94,14 @@
     return values.length < MIN_ENGINES ? 0 : values[values.length / 2];
   }
 
-  /** Returns the time per token at an empty batch; zero if too little was seen. */
+  /** Returns the time per token corrected for the batch size; zero if there are too few samples. */
   private static double decodeMs(TrackedUpstream account) {
     SpeedMeter speed = account.speed();
     boolean known = speed.decodeSamples() >= MIN_SAMPLES;
     return known ? speed.decodeMs() / (1 + SLOPE * account.inFlightCount()) : 0;
   }
 
-  /** Returns the time to process a prompt token; zero if too little was seen. */
+  /** Returns the time to process a prompt token; zero if there are too few samples. */
   private static double prefillUs(TrackedUpstream account) {
     SpeedMeter speed = account.speed();
     return speed.prefillSamples() >= MIN_SAMPLES ? speed.prefillUs() : 0;
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/TargetGroup.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/TargetGroup.java
@@ -6,12 +6,13 @@
 import java.util.Map;
 
 /**
- * Holds the upstreams that serve one target, and finds those with room without looking at all: in a
- * busy pool few have room, and in an idle one a few dozen are choice enough.
+ * The group of upstreams that serve one target. It maintains the set of those with a free slot and
+ * returns only a limited number of them, so that a selection does not scan the whole group: in a
+ * busy pool few have room, and in an idle one a few dozen candidates suffice.
  */
 public final class TargetGroup {
 
-  /** Most upstreams that one choice weighs, besides those that hold the prefix. */
+  /** Maximum number of upstreams compared in one selection, besides holders of the prefix. */
   private static final int MAX_CANDIDATES = 64;
 
   private final List<TrackedUpstream> all;
@@ -29,14 +30,14 @@
     return all;
   }
 
-  /** Returns whether an upstream of the group has a free place in its batch. */
+  /** Returns whether an upstream of the group has room in its batch. */
   public boolean hasBatchRoom(TrackedUpstream account) {
     return places.containsKey(account);
   }
 
   /**
-   * Returns upstreams that may be granted work now, at most a few dozen, beginning at another one
-   * each time.
+   * Returns a limited number of upstreams that may be granted work now. If the group is larger than
+   * the limit, each call continues where the previous one stopped.
    */
   public List<TrackedUpstream> candidates(long nowNs) {
     List<TrackedUpstream> open = new ArrayList<>();
@@ -55,7 +56,7 @@
     return open;
   }
 
-  /** Takes note that an upstream's work in flight or batch has changed. */
+  /** Updates the group after a change of an upstream's in-flight requests or maximum batch size. */
   void update(TrackedUpstream account) {
     boolean wasFree = places.containsKey(account);
     if (account.hasBatchRoom() && !wasFree) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/TokenWindow.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/TokenWindow.java
@@ -1,26 +1,29 @@
 package org.teaseltrail.core.schedule.fleet;
 
 /**
- * Bounds the tokens in flight on one engine by the time between tokens of an answer: additive
- * increase while it is within the target, multiplicative decrease while it is not (as TCP does with
- * losses). An engine that is short of memory or shared with other work shows as time between
- * tokens, whatever the cause.
+ * An adaptive limit on the tokens in flight on one engine, controlled by the time between tokens of
+ * its answers as TCP's congestion window is by losses: the window grows by a small fraction while
+ * the time is within the target and shrinks while it is not. An engine that is short of memory or
+ * shared with other work shows longer times between tokens, whatever the cause.
  */
 final class TokenWindow {
 
-  /** Tokens in flight that a new window has room for at least, for each slot of the batch. */
+  /** Minimum initial size of the window, in tokens per slot of the batch. */
   private static final long START_TOKENS_PER_SLOT = 8_192;
 
-  /** The window never shrinks below this for each slot, so that slots stay usable. */
+  /** Minimum size of the window, in tokens per slot of the batch, so that slots stay usable. */
   private static final long MIN_TOKENS_PER_SLOT = 512;
 
   private static final double DECREASE = 0.9;
   private static final double INCREASE = 0.05;
 
-  /** Weight of the newest sample: one answer behind a long prompt is not crowding yet. */
+  /**
+   * Weight of the newest sample in the moving average: a single answer that is delayed by a long
+   * prompt does not mean overload.
+   */
   private static final double GAIN = 0.2;
 
-  /** Least time between two decreases: a decrease must show before the next one. */
+  /** Minimum time between two decreases, so that one takes effect before the next. */
   private static final long SETTLE_NS = 500_000_000;
 
   private final double targetMs;
@@ -33,7 +36,9 @@
     this.targetMs = targetMs;
   }
 
-  /** Sizes a new window by what the engine says of itself. */
+  /**
+   * Sets the minimum size, and the initial size of a new window, from the engine's announcement.
+   */
   void size(int maxBatch, long cacheTokens) {
     minWindowTokens = maxBatch * MIN_TOKENS_PER_SLOT;
     if (tokens == 0) {
@@ -45,7 +50,7 @@
     return tokens;
   }
 
-  /** Takes the time between tokens that was seen at so many tokens in flight. */
+  /** Records a time between tokens that was measured at this number of tokens in flight. */
   void addSample(double sampleMs, long tokensInFlight, long nowNs) {
     tokenMs += GAIN * (sampleMs - tokenMs);
     if (tokenMs > targetMs) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/TrackedUpstream.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/TrackedUpstream.java
@@ -13,16 +13,17 @@
 import org.teaseltrail.core.upstream.LoadReport;
 
 /**
- * Keeps one life of an upstream: what it last announced, whether operators allow it, the work in
- * flight there, its speed and its cache. The work in flight is the scheduler's own account; reports
- * only correct it, the less the older they are.
+ * The scheduler's record of one incarnation of an upstream: its last announcement, whether
+ * operators allow it, its in-flight requests, its speed and a model of its prefix cache. The
+ * scheduler counts the in-flight requests itself; load reports only correct the count, and old ones
+ * are ignored.
  */
 public final class TrackedUpstream {
 
-  /** Age from which a load report says nothing about the present. */
+  /** Age from which a load report is ignored. */
   private static final long REPORT_MAX_AGE_NS = 3_000_000_000L;
 
-  /** Part of the prefill bound up to which a prompt, or what is ahead of one, counts as short. */
+  /** Fraction of the prefill bound up to which a prompt, or the queue ahead of it, is short. */
   private static final double SHORT_PROMPT_RATIO = 0.25;
 
   private static final double US_PER_MS = 1_000;
@@ -46,7 +47,7 @@
     this.window = new TokenWindow(policy.interTokenTargetMs());
   }
 
-  /** Returns the name of the upstream. */
+  /** Returns the id of the upstream. */
   public UpstreamId id() {
     return id;
   }
@@ -56,54 +57,54 @@
     return availability.announcement();
   }
 
-  /** Returns how its speed compares with the pool's. */
+  /** Returns its speed state, relative to the pool's median. */
   public SpeedState state() {
     return state;
   }
 
-  /** Returns the requests in flight. */
+  /** Returns the number of requests in flight. */
   public int inFlightCount() {
     return inFlightTracker.count();
   }
 
-  /** Returns the tokens that the requests in flight may come to hold. */
+  /** Returns the maximum number of tokens that the requests in flight may occupy. */
   public long footprintTokens() {
     return inFlightTracker.footprintTokens();
   }
 
-  /** Returns the prompt tokens granted and not yet known to be processed. */
+  /** Returns the prompt tokens of granted requests whose first token has not been reported. */
   public long prefillTokens() {
     return inFlightTracker.prefillTokens();
   }
 
-  /** Returns the learned window on tokens in flight. */
+  /** Returns the size of the window on tokens in flight. */
   public long windowTokens() {
     return window.tokens();
   }
 
-  /** Returns whether the upstream wants work, may have it and is known to be alive. */
+  /** Returns whether it is allowed, not draining, and serving by an unexpired announcement. */
   public boolean isServing(long nowNs) {
     return availability.isServing(nowNs);
   }
 
-  /** Returns whether it may be granted work now: it serves and no grant there failed just now. */
+  /** Returns whether it may be granted work now: it is serving and not in back-off. */
   public boolean isGrantable(long nowNs) {
     return availability.isGrantable(nowNs);
   }
 
-  /** Returns whether its batch has a free place, whatever else may speak against a grant. */
+  /** Returns whether its batch has room, regardless of any other limit. */
   boolean hasBatchRoom() {
     return announcement() != null && inFlightTracker.count() < announcement().maxBatch();
   }
 
-  /** Returns whether it may run one request more, whatever that is. */
+  /** Returns whether it may run another request, regardless of that request's size. */
   public boolean hasFreeSlot(long nowNs) {
     int slots = availability.isSuspect() ? 1 : state.slots(announcement().maxBatch());
-    int foreign = untrackedUntilNs > nowNs ? untrackedRequests : 0;
-    return inFlightTracker.count() + foreign < slots;
+    int untracked = untrackedUntilNs > nowNs ? untrackedRequests : 0;
+    return inFlightTracker.count() + untracked < slots;
   }
 
-  /** Returns whether a ticket fits the window. */
+  /** Returns whether a ticket fits into the token window. */
   public boolean fitsWindow(long ticketTokens) {
     return !policy.tokenWindow()
         || inFlightTracker.count() == 0
@@ -111,22 +112,24 @@
   }
 
   /**
-   * Returns whether a prompt can be processed without stalling others for long. Short prompts
-   * always can; long ones may not pile up.
+   * Returns whether a prompt can be processed without stalling other requests for long. Short
+   * prompts always can; long prompts must not accumulate.
    *
-   * @param uncachedTokens prompt tokens to process
+   * @param uncachedTokens the number of prompt tokens to process
    */
   public boolean fitsPrefill(int uncachedTokens) {
     if (!policy.prefillBound()) {
       return true;
     }
-    double bound = policy.prefillBoundMs() * US_PER_MS / prefillUs();
-    double ahead = inFlightTracker.prefillTokens();
-    double share = SHORT_PROMPT_RATIO * bound;
-    return uncachedTokens <= share || ahead <= share || ahead + uncachedTokens <= bound;
+    double boundTokens = policy.prefillBoundMs() * US_PER_MS / prefillUs();
+    double aheadTokens = inFlightTracker.prefillTokens();
+    double share = SHORT_PROMPT_RATIO * boundTokens;
+    return uncachedTokens <= share
+        || aheadTokens <= share
+        || aheadTokens + uncachedTokens <= boundTokens;
   }
 
-  /** Returns how many tokens of a ticket's prompt its cache is expected to save. */
+  /** Returns how many tokens of a ticket's prompt are expected to be in its prefix cache. */
   public int cachedTokens(TrackedTicket ticket) {
     List<Long> blocks = ticket.ticket().prefixBlocks();
     if (!policy.prefixAffinity() || blocks.isEmpty()) {
@@ -140,13 +143,13 @@
     return speed.prefillUs() > 0 ? speed.prefillUs() : typicalSpeed.prefillUs();
   }
 
-  /** Returns the time per token at a batch, in milliseconds. */
+  /** Returns the time per token at a batch size, in milliseconds. */
   public double stepMs(int batch) {
     double measured = speed.stepMs(batch);
     return measured > 0 ? measured : typicalSpeed.stepMs();
   }
 
-  /** Returns the usual time from a dispatch to the end, in milliseconds; zero if not known. */
+  /** Returns the average service time of its requests, in milliseconds; zero if not known. */
   public double serviceTimeMs() {
     return speed.serviceTimeMs();
   }
@@ -156,7 +159,7 @@
     return lastGrantNs;
   }
 
-  /** Returns whether it has what the target asks for loaded. */
+  /** Returns whether it has loaded what the target requires. */
   public boolean serves(RouteTarget target) {
     return availability.serves(target);
   }
@@ -193,9 +196,9 @@
   }
 
   /**
-   * Corrects the account by a report: work there that was not granted here (by an older scheduler,
-   * say) takes slots for as long as the report is of use. The greatest recent count stands against
-   * the report, for the report is older than the account.
+   * Corrects the account by a load report: requests that this scheduler did not grant (but an
+   * earlier one, for example) occupy slots until the report is too old. The reported number is
+   * compared with the recent peak of the account, because the report describes an earlier state.
    */
   private void correctFromReport(LoadReport load, long heardNs, long nowNs) {
     speed.recordReport(load.runningRequests(), load.stepMs());
@@ -212,8 +215,8 @@
     state = newState;
   }
 
-  void setTypicalSpeed(EngineSpeed newOrdinary) {
-    typicalSpeed = newOrdinary;
+  void setTypicalSpeed(EngineSpeed newTypicalSpeed) {
+    typicalSpeed = newTypicalSpeed;
   }
 
   InFlightRequest add(TrackedTicket ticket, int cachedTokens, long nowNs) {
@@ -227,14 +230,14 @@
   }
 
   /**
-   * Takes what was seen in an answer.
+   * Records a time per token that was measured on an answer.
    *
    * @param tokenMs time per token, in milliseconds
-   * @param quiet whether no long prompt was processed meanwhile
+   * @param noLongPrefill whether no long prompt was processed meanwhile
    * @param nowNs monotonic time in nanoseconds
    */
-  void recordTokenTime(double tokenMs, boolean quiet, long nowNs) {
-    speed.token(inFlightTracker.count(), tokenMs, quiet);
+  void recordTokenTime(double tokenMs, boolean noLongPrefill, long nowNs) {
+    speed.token(inFlightTracker.count(), tokenMs, noLongPrefill);
     window.addSample(tokenMs, inFlightTracker.footprintTokens(), nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamAvailability.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamAvailability.java
@@ -6,7 +6,10 @@
 import org.teaseltrail.core.upstream.ServedModel;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Knows whether an upstream may be given work: by its own word, the operators' and its silence. */
+/**
+ * Determines whether an upstream may be granted work: from its announcements and their expiry, the
+ * operators' configuration and the failures of its requests.
+ */
 final class UpstreamAvailability {
 
   private static final long MIN_BACKOFF_MS = 250;
@@ -39,12 +42,12 @@
     draining = nowDraining;
   }
 
-  /** Notes that a VM knows the upstream as leaving; holds until its next announcement. */
+  /** Records that a VM reported the upstream as leaving; applies until its next announcement. */
   void markLeaving() {
     reportedLeaving = true;
   }
 
-  /** Notes that a later life has taken its place: this one never serves again. */
+  /** Records that a later incarnation has replaced this one, which never serves again. */
   void retire() {
     announcement = null;
   }
@@ -63,9 +66,9 @@
   }
 
   /**
-   * Keeps work away for a while, each time in a row for longer. Guards against an upstream that
-   * fails at once: its slots are always free, so it would draw and fail all of the work. After the
-   * while it gets one request at a time until one has worked.
+   * Ejects the upstream for a time that doubles with each failure in a row. An upstream whose
+   * requests fail immediately always has free slots, so it would otherwise attract and fail all of
+   * the work. After the time it receives one request at a time until one has succeeded.
    */
   void backOff(long nowNs) {
     if (nowNs < backoffUntilNs) {
@@ -79,7 +82,7 @@
     backoffMs = 0;
   }
 
-  /** Returns whether the last that is known of its work is a failure. */
+  /** Returns whether a request has failed and none has succeeded since. */
   boolean isSuspect() {
     return backoffMs > 0;
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/UpstreamFleet.java
@@ -24,12 +24,12 @@
 import org.teaseltrail.core.upstream.CacheEvent;
 
 /**
- * Holds the upstreams of a pool and all work in flight. Root of the aggregate: work enters and
- * leaves an account through it only.
+ * The upstreams of a pool with all in-flight requests. As the aggregate root, it is the only way to
+ * add a request to an upstream or to remove it.
  */
 public final class UpstreamFleet {
 
-  /** Most prefix blocks whose holders are kept; bounds the scheduler's memory. */
+  /** Maximum number of prefix blocks whose holders are kept; bounds the scheduler's memory. */
   private static final int MAX_DIRECTORY_BLOCKS = 65_536;
 
   private final PoolId pool;
@@ -44,13 +44,13 @@
   private int servingCount;
   private Configuration configuration = Configuration.empty();
 
-  /** Creates the fleet of a pool, empty. */
+  /** Creates an empty fleet. */
   public UpstreamFleet(PoolId pool, FleetPolicy policy) {
     this.pool = pool;
     this.policy = policy;
   }
 
-  /** Takes a configuration: who is allowed and who is to drain. */
+  /** Applies a configuration: which upstreams are allowed and which are to drain. */
   public void configure(Configuration newer) {
     configuration = newer;
     accounts.values().forEach(this::applyConfiguration);
@@ -59,12 +59,12 @@
   }
 
   /**
-   * Takes an announcement; an older or repeated one changes nothing.
+   * Applies an announcement; an older or repeated one is ignored.
    *
-   * @param announcement what the upstream says
-   * @param heardNs when a VM heard it, in monotonic nanoseconds
+   * @param announcement the upstream's announcement
+   * @param heardNs when a VM received it, in monotonic nanoseconds
    * @param nowNs monotonic time in nanoseconds
-   * @return whether the upstream's phase has changed by it
+   * @return whether it changes the upstream's phase
    */
   public boolean announce(Announcement announcement, long heardNs, long nowNs) {
     if (!isAllowed(announcement.upstream()) && !accounts.containsKey(announcement.upstream())) {
@@ -98,7 +98,7 @@
         || !before.service().equals(after.service());
   }
 
-  /** Takes a cache event; one of an earlier life changes nothing. */
+  /** Applies a cache event; one of another incarnation than the current one is ignored. */
   public void applyCacheEvent(CacheEvent event) {
     TrackedUpstream account = accounts.get(event.upstream());
     boolean current =
@@ -111,7 +111,7 @@
     }
   }
 
-  /** Returns the upstreams that have the target loaded, serving or not. */
+  /** Returns the group of upstreams that have the target loaded, serving or not. */
   public TargetGroup group(RouteTarget target) {
     return groups.computeIfAbsent(target, this::findGroup);
   }
@@ -120,25 +120,25 @@
     return new TargetGroup(accounts.values().stream().filter(a -> a.serves(target)).toList());
   }
 
-  /** Returns upstreams that were seen to hold the longest known part of a ticket's prompt. */
+  /** Returns upstreams that are known to have cached the longest known prefix of the prompt. */
   public List<TrackedUpstream> prefixHolders(TrackedTicket ticket) {
     return policy.prefixAffinity()
         ? prefixDirectory.holdersOf(ticket.ticket().prefixBlocks())
         : List.of();
   }
 
-  /** Returns the account of an upstream's present life, made if there is none. */
+  /** Returns the record of an upstream's current incarnation, and creates it if there is none. */
   public TrackedUpstream account(UpstreamId id) {
     TrackedUpstream account = accounts.get(id);
     return account == null ? startIncarnation(id) : account;
   }
 
-  /** Returns all accounts. */
+  /** Returns the current records of all upstreams. */
   public Collection<TrackedUpstream> accounts() {
     return accounts.values();
   }
 
-  /** Returns how many upstreams served when last looked at. */
+  /** Returns how many upstreams were serving at the last review or phase change. */
   public int servingCount() {
     return servingCount;
   }
@@ -147,12 +147,14 @@
     servingCount = (int) accounts.values().stream().filter(a -> a.isServing(nowNs)).count();
   }
 
-  /** Returns how fast an ordinary upstream is. */
+  /** Returns the speed of a typical upstream of the pool. */
   public EngineSpeed typicalSpeed() {
     return typicalSpeed;
   }
 
-  /** Measures the pool's speed and judges each upstream by it; returns what has changed. */
+  /**
+   * Calculates the pool's typical speed, classifies each upstream by it and returns the changes.
+   */
   public List<SpeedStateChange> reviewSpeeds(long nowNs) {
     typicalSpeed = MedianSpeedCalculator.calculate(accounts.values());
     accounts.values().forEach(a -> a.setTypicalSpeed(typicalSpeed));
@@ -163,18 +165,18 @@
   }
 
   /**
-   * Sets an upstream aside for a ticket.
+   * Reserves capacity of an upstream for a ticket.
    *
    * @param ticket the ticket
    * @param upstream the upstream
-   * @param cachedTokens prompt tokens that its cache is expected to save
+   * @param cachedTokens prompt tokens that are expected to be in its prefix cache
    * @param nowNs monotonic time in nanoseconds
-   * @return the ticket's part of the account
+   * @return the request, now in flight
    */
   public InFlightRequest grant(
       TrackedTicket ticket, TrackedUpstream upstream, int cachedTokens, long nowNs) {
-    // Guards against work for an upstream that shuts down, which would be cut off there: the
-    // chooser filters too, so a fault there shows here and not as a lost answer.
+    // A request granted to an upstream that shuts down would be aborted there. The selector already
+    // filters such upstreams; this check turns a fault in it into a violation, not a lost answer.
     Invariant.check(upstream.isServing(nowNs), InvariantName.NO_GRANT_TO_LEAVING_UPSTREAM);
     Invariant.check(upstream.hasFreeSlot(nowNs), InvariantName.WINDOW_NOT_EXCEEDED);
     Invariant.check(
@@ -182,7 +184,7 @@
     return add(ticket, upstream, cachedTokens, nowNs);
   }
 
-  /** Counts a request that was dispatched under an older scheduler. */
+  /** Adds a request that was dispatched under an earlier scheduler. */
   public InFlightRequest adopt(TrackedTicket ticket, UpstreamId upstream, long grantedNs) {
     return add(ticket, account(upstream), 0, grantedNs);
   }
@@ -199,12 +201,12 @@
     return part;
   }
 
-  /** Returns the part in flight of a request. */
+  /** Returns a request if it is in flight. */
   public Optional<InFlightRequest> find(RequestId request) {
     return Optional.ofNullable(inFlight.get(request));
   }
 
-  /** Returns all parts in flight of a VM's requests. */
+  /** Returns all in-flight requests of a VM. */
   public List<InFlightRequest> inFlightOfVm(VmId vm) {
     return inFlight.values().stream().filter(p -> p.vm().equals(vm)).toList();
   }
@@ -214,7 +216,7 @@
     return inFlight.size();
   }
 
-  /** Notes that the first token of a request has arrived. */
+  /** Records that the first token of a request has arrived. */
   public void onFirstToken(InFlightRequest part, double sinceDispatchMs, long nowNs) {
     part.heard(nowNs);
     part.upstream().inFlightTracker().start(part, nowNs);
@@ -222,7 +224,7 @@
     part.upstream().availability().recordSuccess();
   }
 
-  /** Notes how many tokens have arrived. */
+  /** Records how many output tokens of a request have arrived. */
   public void onProgress(InFlightRequest part, int outputTokens, long nowNs) {
     part.heard(nowNs);
     if (outputTokens > 0) {
@@ -232,7 +234,7 @@
     part.progress(outputTokens, nowNs);
   }
 
-  /** Takes a request out of the account, and learns from how it went. */
+  /** Removes an ended request, and updates its upstream's speed, cache model and back-off. */
   public void onEnded(InFlightRequest part, EntryMessage.Ended ended, long nowNs) {
     remove(part, nowNs);
     if (ended.kind() == EndKind.FAILED) {
@@ -246,24 +248,24 @@
     }
   }
 
-  /** Takes a request out of the account. */
+  /** Removes a request and releases its capacity. */
   public void remove(InFlightRequest part, long nowNs) {
     inFlight.remove(part.request());
     part.upstream().inFlightTracker().remove(part, nowNs);
     groups.values().forEach(group -> group.update(part.upstream()));
   }
 
-  /** Keeps work away from an upstream for a while, after a grant there could not be used. */
+  /** Ejects an upstream for a back-off time, after a grant for it was declined. */
   public void backOff(TrackedUpstream upstream, long nowNs) {
     upstream.availability().backOff(nowNs);
   }
 
-  /** Keeps work away from an upstream until it announces itself anew. */
+  /** Stops granting work to an upstream until its next announcement. */
   public void leaving(TrackedUpstream upstream) {
     upstream.availability().markLeaving();
   }
 
-  /** Checks that every account equals the sum of its parts; linear in the work in flight. */
+  /** Checks the sums of every upstream against its requests; linear in the requests in flight. */
   public void audit() {
     accounts.values().forEach(a -> a.inFlightTracker().audit());
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/fleet/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/fleet/package-info.java
@@ -1,2 +1,2 @@
-/** The upstreams of a pool: what they say of themselves and the work in flight on each. */
+/** The upstreams of a pool: their announcements, their speed and the requests in flight on each. */
 package org.teaseltrail.core.schedule.fleet;
--- a/core/src/main/java/org/teaseltrail/core/schedule/limit/DrainRateMeter.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/limit/DrainRateMeter.java
@@ -1,12 +1,13 @@
 package org.teaseltrail.core.schedule.limit;
 
 /**
- * Measures how much estimated engine time leaves the queue in a millisecond while something waits.
- * Idle time does not count: it would make the pool look slow.
+ * Measures the drain rate of a queue: the estimated engine time of the requests that leave it per
+ * millisecond while requests wait. Idle time is not counted, since it would make the pool look
+ * slow.
  */
 public final class DrainRateMeter {
 
-  /** Time over which the measure forgets, in busy milliseconds; several answers' length. */
+  /** Time constant of the exponential decay, in busy milliseconds; the time of several answers. */
   private static final double DECAY_MS = 10_000;
 
   /** Weight of the assumed rate, in busy milliseconds. */
@@ -20,36 +21,36 @@
   private boolean busy;
 
   /**
-   * Moves the time on.
+   * Advances the meter to the present.
    *
    * @param nowNs monotonic time in nanoseconds
    */
   public void advance(long nowNs) {
     if (busy) {
       double elapsedMs = (nowNs - lastNs) / NS_PER_MS;
-      double keep = Math.exp(-elapsedMs / DECAY_MS);
-      drainedUs *= keep;
-      busyMs = busyMs * keep + elapsedMs;
+      double decay = Math.exp(-elapsedMs / DECAY_MS);
+      drainedUs *= decay;
+      busyMs = busyMs * decay + elapsedMs;
     }
     lastNs = nowNs;
   }
 
-  /** Notes that engine time has left the queue; counts only if something has been waiting. */
+  /** Records engine time that has left the queue; it counts only if requests have been waiting. */
   public void recordDrained(double engineUs) {
     if (busy) {
       drainedUs += engineUs;
     }
   }
 
-  /** Notes whether something waits from now on. */
+  /** Sets whether requests wait from now on. */
   public void setBusy(boolean nowBusy) {
     busy = nowBusy;
   }
 
   /**
-   * Returns the rate in microseconds of engine time for each millisecond.
+   * Returns the rate in microseconds of engine time per millisecond.
    *
-   * @param priorUsPerMs the rate to assume as long as little is measured
+   * @param priorUsPerMs the rate to assume while there are few measurements
    */
   public double rateUsPerMs(double priorUsPerMs) {
     return (drainedUs + priorUsPerMs * PRIOR_MS) / (busyMs + PRIOR_MS);
--- a/core/src/main/java/org/teaseltrail/core/schedule/limit/RateLimiter.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/limit/RateLimiter.java
@@ -7,12 +7,12 @@
 import org.teaseltrail.core.configuration.Customer;
 import org.teaseltrail.core.id.CustomerId;
 
-/** Holds each customer to the rate that operators have set for it. */
+/** Limits each customer to its configured request rate. */
 public final class RateLimiter {
 
   private final Map<CustomerId, TokenBucket> buckets = new HashMap<>();
 
-  /** Takes a configuration; a customer whose rate is unchanged keeps its bucket. */
+  /** Applies a configuration; a customer whose rate is unchanged keeps its bucket. */
   public void configure(Configuration configuration, long nowNs) {
     buckets.keySet().retainAll(configuration.customers().keySet());
     for (Customer customer : configuration.customers().values()) {
@@ -32,11 +32,12 @@
   }
 
   /**
-   * Counts a request of a customer against its rate.
+   * Tries to take a token for a request of a customer.
    *
    * @param customer the customer
    * @param nowNs monotonic time in nanoseconds
-   * @return empty if it is within the rate, else when to come back, in milliseconds
+   * @return empty if the request is within the rate, else the time after which to retry, in
+   *     milliseconds
    */
   public OptionalLong tryAcquire(CustomerId customer, long nowNs) {
     TokenBucket bucket = buckets.get(customer);
--- a/core/src/main/java/org/teaseltrail/core/schedule/limit/TokenBucket.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/limit/TokenBucket.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.schedule.limit;
 
-/** Holds one customer to its rate, with room for a burst. */
+/** A token bucket that limits the request rate of one customer and allows bursts. */
 final class TokenBucket {
 
   private static final double NS_PER_SECOND = 1e9;
--- a/core/src/main/java/org/teaseltrail/core/schedule/limit/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/limit/package-info.java
@@ -1,2 +1,2 @@
-/** Limits on customers and measures of how fast the pool drains. */
+/** The rate limits of customers, and the measurement of drain rates. */
 package org.teaseltrail.core.schedule.limit;
--- a/core/src/main/java/org/teaseltrail/core/schedule/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/package-info.java
@@ -1,2 +1,5 @@
-/** The scheduler of one pool: who is served next, by which upstream, and who is refused. */
+/**
+ * The scheduler of one pool, which decides which request is served next, by which upstream, and
+ * which is refused.
+ */
 package org.teaseltrail.core.schedule;
--- a/core/src/main/java/org/teaseltrail/core/schedule/prefix/PrefixCacheModel.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/prefix/PrefixCacheModel.java
@@ -6,22 +6,22 @@
 import org.teaseltrail.core.upstream.CacheEvent;
 
 /**
- * Models the prefix cache of one life of an engine: least recently used blocks go first, as the
- * engines do it. It follows the scheduler's own dispatches and is corrected by cache events and by
- * what ended requests say was cached.
+ * A model of the prefix cache of one incarnation of an engine, with the eviction of the least
+ * recently used blocks that the engines apply. It follows the scheduler's grants and is corrected
+ * by cache events and by the cached tokens that ended requests report.
  */
 public final class PrefixCacheModel {
 
-  /** Tokens in one block; the contract with the entry VMs. */
+  /** Number of tokens in a block, as agreed with the entry VMs, which compute a hash per block. */
   public static final int BLOCK_TOKENS = 256;
 
-  /** Most blocks modelled for one engine; bounds the scheduler's memory at many engines. */
+  /** Maximum number of blocks per engine; bounds the scheduler's memory with many engines. */
   public static final int MAX_BLOCKS = 4_096;
 
-  /** Part of the trust that a gap in the events leaves. */
+  /** Factor on the confidence after a gap in the sequence of events. */
   private static final double CONFIDENCE_AFTER_GAP = 0.9;
 
-  /** Weight of the newest ended request in the trust. */
+  /** Weight of the newest ended request in the confidence. */
   private static final double CONFIDENCE_GAIN = 0.1;
 
   private static final double MIN_CONFIDENCE = 0.05;
@@ -31,29 +31,29 @@
   private long lastSequence = -1;
   private double confidence = 1;
 
-  /** Sets how many tokens the engine's cache holds; zero if it has none. */
+  /** Sets the capacity of the engine's cache in tokens; zero if it has none. */
   public void setCapacity(long cacheTokens) {
     capacityBlocks = (int) Math.min(MAX_BLOCKS, cacheTokens / BLOCK_TOKENS);
     dropOverflow();
   }
 
-  /** Returns how far the model is believed, from zero to one. */
+  /** Returns the confidence in the model, from zero to one. */
   public double confidence() {
     return confidence;
   }
 
-  /** Returns how many blocks are believed to be cached. */
+  /** Returns how many blocks are expected to be cached. */
   public int size() {
     return blocks.size();
   }
 
-  /** Returns whether a block is believed to be cached. */
+  /** Returns whether a block is expected to be cached. */
   public boolean contains(long block) {
     return blocks.containsKey(block);
   }
 
   /**
-   * Returns how many tokens of a prompt are believed to be cached, weighed by the trust.
+   * Returns how many tokens of a prompt are expected to be cached, multiplied by the confidence.
    *
    * @param prompt the hash chain of the prompt's blocks
    * @param promptTokens length of the prompt; at least one token is always processed
@@ -67,10 +67,10 @@
     return Math.max(0, Math.min(tokens, promptTokens - 1));
   }
 
-  /** Notes that a prompt goes to the engine, which will hold its blocks from then on. */
+  /** Records that a prompt is sent to the engine, which caches its blocks from then on. */
   public void recordPrompt(List<Long> prompt) {
-    // The first block goes in last: a chain without its beginning is of no use, and engines drop
-    // the end of a chain before its beginning.
+    // The first block is inserted last, so that it is evicted last: a chain is unusable without its
+    // beginning, and engines evict the end of a chain before its beginning.
     for (int i = prompt.size() - 1; i >= 0; i--) {
       blocks.put(prompt.get(i), Boolean.TRUE);
     }
@@ -78,8 +78,8 @@
   }
 
   /**
-   * Takes an event of the engine. A gap in the sequence means that some were lost, so the model is
-   * trusted less; an event older than one already taken changes nothing.
+   * Applies an event of the engine. A gap in the sequence means that events were lost, which lowers
+   * the confidence. An event older than the last applied one is ignored.
    */
   public void apply(CacheEvent event) {
     if (event.sequence() <= lastSequence) {
@@ -95,10 +95,10 @@
   }
 
   /**
-   * Learns from an ended request how far the model was right.
+   * Updates the confidence by comparing the model with an ended request.
    *
-   * @param expectedTokens tokens that were expected to be cached
-   * @param cachedTokens tokens that were cached
+   * @param expectedTokens the number of tokens that were expected to be cached
+   * @param cachedTokens the number of tokens that were cached
    */
   public void observe(int expectedTokens, int cachedTokens) {
     if (expectedTokens < BLOCK_TOKENS) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/prefix/PrefixDirectory.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/prefix/PrefixDirectory.java
@@ -6,19 +6,21 @@
 import java.util.Map;
 
 /**
- * Finds the engines that hold the longest part of a prompt without asking each engine's model. It
- * keeps the last few holders of each block; whether one holds it still is for its model to say.
+ * A directory from prefix blocks to the engines that hold them, which finds the engines with the
+ * longest prefix of a prompt without a search in each engine's cache model. It keeps the last few
+ * holders of each block. A holder may have evicted the block since; its cache model determines
+ * that.
  *
- * @param <H> the holder
+ * @param <H> the type of a holder
  */
 public final class PrefixDirectory<H> {
 
-  /** Holders kept for each block: enough to choose by load among them. */
+  /** Number of holders kept per block, enough to select among them by load. */
   private static final int MAX_HOLDERS = 4;
 
   private final LinkedHashMap<Long, List<H>> holders;
 
-  /** Creates an empty directory that keeps at most so many blocks, least recently used out. */
+  /** Creates an empty directory with a maximum number of blocks; evicts the least recently used. */
   public PrefixDirectory(int maxBlocks) {
     this.holders =
         new LinkedHashMap<>(16, 0.75f, true) {
@@ -31,7 +33,7 @@
         };
   }
 
-  /** Notes that an engine holds the blocks from now on. */
+  /** Records that an engine holds the blocks from now on. */
   public void add(List<Long> blocks, H holder) {
     for (Long block : blocks) {
       addOne(block, holder);
@@ -50,15 +52,16 @@
     }
   }
 
-  /** Returns how many blocks are known. */
+  /** Returns the number of blocks in the directory. */
   public int size() {
     return holders.size();
   }
 
   /**
-   * Returns engines that were seen to hold the longest known part of a prompt.
+   * Returns the engines recorded for the longest known prefix of a prompt.
    *
-   * @param blocks the hash chain of the prompt; a block is known only with those before it
+   * @param blocks the hash chain of the prompt; a block is in the directory only together with
+   *     those before it
    */
   public List<H> holdersOf(List<Long> blocks) {
     int known = knownBlocks(blocks);
--- a/core/src/main/java/org/teaseltrail/core/schedule/prefix/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/prefix/package-info.java
@@ -1,2 +1,2 @@
-/** What the scheduler believes to be in each engine's prefix cache, and which engine holds what. */
+/** Models of the engines' prefix caches, and a directory of the engines that hold a block. */
 package org.teaseltrail.core.schedule.prefix;
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerQueue.java
@@ -4,7 +4,7 @@
 import java.util.TreeSet;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Orders one customer's tickets of one tier and route by their useful deadline. */
+/** The queue of one customer's tickets in one tier and route, ordered by their queue position. */
 final class CustomerQueue {
 
   private static final Comparator<TrackedTicket> BY_PLACE =
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerUsageTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/CustomerUsageTracker.java
@@ -8,8 +8,8 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
- * Keeps a customer's waiting tickets of one tier and the engine time it has been served there,
- * divided by its weight (its virtual time).
+ * Tracks a customer's waiting tickets in one tier and its virtual time as in weighted fair
+ * queueing: the engine time that it has been served there, divided by its weight.
  */
 final class CustomerUsageTracker {
 
@@ -68,12 +68,15 @@
     waitingUs = byArrival.isEmpty() ? 0 : waitingUs - ticket.estimate().engineUs();
   }
 
-  /** Brings an idle customer to the present, so that it cannot save up time it did not use. */
+  /**
+   * Advances the virtual time of an idle customer to the system's, so that it can't accumulate
+   * credit for time that it did not use.
+   */
   void catchUp(double systemVirtualUs) {
     virtualUs = Math.max(virtualUs, systemVirtualUs);
   }
 
-  /** Adds served engine time; negative to give back what was not used. */
+  /** Adds served engine time; a negative value refunds time that was not used. */
   void addServedTime(double engineUs) {
     virtualUs += engineUs / weight;
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/RouteQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/RouteQueue.java
@@ -4,7 +4,10 @@
 import java.util.TreeSet;
 import org.teaseltrail.core.id.RouteId;
 
-/** Orders the customers that wait in one tier for one route by their virtual time, least first. */
+/**
+ * The queue of one route in one tier: its customers with waiting tickets, ordered by virtual time,
+ * lowest first.
+ */
 public final class RouteQueue {
 
   private static final Comparator<CustomerQueue> BY_VIRTUAL_TIME =
@@ -18,12 +21,12 @@
     this.route = route;
   }
 
-  /** Returns the route that all of its tickets ask for. */
+  /** Returns the route of all its tickets. */
   public RouteId route() {
     return route;
   }
 
-  /** Returns whether nothing waits. */
+  /** Returns whether no ticket waits. */
   public boolean isEmpty() {
     return customers.isEmpty();
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/ServiceOrderIterator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/ServiceOrderIterator.java
@@ -7,8 +7,9 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
- * Walks over the tickets of a route in one tier: first the head of each customer, least served
- * customer first, then the tickets behind the heads.
+ * Iterates over the tickets of a route in one tier in service order: first the head of each
+ * customer's queue, customers with the lowest virtual time first, then the tickets behind the
+ * heads.
  */
 public final class ServiceOrderIterator implements Iterator<TrackedTicket> {
 
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/TierQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/TierQueue.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.schedule.limit.DrainRateMeter;
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
-/** Holds the waiting tickets of one tier. */
+/** The queue of one tier, with fair sharing of engine time among its customers. */
 public final class TierQueue {
 
   static final Comparator<TrackedTicket> BY_ARRIVAL =
@@ -25,7 +25,7 @@
       Comparator.<TrackedTicket>comparingLong(t -> t.estimate().latestStartNs())
           .thenComparingLong(TrackedTicket::order);
 
-  /** Multiple of its fair share from which a customer is above its share of the waiting work. */
+  /** Multiple of its fair share above which a customer counts as over its share of waiting work. */
   private static final double SHARE_TOLERANCE = 1.25;
 
   private final Tier tier;
@@ -42,27 +42,27 @@
     this.tier = tier;
   }
 
-  /** Returns the tier that is waited in. */
+  /** Returns the tier. */
   public Tier tier() {
     return tier;
   }
 
-  /** Returns whether nothing waits. */
+  /** Returns whether no ticket waits. */
   public boolean isEmpty() {
     return byArrival.isEmpty();
   }
 
-  /** Returns how many tickets wait. */
+  /** Returns the number of waiting tickets. */
   public int count() {
     return byArrival.size();
   }
 
-  /** Returns the engine time of all that waits in the tier, in microseconds. */
+  /** Returns the estimated engine time of all tickets in the tier, in microseconds. */
   public double waitingUs() {
     return waitingUs;
   }
 
-  /** Returns the measure of how fast the tier drains. */
+  /** Returns the meter of the tier's drain rate. */
   public DrainRateMeter drain() {
     return drain;
   }
@@ -78,41 +78,43 @@
   }
 
   /**
-   * Returns the newest ticket of the customer that is furthest above its share of the waiting work,
-   * by weight, or empty if none is above.
+   * Returns the newest ticket of the customer with the most waiting work relative to its weight, or
+   * empty if that customer is not above its fair share.
    */
   public Optional<TrackedTicket> newestAboveShare() {
-    CustomerUsageTracker greediest = null;
+    CustomerUsageTracker mostLoaded = null;
     double weights = 0;
     for (CustomerUsageTracker account : accounts.values()) {
       if (account.hasNoneWaiting()) {
         continue;
       }
       weights += account.weight();
-      if (greediest == null || load(account) > load(greediest)) {
-        greediest = account;
+      if (mostLoaded == null || load(account) > load(mostLoaded)) {
+        mostLoaded = account;
       }
     }
-    if (greediest == null) {
+    if (mostLoaded == null) {
       return Optional.empty();
     }
-    double fairUs = waitingUs * greediest.weight() / weights;
-    boolean above = greediest.waitingUs() > SHARE_TOLERANCE * fairUs;
-    return above ? Optional.of(greediest.newest()) : Optional.empty();
+    double fairUs = waitingUs * mostLoaded.weight() / weights;
+    boolean above = mostLoaded.waitingUs() > SHARE_TOLERANCE * fairUs;
+    return above ? Optional.of(mostLoaded.newest()) : Optional.empty();
   }
 
   private static double load(CustomerUsageTracker account) {
     return account.waitingUs() / account.weight();
   }
 
-  /** Returns a ticket that can't meet its deadline any more, if there is one. */
+  /**
+   * Returns a ticket that can't meet its deadline any more (an infeasible one), if there is any.
+   */
   public Optional<TrackedTicket> anyInfeasible() {
     return infeasible.isEmpty() ? Optional.empty() : Optional.of(infeasible.iterator().next());
   }
 
   /**
-   * Sets aside the tickets that can't meet their deadline any more. They still wait, but no engine
-   * time is spent on an answer that would come too late.
+   * Takes the tickets that can't meet their deadline any more out of the service order. They still
+   * wait, but no engine time is spent on an answer that would be too late.
    */
   void setAsideInfeasible(long nowNs) {
     while (!byLatestStart.isEmpty() && isInfeasible(byLatestStart.first(), nowNs)) {
@@ -170,7 +172,7 @@
     }
   }
 
-  /** Charges a customer for engine time; negative gives back. */
+  /** Charges a customer for engine time; a negative value is a refund. */
   void charge(CustomerId customer, double engineUs) {
     CustomerUsageTracker account = account(customer);
     account.queues().forEach((route, queue) -> routes.get(route).remove(queue));
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/WaitingQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/WaitingQueue.java
@@ -12,8 +12,8 @@
 import org.teaseltrail.core.schedule.ticket.TrackedTicket;
 
 /**
- * Is the one queue of a pool. Root of the aggregate: tickets enter, leave and are charged through
- * it only, so that its sums stay right.
+ * The queue of a pool's waiting tickets. As the aggregate root, it is the only way to add, remove
+ * and charge tickets, so that its sums stay consistent.
  */
 public final class WaitingQueue {
 
@@ -25,12 +25,12 @@
   private int count;
   private double waitingUs;
 
-  /** Returns the tiers, highest first; some may be empty. */
+  /** Returns the queues of the tiers, highest first; they may be empty. */
   public Collection<TierQueue> tiers() {
     return tiers.values();
   }
 
-  /** Returns the lowest tier in which a ticket waits. */
+  /** Returns the queue of the lowest tier in which a ticket waits. */
   public Optional<TierQueue> lowestTier() {
     for (TierQueue queue : tiers.descendingMap().values()) {
       if (!queue.isEmpty()) {
@@ -45,17 +45,17 @@
     return tiers.computeIfAbsent(ticket.queuePosition().tier(), TierQueue::new);
   }
 
-  /** Returns how many tickets wait. */
+  /** Returns the number of waiting tickets. */
   public int count() {
     return count;
   }
 
-  /** Returns the engine time of all that waits, in microseconds. */
+  /** Returns the estimated engine time of all waiting tickets, in microseconds. */
   public double waitingUs() {
     return waitingUs;
   }
 
-  /** Returns the ticket whose caller's deadline passes first, if any has one. */
+  /** Returns the ticket with the earliest caller's deadline, if any has one. */
   public Optional<TrackedTicket> firstDeadline() {
     return byDeadline.isEmpty() ? Optional.empty() : Optional.of(byDeadline.first());
   }
@@ -70,7 +70,7 @@
     waitingUs += ticket.estimate().engineUs();
   }
 
-  /** Takes out a ticket that is in the queue. */
+  /** Removes a waiting ticket. */
   public void remove(TrackedTicket ticket) {
     tierQueueOf(ticket).remove(ticket);
     byDeadline.remove(ticket);
@@ -78,24 +78,24 @@
     waitingUs = count == 0 ? 0 : waitingUs - ticket.estimate().engineUs();
   }
 
-  /** Charges a ticket's customer for its engine time. */
+  /** Charges a ticket's customer for the ticket's estimated engine time. */
   public void charge(TrackedTicket ticket) {
     QueuePosition place = ticket.queuePosition();
     tierQueueOf(ticket).charge(place.customer(), ticket.estimate().engineUs());
     tierQueueOf(ticket).drain().recordDrained(ticket.estimate().engineUs());
   }
 
-  /** Gives a ticket's customer back a part of what it was charged. */
+  /** Refunds engine time to a ticket's customer. */
   public void refund(TrackedTicket ticket, double engineUs) {
     tierQueueOf(ticket).charge(ticket.queuePosition().customer(), -engineUs);
   }
 
-  /** Sets aside the tickets that can't meet their deadline any more. */
+  /** Takes the tickets that can't meet their deadline any more out of the service order. */
   public void setAsideInfeasible(long nowNs) {
     tiers.values().forEach(tier -> tier.setAsideInfeasible(nowNs));
   }
 
-  /** Checks that the sums equal the sums over the tiers. */
+  /** Checks the maintained sums against the sums over the tiers. */
   public void audit() {
     int counted = tiers.values().stream().mapToInt(TierQueue::count).sum();
     double summedUs = tiers.values().stream().mapToDouble(TierQueue::waitingUs).sum();
--- a/core/src/main/java/org/teaseltrail/core/schedule/queue/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/queue/package-info.java
@@ -1,2 +1,5 @@
-/** The one queue of a pool: tiers in order, customers in fairness, tickets by useful deadline. */
+/**
+ * The waiting queue of a pool: strict priority between tiers, weighted fair queueing between
+ * customers, and tickets of a customer by useful deadline.
+ */
 package org.teaseltrail.core.schedule.queue;
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/EndedRequestCache.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/EndedRequestCache.java
@@ -8,18 +8,18 @@
 import org.teaseltrail.core.message.ControlMessage;
 
 /**
- * Remembers for a while which requests have ended or were given up. Guards against a late or
- * repeated offer: it would show as a second run of a request whose answer has been delivered. The
- * memory outlasts any message still on its way between a VM and the scheduler.
+ * Caches for a limited time which requests have ended or were refused. A late or repeated offer of
+ * such a request is recognized; otherwise the request would run a second time after its answer was
+ * delivered. The retention time exceeds the delay of any message between a VM and the scheduler.
  */
 final class EndedRequestCache {
 
   private final Map<RequestId, Ending> endings = new LinkedHashMap<>();
   private final long retentionNs;
 
-  /** Creates the memory; what is older than the time given in nanoseconds is forgotten. */
-  EndedRequestCache(long keepNs) {
-    this.retentionNs = keepNs;
+  /** Creates an empty cache with a retention time in nanoseconds. */
+  EndedRequestCache(long retentionNs) {
+    this.retentionNs = retentionNs;
   }
 
   void add(RequestId request, Optional<ControlMessage.Refused> refusal, long nowNs) {
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/EngineSpeed.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/EngineSpeed.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.schedule.ticket;
 
 /**
- * Is how fast an ordinary engine of the pool works.
+ * The speed of a typical engine of a pool.
  *
  * @param prefillUs engine time to process one prompt token, in microseconds
  * @param decodeUs share of engine time to generate one token in a full batch, in microseconds
@@ -9,6 +9,6 @@
  */
 public record EngineSpeed(double prefillUs, double decodeUs, double stepMs) {
 
-  /** Is assumed until something is measured; a step of 4 ms is the brief's size of today. */
+  /** The speed assumed before any measurement; a step of 4 ms is specified for today's engines. */
   public static final EngineSpeed ASSUMED = new EngineSpeed(50, 500, 4);
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/QueuePosition.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/QueuePosition.java
@@ -4,12 +4,12 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Says where in the queue a ticket stands, as the policy sees it. With a part of the policy off, it
- * differs from what the ticket says: all tickets in one tier, say.
+ * The position of a ticket in the queue, according to the policy. With a part of the policy
+ * disabled, it differs from the ticket; for example, all tickets are in one tier.
  *
- * @param tier the tier it is ordered by
- * @param customer the customer it is charged to
+ * @param tier the tier in which it waits
+ * @param customer the customer that it is charged to
  * @param weight that customer's weight
- * @param orderNs its place among that customer's tickets, earlier first
+ * @param orderNs its sort key among that customer's tickets, lowest first
  */
 public record QueuePosition(Tier tier, CustomerId customer, int weight, long orderNs) {}
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketEstimate.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketEstimate.java
@@ -1,15 +1,17 @@
 package org.teaseltrail.core.schedule.ticket;
 
 /**
- * Is what a ticket is expected to take.
+ * The estimated cost and the resulting deadlines of a ticket.
  *
- * @param engineUs share of an engine's time, in microseconds, for fairness and waiting work
- * @param outputTokens length of the answer as learned from earlier ones
- * @param serviceTimeMs time from dispatch to end on an ordinary engine of the pool, in milliseconds
- * @param usefulDeadlineNs until when the answer is useful, in monotonic nanoseconds: the caller's
- *     deadline or, if there is none, one that grows with the length
- * @param latestStartNs after this not even the fastest start could meet the caller's deadline, in
- *     monotonic nanoseconds; {@link TrackedTicket#NO_DEADLINE} if there is none
+ * @param engineUs share of an engine's time, in microseconds, by which fair shares and waiting work
+ *     are calculated
+ * @param outputTokens length of the answer, estimated from earlier ones
+ * @param serviceTimeMs service time from dispatch to end on a typical engine of the pool, in
+ *     milliseconds
+ * @param usefulDeadlineNs the time until which the answer is useful, in monotonic nanoseconds: the
+ *     caller's deadline or, if there is none, a soft deadline that grows with the service time
+ * @param latestStartNs the time after which a start can't meet the caller's deadline even in the
+ *     best case, in monotonic nanoseconds; {@link TrackedTicket#NO_DEADLINE} if there is none
  */
 public record TicketEstimate(
     double engineUs,
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketEstimator.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketEstimator.java
@@ -6,35 +6,40 @@
 import org.teaseltrail.core.message.RequestKind;
 import org.teaseltrail.core.message.Ticket;
 
-/** Estimates the engine time and the useful deadline of tickets, from the speed of the pool. */
+/**
+ * Estimates the engine time, the service time and the useful deadline of tickets, from the speed of
+ * the pool and from earlier answers.
+ */
 public final class TicketEstimator {
 
   /**
-   * Time after which an answer without a deadline loses its use, on top of a multiple of its span:
-   * about as long as a person waits for a short answer.
+   * Base of the time for which an answer without a deadline is useful, about as long as a person
+   * waits for a short answer. A multiple of the service time is added to it.
    */
   private static final double USEFUL_BASE_MS = 2_000;
 
-  /** Multiple of its own span that a caller without a deadline is taken to wait. */
+  /** Multiple of the service time that a caller without a deadline is assumed to wait. */
   private static final double USEFUL_SERVICE_TIMES = 3;
 
   /**
-   * Bound on what a caller without a deadline is taken to wait, so that it is not overtaken long.
+   * Maximum time that a caller without a deadline is assumed to wait, so that other requests can't
+   * overtake it for long.
    */
   private static final double USEFUL_MAX_MS = 20_000;
 
   /**
-   * Part of the expected span in which a lucky answer may be done: no prompt to process, a fast
-   * engine, a short answer. Only what can't be met even so counts as hopeless.
+   * Fraction of the estimated decoding time that an answer takes in the best case: with the prompt
+   * cached, a fast engine and a short answer. A ticket is infeasible only if it can't meet its
+   * deadline even in the best case.
    */
   private static final double BEST_CASE_RATIO = 0.5;
 
-  /** Weight of the newest answer in what is learned of lengths and of service calls. */
+  /** Weight of the newest answer in the moving averages of output lengths and service calls. */
   private static final double GAIN = 0.05;
 
   private static final double INITIAL_SERVICE_CALL_MS = 20;
 
-  /** Calls that a plain service runs at once, for its share of time. */
+  /** Number of calls that a plain service is assumed to run at once, for the engine time share. */
   private static final double SERVICE_CONCURRENCY = 8;
 
   private static final double US_PER_MS = 1_000;
@@ -44,21 +49,21 @@
   private EngineSpeed speed = EngineSpeed.ASSUMED;
   private double serviceCallMs = INITIAL_SERVICE_CALL_MS;
 
-  /** Takes a newly measured speed; tickets already estimated keep theirs. */
+  /** Sets the measured speed of the pool; existing estimates don't change. */
   public void setSpeed(EngineSpeed speed) {
     this.speed = speed;
   }
 
   /**
-   * Learns from a whole answer.
+   * Updates the averages from a completed answer.
    *
-   * @param ticket its ticket
-   * @param outputTokens its length
-   * @param spanMs time from dispatch to end, in milliseconds
+   * @param ticket the ticket of the request
+   * @param outputTokens the length of the answer
+   * @param serviceTimeMs service time from dispatch to end, in milliseconds
    */
-  public void observe(Ticket ticket, int outputTokens, double spanMs) {
+  public void observe(Ticket ticket, int outputTokens, double serviceTimeMs) {
     if (ticket.kind() == RequestKind.SERVICE_CALL) {
-      serviceCallMs += GAIN * (spanMs - serviceCallMs);
+      serviceCallMs += GAIN * (serviceTimeMs - serviceCallMs);
       return;
     }
     double ratio = outputTokens / (double) Math.max(1, ticket.expectedOutputTokens());
@@ -95,13 +100,19 @@
   }
 
   private static TicketEstimate toEstimate(
-      Ticket ticket, long nowNs, double engineUs, double output, double spanMs, double bestMs) {
+      Ticket ticket,
+      long nowNs,
+      double engineUs,
+      double output,
+      double serviceTimeMs,
+      double bestCaseMs) {
     long deadlineMs = ticket.deadlineMs();
-    double patienceMs = Math.min(USEFUL_MAX_MS, USEFUL_BASE_MS + USEFUL_SERVICE_TIMES * spanMs);
-    double usefulMs = deadlineMs > 0 ? deadlineMs : patienceMs - ticket.waitedMs();
+    double softDeadlineMs =
+        Math.min(USEFUL_MAX_MS, USEFUL_BASE_MS + USEFUL_SERVICE_TIMES * serviceTimeMs);
+    double usefulMs = deadlineMs > 0 ? deadlineMs : softDeadlineMs - ticket.waitedMs();
     long usefulNs = nowNs + (long) (usefulMs * NS_PER_MS);
     long latestStartNs =
-        deadlineMs > 0 ? usefulNs - (long) (bestMs * NS_PER_MS) : TrackedTicket.NO_DEADLINE;
-    return new TicketEstimate(engineUs, output, spanMs, usefulNs, latestStartNs);
+        deadlineMs > 0 ? usefulNs - (long) (bestCaseMs * NS_PER_MS) : TrackedTicket.NO_DEADLINE;
+    return new TicketEstimate(engineUs, output, serviceTimeMs, usefulNs, latestStartNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketPhase.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketPhase.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.core.schedule.ticket;
 
-/** Says how far a tracked ticket has come. */
+/** The phase of a tracked ticket. */
 public enum TicketPhase {
-  /** It waits for an upstream. */
+  /** The ticket waits for an upstream. */
   WAITING,
-  /** An upstream is set aside until its claim is committed. */
+  /** Capacity of an upstream is reserved until the ticket's claim is committed. */
   CLAIMING,
-  /** A grant is out; the request may have been dispatched. */
+  /** A grant has been sent; the request may have been dispatched. */
   GRANTED
 }
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketRegistry.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TicketRegistry.java
@@ -8,15 +8,15 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.ControlMessage;
 
-/** Knows every ticket from its offer to its end, and for a while those that have ended. */
+/** The registry of all tickets from their offer to their end, and of recently ended requests. */
 public final class TicketRegistry {
 
   private final Map<RequestId, TrackedTicket> tickets = new LinkedHashMap<>();
   private final EndedRequestCache ended;
 
-  /** Creates an empty book that remembers ended requests for the time given in nanoseconds. */
-  public TicketRegistry(long endedKeepNs) {
-    this.ended = new EndedRequestCache(endedKeepNs);
+  /** Creates an empty registry with a retention time of ended requests in nanoseconds. */
+  public TicketRegistry(long endedRetentionNs) {
+    this.ended = new EndedRequestCache(endedRetentionNs);
   }
 
   /** Returns the ticket of a request that has not ended. */
@@ -24,12 +24,12 @@
     return Optional.ofNullable(tickets.get(request));
   }
 
-  /** Returns whether a request is known as ended. */
+  /** Returns whether a request has ended within the retention time. */
   public boolean hasEnded(RequestId request) {
     return ended.contains(request);
   }
 
-  /** Returns what a request that was given up has been told. */
+  /** Returns the refusal that was sent for a request, if it was refused. */
   public Optional<ControlMessage.Refused> refusal(RequestId request) {
     return ended.refusal(request);
   }
@@ -39,36 +39,36 @@
     tickets.put(ticket.request(), ticket);
   }
 
-  /** Takes out a ticket whose request may be offered again. */
+  /** Removes a ticket whose request may be offered again. */
   public void remove(TrackedTicket ticket) {
     tickets.remove(ticket.request());
   }
 
-  /** Takes out a request for good: no offer of it is taken any more. */
+  /** Removes a request and records it as ended, so that further offers of it are ignored. */
   public void end(RequestId request, long nowNs) {
     tickets.remove(request);
     ended.add(request, Optional.empty(), nowNs);
   }
 
-  /** Takes out a request that was given up, and keeps what it was told. */
+  /** Removes a refused request and records its refusal. */
   public void refuse(ControlMessage.Refused refusal, long nowNs) {
     tickets.remove(refusal.request());
     ended.add(refusal.request(), Optional.of(refusal), nowNs);
   }
 
-  /** Returns the tickets of a VM that aren't granted. */
+  /** Returns the tickets of a VM that are not granted. */
   public List<TrackedTicket> notGrantedOf(VmId vm) {
     return tickets.values().stream()
         .filter(t -> t.vm().equals(vm) && t.phase() != TicketPhase.GRANTED)
         .toList();
   }
 
-  /** Returns all tickets that wait. */
+  /** Returns all waiting tickets. */
   public List<TrackedTicket> waiting() {
     return tickets.values().stream().filter(TrackedTicket::isWaiting).toList();
   }
 
-  /** Forgets ended requests that are old enough. */
+  /** Removes the ended requests whose retention time has passed. */
   public void expire(long nowNs) {
     ended.expire(nowNs);
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/TrackedTicket.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/TrackedTicket.java
@@ -8,13 +8,13 @@
 import org.teaseltrail.core.invariant.InvariantName;
 import org.teaseltrail.core.message.Ticket;
 
-/** Is a ticket with the scheduler's own times and phase for it. */
+/** A ticket with the scheduler's state for it: times, estimate, queue position and phase. */
 public final class TrackedTicket {
 
-  /** Stands for the absence of a deadline. */
+  /** The deadline of a ticket that has none. */
   public static final long NO_DEADLINE = Long.MAX_VALUE;
 
-  /** Stands for the absence of a hold. */
+  /** Start time of the hold of a ticket that has not been held. */
   private static final long NOT_HELD = Long.MIN_VALUE;
 
   private final Ticket ticket;
@@ -32,12 +32,12 @@
   /**
    * Creates a waiting ticket.
    *
-   * @param ticket what the VM offered
-   * @param vm the VM that holds the body
-   * @param order grows with each offer; breaks ties
-   * @param nowNs when the offer came, in monotonic nanoseconds
-   * @param estimate the engine time it is expected to take
-   * @param place where it stands in the queue
+   * @param ticket the ticket as the VM offered it
+   * @param vm the VM that has the request body
+   * @param order a number that grows with each offer, as a tie breaker
+   * @param nowNs when the offer was received, in monotonic nanoseconds
+   * @param estimate its estimated cost
+   * @param queuePosition its position in the queue
    */
   public TrackedTicket(
       Ticket ticket,
@@ -45,7 +45,7 @@
       long order,
       long nowNs,
       TicketEstimate estimate,
-      QueuePosition place) {
+      QueuePosition queuePosition) {
     this.ticket = ticket;
     this.vm = vm;
     this.order = order;
@@ -53,35 +53,35 @@
     this.deadlineNs =
         ticket.deadlineMs() > 0 ? nowNs + Nanos.fromMs(ticket.deadlineMs()) : NO_DEADLINE;
     this.estimate = estimate;
-    this.queuePosition = place;
+    this.queuePosition = queuePosition;
   }
 
-  /** Returns what the VM offered. */
+  /** Returns the ticket as the VM offered it. */
   public Ticket ticket() {
     return ticket;
   }
 
-  /** Returns the request that the ticket stands for. */
+  /** Returns the id of the ticket's request. */
   public RequestId request() {
     return ticket.request();
   }
 
-  /** Returns the tier that was paid for. */
+  /** Returns the customer's tier, regardless of the policy. */
   public Tier tier() {
     return ticket.tier();
   }
 
-  /** Returns the VM that holds the body. */
+  /** Returns the VM that has the request body. */
   public VmId vm() {
     return vm;
   }
 
-  /** Returns a number that grows with each offer. */
+  /** Returns a number that grows with each offer, as a tie breaker. */
   public long order() {
     return order;
   }
 
-  /** Returns when the request reached its VM, in monotonic nanoseconds of the scheduler. */
+  /** Returns when the request arrived at its VM, in monotonic nanoseconds of the scheduler. */
   public long arrivalNs() {
     return arrivalNs;
   }
@@ -91,17 +91,20 @@
     return deadlineNs;
   }
 
-  /** Returns the engine time it is expected to take. */
+  /** Returns its estimated cost. */
   public TicketEstimate estimate() {
     return estimate;
   }
 
-  /** Returns where it stands in the queue. */
+  /** Returns its position in the queue. */
   public QueuePosition queuePosition() {
     return queuePosition;
   }
 
-  /** Returns since when it is held for the engine that has its prefix; now if it was not. */
+  /**
+   * Returns when the ticket was first held for an engine that has its prefix cached, in monotonic
+   * nanoseconds. The first call starts the hold at the present time.
+   */
   public long holdStartNs(long nowNs) {
     if (holdStartNs == NOT_HELD) {
       holdStartNs = nowNs;
@@ -109,45 +112,45 @@
     return holdStartNs;
   }
 
-  /** Returns the tokens it may come to hold on an engine. */
+  /** Returns the maximum number of tokens that the request may occupy on an engine. */
   public long footprintTokens() {
     return (long) ticket.promptTokens() + ticket.expectedOutputTokens();
   }
 
-  /** Returns how far the ticket has come. */
+  /** Returns the phase of the ticket. */
   public TicketPhase phase() {
     return phase;
   }
 
-  /** Returns whether it waits for an upstream. */
+  /** Returns whether the ticket waits for an upstream. */
   public boolean isWaiting() {
     return phase == TicketPhase.WAITING;
   }
 
-  /** Returns whether the ticket keeps away from an upstream for now. */
+  /** Returns whether the ticket must not be granted an upstream at present. */
   public boolean isAvoiding(UpstreamId upstream, long nowNs) {
     return avoided != null && nowNs < avoidedUntilNs && avoided.equals(upstream);
   }
 
-  /** Keeps the ticket away from an upstream until a time, in monotonic nanoseconds. */
+  /** Excludes an upstream for the ticket until a time, in monotonic nanoseconds. */
   public void avoid(UpstreamId upstream, long untilNs) {
     avoided = upstream;
     avoidedUntilNs = untilNs;
   }
 
-  /** Notes that an upstream is set aside until the claim is committed. */
+  /** Records that an upstream is reserved until the claim is committed. */
   public void markClaiming() {
     Invariant.check(phase == TicketPhase.WAITING, InvariantName.ONE_GRANT_PER_TICKET);
     phase = TicketPhase.CLAIMING;
   }
 
-  /** Notes that the grant goes out. */
+  /** Records that the grant is sent. */
   public void granted() {
     Invariant.check(phase != TicketPhase.GRANTED, InvariantName.ONE_GRANT_PER_TICKET);
     phase = TicketPhase.GRANTED;
   }
 
-  /** Notes that the grant was given back, so that the ticket waits again. */
+  /** Records that the grant was declined or revoked, so that the ticket waits again. */
   public void markWaiting() {
     phase = TicketPhase.WAITING;
   }
--- a/core/src/main/java/org/teaseltrail/core/schedule/ticket/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/schedule/ticket/package-info.java
@@ -1,2 +1,2 @@
-/** Tickets as the scheduler tracks them, from their offer to their end. */
+/** The scheduler's state and estimates for tickets, from their offer to their end. */
 package org.teaseltrail.core.schedule.ticket;
--- a/core/src/test/java/org/teaseltrail/core/schedule/CallerRequest.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/CallerRequest.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.message.Ticket;
 import org.teaseltrail.core.message.Usage;
 
-/** Is one request as its VM sees it: the truth that the scheduler is checked against. */
+/** The reference model of one request at its VM, against which the scheduler is checked. */
 final class CallerRequest {
 
   private enum Stage {
@@ -65,8 +65,8 @@
     upstream = to;
   }
 
-  int addTokens(int more) {
-    tokens += more;
+  int addTokens(int count) {
+    tokens += count;
     return tokens;
   }
 
@@ -80,21 +80,21 @@
     return new EntryMessage.Ended(id(), upstream, kind, usage, 100);
   }
 
-  /** The VM gave the request up, or was told that it is; what it dispatched it keeps. */
+  /** Records that the VM withdrew the request or received its refusal; ignored once dispatched. */
   void refused() {
     if (stage == Stage.WAITING) {
       stage = Stage.ENDED;
     }
   }
 
-  /** The scheduler learned, or will learn, that its grant is void; or there is a new scheduler. */
+  /** Records that the grant is void: declined, withdrawn or issued by an earlier scheduler. */
   void voidGrant() {
     outstanding = null;
   }
 
-  /** Checks a grant, be it new or sent again. */
+  /** Checks that a grant, new or resent, is allowed. */
   void checkMayBeGranted(UpstreamId to) {
-    assertThat(endReported).as("%s was granted after its end was told", id()).isFalse();
+    assertThat(endReported).as("%s was granted after its end was reported", id()).isFalse();
     assertThat(outstanding).as("%s has two grants", id()).isIn(null, to);
     outstanding = to;
   }
--- a/core/src/test/java/org/teaseltrail/core/schedule/GoldenSession.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/GoldenSession.java
@@ -23,8 +23,9 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /**
- * Runs a session script against a scheduler and tells what it did. A line of a script is a command,
- * its words, and options as key=value; a line that starts with # is the story.
+ * Runs a session script against a scheduler and records its actions in a transcript. A line of a
+ * script is a command with arguments and options as key=value; a line that starts with # is a
+ * comment.
  */
 final class GoldenSession {
 
@@ -34,7 +35,7 @@
   private String[] words;
   private Map<String, String> options;
 
-  /** Runs a script and returns it with what the scheduler did below each command. */
+  /** Runs a script and returns it with the scheduler's actions below each command. */
   String run(List<String> script) {
     for (String line : script) {
       transcript.add(line);
@@ -85,7 +86,7 @@
     };
   }
 
-  /** Moves the time on, with the ticks that the scheduler asks for. */
+  /** Advances the time in steps of at most 50 ms, with a tick after each. */
   private List<SchedulerAction> at() {
     long untilMs = Long.parseLong(words[1]);
     List<SchedulerAction> actions = new ArrayList<>();
--- a/core/src/test/java/org/teaseltrail/core/schedule/GoldenSessionTest.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/GoldenSessionTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Compares whole sessions with their golden files. Run with {@code -Dgolden.write=true} to write
- * the files anew, and read the difference before committing it.
+ * Compares session transcripts with their golden files. Run with {@code -Dgolden.write=true} to
+ * regenerate the files, and review the difference before committing it.
  */
 class GoldenSessionTest {
 
@@ -32,11 +32,12 @@
         "prefix-cache"
       })
   void sessionGoesAsTheGoldenFileTells(String name) throws IOException {
-    String told = new GoldenSession().run(Files.readAllLines(FOLDER.resolve(name + ".script")));
+    String transcript =
+        new GoldenSession().run(Files.readAllLines(FOLDER.resolve(name + ".script")));
     Path golden = FOLDER.resolve(name + ".golden");
     if (Boolean.getBoolean("golden.write")) {
-      Files.writeString(golden, told, StandardCharsets.UTF_8);
+      Files.writeString(golden, transcript, StandardCharsets.UTF_8);
     }
-    assertThat(told).isEqualTo(Files.readString(golden, StandardCharsets.UTF_8));
+    assertThat(transcript).isEqualTo(Files.readString(golden, StandardCharsets.UTF_8));
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/schedule/PoolFixture.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/PoolFixture.java
@@ -42,7 +42,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Drives one scheduler under virtual time, and holds the names that the tests share. */
+/** Runs one scheduler under virtual time, with the ids and builders that the tests share. */
 final class PoolFixture {
 
   static final PoolId POOL = new PoolId("tutor");
@@ -69,7 +69,7 @@
     scheduler = new PoolScheduler(POOL, new FencingNumber(fencing), settings, 1);
   }
 
-  /** Makes a pool with the upstreams u1 to un, allowed and announced. */
+  /** Creates a pool with the upstreams u1 to uN, allowed and announced as serving. */
   static PoolFixture serving(int upstreams, SchedulerSettings settings) {
     PoolFixture fixture = new PoolFixture(settings);
     for (int i = 1; i <= upstreams; i++) {
@@ -198,14 +198,14 @@
     return scheduler.handle(event, nowMs * 1_000_000);
   }
 
-  /** Returns the requests granted by some actions, each as "request@upstream". */
+  /** Returns the requests that the actions grant, each as "request@upstream". */
   static List<String> grants(List<SchedulerAction> actions) {
     return sent(actions, ControlMessage.Grant.class)
         .map(g -> g.request() + "@" + g.upstream())
         .toList();
   }
 
-  /** Returns the requests refused by some actions, each as "request:kind". */
+  /** Returns the requests that the actions refuse, each as "request:kind". */
   static List<String> refusals(List<SchedulerAction> actions) {
     return sent(actions, ControlMessage.Refused.class)
         .map(r -> r.request() + ":" + r.kind())
--- a/core/src/test/java/org/teaseltrail/core/schedule/PoolSchedulerProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/PoolSchedulerProperties.java
@@ -8,8 +8,8 @@
 import net.jqwik.api.Tag;
 
 /**
- * What must always hold, held through random sessions: the invariants asserted in the scheduler,
- * every request answered in the end, none granted after its end or refused while it runs.
+ * Properties of the scheduler that are checked on random sessions: its own invariants hold, every
+ * request is answered in the end, and none is granted after its end or refused while it runs.
  */
 class PoolSchedulerProperties {
 
--- a/core/src/test/java/org/teaseltrail/core/schedule/PoolSchedulerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/PoolSchedulerTest.java
@@ -81,9 +81,9 @@
     assertThat(grants(actions)).containsExactly("a@u2");
   }
 
-  // A VM thaws, or applies a new configuration, and has no valid session for a moment. It gives the
-  // leader's own grant back. A scheduler that took this for an older leader's grant would count the
-  // request as running, its VM as waiting: the caller would never get an answer.
+  // A VM has no valid session for a moment, after a process pause or a new configuration, and
+  // declines a grant of the current leader. If the scheduler mistakes it for a grant of an earlier
+  // leader, it counts the request as running while the VM waits, and the caller gets no answer.
   @Test
   void grantsAgainWhatItsVmGaveBackForWantOfSession() {
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
@@ -98,9 +98,9 @@
     assertThat(grants(pool.announce("u1", UpstreamPhase.SERVING))).containsExactly("a@u1");
   }
 
-  // An entry VM dies right after its requests were granted. Nothing is heard of them, which isn't
-  // the upstream's fault; taken for silent it would get nothing new for half a minute, and with one
-  // such request on each upstream the whole pool would stand still.
+  // An entry VM dies right after its requests were granted, so no message about them arrives. If
+  // the upstream is mistaken for silent, it receives nothing new for half a minute; with one such
+  // request on each upstream, the whole pool stalls.
   @Test
   void deadVmsRequestsDontMakeTheirUpstreamLookSilent() {
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
@@ -131,9 +131,8 @@
   }
 
   /**
-   * Callers see a row of failed answers while healthy engines idle. An engine fails all it is given
-   * at once, so its slots are always free, and each next request goes there too. The cause: free
-   * slots were taken for a sign of health.
+   * Guards against an engine that fails every request immediately while healthy engines are idle.
+   * Its slots are always free, so without a back-off each following request is granted there too.
    */
   @Test
   void keepsWorkAwayFromAnUpstreamThatFailsAtOnce() {
@@ -153,9 +152,9 @@
   }
 
   /**
-   * The caller of a long report waits for ever while short requests of a lower tier go by. The
-   * report needs more room than one short answer leaves when it ends, and the next short request
-   * takes that room at once. The cause: no one kept the room for the report.
+   * Guards against starvation of a long request by short ones of a lower tier. The long request
+   * needs more capacity than a short one frees at its end, and without a reservation the next short
+   * request takes that capacity at once.
    */
   @Test
   void keepsUpstreamFreeForLongTicketThatDoesNotFitYet() {
@@ -168,9 +167,9 @@
   }
 
   /**
-   * A caller gets no answer although its request was refused. The refusal was lost with the
-   * connection to its VM, which offers the ticket again, and the scheduler says nothing about a
-   * request that it has settled.
+   * Guards against a caller that gets no answer to a refused request. The refusal is lost with the
+   * connection to the VM, which offers the ticket again; the scheduler must not ignore that offer
+   * because the request has ended.
    */
   @Test
   void repeatsRefusalThatWasLost() {
@@ -180,8 +179,8 @@
   }
 
   /**
-   * A caller hangs up while its answer is half done, and the work was for nothing. A free engine
-   * was so busy with a long prompt that it could not answer in time; another would be free soon.
+   * Guards against engine time wasted on an answer that misses its deadline. An engine with a free
+   * slot is so busy with a long prompt that it can't answer in time, while another is free soon.
    */
   @Test
   void grantsNoUpstreamThatCannotAnswerInTime() {
@@ -195,8 +194,9 @@
   }
 
   /**
-   * Requests fail on an engine that shuts down. One VM has heard that it leaves and gives its grant
-   * back; the announcement reaches the scheduler later, and meanwhile it grants there again.
+   * Guards against requests that fail on an engine that shuts down. A VM declines a grant because
+   * the engine is leaving, but the announcement of that reaches the scheduler later; meanwhile the
+   * scheduler must not grant the engine again.
    */
   @Test
   void grantsNothingToUpstreamThatVmKnowsAsLeaving() {
@@ -212,9 +212,10 @@
   }
 
   /**
-   * A request is sent to an engine that left seconds ago. Its VM was frozen when the grant came;
-   * meanwhile the engine announced that it leaves. The VM thaws and offers the request again, and
-   * the old grant was sent once more without a look at the engine.
+   * Guards against a request sent to an engine that left seconds ago. The VM is paused when the
+   * grant arrives, and meanwhile the engine announces that it is leaving. When the VM resumes and
+   * offers the request again, the old grant must not be resent without a check of the engine's
+   * phase.
    */
   @Test
   void lostGrantOfUpstreamThatHasLeftIsAskedBack() {
@@ -231,7 +232,7 @@
     assertThat(grants(pool.send(PoolFixture.VM, declined))).containsExactly("a@u2");
   }
 
-  /** A withdrawal that comes after the proof of the dispatch must not free a slot that is taken. */
+  /** A withdrawal received after the dispatch is confirmed must not free the occupied slot. */
   @Test
   void keepsSlotOfDispatchedRequestThatIsWithdrawnTooLate() {
     PoolFixture pool = PoolFixture.serving(1, SETTINGS);
@@ -245,9 +246,9 @@
   }
 
   /**
-   * A request is granted to two engines. Its VM lost its session, came back and offered the request
-   * again, so the grant was sent again; half a minute later the account dropped the grant as that
-   * of a lapsed VM, and the next offer was granted elsewhere.
+   * Guards against a request granted to two engines. Its VM loses its session, gets a new one and
+   * offers the request again, so the grant is resent. If the grant is later still removed as that
+   * of a VM whose session has expired, the next offer is granted elsewhere.
    */
   @Test
   void keepsGrantOfVmThatHasComeBack() {
--- a/core/src/test/java/org/teaseltrail/core/schedule/RandomSession.java
+++ b/core/src/test/java/org/teaseltrail/core/schedule/RandomSession.java
@@ -25,9 +25,10 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /**
- * Drives a scheduler with a random session of two VMs: offers, late and repeated messages, lapses,
- * takeovers, upstreams that come and go. It keeps the VMs' side of the story and checks the
- * scheduler's against it; the scheduler's own invariants are on as always.
+ * Runs a scheduler through a random session with two VMs: offers, late and repeated messages,
+ * expired VM sessions, scheduler takeovers, and upstreams that join and leave. It models the state
+ * at the VMs and checks the scheduler's actions against it; the scheduler's own invariants are
+ * checked as well.
  */
 final class RandomSession {
 
@@ -139,7 +140,7 @@
     send(request, new EntryMessage.Offer(ticket));
   }
 
-  /** Delivers one message to its VM; now and then not the oldest. */
+  /** Delivers one message to its VM; occasionally not the oldest one. */
   private void deliver() {
     if (inbox.isEmpty()) {
       return;
@@ -154,7 +155,10 @@
     }
   }
 
-  /** Gives a grant back; one that was sent before the recall comes before it, as over TCP. */
+  /**
+   * Declines a recalled grant. A grant of the request that is still undelivered is discarded, since
+   * it was sent before the recall on the same connection.
+   */
   private void recalled(CallerRequest request, ControlMessage.Recall recall) {
     boolean current = recall.fencing().value() == fencing;
     if (current && request.isWaiting()) {
@@ -216,7 +220,7 @@
     }
   }
 
-  /** Says something again that was said before, or that comes long after its time. */
+  /** Sends a duplicate or late message about a request. */
   private void repeatMessage() {
     CallerRequest request = pickRandom(r -> true);
     if (request == null) {
@@ -277,7 +281,7 @@
     handleActions(pool.configure());
   }
 
-  /** A VM loses its session and comes back at once. */
+  /** Expires the session of a VM, which then reports its requests in a new session at once. */
   private void lapse() {
     VmId vm = VMS.get(random.nextInt(VMS.size()));
     handleActions(pool.handle(new SchedulerEvent.VmSessionExpired(vm)));
@@ -317,7 +321,7 @@
     handleActions(pool.send(vm, new EntryMessage.ReportsComplete(vm, new FencingNumber(fencing))));
   }
 
-  /** Lets all that is left finish: nothing may be forgotten. */
+  /** Runs until all requests have ended, and fails if one never does. */
   private void finishAll() {
     phases.clear();
     for (int round = 0; round < 4_000 && pickRandom(r -> !r.isEnded()) != null; round++) {
