--- a/core/src/main/java/org/teaseltrail/core/control/ActionBuffer.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ActionBuffer.java
@@ -23,29 +23,29 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.state.ClusterSnapshot;
 
-/** Collects the actions of one event. */
+/** Collects the actions that one event causes. */
 final class ActionBuffer {
 
-  /** Decisions that an operator can look back on. */
+  /** Number of recent decisions that are kept for operators. */
   private static final int MAX_DECISIONS = 200;
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Taken(Decision decision, long atNs) {}
+  private record TimedDecision(Decision decision, long atNs) {}
 
-  private final Deque<Taken> decisions = new ArrayDeque<>();
+  private final Deque<TimedDecision> decisions = new ArrayDeque<>();
   private List<ControlAction> actions = new ArrayList<>();
-  private BooleanSupplier leaseHolds = () -> false;
+  private BooleanSupplier isLeaseValid = () -> false;
 
-  /** Sets how to find out whether the member's lease holds. */
-  void setLeaseCheck(BooleanSupplier lease) {
-    leaseHolds = lease;
+  /** Sets the check whether the member's lease is valid. */
+  void setLeaseCheck(BooleanSupplier leaseCheck) {
+    isLeaseValid = leaseCheck;
   }
 
   List<ControlAction> take() {
-    List<ControlAction> taken = actions;
+    List<ControlAction> collected = actions;
     actions = new ArrayList<>();
-    return taken;
+    return collected;
   }
 
   void persist(ReplicaAction.Write write) {
@@ -65,20 +65,20 @@
   }
 
   void sendToEntryVm(VmId vm, ControlMessage message) {
-    outward(new ControlAction.SendToEntryVm(vm, message));
+    addLeaseBound(new ControlAction.SendToEntryVm(vm, message));
   }
 
   void sendToServingVm(VmId vm, ServingReply reply) {
-    outward(new ControlAction.SendToServingVm(vm, reply));
+    addLeaseBound(new ControlAction.SendToServingVm(vm, reply));
   }
 
-  /** Tells an entry VM that this member doesn't lead; true without a lease. */
+  /** Informs an entry VM that this member is not the leader; needs no lease. */
   void sendNotLeading(VmId vm, ServingReply.NotLeading reply) {
     actions.add(new ControlAction.SendToServingVm(vm, reply));
   }
 
   void sendOrder(EngineOrder order) {
-    outward(new ControlAction.SendOrder(order));
+    addLeaseBound(new ControlAction.SendOrder(order));
   }
 
   void reply(long callId, OperatorResult result) {
@@ -89,17 +89,17 @@
     if (decisions.size() == MAX_DECISIONS) {
       decisions.removeLast();
     }
-    decisions.addFirst(new Taken(decision, nowNs));
+    decisions.addFirst(new TimedDecision(decision, nowNs));
     actions.add(new ControlAction.LogDecision(decision));
   }
 
   void requestQuarantined(
-      Fingerprint request, Optional<CustomerId> customer, int losses, int heldInAll) {
-    actions.add(new ControlAction.RequestQuarantined(request, customer, losses, heldInAll));
+      Fingerprint request, Optional<CustomerId> customer, int losses, int quarantinedCount) {
+    actions.add(new ControlAction.RequestQuarantined(request, customer, losses, quarantinedCount));
   }
 
-  void requestReleased(Fingerprint request, Optional<CustomerId> customer, int heldInAll) {
-    actions.add(new ControlAction.RequestReleased(request, customer, heldInAll));
+  void requestReleased(Fingerprint request, Optional<CustomerId> customer, int quarantinedCount) {
+    actions.add(new ControlAction.RequestReleased(request, customer, quarantinedCount));
   }
 
   void rolloutPhaseChanged(Rollout rollout, Optional<Verdict> verdict) {
@@ -118,15 +118,15 @@
     actions.add(new ControlAction.MembershipChanged(membership));
   }
 
-  /** Returns the newest decisions, newest first. */
+  /** Returns the most recent decisions, newest first. */
   List<RecentDecision> decisions(long nowNs) {
     return decisions.stream()
-        .map(taken -> new RecentDecision(taken.decision(), (nowNs - taken.atNs()) / NS_PER_MS))
+        .map(logged -> new RecentDecision(logged.decision(), (nowNs - logged.atNs()) / NS_PER_MS))
         .toList();
   }
 
-  private void outward(ControlAction action) {
-    Invariant.check(leaseHolds.getAsBoolean(), InvariantName.OUTWARD_ONLY_UNDER_LEASE);
+  private void addLeaseBound(ControlAction action) {
+    Invariant.check(isLeaseValid.getAsBoolean(), InvariantName.OUTWARD_ONLY_UNDER_LEASE);
     actions.add(action);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/AnnouncementCache.java
+++ b/core/src/main/java/org/teaseltrail/core/control/AnnouncementCache.java
@@ -11,34 +11,41 @@
 import org.teaseltrail.core.message.EntryMessage.UpstreamSeen;
 import org.teaseltrail.core.upstream.Announcement;
 
-/** Knows the newest announcement of each upstream, for as long as it counts. */
+/** Stores the newest announcement of each upstream until it expires. */
 final class AnnouncementCache {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Seen(Announcement announcement, long endsAtNs) {}
+  private record StoredAnnouncement(Announcement announcement, long expiresAtNs) {}
 
-  private final Map<UpstreamId, Seen> seen = new HashMap<>();
+  private final Map<UpstreamId, StoredAnnouncement> stored = new HashMap<>();
 
-  /** Takes an announcement; an older one that comes late over another VM changes nothing. */
+  /**
+   * Stores an announcement, unless a newer one of the same upstream has been received through
+   * another VM.
+   */
   void storeIfNewer(UpstreamSeen message, long nowNs) {
     Announcement announcement = message.announcement();
-    Seen present = seen.get(announcement.upstream());
+    StoredAnnouncement present = stored.get(announcement.upstream());
     if (present != null && !isNewer(announcement, present.announcement())) {
       return;
     }
-    long leftMs = announcement.lifetimeMs() - message.heardMs();
-    seen.put(announcement.upstream(), new Seen(announcement, nowNs + leftMs * NS_PER_MS));
+    long remainingMs = announcement.lifetimeMs() - message.heardMs();
+    stored.put(
+        announcement.upstream(),
+        new StoredAnnouncement(announcement, nowNs + remainingMs * NS_PER_MS));
   }
 
-  /** Returns what an upstream says of itself, unless it has been silent for too long. */
+  /** Returns the upstream's newest announcement, unless it has expired. */
   Optional<Announcement> find(UpstreamId upstream, long nowNs) {
-    return Optional.ofNullable(seen.get(upstream))
-        .filter(one -> one.endsAtNs() > nowNs)
-        .map(Seen::announcement);
+    return Optional.ofNullable(stored.get(upstream))
+        .filter(latest -> latest.expiresAtNs() > nowNs)
+        .map(StoredAnnouncement::announcement);
   }
 
-  /** Returns the announcements of a pool's allowed upstreams, in the order of their ids. */
+  /**
+   * Returns the announcements of a pool's allowed upstreams that are not draining, ordered by id.
+   */
   List<Announcement> findByPool(Configuration configuration, PoolId pool, long nowNs) {
     return configuration.upstreams().values().stream()
         .filter(upstream -> upstream.pool().equals(pool) && !upstream.draining())
@@ -48,13 +55,13 @@
         .toList();
   }
 
-  /** Forgets upstreams that are no longer allowed. */
+  /** Removes upstreams that are no longer allowed. */
   void retain(Configuration configuration) {
-    seen.keySet().retainAll(configuration.upstreams().keySet());
+    stored.keySet().retainAll(configuration.upstreams().keySet());
   }
 
-  private static boolean isNewer(Announcement one, Announcement other) {
-    int lives = one.incarnation().compareTo(other.incarnation());
-    return lives > 0 || lives == 0 && one.sequence() > other.sequence();
+  private static boolean isNewer(Announcement first, Announcement other) {
+    int incarnationOrder = first.incarnation().compareTo(other.incarnation());
+    return incarnationOrder > 0 || incarnationOrder == 0 && first.sequence() > other.sequence();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ClaimCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ClaimCoordinator.java
@@ -21,12 +21,13 @@
 import org.teaseltrail.core.state.CommandResult;
 
 /**
- * Brings requests with a key together with the claims of the log: no grant of such a request goes
- * out before its claim is committed, and a later request under the key learns of the first.
+ * Coordinates requests that carry an idempotency key with the claims in the replicated log. A grant
+ * for such a request is sent only after its claim is committed, and a later request with the same
+ * key is answered with the state of the first.
  */
 final class ClaimCoordinator {
 
-  /** When a caller may come back after the claims were full. */
+  /** Retry delay sent to callers when the claim store is full. */
   private static final long FULL_RETRY_MS = 10_000;
 
   private final Leadership leadership;
@@ -36,9 +37,9 @@
   }
 
   /**
-   * Looks a ticket's key up before the ticket is queued.
+   * Checks a ticket's idempotency key before the ticket is queued.
    *
-   * @return whether the ticket may be queued; otherwise its VM was answered
+   * @return whether the ticket may be queued; otherwise its VM has been answered
    */
   boolean admit(VmId vm, Ticket ticket, long nowNs) {
     if (ticket.claim().isEmpty()) {
@@ -46,7 +47,7 @@
     }
     Claim claim = ticket.claim().get();
     ClaimKey key = new ClaimKey(ticket.customer(), claim.key());
-    Optional<ClaimRecord> committed = book().find(key);
+    Optional<ClaimRecord> committed = claimStore().find(key);
     if (committed.isPresent()) {
       return admit(vm, ticket, committed.get(), nowNs);
     }
@@ -54,26 +55,26 @@
     if (first.isEmpty() || first.get().request().equals(ticket.request())) {
       return true;
     }
-    answerWaiting(vm, ticket.request(), claim, first.get());
+    replyClaimWaiting(vm, ticket.request(), claim, first.get());
     return false;
   }
 
   private boolean admit(VmId vm, Ticket ticket, ClaimRecord committed, long nowNs) {
     if (committed.holder().equals(ticket.request()) && !committed.isFinished()) {
-      // The VM offers only what it has not dispatched: the leader before committed the claim and
-      // was lost before its grant came. The holder is granted again.
+      // The VM offers only requests that it has not dispatched: the previous leader committed the
+      // claim and failed before its grant reached the VM. The holder is granted again.
       return true;
     }
     if (committed.bodyDigest().equals(ticket.claim().orElseThrow().bodyDigest())) {
-      adopt(vm, committed, nowNs);
+      takeOver(vm, committed, nowNs);
     }
-    answerHeld(vm, ticket, committed, nowNs);
+    replyClaimHeld(vm, ticket, committed, nowNs);
     return false;
   }
 
-  /** Commits a claim; the scheduler hears what became of it. */
-  void commit(CommitClaim wish, long nowNs) {
-    Ticket ticket = wish.ticket();
+  /** Commits a claim and reports the result to the pool's scheduler. */
+  void commit(CommitClaim commitRequest, long nowNs) {
+    Ticket ticket = commitRequest.ticket();
     Claim claim = ticket.claim().orElseThrow();
     Command.OpenClaim command =
         new Command.OpenClaim(
@@ -81,101 +82,106 @@
             claim.bodyDigest(),
             claim.nonIdempotent(),
             ticket.request(),
-            wish.vm(),
-            wish.upstream(),
+            commitRequest.vm(),
+            commitRequest.upstream(),
             leadership.logTimeMs(nowNs));
     leadership.propose(
         command,
         new ProposalCallback() {
           @Override
-          public void committed(CommandResult result, long thenNs) {
-            opened(wish, ((CommandResult.OfOpen) result).result(), thenNs);
+          public void committed(CommandResult result, long outcomeNs) {
+            onOpened(commitRequest, ((CommandResult.OfOpen) result).result(), outcomeNs);
           }
 
           @Override
-          public void rejected(ProposalRejection reason, long thenNs) {
-            leadership.retryLater(() -> commit(wish, leadership.nowNs()));
+          public void rejected(ProposalRejection reason, long outcomeNs) {
+            leadership.retryLater(() -> commit(commitRequest, leadership.nowNs()));
           }
         },
         nowNs);
   }
 
   /**
-   * Releases the claim of a request that did not run, then goes on.
+   * Releases the claim of a request that was not run, then runs the next step.
    *
-   * <p>A caller that is told "not run" may come back at once with its key. If the release were
-   * still under way it would meet its own dead claim, so the answer waits for the release.
+   * <p>A caller that receives "not run" may retry at once with the same key. If the release were
+   * still in flight, the retry would collide with the caller's own obsolete claim, so the answer is
+   * sent after the release is committed.
    */
-  void release(RequestId request, Runnable afterwards, long nowNs) {
-    Optional<ClaimRecord> held = book().byHolder(request).filter(claim -> !claim.isFinished());
+  void release(RequestId request, Runnable onReleased, long nowNs) {
+    Optional<ClaimRecord> held =
+        claimStore().byHolder(request).filter(claim -> !claim.isFinished());
     if (held.isPresent()) {
-      release(request, held.get().attempt(), afterwards, nowNs);
+      release(request, held.get().attempt(), onReleased, nowNs);
     } else {
-      afterwards.run();
+      onReleased.run();
     }
   }
 
   /**
-   * Releases one grant's claim. A release that has to be tried again still names the grant of its
-   * first try: by then the request may be granted anew and run, and its key must stay taken.
+   * Releases the claim of one grant. A retried release still names the attempt of the original
+   * release: by then the request may have been granted again and be running, and its key must stay
+   * claimed.
    */
-  private void release(RequestId request, int attempt, Runnable afterwards, long nowNs) {
+  private void release(RequestId request, int attempt, Runnable onReleased, long nowNs) {
     Command.ReleaseClaim command =
         new Command.ReleaseClaim(request, attempt, leadership.logTimeMs(nowNs));
     leadership.propose(
         command,
         new ProposalCallback() {
           @Override
-          public void committed(CommandResult result, long thenNs) {
-            afterwards.run();
+          public void committed(CommandResult result, long outcomeNs) {
+            onReleased.run();
           }
 
           @Override
-          public void rejected(ProposalRejection reason, long thenNs) {
-            leadership.retryLater(() -> release(request, attempt, afterwards, leadership.nowNs()));
+          public void rejected(ProposalRejection reason, long outcomeNs) {
+            leadership.retryLater(() -> release(request, attempt, onReleased, leadership.nowNs()));
           }
         },
         nowNs);
   }
 
-  /** Notes the end of a request that holds a claim. */
+  /** Completes the claim of a request that has ended, if it holds one. */
   void ended(RequestId request, EndKind kind, long nowNs) {
-    Optional<ClaimRecord> held = book().byHolder(request);
+    Optional<ClaimRecord> held = claimStore().byHolder(request);
     if (held.isEmpty() || held.get().state() == ClaimState.COMPLETED) {
       return;
     }
     Command.CompleteClaim command =
         new Command.CompleteClaim(request, kind, leadership.logTimeMs(nowNs));
-    leadership.propose(command, retrying(() -> ended(request, kind, leadership.nowNs())), nowNs);
+    leadership.propose(
+        command, retryOnRejection(() -> ended(request, kind, leadership.nowNs())), nowNs);
   }
 
-  private void opened(CommitClaim wish, OpenClaimResult result, long nowNs) {
-    Ticket ticket = wish.ticket();
+  private void onOpened(CommitClaim commitRequest, OpenClaimResult result, long nowNs) {
+    Ticket ticket = commitRequest.ticket();
     RequestId request = ticket.request();
     if (result instanceof OpenClaimResult.Opened opened) {
       boolean granted =
           leadership.deliver(
               ticket.pool(), request, new SchedulerEvent.ClaimGranted(request), nowNs);
       if (!granted) {
-        // The request was withdrawn or its VM lapsed while the claim was under way: it never ran,
-        // and without this its key would stay taken until the claim's retention ends.
+        // The request was withdrawn or its VM's session expired while the claim was in flight. It
+        // was never run; without this release its key would stay claimed until the claim's
+        // retention ends.
         release(request, opened.claim().attempt(), () -> {}, nowNs);
       }
       return;
     }
     leadership.deliver(ticket.pool(), request, new SchedulerEvent.ClaimDenied(request), nowNs);
     if (result instanceof OpenClaimResult.Held held) {
-      answerHeld(wish.vm(), ticket, held.claim(), nowNs);
+      replyClaimHeld(commitRequest.vm(), ticket, held.claim(), nowNs);
     } else if (result instanceof OpenClaimResult.DigestConflict) {
-      leadership.refuse(wish.vm(), request, RefusalKind.KEY_CONFLICT, 0);
+      leadership.refuse(commitRequest.vm(), request, RefusalKind.KEY_CONFLICT, 0);
     } else {
-      leadership.refuse(wish.vm(), request, RefusalKind.CLAIMS_FULL, FULL_RETRY_MS);
+      leadership.refuse(commitRequest.vm(), request, RefusalKind.CLAIMS_FULL, FULL_RETRY_MS);
     }
   }
 
-  private void answerHeld(VmId vm, Ticket ticket, ClaimRecord held, long nowNs) {
-    boolean same = held.bodyDigest().equals(ticket.claim().orElseThrow().bodyDigest());
-    if (!same) {
+  private void replyClaimHeld(VmId vm, Ticket ticket, ClaimRecord held, long nowNs) {
+    boolean isSameDigest = held.bodyDigest().equals(ticket.claim().orElseThrow().bodyDigest());
+    if (!isSameDigest) {
       leadership.refuse(vm, ticket.request(), RefusalKind.KEY_CONFLICT, 0);
       return;
     }
@@ -187,10 +193,13 @@
             held.holder(),
             held.state(),
             Optional.of(upstream),
-            leadership.announcements().find(upstream, nowNs).map(seen -> seen.address())));
+            leadership
+                .announcements()
+                .find(upstream, nowNs)
+                .map(announced -> announced.address())));
   }
 
-  private void answerWaiting(VmId vm, RequestId request, Claim claim, TrackedRequest first) {
+  private void replyClaimWaiting(VmId vm, RequestId request, Claim claim, TrackedRequest first) {
     if (!first.bodyDigest().equals(claim.bodyDigest())) {
       leadership.refuse(vm, request, RefusalKind.KEY_CONFLICT, 0);
       return;
@@ -201,29 +210,32 @@
             request, first.request(), ClaimState.WAITING, Optional.empty(), Optional.empty()));
   }
 
-  /** Lets the asking VM take the answer over if the VM that had it is gone. */
-  private void adopt(VmId vm, ClaimRecord held, long nowNs) {
+  /**
+   * Lets the requesting VM take over the answer if the session of the VM that holds the claim has
+   * expired.
+   */
+  private void takeOver(VmId vm, ClaimRecord held, long nowNs) {
     if (held.isFinished() || held.vm().equals(vm) || leadership.canBeAlive(held.vm(), nowNs)) {
       return;
     }
     Command.AdoptClaim command =
         new Command.AdoptClaim(held.holder(), vm, leadership.logTimeMs(nowNs));
-    leadership.propose(command, retrying(() -> {}), nowNs);
+    leadership.propose(command, retryOnRejection(() -> {}), nowNs);
   }
 
-  private ProposalCallback retrying(Runnable again) {
+  private ProposalCallback retryOnRejection(Runnable retryStep) {
     return new ProposalCallback() {
       @Override
-      public void committed(CommandResult result, long thenNs) {}
+      public void committed(CommandResult result, long outcomeNs) {}
 
       @Override
-      public void rejected(ProposalRejection reason, long thenNs) {
-        leadership.retryLater(again);
+      public void rejected(ProposalRejection reason, long outcomeNs) {
+        leadership.retryLater(retryStep);
       }
     };
   }
 
-  private ClaimStore book() {
+  private ClaimStore claimStore() {
     return leadership.claims();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ControlAction.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlAction.java
@@ -16,28 +16,31 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.state.ClusterSnapshot;
 
-/** Is something that a control member wants done, in the order given. */
+/**
+ * An action that a control member requests from its process. Actions are carried out in the order
+ * in which they are returned.
+ */
 public sealed interface ControlAction {
 
   /**
-   * Returns whether the action may only be carried out while the member's lease holds. The program
-   * looks at the lease again right before, keeps the action back while it does not hold, and drops
-   * it if the member ceases to serve as leader.
+   * Returns whether the action may be carried out only while the member's lease is valid. The
+   * process checks the lease again immediately before, holds the action back while the lease is not
+   * valid, and drops it if the member stops serving as leader.
    */
   default boolean requiresLease() {
     return false;
   }
 
   /**
-   * Write to the data folder, then tell the member.
+   * Write to the data folder, then report completion to the member.
    *
    * @param write the write
    */
   record Persist(ReplicaAction.Write write) implements ControlAction {}
 
   /**
-   * Encode a snapshot and tell the member. The program does so on another thread: a hundred
-   * thousand claims take a second, in which a leader would lose its lease.
+   * Encode a snapshot and return it to the member. The process does so on another thread: encoding
+   * a hundred thousand claims takes a second, in which a leader would lose its lease.
    *
    * @param index index of the last entry applied
    * @param snapshot the state
@@ -52,7 +55,7 @@
   record SendToPeer(PeerEnvelope envelope) implements ControlAction {}
 
   /**
-   * Tell an entry VM that this member does not lead.
+   * Inform an entry VM that this member is not the leader.
    *
    * @param vm the VM
    * @param message the message
@@ -60,7 +63,7 @@
   record SendNotLeader(VmId vm, ControlMessage.NotLeader message) implements ControlAction {}
 
   /**
-   * Send a leader's message to an entry VM.
+   * Send a message of the leader to an entry VM whose requests the leader schedules.
    *
    * @param vm the VM
    * @param message the message
@@ -98,7 +101,7 @@
   }
 
   /**
-   * Answer an operator.
+   * Answer a request of an operator.
    *
    * @param callId the call
    * @param result the answer
@@ -106,44 +109,45 @@
   record Reply(long callId, OperatorResult result) implements ControlAction {}
 
   /**
-   * Write a decision to the log.
+   * Write a scheduling decision to the log.
    *
    * @param decision the decision
    */
   record LogDecision(Decision decision) implements ControlAction {}
 
   /**
-   * The leader holds a request that no upstream may get any longer.
+   * The leader has quarantined a request: it is sent to no upstream any more.
    *
    * @param request the request
-   * @param customer whose it is, if that is known
-   * @param losses upstreams that were lost under it, 0 if another leader held it
-   * @param quarantinedCount requests that are held now
+   * @param customer the customer that sent it, if known
+   * @param losses upstreams that were lost while processing it, 0 if an earlier leader quarantined
+   *     it
+   * @param quarantinedCount number of requests in quarantine now
    */
   record RequestQuarantined(
       Fingerprint request, Optional<CustomerId> customer, int losses, int quarantinedCount)
       implements ControlAction {}
 
   /**
-   * The leader lets a held request go to upstreams again.
+   * The leader has released a request from quarantine: it may be sent to upstreams again.
    *
    * @param request the request
-   * @param customer whose it is, if that is known
-   * @param quarantinedCount requests that are held now
+   * @param customer the customer that sent it, if known
+   * @param quarantinedCount number of requests in quarantine now
    */
   record RequestReleased(Fingerprint request, Optional<CustomerId> customer, int quarantinedCount)
       implements ControlAction {}
 
   /**
-   * A rollout was ordered, or has turned to a later phase.
+   * A rollout was ordered or has moved to a later phase.
    *
    * @param rollout the rollout in its new phase
-   * @param verdict what decided it, if its version was found bad
+   * @param verdict the verdict that caused the transition, if the target version was found faulty
    */
   record RolloutPhaseChanged(Rollout rollout, Optional<Verdict> verdict) implements ControlAction {}
 
   /**
-   * The member has begun or ceased to serve as leader, or knows another leader.
+   * The member has started or stopped serving as leader, or another member has become leader.
    *
    * @param serving whether it serves as leader
    * @param term its term
@@ -153,9 +157,9 @@
       implements ControlAction {}
 
   /**
-   * Leadership can't be handed over, so the process need not wait for it.
+   * Leadership can't be transferred, so the process need not wait for the transfer before it stops.
    *
-   * @param reason why
+   * @param reason the reason
    */
   record HandOverRejected(ProposalRejection reason) implements ControlAction {}
 
--- a/core/src/main/java/org/teaseltrail/core/control/ControlEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlEvent.java
@@ -6,13 +6,13 @@
 import org.teaseltrail.core.replication.PeerEnvelope;
 import org.teaseltrail.core.serving.ServingMessage;
 
-/** Is something that has happened and that a control member must know. */
+/** An event that a control member handles. */
 public sealed interface ControlEvent {
 
   /**
    * An entry VM has sent a message.
    *
-   * @param vm the VM, as the first hello of its connection named it
+   * @param vm the VM, as named in the first hello of its connection
    * @param message the message
    */
   record FromEntry(VmId vm, EntryMessage message) implements ControlEvent {}
@@ -25,7 +25,7 @@
   record FromServingVm(ServingMessage message) implements ControlEvent {}
 
   /**
-   * A process runs a member that wants to belong to the group.
+   * A process runs a member that asks to join the group.
    *
    * @param member the member
    */
@@ -39,39 +39,39 @@
   record FromPeer(PeerEnvelope envelope) implements ControlEvent {}
 
   /**
-   * Writes are synced.
+   * Writes have been synced to disk.
    *
    * @param writeNumber number of the newest synced write
    */
   record Persisted(long writeNumber) implements ControlEvent {}
 
   /**
-   * A snapshot was encoded.
+   * A snapshot has been encoded.
    *
-   * @param index index of the last entry applied to it
+   * @param index index of the last entry that the snapshot includes
    * @param state the encoded state; must not be changed afterwards
    */
   record SnapshotEncoded(long index, byte[] state) implements ControlEvent {}
 
   /**
-   * An operator asks for something.
+   * An operator has sent a request.
    *
-   * @param callId the call, given back in the reply
-   * @param request what is asked for
+   * @param callId the call, returned with the reply
+   * @param request the request
    */
   record OperatorCall(long callId, OperatorRequest request) implements ControlEvent {}
 
   /**
-   * An engine has answered an order, or the order failed.
+   * An engine has answered an order, or the order has failed.
    *
    * @param order the order
-   * @param outcome what came of it
+   * @param outcome the outcome
    */
   record OrderAnswered(EngineOrder order, OrderOutcome outcome) implements ControlEvent {}
 
-  /** The process is to stop: leadership goes to another member first. */
+  /** The process is about to stop; leadership is transferred to another member first. */
   record HandOver() implements ControlEvent {}
 
-  /** Time has passed. */
+  /** Time has passed; the member runs the work that is due. */
   record Tick() implements ControlEvent {}
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ControlMember.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlMember.java
@@ -22,14 +22,15 @@
 import org.teaseltrail.core.state.StateCodec;
 
 /**
- * Is a control member. It keeps its part of the replicated log and state; while it leads and its
- * lease holds, it also serves entry VMs, schedules the pools and answers operators.
+ * A member of the control group. It maintains its copy of the replicated log and state. While it is
+ * leader and its lease is valid, it also serves entry VMs, schedules the pools and answers
+ * operators.
  */
 public final class ControlMember {
 
   private final MemberId self;
-  private final ActionBuffer out = new ActionBuffer();
-  private final ReplicatedStateMachine replicated;
+  private final ActionBuffer actions = new ActionBuffer();
+  private final ReplicatedStateMachine stateMachine;
   private final OperatorRequestHandler operators;
   private final LeaderContext context;
   private Optional<Leadership> leadership = Optional.empty();
@@ -39,10 +40,10 @@
    * Creates a member.
    *
    * @param self the member
-   * @param settings what it does while it leads
-   * @param replica its part of the log; nobody else may use it afterwards
-   * @param codec writes commands and snapshots
-   * @param schedulers makes the scheduler of each pool
+   * @param settings settings that apply while it leads
+   * @param replica its replica of the log; must not be used by anybody else afterwards
+   * @param codec encodes and decodes commands and snapshots
+   * @param schedulers creates the scheduler of each pool
    */
   public ControlMember(
       MemberId self,
@@ -51,135 +52,140 @@
       StateCodec codec,
       SchedulerFactory schedulers) {
     this.self = self;
-    replicated = new ReplicatedStateMachine(replica, codec, out, new LogListener());
-    operators = new OperatorRequestHandler(replicated, out);
-    context = new LeaderContext(self, settings, replicated, out, schedulers);
-    out.setLeaseCheck(() -> replica.leaseHolds(nowNs));
+    stateMachine = new ReplicatedStateMachine(replica, codec, actions, new LogListener());
+    operators = new OperatorRequestHandler(stateMachine, actions);
+    context = new LeaderContext(self, settings, stateMachine, actions, schedulers);
+    actions.setLeaseCheck(() -> replica.leaseHolds(nowNs));
   }
 
   /**
-   * Takes an event.
+   * Handles an event.
    *
-   * @param event what has happened
+   * @param event the event
    * @param eventNs monotonic time in nanoseconds, never less than at the call before
-   * @return what is to be done, in order
+   * @return the actions to carry out, in order
    */
   public List<ControlAction> handle(ControlEvent event, long eventNs) {
     nowNs = eventNs;
     leadership.ifPresent(leader -> leader.advanceTo(nowNs));
     dispatch(event);
     leadership.ifPresent(leader -> leader.advanceTo(nowNs));
-    return out.take();
+    return actions.take();
   }
 
   /**
-   * Returns when the member next wants a tick if nothing else happens.
+   * Returns when the member next needs a tick if no other event occurs.
    *
-   * @return monotonic time in nanoseconds, or empty if it waits for nothing
+   * @return monotonic time in nanoseconds, or empty if no timer is set
    */
   public OptionalLong nextWakeupNs() {
     OptionalLong leading = leadership.map(Leadership::nextWakeupNs).orElse(OptionalLong.empty());
-    return Stream.of(replicated.replica().nextWakeupNs(), leading)
+    return Stream.of(stateMachine.replica().nextWakeupNs(), leading)
         .flatMapToLong(OptionalLong::stream)
         .min();
   }
 
   /**
-   * Returns whether outward actions may leave now. The program asks right before it sends one: the
-   * process may have been frozen since the decision, and another member may lead by now.
+   * Returns whether actions that require the lease may be carried out now. The process checks this
+   * immediately before it sends one: it may have been paused since the decision, and another member
+   * may lead by now.
    *
    * @param atNs monotonic time in nanoseconds
    */
   public boolean isLeaseValid(long atNs) {
-    return leadership.isPresent() && replicated.replica().leaseHolds(atNs);
+    return leadership.isPresent() && stateMachine.replica().leaseHolds(atNs);
   }
 
-  /** Returns the accepted configuration as far as this member has applied the log. */
+  /** Returns the accepted configuration, up to the last log entry that this member has applied. */
   public Configuration configuration() {
-    return replicated.state().configuration();
+    return stateMachine.state().configuration();
   }
 
-  /** Returns the count of claims as far as this member has applied the log. */
+  /** Returns the number of claims, up to the last log entry that this member has applied. */
   public int claimCount() {
-    return replicated.state().claims().size();
+    return stateMachine.state().claims().size();
   }
 
   private void dispatch(ControlEvent event) {
     if (event instanceof ControlEvent.FromEntry from) {
-      fromEntry(from.vm(), from.message());
+      onEntryMessage(from.vm(), from.message());
     } else if (event instanceof ControlEvent.FromServingVm from) {
-      fromServingVm(from.message());
+      onServingMessage(from.message());
     } else if (event instanceof ControlEvent.MemberJoins joins) {
       leadership
           .flatMap(Leadership::membershipReconciler)
-          .ifPresent(keeper -> keeper.heard(joins.member(), nowNs));
+          .ifPresent(reconciler -> reconciler.heard(joins.member(), nowNs));
     } else if (event instanceof ControlEvent.FromPeer from) {
-      replicated.handle(new ReplicaEvent.PeerReceived(from.envelope()), nowNs);
+      stateMachine.handle(new ReplicaEvent.PeerReceived(from.envelope()), nowNs);
     } else if (event instanceof ControlEvent.Persisted persisted) {
-      replicated.handle(new ReplicaEvent.Persisted(persisted.writeNumber()), nowNs);
+      stateMachine.handle(new ReplicaEvent.Persisted(persisted.writeNumber()), nowNs);
     } else if (event instanceof ControlEvent.SnapshotEncoded snapshot) {
       ReplicaEvent taken = new ReplicaEvent.SnapshotTaken(snapshot.index(), snapshot.state());
-      replicated.handle(taken, nowNs);
+      stateMachine.handle(taken, nowNs);
     } else if (event instanceof ControlEvent.OperatorCall call) {
-      operatorCall(call);
+      onOperatorCall(call);
     } else if (event instanceof ControlEvent.OrderAnswered answered) {
       leadership.ifPresent(
           leader -> leader.orderDispatcher().onAnswer(answered.order(), answered.outcome(), nowNs));
     } else if (event instanceof ControlEvent.HandOver) {
       operators.handOver(nowNs);
     } else {
-      replicated.handle(new ReplicaEvent.Tick(), nowNs);
+      stateMachine.handle(new ReplicaEvent.Tick(), nowNs);
       leadership.ifPresent(Leadership::tick);
     }
   }
 
-  private void fromEntry(VmId vm, EntryMessage message) {
+  private void onEntryMessage(VmId vm, EntryMessage message) {
     if (message instanceof EntryMessage.Hello hello) {
-      hello(hello);
+      onHello(hello);
     } else {
       leadership.ifPresent(
           leader -> leader.gate().runUnderLease(() -> leader.entryHandler().message(vm, message)));
     }
   }
 
-  /** A sync is answered at once or not at all, like a hello. */
-  private void fromServingVm(ServingMessage message) {
+  /** Answers a sync immediately or not at all, like a hello. */
+  private void onServingMessage(ServingMessage message) {
     if (leadership.isPresent() && leadership.get().gate().isOpen()) {
       leadership.get().servingCoordinator().message(message);
       return;
     }
     if (message instanceof ServingMessage.Sync sync) {
-      syncElsewhere(sync);
+      redirectSync(sync);
     }
   }
 
-  private void syncElsewhere(ServingMessage.Sync sync) {
-    Membership members = replicated.membership();
+  private void redirectSync(ServingMessage.Sync sync) {
+    Membership members = stateMachine.membership();
     Optional<VmId> leader =
-        replicated
+        stateMachine
             .replica()
             .leader()
             .filter(known -> !known.equals(self))
             .flatMap(members::find)
             .map(Member::vm);
     List<VmId> vms = members.all().map(Member::vm).distinct().toList();
-    out.sendNotLeading(sync.vm(), new ServingReply.NotLeading(sync.sequence(), leader, vms));
+    actions.sendNotLeading(sync.vm(), new ServingReply.NotLeading(sync.sequence(), leader, vms));
   }
 
-  /** A hello is answered at once or not at all: it is good only for the time after its sending. */
-  private void hello(EntryMessage.Hello hello) {
+  /**
+   * Answers a hello immediately or not at all: a hello extends the session only from the time at
+   * which it was sent.
+   */
+  private void onHello(EntryMessage.Hello hello) {
     if (leadership.isPresent() && leadership.get().gate().isOpen()) {
       leadership.get().entryHandler().onHello(hello);
       return;
     }
-    Optional<MemberId> leader = replicated.replica().leader().filter(known -> !known.equals(self));
-    out.sendNotLeader(hello.vm(), new ControlMessage.NotLeader(self, leader, hello.sequence()));
+    Optional<MemberId> leader =
+        stateMachine.replica().leader().filter(known -> !known.equals(self));
+    actions.sendNotLeader(hello.vm(), new ControlMessage.NotLeader(self, leader, hello.sequence()));
   }
 
-  private void operatorCall(ControlEvent.OperatorCall call) {
+  private void onOperatorCall(ControlEvent.OperatorCall call) {
     if (call.request() instanceof OperatorRequest.ReadLocalStatus) {
-      ControlStatusBuilder report = new ControlStatusBuilder(self, replicated, leadership);
-      out.reply(call.callId(), new OperatorResult.StatusRead(report.build(nowNs)));
+      ControlStatusBuilder report = new ControlStatusBuilder(self, stateMachine, leadership);
+      actions.reply(call.callId(), new OperatorResult.StatusRead(report.build(nowNs)));
     } else if (leadership.isPresent() && leadership.get().gate().isOpen()) {
       operators.handle(call.callId(), call.request(), leadership.get());
     } else {
@@ -188,11 +194,11 @@
   }
 
   private void announceLeadership() {
-    out.leadershipChanged(
-        leadership.isPresent(), replicated.replica().term(), replicated.replica().leader());
+    actions.leadershipChanged(
+        leadership.isPresent(), stateMachine.replica().term(), stateMachine.replica().leader());
   }
 
-  /** Turns what the log does into what the member does. */
+  /** Passes changes of the replicated log on to the leadership. */
   private final class LogListener implements ReplicatedStateMachine.Listener {
 
     @Override
@@ -203,9 +209,9 @@
       if (accepted) {
         leadership.ifPresent(Leadership::onConfigurationAccepted);
       }
-      boolean told =
+      boolean servingStateChanged =
           result instanceof CommandResult.OfServing || result instanceof CommandResult.OfRollout;
-      if (told) {
+      if (servingStateChanged) {
         leadership.ifPresent(Leadership::onServingStateChanged);
       }
     }
--- a/core/src/main/java/org/teaseltrail/core/control/ControlSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlSettings.java
@@ -7,16 +7,16 @@
 import org.teaseltrail.core.session.SessionSettings;
 
 /**
- * Sets what a control member does while it leads.
+ * Settings of a control member that apply while it leads.
  *
- * @param sessions times of the entry VMs' sessions
- * @param claims bounds of the claims
- * @param claimExpiryIntervalMs time between two looks for old claims
- * @param placement pace of the loads it orders
- * @param seed seeds what schedulers draw by chance
+ * @param sessions timeouts of the entry VMs' sessions
+ * @param claims limits of the claim store
+ * @param claimExpiryIntervalMs interval between two checks for expired claims
+ * @param placement rate of the model loads that it orders
+ * @param seed seed of the schedulers' random numbers
  * @param quotas how quotas are counted
  * @param rollouts how rollouts are carried out
- * @param repair how the group repairs itself; empty if operators change its members
+ * @param repair how the group repairs its membership; empty if only operators change it
  */
 public record ControlSettings(
     SessionSettings sessions,
@@ -28,7 +28,7 @@
     RolloutSettings rollouts,
     Optional<RepairSettings> repair) {
 
-  /** The settings in use unless an operator says otherwise. */
+  /** Default settings. */
   public static final ControlSettings DEFAULT =
       new ControlSettings(
           SessionSettings.DEFAULT,
--- a/core/src/main/java/org/teaseltrail/core/control/ControlStatus.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlStatus.java
@@ -13,15 +13,15 @@
 import org.teaseltrail.core.upstream.Announcement;
 
 /**
- * Shows the state of the group as the leader sees it.
+ * Status of the control group as the leader sees it.
  *
- * @param self the member that answers
+ * @param self the member that reports
  * @param leading whether it serves as leader; if not, the lists below are empty
  * @param leader the leader it knows
  * @param term its term, the fencing number of its leadership
  * @param revision the accepted configuration
  * @param membership the member set
- * @param claims count of claims
+ * @param claims number of claims
  * @param entryVms the entry VMs with a session
  * @param pools the pools
  * @param upstreams the allowed upstreams
@@ -39,13 +39,13 @@
     List<UpstreamStatus> upstreams) {
 
   /**
-   * Shows an entry VM.
+   * Status of an entry VM.
    *
    * @param vm the VM
-   * @param dataCenter where it stands
+   * @param dataCenter its data centre
    * @param appliedRevision the configuration it applies
    * @param sinceHelloMs time since its last hello
-   * @param reported whether it has told this leadership of all it holds
+   * @param reported whether it has reported all its requests to this leadership
    */
   public record EntryVmStatus(
       VmId vm,
@@ -55,32 +55,32 @@
       boolean reported) {}
 
   /**
-   * Shows a pool.
+   * Status of a pool.
    *
    * @param pool the pool
    * @param waiting waiting requests by tier, highest tier first
-   * @param runningRequests requests granted and not ended
+   * @param runningRequests requests that were granted and have not ended
    * @param canShed whether all VMs have reported, so that load may be shed
    */
   public record PoolStatus(
       PoolId pool, List<TierCount> waiting, int runningRequests, boolean canShed) {}
 
   /**
-   * Counts requests of a tier.
+   * Number of requests of a tier.
    *
    * @param tier the tier
-   * @param count how many
+   * @param count the number of requests
    */
   public record TierCount(Tier tier, int count) {}
 
   /**
-   * Shows an upstream.
+   * Status of an upstream.
    *
    * @param upstream the upstream
    * @param pool its pool
    * @param draining whether operators drain it
-   * @param announcement its newest announcement that still counts
-   * @param runningRequests requests granted there and not ended
+   * @param announcement its newest announcement that has not expired
+   * @param runningRequests requests that were granted to it and have not ended
    */
   public record UpstreamStatus(
       UpstreamId upstream,
--- a/core/src/main/java/org/teaseltrail/core/control/ControlStatusBuilder.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlStatusBuilder.java
@@ -14,32 +14,34 @@
 import org.teaseltrail.core.id.PoolId;
 import org.teaseltrail.core.id.Tier;
 
-/** Shows a member's state to operators, with that of its leadership if it leads. */
+/**
+ * Builds a member's status report for operators, including the state of its leadership if it leads.
+ */
 final class ControlStatusBuilder {
 
   private final MemberId self;
-  private final ReplicatedStateMachine replicated;
-  private final Optional<Leadership> leading;
+  private final ReplicatedStateMachine stateMachine;
+  private final Optional<Leadership> activeLeadership;
 
   ControlStatusBuilder(
-      MemberId self, ReplicatedStateMachine replicated, Optional<Leadership> leading) {
+      MemberId self, ReplicatedStateMachine stateMachine, Optional<Leadership> activeLeadership) {
     this.self = self;
-    this.replicated = replicated;
-    this.leading = leading;
+    this.stateMachine = stateMachine;
+    this.activeLeadership = activeLeadership;
   }
 
   ControlStatus build(long nowNs) {
     return new ControlStatus(
         self,
-        leading.isPresent(),
-        replicated.replica().leader(),
-        replicated.replica().term(),
-        replicated.state().configuration().revision(),
-        replicated.membership(),
-        replicated.state().claims().size(),
-        leading.map(leader -> entryVms(leader, nowNs)).orElse(List.of()),
-        leading.map(this::pools).orElse(List.of()),
-        leading.map(this::upstreams).orElse(List.of()));
+        activeLeadership.isPresent(),
+        stateMachine.replica().leader(),
+        stateMachine.replica().term(),
+        stateMachine.state().configuration().revision(),
+        stateMachine.membership(),
+        stateMachine.state().claims().size(),
+        activeLeadership.map(leader -> entryVms(leader, nowNs)).orElse(List.of()),
+        activeLeadership.map(this::pools).orElse(List.of()),
+        activeLeadership.map(this::upstreams).orElse(List.of()));
   }
 
   private List<EntryVmStatus> entryVms(Leadership leadership, long nowNs) {
--- a/core/src/main/java/org/teaseltrail/core/control/EngineOrder.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EngineOrder.java
@@ -8,13 +8,13 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /**
- * Orders an engine to load or unload or to change its role.
+ * An order to an engine to load or unload a model or to change its role.
  *
- * @param number tells the orders of one leadership apart
+ * @param number identifies the order among those of one leadership
  * @param upstream the engine
- * @param address where it takes orders
- * @param content what to do
- * @param fencing the leadership that orders; engines that look at it refuse an older one
+ * @param address the address at which it accepts orders
+ * @param content the operation to perform
+ * @param fencing the leadership that sends the order; engines that check it reject an older one
  */
 public record EngineOrder(
     long number,
@@ -23,7 +23,7 @@
     OrderContent content,
     FencingNumber fencing) {
 
-  /** Returns the adapter that the order names, if any. */
+  /** Returns the adapter to load, if the order loads one. */
   public Optional<AdapterId> adapter() {
     boolean named = content.kind() == OrderKind.LOAD_ADAPTER;
     return named ? content.target().flatMap(ModelTarget::adapter) : Optional.empty();
--- a/core/src/main/java/org/teaseltrail/core/control/EngineOrderDispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EngineOrderDispatcher.java
@@ -8,28 +8,31 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.upstream.Announcement;
 
-/** Sends orders to engines under one leadership, each with a log line, and hears their answers. */
+/**
+ * Sends orders to engines under one leadership, logs each as a decision, and handles the engines'
+ * answers.
+ */
 final class EngineOrderDispatcher {
 
-  private final ActionBuffer out;
+  private final ActionBuffer actions;
   private final FencingNumber fencing;
   private final Map<Long, Long> calls = new HashMap<>();
   private long lastNumber;
 
-  EngineOrderDispatcher(ActionBuffer out, FencingNumber fencing) {
-    this.out = out;
+  EngineOrderDispatcher(ActionBuffer actions, FencingNumber fencing) {
+    this.actions = actions;
     this.fencing = fencing;
   }
 
   EngineOrder send(Announcement engine, OrderContent content, long nowNs) {
     EngineOrder order =
         new EngineOrder(++lastNumber, engine.upstream(), engine.address(), content, fencing);
-    out.sendOrder(order);
+    actions.sendOrder(order);
     log(order, "outcome=ORDERED", nowNs);
     return order;
   }
 
-  /** Sends an operator's order; the operator is answered with the engine. */
+  /** Sends an operator's order; the operator is answered when the engine has answered. */
   void send(long callId, OperatorRequest.OrderEngine request, Leadership leadership) {
     if (!leadership.configuration().upstreams().containsKey(request.upstream())) {
       reject(callId, OrderRejection.UNKNOWN_UPSTREAM);
@@ -45,22 +48,24 @@
     calls.put(order.number(), callId);
   }
 
-  /** Takes an engine's answer; an answer to an older leadership's order is only logged. */
+  /** Handles an engine's answer; an answer to an order of an earlier leadership is only logged. */
   void onAnswer(EngineOrder order, OrderOutcome outcome, long nowNs) {
     log(order, "outcome=" + outcome, nowNs);
     Long callId = order.fencing().equals(fencing) ? calls.remove(order.number()) : null;
     if (callId != null) {
-      out.reply(callId, new OperatorResult.OrderAnswered(outcome, fencing));
+      actions.reply(callId, new OperatorResult.OrderAnswered(outcome, fencing));
     }
   }
 
   void end() {
-    calls.values().forEach(callId -> out.reply(callId, new OperatorResult.OutcomeIndeterminate()));
+    calls
+        .values()
+        .forEach(callId -> actions.reply(callId, new OperatorResult.OutcomeIndeterminate()));
     calls.clear();
   }
 
   private void reject(long callId, OrderRejection reason) {
-    out.reply(callId, new OperatorResult.OrderRejected(reason));
+    actions.reply(callId, new OperatorResult.OrderRejected(reason));
   }
 
   private void log(EngineOrder order, String outcome, long nowNs) {
@@ -70,7 +75,7 @@
     String adapter = order.adapter().map(name -> " adapter=" + name).orElse("");
     String role = content.role().map(name -> " role=" + name).orElse("");
     String reason = "order=" + content.kind() + target + adapter + role;
-    out.log(
+    actions.log(
         new Decision(
             DecisionKind.PLACE,
             Optional.empty(),
--- a/core/src/main/java/org/teaseltrail/core/control/EntryMessageHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryMessageHandler.java
@@ -18,25 +18,29 @@
 import org.teaseltrail.core.session.HelloResult.SessionChange;
 import org.teaseltrail.core.session.Session;
 
-/** Takes what entry VMs say: hellos to their sessions, all else to the scheduler of its pool. */
+/**
+ * Handles messages of entry VMs: passes hellos to the session registry and all other messages to
+ * the scheduler of the pool concerned.
+ */
 final class EntryMessageHandler {
 
   /**
-   * Stands for the VMs that an older leader has welcomed and that have not said hello here yet. As
-   * long as it is awaited no scheduler sheds; it lapses when the last such session must have.
+   * Placeholder for the VMs that have a session from an earlier leader and have not sent a hello to
+   * this one yet. While it is awaited no scheduler sheds load. It expires when the last such
+   * session must have expired.
    */
   private static final VmId UNREPORTED_VMS = new VmId("unheard-vms");
 
   private final Leadership leadership;
-  private final Set<VmId> awaited = new HashSet<>();
+  private final Set<VmId> awaitedVms = new HashSet<>();
 
   EntryMessageHandler(Leadership leadership) {
     this.leadership = leadership;
   }
 
   void awaitReports() {
-    awaited.add(UNREPORTED_VMS);
-    tellAwaited();
+    awaitedVms.add(UNREPORTED_VMS);
+    announceAwaited();
   }
 
   void onHello(EntryMessage.Hello hello) {
@@ -52,14 +56,14 @@
       return;
     }
     if (outcome.sessionChange() == SessionChange.REPLACED) {
-      lapsed(hello.vm());
+      onSessionExpired(hello.vm());
     }
-    if (outcome.sessionChange() != SessionChange.KEPT && awaited.contains(UNREPORTED_VMS)) {
-      awaited.add(hello.vm());
-      tellAwaited();
+    if (outcome.sessionChange() != SessionChange.KEPT && awaitedVms.contains(UNREPORTED_VMS)) {
+      awaitedVms.add(hello.vm());
+      announceAwaited();
     }
     if (outcome.renewed()) {
-      welcome(hello);
+      sendWelcome(hello);
     }
     if (outcome.needsConfiguration()) {
       leadership.sendConfiguration(hello.vm());
@@ -69,41 +73,41 @@
 
   void message(VmId vm, EntryMessage message) {
     if (message instanceof EntryMessage.Offer offer) {
-      offer(vm, offer);
+      onOffer(vm, offer);
     } else if (message instanceof EntryMessage.StillRunning running) {
-      stillRunning(vm, running);
+      onStillRunning(vm, running);
     } else if (message instanceof EntryMessage.ReportsComplete complete) {
-      reportsComplete(vm, complete);
+      onReportsComplete(vm, complete);
     } else if (message instanceof EntryMessage.UpstreamSeen seen) {
-      upstreamSeen(vm, seen);
+      onUpstreamSeen(vm, seen);
     } else if (message instanceof EntryMessage.CacheSeen seen) {
-      poolOf(seen.event().upstream()).ifPresent(pool -> feed(pool, vm, message));
+      poolOf(seen.event().upstream()).ifPresent(pool -> deliver(pool, vm, message));
     } else {
-      aboutRequest(vm, message);
+      onRequestMessage(vm, message);
     }
   }
 
-  /** Ends the sessions whose time is over. */
+  /** Ends the sessions that have expired. */
   void expireSessions() {
-    leadership.sessions().removeExpired(leadership.nowNs()).forEach(this::lapsed);
+    leadership.sessions().removeExpired(leadership.nowNs()).forEach(this::onSessionExpired);
     if (leadership.sessions().havePriorSessionsExpired(leadership.nowNs())
-        && awaited.remove(UNREPORTED_VMS)) {
+        && awaitedVms.remove(UNREPORTED_VMS)) {
       broadcast(new SchedulerEvent.VmSessionExpired(UNREPORTED_VMS));
     }
   }
 
-  /** Returns whether each VM that may hold requests has told of them. */
+  /** Returns whether each VM that can hold requests has reported them. */
   boolean haveAllReported() {
-    return awaited.isEmpty();
+    return awaitedVms.isEmpty();
   }
 
-  private void lapsed(VmId vm) {
-    awaited.remove(vm);
+  private void onSessionExpired(VmId vm) {
+    awaitedVms.remove(vm);
     leadership.requests().removeAll(vm);
     broadcast(new SchedulerEvent.VmSessionExpired(vm));
   }
 
-  private void welcome(EntryMessage.Hello hello) {
+  private void sendWelcome(EntryMessage.Hello hello) {
     boolean reported =
         leadership.sessions().find(hello.vm()).map(Session::hasReported).orElse(false);
     leadership.send(
@@ -118,10 +122,10 @@
   }
 
   /**
-   * Queues a ticket. A VM without a session is not heard: it must say hello first and then tells
-   * all that it holds, so nothing is lost.
+   * Queues a ticket. Tickets of a VM without a session are ignored: the VM must send a hello first
+   * and then reports everything that it holds, so nothing is lost.
    */
-  private void offer(VmId vm, EntryMessage.Offer offer) {
+  private void onOffer(VmId vm, EntryMessage.Offer offer) {
     Ticket ticket = offer.ticket();
     if (leadership.sessions().find(vm).isEmpty()) {
       return;
@@ -132,35 +136,35 @@
     }
     if (leadership.claimCoordinator().admit(vm, ticket, leadership.nowNs())) {
       leadership.requests().track(vm, ticket);
-      feed(ticket.pool(), vm, offer);
+      deliver(ticket.pool(), vm, offer);
     }
   }
 
-  private void stillRunning(VmId vm, EntryMessage.StillRunning running) {
+  private void onStillRunning(VmId vm, EntryMessage.StillRunning running) {
     Ticket ticket = running.ticket();
     leadership.requests().track(vm, ticket).granted(running.upstream());
-    feed(ticket.pool(), vm, running);
+    deliver(ticket.pool(), vm, running);
   }
 
-  private void reportsComplete(VmId vm, EntryMessage.ReportsComplete complete) {
+  private void onReportsComplete(VmId vm, EntryMessage.ReportsComplete complete) {
     Optional<Session> session = leadership.sessions().find(vm);
     if (session.isEmpty() || !complete.fencing().equals(leadership.fencing())) {
       return;
     }
     session.get().markReportsComplete();
-    awaited.remove(vm);
+    awaitedVms.remove(vm);
     broadcast(new SchedulerEvent.FromEntry(vm, complete));
   }
 
-  private void upstreamSeen(VmId vm, EntryMessage.UpstreamSeen seen) {
+  private void onUpstreamSeen(VmId vm, EntryMessage.UpstreamSeen seen) {
     Optional<PoolId> pool = poolOf(seen.announcement().upstream());
     if (pool.isPresent()) {
       leadership.announcements().storeIfNewer(seen, leadership.nowNs());
-      feed(pool.get(), vm, seen);
+      deliver(pool.get(), vm, seen);
     }
   }
 
-  private void aboutRequest(VmId vm, EntryMessage message) {
+  private void onRequestMessage(VmId vm, EntryMessage message) {
     if (message instanceof EntryMessage.Withdraw withdraw) {
       route(vm, withdraw.request(), message);
       leadership.claimCoordinator().release(withdraw.request(), () -> {}, leadership.nowNs());
@@ -190,17 +194,17 @@
     }
   }
 
-  /** Gives a message to its request's pool, or to all pools if the request is not known. */
+  /** Passes a message to the pool of its request, or to all pools if the request is unknown. */
   private void route(VmId vm, RequestId request, EntryMessage message) {
     Optional<TrackedRequest> tracked = leadership.requests().find(request);
     if (tracked.isPresent()) {
-      feed(tracked.get().pool(), vm, message);
+      deliver(tracked.get().pool(), vm, message);
     } else {
       broadcast(new SchedulerEvent.FromEntry(vm, message));
     }
   }
 
-  private void feed(PoolId pool, VmId vm, EntryMessage message) {
+  private void deliver(PoolId pool, VmId vm, EntryMessage message) {
     SchedulerEvent event = new SchedulerEvent.FromEntry(vm, message);
     leadership.schedulers().handle(pool, event, leadership.nowNs());
   }
@@ -209,8 +213,8 @@
     leadership.schedulers().broadcast(event, leadership.nowNs());
   }
 
-  private void tellAwaited() {
-    broadcast(new SchedulerEvent.ReportsAwaited(Set.copyOf(awaited)));
+  private void announceAwaited() {
+    broadcast(new SchedulerEvent.ReportsAwaited(Set.copyOf(awaitedVms)));
   }
 
   private Optional<PoolId> poolOf(UpstreamId upstream) {
--- a/core/src/main/java/org/teaseltrail/core/control/EntryVmSlotState.java
+++ b/core/src/main/java/org/teaseltrail/core/control/EntryVmSlotState.java
@@ -14,39 +14,39 @@
 import org.teaseltrail.core.serving.SlotUsage;
 import org.teaseltrail.core.serving.Urgency;
 
-/** Is what the leader knows of one entry VM while it hands out places. */
+/** State of one entry VM in the allocation of slots. */
 final class EntryVmSlotState {
 
-  /** Time after which a grant that nothing is heard of counts as lost: many round trips. */
+  /** Time after which a grant that the VM has not reported on counts as lost: many round trips. */
   private static final long GRANT_TIMEOUT_NS = 300_000_000L;
 
   /**
-   * Silence after which a VM gets no places: ten syncs of a VM where requests wait. Guards against
-   * a VM that is cut off and keeps its line here: each place granted to it counts as taken for as
-   * long as a grant may be on its way, and requests of others wait beside it.
+   * Time without a report after which a VM gets no slots: ten sync intervals of a VM with waiting
+   * requests. The leader still has the queue of a VM that is partitioned; each slot granted to that
+   * VM would count as in use until the grant is considered lost, while requests at other VMs wait.
    */
   private static final long REPORT_TIMEOUT_NS = 500_000_000L;
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /**
-   * Is the first request of one urgency that waits at a VM and has no place yet.
+   * The first request of one urgency that waits at a VM and has no slot yet.
    *
-   * @param vm where it waits
+   * @param vm the VM at which it waits
    * @param urgency its urgency
-   * @param waitingSinceNs when it came
+   * @param waitingSinceNs time since which it has been waiting
    */
   record Candidate(EntryVmSlotState vm, Urgency urgency, long waitingSinceNs) {}
 
-  private record Open(SlotAllocator.Grant grant, long atNs) {}
+  private record PendingGrant(SlotAllocator.Grant grant, long atNs) {}
 
   private final VmId id;
-  private final Deque<Open> open = new ArrayDeque<>();
+  private final Deque<PendingGrant> pendingGrants = new ArrayDeque<>();
   private Map<UpstreamId, Integer> inFlight = Map.of();
   private Map<UpstreamId, Integer> unread = Map.of();
   private List<SlotUsage> held = List.of();
   private Map<ServiceId, QueueState> lines = Map.of();
-  private long linesToldNs;
+  private long queuesReportedNs;
   private long heardNs;
   private long lastSequence;
 
@@ -58,65 +58,70 @@
     return id;
   }
 
-  /** Takes what the VM has at each upstream. */
+  /** Records the VM's requests in flight by upstream. */
   void heard(Map<UpstreamId, Integer> requests, long nowNs) {
     inFlight = requests;
     heardNs = nowNs;
   }
 
-  /** Takes what waits at the VM, and which grants it has seen. */
+  /** Records the VM's waiting requests and the grants that it has received. */
   void recordReport(ServingMessage.Lines message, long nowNs) {
     heard(message.inFlight(), nowNs);
-    open.removeIf(each -> each.grant().sequence() <= message.grantsSeen());
+    pendingGrants.removeIf(each -> each.grant().sequence() <= message.grantsSeen());
     unread = message.unread();
     held = message.held();
     lines = new HashMap<>();
-    message.lines().forEach(line -> lines.put(line.service(), line));
-    linesToldNs = nowNs;
+    message.lines().forEach(queue -> lines.put(queue.service(), queue));
+    queuesReportedNs = nowNs;
   }
 
   boolean isSilent(long nowNs) {
     return nowNs - heardNs > REPORT_TIMEOUT_NS;
   }
 
-  /** Returns how many requests wait there for each service. */
+  /** Returns the number of requests that wait there for each service. */
   Map<ServiceId, Integer> waiting() {
     Map<ServiceId, Integer> waiting = new HashMap<>();
-    lines.forEach((service, line) -> waiting.put(service, line.size()));
+    lines.forEach((service, queue) -> waiting.put(service, queue.size()));
     return waiting;
   }
 
   void removeLostGrants(long nowNs) {
-    open.removeIf(each -> nowNs - each.atNs() > GRANT_TIMEOUT_NS);
+    pendingGrants.removeIf(each -> nowNs - each.atNs() > GRANT_TIMEOUT_NS);
   }
 
-  /** Adds what the VM has in use and was granted; by kinds of requests only for one service. */
-  void addUsageTo(SlotUsageTotals tally, ServiceId service) {
-    inFlight.forEach(tally::addInUse);
-    unread.keySet().forEach(tally::addUnread);
-    open.forEach(each -> tally.granted(each.grant(), service));
+  /**
+   * Adds the slots that the VM uses and was granted; totals by kind of request cover one service
+   * only.
+   */
+  void addUsageTo(SlotUsageTotals totals, ServiceId service) {
+    inFlight.forEach(totals::addInUse);
+    unread.keySet().forEach(totals::addUnread);
+    pendingGrants.forEach(each -> totals.granted(each.grant(), service));
     held.stream()
         .filter(each -> each.service().equals(service))
-        .forEach(each -> tally.held(each.routeRank(), each.places()));
+        .forEach(each -> totals.held(each.routeRank(), each.places()));
   }
 
-  /** Tells whether requests for a service wait there. */
+  /** Returns whether requests for a service wait there. */
   boolean hasQueue(ServiceId service) {
     return lines.containsKey(service);
   }
 
-  /** Returns, for each urgency, the first of what waits beyond what open grants are meant for. */
+  /**
+   * Returns, for each urgency, the first waiting request that is not covered by a pending grant.
+   */
   List<Candidate> candidates(ServiceId service) {
-    QueueState line = lines.get(service);
-    if (line == null) {
+    QueueState queue = lines.get(service);
+    if (queue == null) {
       return List.of();
     }
     List<Candidate> candidates = new ArrayList<>();
-    for (QueueState.WaitTimes waiting : line.waiting()) {
-      int served = (int) openFor(service, waiting.urgency());
+    for (QueueState.WaitTimes waiting : queue.waiting()) {
+      int served = (int) pendingGrantCount(service, waiting.urgency());
       if (served < waiting.waitedMs().size()) {
-        long sinceNs = linesToldNs - waiting.waitedMs().get(served) * NS_PER_MS;
-        candidates.add(new Candidate(this, waiting.urgency(), sinceNs));
+        long waitingSinceNs = queuesReportedNs - waiting.waitedMs().get(served) * NS_PER_MS;
+        candidates.add(new Candidate(this, waiting.urgency(), waitingSinceNs));
       }
     }
     return candidates;
@@ -130,18 +135,18 @@
     return lines.get(service).slow().contains(upstream);
   }
 
-  /** Gives the VM a place. */
+  /** Grants the VM a slot. */
   SlotAllocator.Grant grant(ServiceId service, UpstreamId upstream, Urgency urgency, long nowNs) {
     lastSequence++;
     SlotAllocator.Grant grant =
         new SlotAllocator.Grant(id, lastSequence, service, upstream, urgency);
-    open.addLast(new Open(grant, nowNs));
+    pendingGrants.addLast(new PendingGrant(grant, nowNs));
     return grant;
   }
 
-  private long openFor(ServiceId service, Urgency urgency) {
-    return open.stream()
-        .map(Open::grant)
+  private long pendingGrantCount(ServiceId service, Urgency urgency) {
+    return pendingGrants.stream()
+        .map(PendingGrant::grant)
         .filter(grant -> grant.service().equals(service) && grant.urgency().equals(urgency))
         .count();
   }
--- a/core/src/main/java/org/teaseltrail/core/control/InForceTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/control/InForceTracker.java
@@ -8,53 +8,57 @@
 import org.teaseltrail.core.session.SessionRegistry;
 
 /**
- * Answers operators who wait until a configuration is in force everywhere. It is once each VM with
- * a session has applied it: a VM without one admits no request.
+ * Tracks operators' requests that wait until a configuration is in force everywhere, and answers
+ * them. A configuration is in force once each VM with a session has applied it: a VM without a
+ * session admits no request.
  */
 final class InForceTracker {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Wait(long callId, Revision revision, List<VmId> waitedFor, long endsAtNs) {}
+  private record PendingWait(
+      long callId, Revision revision, List<VmId> initiallyPending, long deadlineNs) {}
 
-  private final ActionBuffer out;
+  private final ActionBuffer actions;
   private final SessionRegistry sessions;
-  private final List<Wait> waits = new ArrayList<>();
+  private final List<PendingWait> pendingWaits = new ArrayList<>();
 
-  InForceTracker(ActionBuffer out, SessionRegistry sessions) {
-    this.out = out;
+  InForceTracker(ActionBuffer actions, SessionRegistry sessions) {
+    this.actions = actions;
     this.sessions = sessions;
   }
 
   void await(long callId, OperatorRequest.AwaitInForce request, long nowNs) {
-    List<VmId> waitedFor = sessions.findLagging(request.revision());
-    long endsAtNs = nowNs + request.timeoutMs() * NS_PER_MS;
-    waits.add(new Wait(callId, request.revision(), waitedFor, endsAtNs));
+    List<VmId> initiallyPending = sessions.findLagging(request.revision());
+    long deadlineNs = nowNs + request.timeoutMs() * NS_PER_MS;
+    pendingWaits.add(new PendingWait(callId, request.revision(), initiallyPending, deadlineNs));
     replyIfDue(nowNs);
   }
 
-  /** Answers the waits that are over. */
+  /** Answers the requests whose configuration is in force or whose timeout has passed. */
   void replyIfDue(long nowNs) {
-    waits.removeIf(wait -> answered(wait, nowNs));
+    pendingWaits.removeIf(wait -> tryReply(wait, nowNs));
   }
 
   void end() {
-    waits.forEach(wait -> out.reply(wait.callId(), new OperatorResult.OutcomeIndeterminate()));
-    waits.clear();
+    pendingWaits.forEach(
+        wait -> actions.reply(wait.callId(), new OperatorResult.OutcomeIndeterminate()));
+    pendingWaits.clear();
   }
 
   OptionalLong nextWakeupNs() {
-    return waits.stream().mapToLong(Wait::endsAtNs).min();
+    return pendingWaits.stream().mapToLong(PendingWait::deadlineNs).min();
   }
 
-  private boolean answered(Wait wait, long nowNs) {
+  private boolean tryReply(PendingWait wait, long nowNs) {
     List<VmId> missing = sessions.findLagging(wait.revision());
     if (missing.isEmpty() && sessions.havePriorSessionsExpired(nowNs)) {
-      out.reply(wait.callId(), new OperatorResult.InForce(wait.revision(), wait.waitedFor()));
+      actions.reply(
+          wait.callId(), new OperatorResult.InForce(wait.revision(), wait.initiallyPending()));
       return true;
     }
-    if (nowNs >= wait.endsAtNs()) {
-      out.reply(wait.callId(), new OperatorResult.NotInForce(wait.revision(), missing));
+    if (nowNs >= wait.deadlineNs()) {
+      actions.reply(wait.callId(), new OperatorResult.NotInForce(wait.revision(), missing));
       return true;
     }
     return false;
--- a/core/src/main/java/org/teaseltrail/core/control/InheritedQuotaUsage.java
+++ b/core/src/main/java/org/teaseltrail/core/control/InheritedQuotaUsage.java
@@ -6,11 +6,11 @@
 import org.teaseltrail.core.quota.QuotaReport;
 
 /**
- * Is what a new leader learns of quotas from the entry VMs: what the leader before counted for VMs
- * that don't come forward.
+ * Quota usage before the current leadership, as a new leader learns it from the reports of entry
+ * VMs: what the previous leader counted for VMs that don't report any more.
  *
- * <p>Guards against a customer whose quota starts anew with each leader: VMs that died before the
- * change had used a part that nobody left counts.
+ * <p>Without it, a customer's quota would start afresh with each leader: the usage of VMs that
+ * failed before the change of leader would not be counted by anybody.
  */
 final class InheritedQuotaUsage {
 
@@ -19,59 +19,60 @@
   private record Ended(double amount, long untilNs) {}
 
   private final long untilNs;
-  private final Map<CustomerId, Double> heldBefore = new HashMap<>();
-  private final Map<CustomerId, Double> heldByKnown = new HashMap<>();
+  private final Map<CustomerId, Double> heldEarlier = new HashMap<>();
+  private final Map<CustomerId, Double> heldByReportedVms = new HashMap<>();
   private final Map<CustomerId, Ended> ended = new HashMap<>();
 
   /**
-   * Creates one that knows nothing.
+   * Creates an instance without usage.
    *
-   * @param untilNs when all that was used or allowed before this leader is out of the window
+   * @param untilNs time at which everything that was used or allowed before this leadership has
+   *     left the window
    */
   InheritedQuotaUsage(long untilNs) {
     this.untilNs = untilNs;
   }
 
-  /** Takes what a VM tells that this leader hears for the first time. */
-  void recordFirstReport(QuotaReport use, long nowNs) {
-    heldByKnown.merge(use.customer(), use.held(), Double::sum);
-    boolean remembers = use.heldElsewhere() > 0 || use.heldByEnded() > 0;
-    if (!remembers) {
+  /** Records the first report of a VM to this leadership. */
+  void recordFirstReport(QuotaReport report, long nowNs) {
+    heldByReportedVms.merge(report.customer(), report.held(), Double::sum);
+    boolean hasEarlier = report.heldElsewhere() > 0 || report.heldByEnded() > 0;
+    if (!hasEarlier) {
       return;
     }
-    heldBefore.merge(use.customer(), use.held() + use.heldElsewhere(), Math::max);
-    Ended told = new Ended(use.heldByEnded(), nowNs + use.endedForMs() * NS_PER_MS);
-    ended.merge(use.customer(), told, InheritedQuotaUsage::greater);
+    heldEarlier.merge(report.customer(), report.held() + report.heldElsewhere(), Math::max);
+    Ended reportedEnded = new Ended(report.heldByEnded(), nowNs + report.endedForMs() * NS_PER_MS);
+    ended.merge(report.customer(), reportedEnded, InheritedQuotaUsage::greater);
   }
 
-  private static Ended greater(Ended one, Ended other) {
+  private static Ended greater(Ended first, Ended other) {
     return new Ended(
-        Math.max(one.amount(), other.amount()), Math.max(one.untilNs(), other.untilNs()));
+        Math.max(first.amount(), other.amount()), Math.max(first.untilNs(), other.untilNs()));
   }
 
-  /** Tells whether any VM knows what a leader before has counted. */
+  /** Returns whether any VM has reported usage that an earlier leader counted. */
   boolean hasEarlierUsage() {
-    return !heldBefore.isEmpty();
+    return !heldEarlier.isEmpty();
   }
 
-  /** Returns what is held by VMs that have not come forward. */
+  /** Returns the amount held by VMs that have not reported to this leadership. */
   double heldByUnreportedVms(CustomerId customer, long nowNs) {
     if (nowNs >= untilNs) {
       return 0;
     }
-    double all = heldBefore.getOrDefault(customer, 0.0);
-    return Math.max(0, all - heldByKnown.getOrDefault(customer, 0.0));
+    double heldByAll = heldEarlier.getOrDefault(customer, 0.0);
+    return Math.max(0, heldByAll - heldByReportedVms.getOrDefault(customer, 0.0));
   }
 
-  /** Returns what is counted for lives that had ended before this leader. */
+  /** Returns the amount counted for incarnations that had ended before this leadership. */
   double heldByEnded(CustomerId customer, long nowNs) {
-    Ended inherited = ended.get(customer);
-    return inherited == null || nowNs >= inherited.untilNs() ? 0 : inherited.amount();
+    Ended endedUsage = ended.get(customer);
+    return endedUsage == null || nowNs >= endedUsage.untilNs() ? 0 : endedUsage.amount();
   }
 
-  /** Returns how long that counts on. */
+  /** Returns for how long the amount of ended incarnations still counts. */
   long endedForNs(CustomerId customer, long nowNs) {
-    Ended inherited = ended.get(customer);
-    return inherited == null ? 0 : Math.max(0, inherited.untilNs() - nowNs);
+    Ended endedUsage = ended.get(customer);
+    return endedUsage == null ? 0 : Math.max(0, endedUsage.untilNs() - nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/LeaderContext.java
+++ b/core/src/main/java/org/teaseltrail/core/control/LeaderContext.java
@@ -3,13 +3,13 @@
 import org.teaseltrail.core.id.MemberId;
 
 /**
- * Holds what each leadership of a member uses.
+ * Dependencies that each leadership of a member uses.
  *
  * @param self the member
  * @param settings its settings
- * @param stateMachine the log and its state
+ * @param stateMachine the replicated log and its state
  * @param actions collects actions
- * @param schedulerFactory makes schedulers
+ * @param schedulerFactory creates schedulers
  */
 record LeaderContext(
     MemberId self,
--- a/core/src/main/java/org/teaseltrail/core/control/Leadership.java
+++ b/core/src/main/java/org/teaseltrail/core/control/Leadership.java
@@ -22,8 +22,8 @@
 import org.teaseltrail.core.state.CommandResult;
 
 /**
- * Is what a member holds in memory while it leads, for one term. It is built anew with each
- * leadership: entry VMs tell of what waits and runs, the log tells the rest.
+ * In-memory state of a leader for one term. It is rebuilt with each leadership: entry VMs report
+ * waiting and running requests, and the replicated state holds everything else.
  */
 final class Leadership {
 
@@ -42,7 +42,7 @@
   private final InForceTracker inForceTracker;
   private final EngineOrderDispatcher orderDispatcher;
   private final PlacementPlanner placement;
-  private final ClaimExpiryTask claimExpiry;
+  private final ClaimExpiryTask claimExpiryTask;
   private final ServingCoordinator servingCoordinator;
   private final Optional<MembershipReconciler> membershipReconciler;
   private final List<Runnable> retries = new ArrayList<>();
@@ -58,13 +58,13 @@
     clock = new LogClock(context.stateMachine().state().logTimeMs(), nowNs);
     sessions = new SessionRegistry(settings.sessions(), nowNs);
     schedulers =
-        new PoolSchedulers(context.schedulerFactory(), fencing, settings.seed(), this::carryOut);
+        new PoolSchedulers(context.schedulerFactory(), fencing, settings.seed(), this::execute);
     claimCoordinator = new ClaimCoordinator(this);
     entryHandler = new EntryMessageHandler(this);
     inForceTracker = new InForceTracker(context.actions(), sessions);
     orderDispatcher = new EngineOrderDispatcher(context.actions(), fencing);
     placement = new PlacementPlanner(settings.placement(), announcements, orderDispatcher);
-    claimExpiry = new ClaimExpiryTask(this, settings);
+    claimExpiryTask = new ClaimExpiryTask(this, settings);
     servingCoordinator = new ServingCoordinator(this);
     membershipReconciler =
         settings
@@ -75,7 +75,7 @@
                         repair, context.stateMachine(), context.self(), nowNs));
   }
 
-  /** Begins to serve: the schedulers learn the configuration and may not shed yet. */
+  /** Starts serving: passes the configuration to the schedulers, which must not shed load yet. */
   void begin() {
     gate.runUnderLease(
         () -> {
@@ -84,7 +84,9 @@
         });
   }
 
-  /** Ends the leadership: what is still under way for it has no effect any longer. */
+  /**
+   * Ends the leadership: results of operations that are still in flight are ignored from now on.
+   */
   void end() {
     active = false;
     inForceTracker.end();
@@ -97,10 +99,11 @@
   }
 
   /**
-   * Does what is due, unless the lease does not hold; a tick brings nothing new, so none is kept.
+   * Runs the work that is due, unless the lease is not valid. A tick carries no data, so it is not
+   * queued until the lease is valid again.
    *
-   * <p>Guards against a leader that is cut off until it steps down: its schedulers' wake-ups pass,
-   * and kept ticks would pile up by the thousand.
+   * <p>Otherwise, while a leader is partitioned and has not stepped down yet, the wake-ups of its
+   * schedulers would expire and thousands of ticks would pile up in the queue.
    */
   void tick() {
     if (gate.isOpen()) {
@@ -108,7 +111,7 @@
     }
   }
 
-  /** The configuration has changed by a commit. */
+  /** Passes on a configuration that has just been committed. */
   void onConfigurationAccepted() {
     gate.runUnderLease(
         () -> {
@@ -125,7 +128,9 @@
     send(vm, new ControlMessage.ConfigurationUpdate(fencing, configuration()));
   }
 
-  /** Pushes what an outside platform has changed to the VMs that place requests themselves. */
+  /**
+   * Pushes state that an external platform has changed to the VMs that place requests themselves.
+   */
   void onServingStateChanged() {
     gate.runUnderLease(servingCoordinator::onCommit);
   }
@@ -157,7 +162,7 @@
   }
 
   /**
-   * Gives a request's scheduler an event.
+   * Passes an event to the scheduler of a request's pool.
    *
    * @return whether the request has a grant afterwards
    */
@@ -166,22 +171,30 @@
     return requests.find(request).flatMap(TrackedRequest::upstream).isPresent();
   }
 
-  /** Proposes a command; the callback is heard only while this leadership serves. */
+  /** Proposes a command. The callback is called only while this leadership is active. */
   void propose(Command command, ProposalCallback callback, long atNs) {
-    context.stateMachine().propose(command, new GuardedCallback(callback), atNs);
+    context.stateMachine().propose(command, new LeaseGuardedCallback(callback), atNs);
   }
 
-  /** Proposes a command that nobody waits for and that is tried again by itself. */
+  /**
+   * Proposes a command without waiting for its outcome; the caller proposes it again later if it is
+   * not committed.
+   */
   void proposeBestEffort(Command command) {
     proposeThen(command, () -> {});
   }
 
-  /** Proposes a command that is tried again by itself, and does a step once it is committed. */
+  /**
+   * Proposes a command that the caller proposes again if it is not committed, and runs a step once
+   * it is committed.
+   */
   void proposeThen(Command command, Runnable committed) {
     proposeThen(command, committed, () -> {});
   }
 
-  /** Proposes a command, and does a step once it is committed, or another one if it can't be. */
+  /**
+   * Proposes a command and runs one step once it is committed, or another one if it is rejected.
+   */
   void proposeThen(Command command, Runnable committed, Runnable rejected) {
     ProposalCallback callback =
         new ProposalCallback() {
@@ -198,19 +211,19 @@
     propose(command, callback, nowNs);
   }
 
-  /** Tries a step again a little later. */
+  /** Runs a step again on the next tick. */
   void retryLater(Runnable step) {
     retries.add(step);
   }
 
-  /** Returns whether a VM may still serve, as far as this leadership can know. */
+  /** Returns whether a VM may still be serving, as far as this leadership can know. */
   boolean canBeAlive(VmId vm, long atNs) {
     return !sessions.havePriorSessionsExpired(atNs) || sessions.find(vm).isPresent();
   }
 
   /**
-   * Returns when something is next due. Without the lease nothing is: a wake-up that has passed
-   * would otherwise come back at once and keep the process busy until it steps down.
+   * Returns when work is due next. Without a valid lease nothing is due: a wake-up that has passed
+   * would otherwise fire again immediately and keep the process busy until it steps down.
    */
   OptionalLong nextWakeupNs() {
     if (!gate.isOpen()) {
@@ -224,7 +237,7 @@
             sessions.nextWakeupNs(nowNs),
             inForceTracker.nextWakeupNs(),
             placement.nextWakeupNs(),
-            claimExpiry.nextWakeupNs(),
+            claimExpiryTask.nextWakeupNs(),
             servingCoordinator.nextWakeupNs(),
             membershipReconciler
                 .map(MembershipReconciler::nextWakeupNs)
@@ -294,23 +307,23 @@
   }
 
   private void tickUnderLease() {
-    List<Runnable> again = new ArrayList<>(retries);
+    List<Runnable> due = new ArrayList<>(retries);
     retries.clear();
-    again.forEach(Runnable::run);
+    due.forEach(Runnable::run);
     entryHandler.expireSessions();
     schedulers.tick(nowNs);
     inForceTracker.replyIfDue(nowNs);
     if (sessions.havePriorSessionsExpired(nowNs)) {
       placement.plan(configuration(), nowNs);
     }
-    claimExpiry.tick(nowNs);
+    claimExpiryTask.tick(nowNs);
     servingCoordinator.tick();
-    membershipReconciler.ifPresent(keeper -> keeper.tick(nowNs));
+    membershipReconciler.ifPresent(reconciler -> reconciler.tick(nowNs));
   }
 
-  private void carryOut(SchedulerAction action) {
+  private void execute(SchedulerAction action) {
     if (action instanceof SchedulerAction.Send send) {
-      sendDecided(send.vm(), send.message());
+      sendSchedulerMessage(send.vm(), send.message());
     } else if (action instanceof SchedulerAction.CommitClaim commit) {
       claimCoordinator.commit(commit, nowNs);
     } else if (action instanceof SchedulerAction.ReleaseClaim release) {
@@ -320,7 +333,7 @@
     }
   }
 
-  private void sendDecided(VmId vm, ControlMessage message) {
+  private void sendSchedulerMessage(VmId vm, ControlMessage message) {
     if (message instanceof ControlMessage.Grant grant) {
       requests.find(grant.request()).ifPresent(request -> request.granted(grant.upstream()));
       send(vm, message);
@@ -332,26 +345,26 @@
     }
   }
 
-  /** Holds a callback back until the lease holds, and for ever once the leadership has ended. */
-  private final class GuardedCallback implements ProposalCallback {
+  /** Delays a callback until the lease is valid, and drops it once the leadership has ended. */
+  private final class LeaseGuardedCallback implements ProposalCallback {
 
-    private final ProposalCallback inner;
+    private final ProposalCallback delegate;
 
-    GuardedCallback(ProposalCallback inner) {
-      this.inner = inner;
+    LeaseGuardedCallback(ProposalCallback delegate) {
+      this.delegate = delegate;
     }
 
     @Override
     public void committed(CommandResult result, long atNs) {
-      pass(() -> inner.committed(result, nowNs));
+      runIfActive(() -> delegate.committed(result, nowNs));
     }
 
     @Override
     public void rejected(ProposalRejection reason, long atNs) {
-      pass(() -> inner.rejected(reason, nowNs));
+      runIfActive(() -> delegate.rejected(reason, nowNs));
     }
 
-    private void pass(Runnable step) {
+    private void runIfActive(Runnable step) {
       if (active) {
         gate.runUnderLease(step);
       }
--- a/core/src/main/java/org/teaseltrail/core/control/LeaseGate.java
+++ b/core/src/main/java/org/teaseltrail/core/control/LeaseGate.java
@@ -5,27 +5,28 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Lets decisions of a leadership be taken only while its lease holds.
+ * Runs decisions of a leadership only while its lease is valid.
  *
- * <p>Guards against a leader that was frozen or cut off: it shows as one that still believes to
- * lead while another does, and both would grant the same upstream's room. What comes while the
- * lease does not hold waits here. It goes on when the lease holds again, which it can only if no
- * other member led meanwhile, and is dropped with the leadership if it doesn't.
+ * <p>Without this check, a leader that was paused or partitioned would still believe that it leads
+ * while another member does, and both would grant the same capacity of an upstream. Steps that
+ * arrive while the lease is not valid are queued here. They run when the lease is valid again,
+ * which is possible only if no other member led in between. If the lease does not become valid
+ * again, they are dropped with the leadership.
  */
 final class LeaseGate {
 
-  private final BooleanSupplier lease;
+  private final BooleanSupplier leaseCheck;
   private final Deque<Runnable> held = new ArrayDeque<>();
 
-  LeaseGate(BooleanSupplier lease) {
-    this.lease = lease;
+  LeaseGate(BooleanSupplier leaseCheck) {
+    this.leaseCheck = leaseCheck;
   }
 
   boolean isOpen() {
-    return lease.getAsBoolean();
+    return leaseCheck.getAsBoolean();
   }
 
-  /** Runs a step now or, in its turn, when the lease holds again. */
+  /** Runs a step immediately, or in its turn once the lease is valid again. */
   void runUnderLease(Runnable step) {
     held.addLast(step);
     drain();
--- a/core/src/main/java/org/teaseltrail/core/control/LogClock.java
+++ b/core/src/main/java/org/teaseltrail/core/control/LogClock.java
@@ -1,8 +1,9 @@
 package org.teaseltrail.core.control;
 
 /**
- * Gives log time, which goes on from where the log stands while the member leads. It needs no time
- * of day, which may jump, and never goes back from one leader to the next.
+ * Provides log time, which continues from the newest time in the log while the member leads. It
+ * does not depend on wall-clock time, which may jump, and never goes back from one leader to the
+ * next.
  */
 final class LogClock {
 
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorRequest.java
@@ -14,19 +14,20 @@
 import org.teaseltrail.core.replication.MembershipChange;
 import org.teaseltrail.core.rollout.RolloutOrder;
 
-/** Is what an operator asks a control member for. */
+/** A request of an operator or an external platform to a control member. */
 public sealed interface OperatorRequest {
 
   /**
    * Change the configuration.
    *
-   * @param change names the change for resends
-   * @param expected the revision the operator has seen, if it matters
-   * @param items what to change
+   * @param change identifies the change when it is resent
+   * @param expected the revision that the operator has read, to be checked against the current one
+   *     if present
+   * @param items the changes to apply
    */
   record Change(ChangeId change, Optional<Revision> expected, List<ConfigurationChange> items)
       implements OperatorRequest {
-    /** Copies the items. */
+    /** Copies the list of changes. */
     public Change {
       items = List.copyOf(items);
     }
@@ -38,17 +39,18 @@
   /** Read the state of the group, the entry VMs, the pools and the upstreams. */
   record ReadStatus() implements OperatorRequest {}
 
-  /** Read what the member itself knows, whether it leads or not. */
+  /** Read the member's own status, whether it leads or not. */
   record ReadLocalStatus() implements OperatorRequest {}
 
-  /** Read the newest decisions. */
+  /** Read the most recent decisions. */
   record ReadDecisions() implements OperatorRequest {}
 
   /**
-   * Wait until a configuration is in force everywhere.
+   * Wait until a configuration is in force everywhere, that is, applied by each entry VM with a
+   * session.
    *
    * @param revision the configuration
-   * @param timeoutMs how long to wait
+   * @param timeoutMs the longest time to wait
    */
   record AwaitInForce(Revision revision, long timeoutMs) implements OperatorRequest {}
 
@@ -63,63 +65,64 @@
    * Send an order to an engine.
    *
    * @param upstream the engine
-   * @param content what it is to do
+   * @param content the operation to perform
    */
   record OrderEngine(UpstreamId upstream, OrderContent content) implements OperatorRequest {}
 
   /**
-   * Hand leadership over.
+   * Transfer leadership to another member.
    *
-   * @param successor the member to lead next, or empty for the one that is least behind
+   * @param successor the next leader, or empty for the member whose log is the least behind
    */
   record TransferLeadership(Optional<MemberId> successor) implements OperatorRequest {}
 
-  /** Comes from an outside platform and its upstreams. */
+  /** A request of an external platform or one of its upstreams. */
   sealed interface PlatformRequest extends OperatorRequest {}
 
   /**
-   * Install a plan that was checked.
+   * Install a validated plan.
    *
    * @param installed the plan
    */
   record InstallPlan(InstalledPlan installed) implements PlatformRequest {}
 
-  /** Read the newest plan, confirmed by a quorum after the request came. */
+  /** Read the newest plan, confirmed by a quorum after the request arrived. */
   record ReadPlan() implements PlatformRequest {}
 
   /**
-   * Take an upstream's heartbeat in.
+   * Process an upstream's heartbeat.
    *
-   * @param heard what it told
+   * @param heard the registration that the heartbeat carries
    */
   record Heartbeat(Registration heard) implements PlatformRequest {}
 
   /**
-   * Move a service to another version of its upstreams.
+   * Start a rollout of another version of a service's upstreams.
    *
    * @param order the order
    */
   record StartRollout(RolloutOrder order) implements PlatformRequest {}
 
   /**
-   * Roll a service's running rollout back.
+   * Roll back a service's running rollout.
    *
    * @param service the service
    */
   record AbortRollout(ServiceId service) implements PlatformRequest {}
 
   /**
-   * Read a service's newest rollout, confirmed by a quorum after the request came.
+   * Read a service's newest rollout, confirmed by a quorum after the request arrived.
    *
    * @param service the service
    */
   record ReadRollout(ServiceId service) implements PlatformRequest {}
 
   /**
-   * Take an upstream's leave in.
+   * Deregister an upstream.
    *
    * @param upstream the upstream
-   * @param bornMs which life of it, if the call says so, in Unix milliseconds
+   * @param bornMs start time of the incarnation to deregister, if the call names one, in Unix
+   *     milliseconds
    */
   record Leave(UpstreamId upstream, OptionalLong bornMs) implements PlatformRequest {}
 }
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorRequestHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorRequestHandler.java
@@ -16,22 +16,22 @@
 import org.teaseltrail.core.state.CommandResult;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Answers operators' requests on the leader. */
+/** Handles operators' requests on the leader. */
 final class OperatorRequestHandler {
 
   private static final String UNKNOWN = "unknown";
   private static final long NS_PER_MS = 1_000_000L;
 
-  private final ReplicatedStateMachine replicated;
-  private final ActionBuffer out;
+  private final ReplicatedStateMachine stateMachine;
+  private final ActionBuffer actions;
 
-  OperatorRequestHandler(ReplicatedStateMachine replicated, ActionBuffer out) {
-    this.replicated = replicated;
-    this.out = out;
+  OperatorRequestHandler(ReplicatedStateMachine stateMachine, ActionBuffer actions) {
+    this.stateMachine = stateMachine;
+    this.actions = actions;
   }
 
   void replyNotLeader(long callId) {
-    out.reply(callId, new OperatorResult.NotLeader(replicated.replica().leader()));
+    actions.reply(callId, new OperatorResult.NotLeader(stateMachine.replica().leader()));
   }
 
   void handle(long callId, OperatorRequest request, Leadership leadership) {
@@ -39,54 +39,55 @@
     if (request instanceof OperatorRequest.Change change) {
       change(callId, change, leadership);
     } else if (request instanceof OperatorRequest.ReadConfiguration) {
-      out.reply(callId, new OperatorResult.ConfigurationRead(leadership.configuration()));
+      actions.reply(callId, new OperatorResult.ConfigurationRead(leadership.configuration()));
     } else if (request instanceof OperatorRequest.ReadStatus) {
-      out.reply(callId, new OperatorResult.StatusRead(statusOf(leadership)));
+      actions.reply(callId, new OperatorResult.StatusRead(statusOf(leadership)));
     } else if (request instanceof OperatorRequest.ReadDecisions) {
-      out.reply(callId, new OperatorResult.DecisionsRead(out.decisions(nowNs)));
+      actions.reply(callId, new OperatorResult.DecisionsRead(actions.decisions(nowNs)));
     } else if (request instanceof OperatorRequest.AwaitInForce await) {
       leadership.inForceTracker().await(callId, await, nowNs);
     } else if (request instanceof OperatorRequest.ChangeMembers members) {
-      replicated.propose(members.change(), new MembersCallback(callId), nowNs);
+      stateMachine.propose(members.change(), new MembersCallback(callId), nowNs);
     } else if (request instanceof OperatorRequest.OrderEngine order) {
       leadership.orderDispatcher().send(callId, order, leadership);
     } else if (request instanceof OperatorRequest.TransferLeadership transfer) {
       transfer(callId, transfer, nowNs);
     } else if (request instanceof OperatorRequest.PlatformRequest platform) {
-      platform(callId, platform, leadership);
+      handlePlatformRequest(callId, platform, leadership);
     }
   }
 
-  private void platform(
+  private void handlePlatformRequest(
       long callId, OperatorRequest.PlatformRequest request, Leadership leadership) {
     long nowNs = leadership.nowNs();
     long logTimeMs = leadership.logTimeMs(nowNs);
     if (request instanceof OperatorRequest.InstallPlan install) {
       propose(callId, new Command.InstallPlan(install.installed(), logTimeMs), nowNs);
     } else if (request instanceof OperatorRequest.ReadPlan) {
-      replicated.read(new PlanReader(callId), nowNs);
+      stateMachine.read(new PlanReadCallback(callId), nowNs);
     } else if (request instanceof OperatorRequest.Heartbeat heartbeat) {
-      heartbeat(callId, heartbeat.heard(), leadership);
+      onHeartbeat(callId, heartbeat.heard(), leadership);
     } else if (request instanceof OperatorRequest.Leave leave) {
-      Registration leaving = knownOrBlank(leave);
+      Registration leaving = knownOrPlaceholder(leave);
       propose(callId, new Command.UpstreamLeaves(leaving, logTimeMs), nowNs);
     } else if (request instanceof OperatorRequest.StartRollout start) {
-      rollout(callId, new Command.OrderRollout(start.order(), logTimeMs), nowNs);
+      proposeRollout(callId, new Command.OrderRollout(start.order(), logTimeMs), nowNs);
     } else if (request instanceof OperatorRequest.AbortRollout abort) {
-      abort(callId, abort.service(), logTimeMs, nowNs);
+      abortRollout(callId, abort.service(), logTimeMs, nowNs);
     } else if (request instanceof OperatorRequest.ReadRollout read) {
-      replicated.read(new RolloutReader(callId, read.service()), nowNs);
+      stateMachine.read(new RolloutReadCallback(callId, read.service()), nowNs);
     }
   }
 
-  private void rollout(long callId, Command command, long nowNs) {
-    replicated.propose(command, new RolloutCallback(callId), nowNs);
+  private void proposeRollout(long callId, Command command, long nowNs) {
+    stateMachine.propose(command, new RolloutCallback(callId), nowNs);
   }
 
-  private void abort(long callId, ServiceId service, long logTimeMs, long nowNs) {
-    Optional<Rollout> newest = replicated.state().rollouts().find(service);
+  private void abortRollout(long callId, ServiceId service, long logTimeMs, long nowNs) {
+    Optional<Rollout> newest = stateMachine.state().rollouts().find(service);
     if (newest.isEmpty()) {
-      out.reply(callId, new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.NONE_RUNNING));
+      actions.reply(
+          callId, new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.NONE_RUNNING));
       return;
     }
     Command.TurnRollout turn =
@@ -96,27 +97,31 @@
             RolloutPhase.ROLLED_BACK,
             RolloutReason.ABORTED,
             logTimeMs);
-    rollout(callId, turn, nowNs);
+    proposeRollout(callId, turn, nowNs);
   }
 
-  /** Commits a heartbeat that changes something; the others only show that the upstream lives. */
-  private void heartbeat(long callId, Registration heard, Leadership leadership) {
+  /**
+   * Commits a heartbeat that changes the registration; any other heartbeat only shows that the
+   * upstream is alive.
+   */
+  private void onHeartbeat(long callId, Registration heard, Leadership leadership) {
     leadership.servingCoordinator().onHeartbeat(heard);
-    if (replicated.state().registry().needsCommit(heard)) {
+    if (stateMachine.state().registry().needsCommit(heard)) {
       long nowNs = leadership.nowNs();
       propose(callId, new Command.RegisterUpstream(heard, leadership.logTimeMs(nowNs)), nowNs);
     } else {
-      out.reply(callId, new OperatorResult.PlatformRequestCompleted(OptionalLong.empty()));
+      actions.reply(callId, new OperatorResult.PlatformRequestCompleted(OptionalLong.empty()));
     }
   }
 
   /**
-   * Returns what is known of an upstream that leaves; of one that never registered only the id, so
-   * that a heartbeat on its way behind the leave finds it gone. A leave that doesn't name its life
-   * is that of the life that is known, or of all lives if none is.
+   * Returns the registration of an upstream that deregisters. For an upstream that never registered
+   * it holds only the id, so that a heartbeat that arrives after the deregistration is rejected. A
+   * request that doesn't name an incarnation applies to the known one, or to all incarnations if
+   * none is known.
    */
-  private Registration knownOrBlank(OperatorRequest.Leave leave) {
-    Optional<Registration> known = replicated.state().registry().find(leave.upstream());
+  private Registration knownOrPlaceholder(OperatorRequest.Leave leave) {
+    Optional<Registration> known = stateMachine.state().registry().find(leave.upstream());
     return known
         .filter(held -> leave.bornMs().orElse(held.bornMs()) == held.bornMs())
         .orElseGet(
@@ -135,19 +140,20 @@
   }
 
   private void propose(long callId, Command command, long nowNs) {
-    replicated.propose(command, new ServingCallback(callId, nowNs), nowNs);
+    stateMachine.propose(command, new ServingCallback(callId, nowNs), nowNs);
   }
 
-  /** Hands leadership over before the process ends. */
+  /** Transfers leadership before the process stops. */
   void handOver(long nowNs) {
-    long id = replicated.registerCallback(new HandOverCallback());
-    replicated.handle(new ReplicaEvent.TransferLeadership(id, Optional.empty()), nowNs);
-    replicated.removeCallback(id);
+    long id = stateMachine.registerCallback(new HandOverCallback());
+    stateMachine.handle(new ReplicaEvent.TransferLeadership(id, Optional.empty()), nowNs);
+    stateMachine.removeCallback(id);
   }
 
   private ControlStatus statusOf(Leadership leadership) {
     ControlStatusBuilder report =
-        new ControlStatusBuilder(leadership.context().self(), replicated, Optional.of(leadership));
+        new ControlStatusBuilder(
+            leadership.context().self(), stateMachine, Optional.of(leadership));
     return report.build(leadership.nowNs());
   }
 
@@ -156,16 +162,16 @@
     Command command =
         new Command.ChangeConfiguration(
             change.change(), change.expected(), change.items(), leadership.logTimeMs(nowNs));
-    replicated.propose(command, new ChangeCallback(callId), nowNs);
+    stateMachine.propose(command, new ChangeCallback(callId), nowNs);
   }
 
   private void transfer(long callId, OperatorRequest.TransferLeadership transfer, long nowNs) {
     TransferCallback callback = new TransferCallback(callId);
-    long id = replicated.registerCallback(callback);
-    replicated.handle(new ReplicaEvent.TransferLeadership(id, transfer.successor()), nowNs);
-    replicated.removeCallback(id);
+    long id = stateMachine.registerCallback(callback);
+    stateMachine.handle(new ReplicaEvent.TransferLeadership(id, transfer.successor()), nowNs);
+    stateMachine.removeCallback(id);
     if (!callback.rejected) {
-      out.reply(callId, new OperatorResult.TransferStarted());
+      actions.reply(callId, new OperatorResult.TransferStarted());
     }
   }
 
@@ -176,7 +182,7 @@
 
     @Override
     public void rejected(ProposalRejection reason, long nowNs) {
-      out.handOverRejected(reason);
+      actions.handOverRejected(reason);
     }
   }
 
@@ -193,13 +199,13 @@
       if (reason == ProposalRejection.NOT_LEADER) {
         replyNotLeader(callId);
       } else {
-        out.reply(callId, new OperatorResult.Rejected(reason));
+        actions.reply(callId, new OperatorResult.Rejected(reason));
       }
     }
 
     @Override
     public void outcomeIndeterminate(long nowNs) {
-      out.reply(callId, new OperatorResult.OutcomeIndeterminate());
+      actions.reply(callId, new OperatorResult.OutcomeIndeterminate());
     }
   }
 
@@ -211,22 +217,22 @@
     @Override
     public void committed(CommandResult result, long nowNs) {
       var change = ((CommandResult.OfChange) result).result();
-      out.reply(callId, new OperatorResult.Changed(change));
+      actions.reply(callId, new OperatorResult.Changed(change));
     }
   }
 
   private final class ServingCallback extends ReplyingCallback {
-    private final long takenNs;
+    private final long receivedNs;
 
-    ServingCallback(long callId, long takenNs) {
+    ServingCallback(long callId, long receivedNs) {
       super(callId);
-      this.takenNs = takenNs;
+      this.receivedNs = receivedNs;
     }
 
     @Override
     public void committed(CommandResult result, long nowNs) {
-      OptionalLong commitMs = OptionalLong.of((nowNs - takenNs) / NS_PER_MS);
-      out.reply(callId, new OperatorResult.PlatformRequestCompleted(commitMs));
+      OptionalLong commitMs = OptionalLong.of((nowNs - receivedNs) / NS_PER_MS);
+      actions.reply(callId, new OperatorResult.PlatformRequestCompleted(commitMs));
     }
   }
 
@@ -238,23 +244,23 @@
     @Override
     public void committed(CommandResult result, long nowNs) {
       RolloutOrderResult answer = ((CommandResult.OfRollout) result).answer();
-      out.reply(callId, new OperatorResult.RolloutOrderAnswered(answer));
+      actions.reply(callId, new OperatorResult.RolloutOrderAnswered(answer));
     }
   }
 
-  private final class RolloutReader implements ReplicatedStateMachine.ReadCallback {
+  private final class RolloutReadCallback implements ReplicatedStateMachine.ReadCallback {
     private final long callId;
     private final ServiceId service;
 
-    RolloutReader(long callId, ServiceId service) {
+    RolloutReadCallback(long callId, ServiceId service) {
       this.callId = callId;
       this.service = service;
     }
 
     @Override
     public void ready() {
-      out.reply(
-          callId, new OperatorResult.RolloutRead(replicated.state().rollouts().find(service)));
+      actions.reply(
+          callId, new OperatorResult.RolloutRead(stateMachine.state().rollouts().find(service)));
     }
 
     @Override
@@ -263,16 +269,16 @@
     }
   }
 
-  private final class PlanReader implements ReplicatedStateMachine.ReadCallback {
+  private final class PlanReadCallback implements ReplicatedStateMachine.ReadCallback {
     private final long callId;
 
-    PlanReader(long callId) {
+    PlanReadCallback(long callId) {
       this.callId = callId;
     }
 
     @Override
     public void ready() {
-      out.reply(callId, new OperatorResult.PlanRead(replicated.state().plan()));
+      actions.reply(callId, new OperatorResult.PlanRead(stateMachine.state().plan()));
     }
 
     @Override
@@ -288,7 +294,7 @@
 
     @Override
     public void committed(CommandResult result, long nowNs) {
-      out.reply(callId, new OperatorResult.MembersChanged(replicated.membership()));
+      actions.reply(callId, new OperatorResult.MembersChanged(stateMachine.membership()));
     }
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorResult.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorResult.java
@@ -15,13 +15,13 @@
 import org.teaseltrail.core.rollout.RolloutOrderResult;
 import org.teaseltrail.core.state.ChangeResult;
 
-/** Is what an operator's request came to. */
+/** The result of an operator's request. */
 public sealed interface OperatorResult {
 
   /**
    * The change was decided by a quorum.
    *
-   * @param result accepted, or why not
+   * @param result whether it was accepted, or the reason why not
    */
   record Changed(ChangeResult result) implements OperatorResult {}
 
@@ -40,7 +40,7 @@
   record StatusRead(ControlStatus status) implements OperatorResult {}
 
   /**
-   * The newest decisions, newest first.
+   * The most recent decisions, newest first.
    *
    * @param decisions the decisions
    */
@@ -55,11 +55,11 @@
   record InForce(Revision revision, List<VmId> initiallyPending) implements OperatorResult {}
 
   /**
-   * The wait ended before the configuration was in force everywhere.
+   * The wait timed out before the configuration was in force everywhere.
    *
    * @param revision the configuration
-   * @param missing VMs that may still serve under an older one; empty if the leader is too new to
-   *     know all VMs
+   * @param missing VMs that may still serve with an older one; empty if the leadership is too
+   *     recent to know all VMs
    */
   record NotInForce(Revision revision, List<VmId> missing) implements OperatorResult {}
 
@@ -71,55 +71,56 @@
   record MembersChanged(Membership membership) implements OperatorResult {}
 
   /**
-   * The engine has answered an order, or did not.
+   * The engine has answered an order, or no answer has arrived.
    *
-   * @param outcome what came of it
-   * @param fencing the leadership it was sent under
+   * @param outcome the outcome
+   * @param fencing the leadership under which the order was sent
    */
   record OrderAnswered(OrderOutcome outcome, FencingNumber fencing) implements OperatorResult {}
 
   /**
    * The order was not sent.
    *
-   * @param reason why
+   * @param reason the reason
    */
   record OrderRejected(OrderRejection reason) implements OperatorResult {}
 
-  /** Leadership was handed over, or will be within an election timeout. */
+  /** Leadership was transferred, or will be within an election timeout. */
   record TransferStarted() implements OperatorResult {}
 
   /**
-   * This member does not lead, and nothing was done.
+   * This member does not lead; nothing was done.
    *
    * @param leader the leader it knows
    */
   record NotLeader(Optional<MemberId> leader) implements OperatorResult {}
 
   /**
-   * The request was not taken, and nothing was done.
+   * The request was rejected; nothing was done.
    *
-   * @param reason why
+   * @param reason the reason
    */
   record Rejected(ProposalRejection reason) implements OperatorResult {}
 
   /**
-   * Leadership was lost before a quorum answered: the change may or may not be accepted. A resend
-   * under the same change id tells.
+   * Leadership was lost before a quorum answered: the change may or may not be accepted. Resending
+   * it with the same change id returns the outcome.
    */
   record OutcomeIndeterminate() implements OperatorResult {}
 
   /**
-   * What an outside platform or one of its upstreams asked for is done, on a quorum of disks.
+   * A request of an external platform or one of its upstreams is completed and stored durably by a
+   * quorum.
    *
-   * @param commitMs time from its taking until it was on a quorum of disks, in milliseconds; empty
-   *     if nothing had to be written
+   * @param commitMs time from the receipt of the request until its command was synced by a quorum,
+   *     in milliseconds; empty if nothing had to be written
    */
   record PlatformRequestCompleted(OptionalLong commitMs) implements OperatorResult {}
 
   /**
-   * What became of an order of a rollout.
+   * A request to start or abort a rollout was answered.
    *
-   * @param answer taken, or why not
+   * @param answer whether it was accepted, or the reason why not
    */
   record RolloutOrderAnswered(RolloutOrderResult answer) implements OperatorResult {}
 
--- a/core/src/main/java/org/teaseltrail/core/control/OrderKind.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OrderKind.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.control;
 
-/** Says what an engine is ordered to do. */
+/** Kind of operation that an engine is ordered to perform. */
 public enum OrderKind {
   /** Load a model with its version. */
   LOAD_MODEL("load_model"),
@@ -8,7 +8,7 @@
   UNLOAD_MODEL("unload_model"),
   /** Load an adapter beside a model that is loaded. */
   LOAD_ADAPTER("load_adapter"),
-  /** Take another role. */
+  /** Change to another role. */
   CHANGE_ROLE("change_role");
 
   private final String wireName;
@@ -17,7 +17,7 @@
     this.wireName = wireName;
   }
 
-  /** Returns the name in the engines' protocol. */
+  /** Returns the name used in the protocol with engines. */
   public String wireName() {
     return wireName;
   }
--- a/core/src/main/java/org/teaseltrail/core/control/OrderOutcome.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OrderOutcome.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.control;
 
-/** Says what came of an order. */
+/** Outcome of an order. */
 public enum OrderOutcome {
-  /** The engine has taken it. */
+  /** The engine has accepted the order. */
   ACCEPTED,
-  /** The engine has seen a greater fencing number: this member leads no longer. */
+  /** The engine has seen a greater fencing number: this member is no longer the leader. */
   REFUSED_OLD_FENCING,
-  /** The engine refused it for another reason. */
+  /** The engine rejected the order for another reason. */
   REFUSED,
-  /** No answer came; the engine may have taken it. */
+  /** No answer was received; the engine may have accepted the order. */
   UNREACHABLE
 }
--- a/core/src/main/java/org/teaseltrail/core/control/OtherVmsQuotaSummary.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OtherVmsQuotaSummary.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * Is what all entry VMs but one hold of a customer's quota, added up in one pass: with sixty VMs
- * and sixteen customers each sync looks at a thousand lines.
+ * Sum of what all entry VMs but one hold of a customer's quota. It is built in one pass, since with
+ * sixty VMs and sixteen customers each sync covers about a thousand accounts.
  *
- * @param used what they used within the window
- * @param held what they used and what they may take
- * @param remainingAllowance what they may take
- * @param demandPerSecond what is asked for there in a second
- * @param recentReporters those of them that have told lately
+ * @param used the amount that they used within the window
+ * @param held the amount that they used plus their remaining allowances
+ * @param remainingAllowance the sum of their remaining allowances
+ * @param demandPerSecond the demand there per second
+ * @param recentReporters the accounts of those of them that have reported recently
  */
 record OtherVmsQuotaSummary(
     double used,
@@ -21,67 +21,74 @@
     List<VmQuotaAccount> recentReporters) {
 
   /**
-   * VMs at least whose accounts of the others must hold, all where there are fewer: of eight, one
-   * survives but for 1 in 100 losses of half of all VMs together with the leader.
+   * Minimum number of VMs whose bound on the others' usage must still hold, or all VMs if there are
+   * fewer. With eight, at least one survives in 99 of 100 cases in which half of all VMs are lost
+   * together with the leader.
    */
   private static final int MIN_REPORTERS = 8;
 
   /**
-   * One in so many VMs must have an account of the others that holds. With sixty these have told
-   * within a quarter of a sync, so that all together may grow four times as fast as if all had to.
+   * One in this many VMs must have a bound on the others' usage that still holds. With sixty VMs
+   * these have reported within the last quarter of a sync interval, so the total can grow four
+   * times as fast as if the bounds of all VMs had to hold.
    */
   private static final int REPORTERS_DIVISOR = 4;
 
-  /** Silence after which a VM is no witness of what the others hold, nor holds up their growth. */
+  /**
+   * Age of a VM's last report after which its bound no longer counts and no longer limits the
+   * growth of the others.
+   */
   private static final long REPORT_FRESH_NS = 500_000_000L;
 
   /**
-   * Returns by how much a VM may come to hold more, so that the accounts of enough others hold.
+   * Returns by how much a VM may increase what it holds while the bounds of enough other VMs still
+   * hold.
    *
-   * <p>Guards against callers within their quota who are refused where there are many VMs: if every
-   * VM's account had to hold, all of them together could grow only as fast as the one that told
-   * longest ago allows. Each of sixty VMs sees few of a customer's requests, so nearly every large
-   * one needs its VM's allowance to grow. A new leader takes the greatest account that it is told,
-   * so it is enough that one of those that hold survives.
+   * <p>If the bound of every VM had to hold, all VMs together could grow only as fast as the VM
+   * with the oldest report allows. With many VMs, callers within their quota would then be refused:
+   * each of sixty VMs receives few of a customer's requests, so almost every large request needs a
+   * greater allowance for its VM. A new leader takes the greatest bound that is reported to it, so
+   * it is enough that one VM whose bound holds survives.
    *
-   * @param limit what there is, for when there is no witness
+   * @param limit the amount to return if no VM has reported recently
    */
   double maxGrowth(double limit) {
     if (recentReporters.isEmpty()) {
       return limit;
     }
-    double[] accounts =
+    double[] bounds =
         recentReporters.stream().mapToDouble(VmQuotaAccount::othersMaxGrowth).sorted().toArray();
-    int needed = Math.max(MIN_REPORTERS, accounts.length / REPORTERS_DIVISOR);
-    return accounts[Math.max(0, accounts.length - needed)];
+    int needed = Math.max(MIN_REPORTERS, bounds.length / REPORTERS_DIVISOR);
+    return bounds[Math.max(0, bounds.length - needed)];
   }
 
-  /** Adds lines up. */
+  /** Sums up accounts. */
   static final class Builder {
 
     private final long nowNs;
-    private final List<VmQuotaAccount> witnesses = new ArrayList<>();
+    private final List<VmQuotaAccount> recentReporters = new ArrayList<>();
     private double used;
     private double held;
-    private double mayTake;
+    private double remainingAllowance;
     private double demandPerSecond;
 
     Builder(long nowNs) {
       this.nowNs = nowNs;
     }
 
-    void add(VmQuotaAccount line) {
-      used += line.used(nowNs);
-      held += line.held(nowNs);
-      mayTake += line.remainingAllowance();
-      demandPerSecond += line.demandPerSecond();
-      if (nowNs - line.reportedNs() <= REPORT_FRESH_NS) {
-        witnesses.add(line);
+    void add(VmQuotaAccount account) {
+      used += account.used(nowNs);
+      held += account.held(nowNs);
+      remainingAllowance += account.remainingAllowance();
+      demandPerSecond += account.demandPerSecond();
+      if (nowNs - account.reportedNs() <= REPORT_FRESH_NS) {
+        recentReporters.add(account);
       }
     }
 
     OtherVmsQuotaSummary toSummary() {
-      return new OtherVmsQuotaSummary(used, held, mayTake, demandPerSecond, witnesses);
+      return new OtherVmsQuotaSummary(
+          used, held, remainingAllowance, demandPerSecond, recentReporters);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/PlacementPlanner.java
+++ b/core/src/main/java/org/teaseltrail/core/control/PlacementPlanner.java
@@ -19,39 +19,41 @@
 import org.teaseltrail.core.upstream.UpstreamRole;
 
 /**
- * Orders engines to load what too few of their pool hold, one load after the other, spread over
- * data centres.
+ * Orders engines to load models and adapters that too few engines of their pool have loaded, one at
+ * a time, and spreads the copies over data centres.
  */
 final class PlacementPlanner {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Wish(Announcement engine, OrderKind kind, ModelTarget target) {}
+  private record LoadRequest(Announcement engine, OrderKind kind, ModelTarget target) {}
 
-  private record Pending(Wish wish, long endsAtNs) {}
+  private record PendingLoad(LoadRequest loadRequest, long expiresAtNs) {}
 
   private final PlacementSettings settings;
-  private final AnnouncementCache fleet;
+  private final AnnouncementCache announcements;
   private final EngineOrderDispatcher orders;
-  private final Map<UpstreamId, Pending> pending = new HashMap<>();
+  private final Map<UpstreamId, PendingLoad> pending = new HashMap<>();
   private long nextLoadAtNs = Long.MIN_VALUE;
-  private boolean wants;
+  private boolean loadMissing;
 
   PlacementPlanner(
-      PlacementSettings settings, AnnouncementCache fleet, EngineOrderDispatcher orders) {
+      PlacementSettings settings, AnnouncementCache announcements, EngineOrderDispatcher orders) {
     this.settings = settings;
-    this.fleet = fleet;
+    this.announcements = announcements;
     this.orders = orders;
   }
 
-  /** Orders the next load if one is missing and the weight store may be read again. */
+  /** Orders the next load if a copy is missing and the weight store may be read again. */
   void plan(Configuration configuration, long nowNs) {
-    pending.values().removeIf(one -> nowNs >= one.endsAtNs() || isDone(one.wish(), nowNs));
-    wants = false;
-    for (Route route : inOrder(configuration)) {
+    pending
+        .values()
+        .removeIf(one -> nowNs >= one.expiresAtNs() || isDone(one.loadRequest(), nowNs));
+    loadMissing = false;
+    for (Route route : sortedRoutes(configuration)) {
       if (route.target() instanceof ModelTarget target) {
-        Optional<Wish> order = missing(configuration, route, target, nowNs);
-        wants |= order.isPresent();
+        Optional<LoadRequest> order = missing(configuration, route, target, nowNs);
+        loadMissing |= order.isPresent();
         if (order.isPresent() && nowNs >= nextLoadAtNs) {
           send(order.get(), nowNs);
         }
@@ -60,69 +62,76 @@
   }
 
   OptionalLong nextWakeupNs() {
-    return wants ? OptionalLong.of(nextLoadAtNs) : OptionalLong.empty();
+    return loadMissing ? OptionalLong.of(nextLoadAtNs) : OptionalLong.empty();
   }
 
-  private Optional<Wish> missing(
+  private Optional<LoadRequest> missing(
       Configuration configuration, Route route, ModelTarget target, long nowNs) {
     Pool pool = configuration.pools().get(route.pool());
     List<Announcement> engines = new ArrayList<>();
-    for (Announcement engine : fleet.findByPool(configuration, route.pool(), nowNs)) {
-      boolean usable = engine.phase() == UpstreamPhase.SERVING;
-      if (usable && engine.role() == UpstreamRole.GENERATE) {
+    for (Announcement engine : announcements.findByPool(configuration, route.pool(), nowNs)) {
+      boolean isServing = engine.phase() == UpstreamPhase.SERVING;
+      if (isServing && engine.role() == UpstreamRole.GENERATE) {
         engines.add(engine);
       }
     }
-    List<Announcement> holders =
-        engines.stream().filter(engine -> holds(engine, target) || loads(engine, target)).toList();
-    if (holders.size() >= pool.targetCopies()) {
+    List<Announcement> enginesWithCopy =
+        engines.stream()
+            .filter(engine -> hasLoaded(engine, target) || isLoading(engine, target))
+            .toList();
+    if (enginesWithCopy.size() >= pool.targetCopies()) {
       return Optional.empty();
     }
     return engines.stream()
-        .filter(engine -> !holders.contains(engine) && !pending.containsKey(engine.upstream()))
-        .min(Comparator.comparingInt(engine -> cost(engine, holders)))
-        .map(engine -> wish(engine, target));
+        .filter(
+            engine -> !enginesWithCopy.contains(engine) && !pending.containsKey(engine.upstream()))
+        .min(Comparator.comparingInt(engine -> cost(engine, enginesWithCopy)))
+        .map(engine -> loadRequest(engine, target));
   }
 
-  /** Prefers data centres with fewer copies, then engines that hold fewer models. */
-  private static int cost(Announcement engine, List<Announcement> holders) {
-    DataCenterId place = engine.dataCenter();
-    int copies = (int) holders.stream().filter(one -> one.dataCenter().equals(place)).count();
+  /** Prefers data centres with fewer copies, then engines that have fewer models loaded. */
+  private static int cost(Announcement engine, List<Announcement> enginesWithCopy) {
+    DataCenterId dataCenterId = engine.dataCenter();
+    int copies =
+        (int) enginesWithCopy.stream().filter(one -> one.dataCenter().equals(dataCenterId)).count();
     return copies * 1_000 + Math.min(engine.models().size(), 999);
   }
 
-  private static Wish wish(Announcement engine, ModelTarget target) {
-    boolean modelLoaded = holds(engine, withoutAdapter(target));
+  private static LoadRequest loadRequest(Announcement engine, ModelTarget target) {
+    boolean modelLoaded = hasLoaded(engine, withoutAdapter(target));
     OrderKind kind = modelLoaded ? OrderKind.LOAD_ADAPTER : OrderKind.LOAD_MODEL;
-    return new Wish(engine, kind, target);
+    return new LoadRequest(engine, kind, target);
   }
 
-  private void send(Wish wish, long nowNs) {
-    long endsAtNs = nowNs + settings.orderTimeoutMs() * NS_PER_MS;
-    pending.put(wish.engine().upstream(), new Pending(wish, endsAtNs));
+  private void send(LoadRequest loadRequest, long nowNs) {
+    long expiresAtNs = nowNs + settings.orderTimeoutMs() * NS_PER_MS;
+    pending.put(loadRequest.engine().upstream(), new PendingLoad(loadRequest, expiresAtNs));
     nextLoadAtNs = nowNs + settings.loadSpacingMs() * NS_PER_MS;
-    orders.send(wish.engine(), OrderContent.of(wish.kind(), wish.target()), nowNs);
+    orders.send(
+        loadRequest.engine(), OrderContent.of(loadRequest.kind(), loadRequest.target()), nowNs);
   }
 
-  private boolean isDone(Wish wish, long nowNs) {
-    ModelTarget goal =
-        wish.kind() == OrderKind.LOAD_MODEL ? withoutAdapter(wish.target()) : wish.target();
-    return fleet
-        .find(wish.engine().upstream(), nowNs)
-        .filter(engine -> holds(engine, goal))
+  private boolean isDone(LoadRequest loadRequest, long nowNs) {
+    ModelTarget loadedTarget =
+        loadRequest.kind() == OrderKind.LOAD_MODEL
+            ? withoutAdapter(loadRequest.target())
+            : loadRequest.target();
+    return announcements
+        .find(loadRequest.engine().upstream(), nowNs)
+        .filter(engine -> hasLoaded(engine, loadedTarget))
         .isPresent();
   }
 
-  private boolean loads(Announcement engine, ModelTarget target) {
-    Pending one = pending.get(engine.upstream());
-    return one != null && one.wish().target().equals(target);
+  private boolean isLoading(Announcement engine, ModelTarget target) {
+    PendingLoad one = pending.get(engine.upstream());
+    return one != null && one.loadRequest().target().equals(target);
   }
 
-  private static boolean holds(Announcement engine, ModelTarget target) {
-    return engine.models().stream().anyMatch(served -> covers(served, target));
+  private static boolean hasLoaded(Announcement engine, ModelTarget target) {
+    return engine.models().stream().anyMatch(served -> matches(served, target));
   }
 
-  private static boolean covers(ServedModel served, ModelTarget target) {
+  private static boolean matches(ServedModel served, ModelTarget target) {
     return served.model().equals(target.model())
         && served.version().equals(target.version())
         && target.adapter().map(served.adapters()::contains).orElse(true);
@@ -132,7 +141,7 @@
     return new ModelTarget(target.model(), target.version(), Optional.empty());
   }
 
-  private static List<Route> inOrder(Configuration configuration) {
+  private static List<Route> sortedRoutes(Configuration configuration) {
     return configuration.routes().values().stream()
         .sorted(Comparator.comparing(route -> route.id().value()))
         .toList();
--- a/core/src/main/java/org/teaseltrail/core/control/PlacementSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/control/PlacementSettings.java
@@ -1,15 +1,15 @@
 package org.teaseltrail.core.control;
 
 /**
- * Paces the orders to engines.
+ * Rate and timeout of the orders to engines.
  *
- * @param loadSpacingMs least time between two orders that read from the weight store, which is
- *     limited in rate
- * @param orderTimeoutMs time after which an order that had no effect is given up, so that another
- *     engine may be tried
+ * @param loadSpacingMs minimum time between two orders that read from the weight store, which is
+ *     rate-limited
+ * @param orderTimeoutMs time after which an order without effect is abandoned, so that another
+ *     engine can be tried
  */
 public record PlacementSettings(long loadSpacingMs, long orderTimeoutMs) {
 
-  /** One load in 10 s, given two minutes to show in the engine's announcements. */
+  /** One load in 10 s, with a timeout of two minutes until the engine announces it. */
   public static final PlacementSettings DEFAULT = new PlacementSettings(10_000, 120_000);
 }
--- a/core/src/main/java/org/teaseltrail/core/control/PoolSchedulers.java
+++ b/core/src/main/java/org/teaseltrail/core/control/PoolSchedulers.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.schedule.SchedulerAction;
 import org.teaseltrail.core.schedule.SchedulerEvent;
 
-/** Holds the scheduler of each pool for one leadership. */
+/** The schedulers of all pools for one leadership. */
 final class PoolSchedulers {
 
   private final SchedulerFactory factory;
@@ -33,7 +33,8 @@
   }
 
   /**
-   * Passes a configuration on: a removed pool's scheduler refuses what waits there and goes.
+   * Passes a configuration to the schedulers. The scheduler of a removed pool refuses its waiting
+   * requests and is then removed.
    *
    * @return the pools that are new
    */
--- a/core/src/main/java/org/teaseltrail/core/control/ProposalCallback.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ProposalCallback.java
@@ -3,7 +3,7 @@
 import org.teaseltrail.core.replication.ProposalRejection;
 import org.teaseltrail.core.state.CommandResult;
 
-/** Learns what becomes of a proposal. Exactly one of its methods is called, once. */
+/** Receives the outcome of a proposal. Exactly one of its methods is called, once. */
 interface ProposalCallback {
 
   /** The command is committed and applied. */
@@ -12,6 +12,6 @@
   /** The command was not appended and will never be applied. */
   void rejected(ProposalRejection reason, long nowNs);
 
-  /** Leadership was lost meanwhile: the command may or may not be applied. */
+  /** Leadership was lost before the outcome was known: the command may or may not be applied. */
   default void outcomeIndeterminate(long nowNs) {}
 }
--- a/core/src/main/java/org/teaseltrail/core/control/QuarantineCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuarantineCoordinator.java
@@ -20,52 +20,55 @@
 import org.teaseltrail.core.state.Command;
 
 /**
- * Decides on the leader which requests no upstream may get, from what all entry VMs saw.
+ * Decides, on the leader, which requests no upstream may receive, from the losses that all entry
+ * VMs report.
  *
- * <p>Guards against a request that ends each upstream which runs it: it shows as upstreams that end
- * one after the other while callers of all kinds lose their streams. A request is held as soon as
- * three upstreams were lost under it; each other request of their batches was there once or twice.
- * A loss is believed at once, since each second costs an upstream, and taken back when the upstream
- * is heard of again. A hold that has stood is in the log, so that no later leader begins anew.
+ * <p>Limits the damage of requests that crash each upstream that runs them: upstreams would fail
+ * one after the other, and callers whose requests share those upstreams would lose their streams. A
+ * request is quarantined as soon as three upstreams were lost while processing it; every other
+ * request in the same batches was on one or two of them. A loss counts immediately, since each
+ * second may cost another upstream, and is revoked when the upstream sends a heartbeat again. A
+ * quarantine that has not been revoked for some seconds is committed to the log, so that it
+ * survives a change of leader.
  */
 final class QuarantineCoordinator {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /**
-   * Time after its newest loss for which the VMs tell of whole answers to a suspect: enough for one
-   * that is asked for often, and so would be in many batches by chance.
+   * Time after the newest loss of a suspect request for which VMs report complete answers to it.
+   * This clears a request that is sent so often that it is in many batches by chance.
    */
   private static final long WATCH_NS = 30_000 * NS_PER_MS;
 
-  /** Time for which losses count; a request that ends upstreams may come seldom. */
+  /** Time for which a loss counts; a request that crashes upstreams may be rare. */
   private static final long LOSS_RETENTION_MS = 600_000;
 
   /**
-   * Time after a loss from which on a heartbeat shows that the upstream lives: one that was sent
-   * before has come, or was given up, by then.
+   * Time after a loss from which a heartbeat shows that the upstream is alive: a heartbeat that was
+   * sent before the loss has arrived or timed out by then.
    */
   private static final long HEARTBEAT_DELAY_NS = 1_000 * NS_PER_MS;
 
   /**
-   * Time after the newest loss from which on a hold goes into the log: two heartbeats of an
-   * upstream that lives.
+   * Time after the newest loss from which a quarantine is committed to the log: two heartbeat
+   * intervals of a live upstream.
    */
   private static final long COMMIT_DELAY_NS = 3_000 * NS_PER_MS;
 
-  /** Time that a VM has for a trial; the request may come seldom there. */
+  /** Time for which a VM may use its permission for a trial; the request may be rare at that VM. */
   private static final long TRIAL_VALIDITY_MS = 60_000;
 
   /**
-   * Time after the beginning of a leadership in which all VMs tell their losses: two syncs of each.
-   * Until then what the leader before said holds on.
+   * Time after the start of a leadership within which all VMs report their losses: two sync
+   * intervals. Until then the quarantine list of the previous leader stays in effect.
    */
   private static final long INITIAL_REPORTS_NS = 500 * NS_PER_MS;
 
   private final Leadership leadership;
   private final LossTracker losses = new LossTracker(LOSS_RETENTION_MS);
-  private final Map<UpstreamIncarnation, Long> beatsNs = new LinkedHashMap<>();
-  private final long allToldNs;
+  private final Map<UpstreamIncarnation, Long> heartbeatsNs = new LinkedHashMap<>();
+  private final long initialReportsUntilNs;
   private Map<Fingerprint, Optional<CustomerId>> held = Map.of();
   private Set<Fingerprint> watched = Set.of();
   private long revision = 1;
@@ -73,85 +76,88 @@
 
   QuarantineCoordinator(Leadership leadership) {
     this.leadership = leadership;
-    allToldNs = leadership.nowNs() + INITIAL_REPORTS_NS;
+    initialReportsUntilNs = leadership.nowNs() + INITIAL_REPORTS_NS;
     refresh();
   }
 
   /**
-   * Takes what a VM saw.
+   * Processes the losses and complete answers that a VM reports.
    *
-   * @return whether what the VMs are told has changed
+   * @return whether the state to send to the VMs has changed
    */
   boolean message(ServingMessage.Losses message) {
     for (Loss loss : message.losses()) {
       long atNs = leadership.nowNs() - loss.agoMs() * NS_PER_MS;
       losses.recordLoss(loss.request(), loss.customer(), loss.upstream(), atNs);
-      Long beatNs = beatsNs.get(loss.upstream());
-      if (beatNs != null) {
-        losses.alive(loss.upstream(), beatNs - HEARTBEAT_DELAY_NS);
+      Long heartbeatNs = heartbeatsNs.get(loss.upstream());
+      if (heartbeatNs != null) {
+        losses.alive(loss.upstream(), heartbeatNs - HEARTBEAT_DELAY_NS);
       }
     }
-    message.served().forEach(this::servedWhole);
-    releaseCleared();
+    message.served().forEach(this::onCompleteAnswer);
+    releaseExpiredOrCleared();
     return refresh();
   }
 
   /**
-   * Takes an upstream's heartbeat.
+   * Processes an upstream's heartbeat.
    *
-   * @return whether what the VMs are told has changed
+   * @return whether the state to send to the VMs has changed
    */
   boolean onHeartbeat(Registration heard) {
-    beatsNs.put(heard.upstreamIncarnation(), leadership.nowNs());
-    boolean known =
+    heartbeatsNs.put(heard.upstreamIncarnation(), leadership.nowNs());
+    boolean wasLost =
         losses.alive(heard.upstreamIncarnation(), leadership.nowNs() - HEARTBEAT_DELAY_NS);
-    return known && refresh();
+    return wasLost && refresh();
   }
 
-  /** Does what is due each second; returns whether what the VMs are told has changed. */
+  /**
+   * Runs the periodic work, once a second; returns whether the state to send to the VMs has
+   * changed.
+   */
   boolean tick() {
     long nowNs = leadership.nowNs();
     losses.removeExpired(nowNs);
-    beatsNs.values().removeIf(atNs -> nowNs - atNs > LOSS_RETENTION_MS * NS_PER_MS);
+    heartbeatsNs.values().removeIf(atNs -> nowNs - atNs > LOSS_RETENTION_MS * NS_PER_MS);
     for (Map.Entry<Fingerprint, Optional<CustomerId>> one :
         losses.findRequestsToHold().entrySet()) {
-      boolean settled = nowNs - losses.newestLossNs(one.getKey()) >= COMMIT_DELAY_NS;
-      if (settled && !heldBook().contains(one.getKey())) {
+      boolean isSettled = nowNs - losses.newestLossNs(one.getKey()) >= COMMIT_DELAY_NS;
+      if (isSettled && !heldRequests().contains(one.getKey())) {
         long logTimeMs = leadership.logTimeMs(nowNs);
         HeldRequest request = new HeldRequest(one.getKey(), one.getValue(), logTimeMs, 0);
         leadership.proposeBestEffort(new Command.HoldRequest(request, logTimeMs));
       }
     }
-    releaseCleared();
-    heldBook().all().forEach(this::tryIfDue);
+    releaseExpiredOrCleared();
+    heldRequests().all().forEach(this::startTrialIfDue);
     return refresh();
   }
 
   /**
-   * Looks again at what is held after a commit.
+   * Recomputes the quarantined and the watched requests.
    *
-   * @return whether what the VMs are told has changed
+   * @return whether the state to send to the VMs has changed
    */
   boolean refresh() {
-    Map<Fingerprint, Optional<CustomerId>> nowHeld = new LinkedHashMap<>();
-    heldBook().all().forEach(one -> nowHeld.put(one.request(), one.customer()));
-    nowHeld.putAll(losses.findRequestsToHold());
-    long watchedFromNs = leadership.nowNs() - WATCH_NS;
-    Set<Fingerprint> nowWatched = new HashSet<>(losses.findLostAfter(watchedFromNs));
-    nowWatched.removeAll(nowHeld.keySet());
-    if (nowHeld.equals(held) && nowWatched.equals(watched)) {
+    Map<Fingerprint, Optional<CustomerId>> newHeld = new LinkedHashMap<>();
+    heldRequests().all().forEach(one -> newHeld.put(one.request(), one.customer()));
+    newHeld.putAll(losses.findRequestsToHold());
+    long watchStartNs = leadership.nowNs() - WATCH_NS;
+    Set<Fingerprint> newWatched = new HashSet<>(losses.findLostAfter(watchStartNs));
+    newWatched.removeAll(newHeld.keySet());
+    if (newHeld.equals(held) && newWatched.equals(watched)) {
       return false;
     }
-    log(held, nowHeld);
-    held = nowHeld;
-    watched = nowWatched;
+    log(held, newHeld);
+    held = newHeld;
+    watched = newWatched;
     revision++;
     return true;
   }
 
-  /** Returns the revision that VMs should hold. */
+  /** Returns the revision that VMs should have. */
   long revision() {
-    if (!whole && leadership.nowNs() >= allToldNs) {
+    if (!whole && leadership.nowNs() >= initialReportsUntilNs) {
       whole = true;
       revision++;
     }
@@ -163,41 +169,42 @@
         leadership.fencing(), revision, whole, List.copyOf(held.keySet()), List.copyOf(watched));
   }
 
-  /** A request that ends upstreams is never answered whole, so one that is harms nobody. */
-  private void servedWhole(Fingerprint request) {
+  /** Releases a request that was answered completely: a request that crashes upstreams never is. */
+  private void onCompleteAnswer(Fingerprint request) {
     losses.recordSuccess(request);
-    if (heldBook().contains(request)) {
+    if (heldRequests().contains(request)) {
       release(request);
     }
   }
 
   /**
-   * Lets a held request go to one upstream, by one VM. Guards against a hold that is wrong and
-   * stands for its whole time: what is held is never answered, so nothing else could clear it. Each
-   * trial is counted in the log first, so that no leader repeats it.
+   * Lets one VM send a quarantined request to one upstream. Without trials, a request that was
+   * quarantined by mistake would stay so until its quarantine expires: it is never answered, so
+   * nothing could clear it. Each trial is counted in the log first, so that no later leader repeats
+   * it.
    */
-  private void tryIfDue(HeldRequest one) {
+  private void startTrialIfDue(HeldRequest one) {
     long logTimeMs = leadership.logTimeMs(leadership.nowNs());
     Optional<VmId> vm =
         one.isTrialDue(logTimeMs)
             ? leadership.servingCoordinator().pickRandomVm()
             : Optional.empty();
     vm.ifPresent(
-        chosen ->
+        selected ->
             leadership.proposeThen(
                 new Command.TryRequest(one.request(), logTimeMs),
-                () -> allow(chosen, one.request())));
+                () -> sendTrial(selected, one.request())));
   }
 
-  private void allow(VmId vm, Fingerprint request) {
+  private void sendTrial(VmId vm, Fingerprint request) {
     leadership.sendServing(
         vm, new ServingReply.Trial(leadership.fencing(), request, TRIAL_VALIDITY_MS));
   }
 
-  /** Lets go what was held long enough, and what was seen to harm nobody. */
-  private void releaseCleared() {
+  /** Releases requests whose quarantine has expired or that were found to be harmless. */
+  private void releaseExpiredOrCleared() {
     long logTimeMs = leadership.logTimeMs(leadership.nowNs());
-    for (HeldRequest one : heldBook().all()) {
+    for (HeldRequest one : heldRequests().all()) {
       if (one.isExpired(logTimeMs) || losses.isCleared(one.request())) {
         release(one.request());
       }
@@ -209,7 +216,7 @@
     leadership.proposeBestEffort(new Command.ReleaseRequest(request, logTimeMs));
   }
 
-  private HeldRequestStore heldBook() {
+  private HeldRequestStore heldRequests() {
     return leadership.context().stateMachine().state().held();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaAllocator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaAllocator.java
@@ -16,146 +16,152 @@
 import org.teaseltrail.core.quota.QuotaReport;
 
 /**
- * Adds up, on the leader, what customers have used of their quotas at all entry VMs, and allows
- * each VM a part of the rest until it tells again.
+ * Sums up, on the leader, what customers have used of their quotas at all entry VMs, and grants
+ * each VM an allowance from the remainder until its next report.
  *
- * <p>What all VMs hold, used or allowed, never adds up to more than the quota. That holds in these
- * cases:
+ * <p>What all VMs hold, that is what they have used plus their allowances, never exceeds the quota.
+ * This also covers the following cases:
  *
  * <ul>
- *   <li>A VM falls silent: what it holds stays set aside, since it may use it until its session
- *       ends, and for the quota's window after that.
- *   <li>A VM is started anew: its account begins at nothing, and several restarts in a row would
- *       let a customer use its quota over and over. What the former life held counts on for the
- *       window.
- *   <li>An answer is lost: the VM goes on with its older allowance. It counts with the greater of
- *       both until it tells again.
- *   <li>Another member leads: see {@link InheritedQuotaUsage}.
+ *   <li>A VM stops reporting: what it holds stays reserved until its session ends, since it may
+ *       still use it, and for the quota's window after that.
+ *   <li>A VM restarts: its own count starts at zero, and several restarts in a row would let a
+ *       customer use the quota repeatedly. What the previous incarnation held is counted until the
+ *       window has passed.
+ *   <li>A reply is lost: the VM continues with its previous allowance. The greater of the two
+ *       allowances is counted until the VM reports again.
+ *   <li>Leadership changes: see {@link InheritedQuotaUsage}.
  * </ul>
  */
 final class QuotaAllocator {
 
   /**
-   * Part of the rest that is divided evenly, since callers may move to any VM at once. A VM that
-   * lacks more asks for it, so it needs to cover no more than some requests.
+   * Fraction of the remainder that is divided evenly, since callers may switch to any VM at any
+   * time. A VM that needs more requests it, so the even share needs to cover only a few requests.
    */
   private static final double EVEN_RATIO = 0.15;
 
   /**
-   * Time of its customers' usual demand that a VM is allowed at most beyond the even part: two
-   * thirds of a session's lifetime, for which the VM may serve without a leader. What leaves the
-   * window comes to it besides. No more, since a killed VM takes what it was allowed with it for a
-   * window: with three seconds, a VM that is started anew each second leaves its customers 0.54 of
-   * their quota.
+   * Maximum allowance of a VM beyond its even share, as seconds of its customers' average demand:
+   * two thirds of a session's lifetime, for which the VM may serve without a leader. Amounts that
+   * leave the window are available to the VM in addition. It is not greater because the allowance
+   * of a killed VM is lost for a whole window: with three seconds, a VM that restarts every second
+   * leaves its customers 0.54 of their quota.
    */
   private static final double DEMAND_COVER_S = 2;
 
   /**
-   * Time after the beginning of a leadership in which VMs get no more than they hold: a sync and a
-   * half, in which all that can have told. Guards against a VM that comes first and knows nothing,
-   * as one that was just started: it would be allowed what others hold that have not told yet.
+   * Time after the start of a leadership in which VMs are granted no more than they hold: one and a
+   * half sync intervals, in which every connected VM can report. Otherwise a VM that reports first
+   * and has no usage, such as one that was just started, would be granted what others hold that
+   * have not reported yet.
    */
   private static final long SETTLING_NS = 400_000_000L;
 
   /**
-   * The same if nobody who has told remembers an earlier leader, as after a restart of all: VMs
-   * without a session tell every tenth of a second, and one that has a session every quarter.
+   * The same if no VM that has reported knows of an earlier leader, as after a restart of all VMs:
+   * VMs without a session report every tenth of a second, and a VM with a session every quarter of
+   * a second.
    */
   private static final long FRESH_SETTLING_NS = 250_000_000L;
 
   /**
-   * Part of a quota by which all VMs together may come to hold more until a VM tells again; each is
-   * told that the others may hold so much beyond what they do. Guards against a VM that grows and
-   * is lost together with the leader: the next leader knows what it held only from the others, who
-   * were told before. A second of a quota's rate is a ninth of it, so a prompt of so much can be
-   * allowed at once; with a twentieth, 12 of 230 requests within their quota are refused where one
-   * prompt in nine takes more than a second of the rate, with a tenth 3. What it costs: after the
-   * loss of a leader as much is held back for the quota's window.
+   * Fraction of a quota by which the amount held by all VMs together may grow until a VM reports
+   * again. Each VM is sent what the others hold plus this fraction as an upper bound. It covers a
+   * VM whose allowance grows and that is lost together with the leader: the next leader learns what
+   * that VM held only from the others, which received their bounds earlier. A second of a quota's
+   * rate is a ninth of the quota, so a prompt of that size can be allowed at once. Where one prompt
+   * in nine takes more than a second of the rate, 3 of 230 requests within their quota are refused
+   * with a tenth, and 12 with a twentieth. The cost is that after the loss of a leader the same
+   * amount is withheld for the quota's window.
    */
   private static final double GROWTH_RATIO = 0.1;
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Life(VmId vm, Incarnation incarnation) {}
+  private record VmIncarnation(VmId vm, Incarnation incarnation) {}
 
-  private record Account(Life life, Map<CustomerId, VmQuotaAccount> lines) {
+  private record Account(VmIncarnation vmIncarnation, Map<CustomerId, VmQuotaAccount> lines) {
 
     double sum(CustomerId customer, ToDoubleFunction<VmQuotaAccount> amount) {
-      VmQuotaAccount line = lines.get(customer);
-      return line == null ? 0 : amount.applyAsDouble(line);
+      VmQuotaAccount quotaAccount = lines.get(customer);
+      return quotaAccount == null ? 0 : amount.applyAsDouble(quotaAccount);
     }
   }
 
   private final long windowMs;
-  private final long beganNs;
-  private final InheritedQuotaUsage inheritance;
+  private final long startedNs;
+  private final InheritedQuotaUsage inheritedUsage;
   private final Map<VmId, Account> accounts = new TreeMap<>(Comparator.comparing(VmId::value));
   private final List<Account> ended = new ArrayList<>();
-  private final Set<Life> cameForward = new HashSet<>();
-  private final Map<CustomerId, Double> firstParts = new HashMap<>();
+  private final Set<VmIncarnation> reportedIncarnations = new HashSet<>();
+  private final Map<CustomerId, Double> settlingGrants = new HashMap<>();
   private final Map<CustomerId, QuotaTokenBucket> buckets = new HashMap<>();
 
   /**
-   * Creates a ledger that knows no VM.
+   * Creates an allocator without VMs.
    *
-   * @param windowMs time over which quotas are counted, in milliseconds
-   * @param silentNs time after which a silent VM no longer uses what it was allowed
-   * @param nowNs when this member began to lead
+   * @param windowMs window over which quotas are counted, in milliseconds
+   * @param silentNs time without a report after which a VM no longer uses its allowance
+   * @param nowNs start of this leadership
    */
   QuotaAllocator(long windowMs, long silentNs, long nowNs) {
     this.windowMs = windowMs;
-    beganNs = nowNs;
-    inheritance = new InheritedQuotaUsage(nowNs + silentNs + windowMs * NS_PER_MS);
+    startedNs = nowNs;
+    inheritedUsage = new InheritedQuotaUsage(nowNs + silentNs + windowMs * NS_PER_MS);
   }
 
-  /** Takes what a VM tells. */
+  /** Records a VM's report. */
   void recordReport(VmId vm, Incarnation incarnation, List<QuotaReport> uses, long nowNs) {
-    Life life = new Life(vm, incarnation);
-    Account known = accounts.get(vm);
-    if (known != null && !known.life().equals(life)) {
+    VmIncarnation vmIncarnation = new VmIncarnation(vm, incarnation);
+    Account previous = accounts.get(vm);
+    if (previous != null && !previous.vmIncarnation().equals(vmIncarnation)) {
       removeVm(vm, nowNs);
     }
-    if (cameForward.add(life)) {
-      uses.forEach(use -> inheritance.recordFirstReport(use, nowNs));
+    if (reportedIncarnations.add(vmIncarnation)) {
+      uses.forEach(report -> inheritedUsage.recordFirstReport(report, nowNs));
     }
-    ended.removeIf(account -> account.life().equals(life));
-    Account account = accounts.computeIfAbsent(vm, id -> new Account(life, new HashMap<>()));
-    for (QuotaReport use : uses) {
-      VmQuotaAccount line = account.lines().get(use.customer());
-      if (line == null) {
-        account.lines().put(use.customer(), new VmQuotaAccount(windowMs, use, nowNs));
+    ended.removeIf(account -> account.vmIncarnation().equals(vmIncarnation));
+    Account account =
+        accounts.computeIfAbsent(vm, id -> new Account(vmIncarnation, new HashMap<>()));
+    for (QuotaReport report : uses) {
+      VmQuotaAccount quotaAccount = account.lines().get(report.customer());
+      if (quotaAccount == null) {
+        account.lines().put(report.customer(), new VmQuotaAccount(windowMs, report, nowNs));
       } else {
-        bucketUsed(use.customer(), line.recordReport(use, nowNs));
+        takeFromBucket(report.customer(), quotaAccount.recordReport(report, nowNs));
       }
     }
   }
 
-  private void bucketUsed(CustomerId customer, double amount) {
+  private void takeFromBucket(CustomerId customer, double amount) {
     QuotaTokenBucket bucket = buckets.get(customer);
     if (bucket != null) {
       bucket.used(amount);
     }
   }
 
-  /** Takes a VM out that has fallen silent; what it holds counts on for the window. */
+  /**
+   * Removes a VM that has stopped reporting; what it holds is counted until the window has passed.
+   */
   void removeVm(VmId vm, long nowNs) {
     Account account = accounts.remove(vm);
     if (account != null) {
-      account.lines().values().forEach(line -> line.end(nowNs));
+      account.lines().values().forEach(quotaAccount -> quotaAccount.end(nowNs));
       ended.add(account);
     }
   }
 
   /**
-   * Allows a VM its part of what is left.
+   * Grants a VM its share of the remainder.
    *
-   * @param vm a VM that has just told
-   * @param limits how much there is to hand out, for each customer with a quota
+   * @param vm a VM that has just reported
+   * @param limits the amounts available for each customer with a quota
    * @param nowNs time
-   * @return what the VM may take after what it told
+   * @return what the VM may use beyond what it has reported
    */
   List<QuotaGrant> allocate(VmId vm, Map<CustomerId, QuotaLimit> limits, long nowNs) {
-    dropOutOfWindow(nowNs);
+    removeOutOfWindow(nowNs);
     List<QuotaGrant> grants = new ArrayList<>();
     limits.forEach((customer, limit) -> grants.add(grant(vm, customer, limit, nowNs)));
     return grants;
@@ -163,47 +169,53 @@
 
   private QuotaGrant grant(VmId vm, CustomerId customer, QuotaLimit quota, long nowNs) {
     double limit = quota.grantable();
-    VmQuotaAccount line = line(vm, customer, nowNs);
-    OtherVmsQuotaSummary others = others(vm, customer, nowNs);
-    double used = line.used(nowNs);
-    double usedByEnded = ofEnded(customer, each -> each.used(nowNs));
-    double heldByEnded = usedByEnded + inheritance.heldByEnded(customer, nowNs);
+    VmQuotaAccount quotaAccount = getOrCreateAccount(vm, customer, nowNs);
+    OtherVmsQuotaSummary others = sumOthers(vm, customer, nowNs);
+    double used = quotaAccount.used(nowNs);
+    double usedByEnded = sumEnded(customer, each -> each.used(nowNs));
+    double heldByEnded = usedByEnded + inheritedUsage.heldByEnded(customer, nowNs);
     double usedElsewhere = others.used() + usedByEnded;
-    double heldElsewhere = others.held() + inheritance.heldByUnreportedVms(customer, nowNs);
-    double leftInWindow = Math.max(0, limit - used - usedElsewhere);
-    double left = Math.min(leftInWindow, leftNow(customer, quota, leftInWindow, nowNs));
-    double free = limit - used - heldElsewhere - heldByEnded;
-    double part = isSettling(nowNs) ? firstPart(line, customer, quota) : part(line, others, left);
-    double grown = line.remainingAllowance() + others.maxGrowth(limit);
-    double spendable = Math.max(0, left - others.remainingAllowance());
-    double most = Math.min(Math.min(free, spendable), grown);
-    double allowance = Math.max(0, Math.min(part, most));
-    allow(line, others, allowance, nowNs);
-    line.setOthersMaxGrowth(GROWTH_RATIO * limit);
-    double mostElsewhere = Math.max(heldElsewhere, limit - line.held(nowNs) - heldByEnded);
+    double heldElsewhere = others.held() + inheritedUsage.heldByUnreportedVms(customer, nowNs);
+    double remainingInWindow = Math.max(0, limit - used - usedElsewhere);
+    double remaining =
+        Math.min(remainingInWindow, availableNow(customer, quota, remainingInWindow, nowNs));
+    double unreserved = limit - used - heldElsewhere - heldByEnded;
+    double part =
+        isSettling(nowNs)
+            ? settlingShare(quotaAccount, customer, quota)
+            : part(quotaAccount, others, remaining);
+    double maxGrown = quotaAccount.remainingAllowance() + others.maxGrowth(limit);
+    double available = Math.max(0, remaining - others.remainingAllowance());
+    double maxAllowance = Math.min(Math.min(unreserved, available), maxGrown);
+    double allowance = Math.max(0, Math.min(part, maxAllowance));
+    raiseAllowance(quotaAccount, others, allowance, nowNs);
+    quotaAccount.setOthersMaxGrowth(GROWTH_RATIO * limit);
+    double maxHeldElsewhere =
+        Math.max(heldElsewhere, limit - quotaAccount.held(nowNs) - heldByEnded);
     return new QuotaGrant(
         customer,
         allowance,
         usedElsewhere,
-        Math.min(mostElsewhere, heldElsewhere + GROWTH_RATIO * limit),
+        Math.min(maxHeldElsewhere, heldElsewhere + GROWTH_RATIO * limit),
         heldByEnded,
         endedForNs(customer, nowNs) / NS_PER_MS);
   }
 
-  private double leftNow(CustomerId customer, QuotaLimit quota, double leftInWindow, long nowNs) {
+  private double availableNow(
+      CustomerId customer, QuotaLimit quota, double remainingInWindow, long nowNs) {
     return buckets
         .computeIfAbsent(
             customer,
-            id -> new QuotaTokenBucket(Math.min(quota.burstCapacity(), leftInWindow), nowNs))
+            id -> new QuotaTokenBucket(Math.min(quota.burstCapacity(), remainingInWindow), nowNs))
         .level(quota.perSecond(), quota.burstCapacity(), nowNs);
   }
 
   private boolean isSettling(long nowNs) {
-    long settlingNs = inheritance.hasEarlierUsage() ? SETTLING_NS : FRESH_SETTLING_NS;
-    return nowNs - beganNs < settlingNs;
+    long settlingNs = inheritedUsage.hasEarlierUsage() ? SETTLING_NS : FRESH_SETTLING_NS;
+    return nowNs - startedNs < settlingNs;
   }
 
-  private VmQuotaAccount line(VmId vm, CustomerId customer, long nowNs) {
+  private VmQuotaAccount getOrCreateAccount(VmId vm, CustomerId customer, long nowNs) {
     return accounts
         .get(vm)
         .lines()
@@ -212,73 +224,78 @@
             id -> new VmQuotaAccount(windowMs, new QuotaReport(id, 0, 0, 0, 0, 0, 0, 0, 0), nowNs));
   }
 
-  private static void allow(
-      VmQuotaAccount line, OtherVmsQuotaSummary others, double allowance, long nowNs) {
-    double heldBefore = line.held(nowNs);
-    line.raiseAllowance(allowance);
-    double growth = line.held(nowNs) - heldBefore;
-    others.recentReporters().forEach(witness -> witness.consumeOthersGrowth(growth));
+  private static void raiseAllowance(
+      VmQuotaAccount quotaAccount, OtherVmsQuotaSummary others, double allowance, long nowNs) {
+    double heldBefore = quotaAccount.held(nowNs);
+    quotaAccount.raiseAllowance(allowance);
+    double growth = quotaAccount.held(nowNs) - heldBefore;
+    others.recentReporters().forEach(reporter -> reporter.consumeOthersGrowth(growth));
   }
 
-  /** Adds up what all VMs but one hold of a customer's quota. */
-  private OtherVmsQuotaSummary others(VmId vm, CustomerId customer, long nowNs) {
+  /** Sums up what all VMs but one hold of a customer's quota. */
+  private OtherVmsQuotaSummary sumOthers(VmId vm, CustomerId customer, long nowNs) {
     OtherVmsQuotaSummary.Builder sum = new OtherVmsQuotaSummary.Builder(nowNs);
     for (Account account : accounts.values()) {
-      VmQuotaAccount line = account.lines().get(customer);
-      if (line != null && !account.life().vm().equals(vm)) {
-        sum.add(line);
+      VmQuotaAccount quotaAccount = account.lines().get(customer);
+      if (quotaAccount != null && !account.vmIncarnation().vm().equals(vm)) {
+        sum.add(quotaAccount);
       }
     }
     return sum.toSummary();
   }
 
   /**
-   * Returns what a VM is allowed of what is left: by demand, and a part that is the same for all.
+   * Returns a VM's share of the remainder: partly in proportion to demand, partly the same for all
+   * VMs.
    */
-  private double part(VmQuotaAccount line, OtherVmsQuotaSummary others, double left) {
-    double own = line.demandPerSecond();
+  private double part(VmQuotaAccount quotaAccount, OtherVmsQuotaSummary others, double remaining) {
+    double own = quotaAccount.demandPerSecond();
     double total = own + others.demandPerSecond();
-    double even = left / accounts.size();
-    double evenPart = EVEN_RATIO * even;
-    double byDemand = total > 0 ? left * own / total : even;
-    double part = evenPart + (1 - EVEN_RATIO) * byDemand;
-    double covered = Math.min(part, Math.max(evenPart, DEMAND_COVER_S * own));
-    return Math.max(covered, Math.min(left, line.wanted()));
+    double even = remaining / accounts.size();
+    double evenShare = EVEN_RATIO * even;
+    double byDemand = total > 0 ? remaining * own / total : even;
+    double part = evenShare + (1 - EVEN_RATIO) * byDemand;
+    double capped = Math.min(part, Math.max(evenShare, DEMAND_COVER_S * own));
+    return Math.max(capped, Math.min(remaining, quotaAccount.wanted()));
   }
 
   /**
-   * Returns what a VM is allowed before all have told: what it may take already. If nobody knows of
-   * an earlier leader, what requests wait for, out of what is kept for things a new leader can't
-   * know.
+   * Returns a VM's allowance before all VMs have reported: the allowance that it has already. If no
+   * VM knows of an earlier leader, the amount that its requests wait for is added, from the reserve
+   * for usage that a new leader can't know.
    *
-   * <p>Guards against callers that are refused as over their quota after all VMs were restarted,
-   * though they have used nothing of it yet: that lasted as long as the settling.
+   * <p>Otherwise, after a restart of all VMs, callers that have used nothing of their quota yet
+   * would be refused until the settling time has passed.
    */
-  private double firstPart(VmQuotaAccount line, CustomerId customer, QuotaLimit quota) {
-    double keptLeft = quota.reserved() - firstParts.getOrDefault(customer, 0.0);
-    if (inheritance.hasEarlierUsage() || keptLeft <= 0) {
-      return line.remainingAllowance();
+  private double settlingShare(VmQuotaAccount quotaAccount, CustomerId customer, QuotaLimit quota) {
+    double reservedLeft = quota.reserved() - settlingGrants.getOrDefault(customer, 0.0);
+    if (inheritedUsage.hasEarlierUsage() || reservedLeft <= 0) {
+      return quotaAccount.remainingAllowance();
     }
-    double more = Math.min(line.wanted(), keptLeft);
-    firstParts.merge(customer, more, Double::sum);
-    return line.remainingAllowance() + more;
+    double extra = Math.min(quotaAccount.wanted(), reservedLeft);
+    settlingGrants.merge(customer, extra, Double::sum);
+    return quotaAccount.remainingAllowance() + extra;
   }
 
-  private double ofEnded(CustomerId customer, ToDoubleFunction<VmQuotaAccount> amount) {
+  private double sumEnded(CustomerId customer, ToDoubleFunction<VmQuotaAccount> amount) {
     return ended.stream().mapToDouble(account -> account.sum(customer, amount)).sum();
   }
 
   private long endedForNs(CustomerId customer, long nowNs) {
-    double longest =
+    double maxRemainingNs =
         ended.stream()
-            .mapToDouble(account -> account.sum(customer, line -> line.timeUntilEmptyNs(nowNs)))
+            .mapToDouble(
+                account ->
+                    account.sum(customer, quotaAccount -> quotaAccount.timeUntilEmptyNs(nowNs)))
             .max()
             .orElse(0);
-    return Math.max((long) longest, inheritance.endedForNs(customer, nowNs));
+    return Math.max((long) maxRemainingNs, inheritedUsage.endedForNs(customer, nowNs));
   }
 
-  private void dropOutOfWindow(long nowNs) {
+  private void removeOutOfWindow(long nowNs) {
     ended.removeIf(
-        account -> account.lines().values().stream().allMatch(line -> line.held(nowNs) <= 0));
+        account ->
+            account.lines().values().stream()
+                .allMatch(quotaAccount -> quotaAccount.held(nowNs) <= 0));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaLimit.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaLimit.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.core.control;
 
 /**
- * Is how much of a customer's quota there is to hand out. Amounts are requests or tokens, by the
- * quota's unit.
+ * Amounts of a customer's quota that can be granted. Amounts are requests or tokens, depending on
+ * the quota's unit.
  *
- * @param grantable what all VMs together may hold within the window
- * @param perSecond what they may use in each second, on average
- * @param burstCapacity what they may use beyond that at once
- * @param reserved what is kept back for what a new leader can't know
+ * @param grantable maximum that all VMs together may hold within the window
+ * @param perSecond average amount that they may use per second
+ * @param burstCapacity amount that they may use beyond that in a burst
+ * @param reserved amount reserved for usage that a new leader can't know
  */
 record QuotaLimit(double grantable, double perSecond, double burstCapacity, double reserved) {}
--- a/core/src/main/java/org/teaseltrail/core/control/QuotaTokenBucket.java
+++ b/core/src/main/java/org/teaseltrail/core/control/QuotaTokenBucket.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.core.control;
 
 /**
- * Is what all VMs together may begin to use of one customer's quota now: it fills at the quota's
- * rate up to its burst (token bucket).
+ * Token bucket that limits what all VMs together may start to use of one customer's quota. It fills
+ * at the quota's rate up to the quota's burst.
  *
- * <p>Guards against a quota that is used up in the first second of a rush and gives nothing for the
- * rest of the window: whoever is within the rate is refused then, for as long as the window lasts.
- * With the bucket each second of the rush gets the quota's rate.
+ * <p>Without it, a burst of requests could use up the quota in its first second, and callers within
+ * the rate would be refused for the rest of the window. With the bucket each second of a burst gets
+ * the quota's rate.
  */
 final class QuotaTokenBucket {
 
@@ -15,18 +15,24 @@
   private double level;
   private long filledNs;
 
-  /** Creates one at a level. */
+  /** Creates a bucket with an initial level. */
   QuotaTokenBucket(double level, long nowNs) {
     this.level = level;
     filledNs = nowNs;
   }
 
-  /** Takes an amount out that was used; what was used beyond the level is owed. */
+  /**
+   * Removes an amount that was used. The level may become negative, if more was used than
+   * available.
+   */
   void used(double amount) {
     level -= amount;
   }
 
-  /** Returns what may be used now, after it was filled since the last call. */
+  /**
+   * Refills the bucket for the time since the last call and returns the amount that may be used
+   * now.
+   */
   double level(double perSecond, double capacity, long nowNs) {
     level = Math.min(capacity, level + perSecond * (nowNs - filledNs) / NS_PER_S);
     filledNs = nowNs;
--- a/core/src/main/java/org/teaseltrail/core/control/RateLimitCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RateLimitCoordinator.java
@@ -22,34 +22,37 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Keeps, on the leader, the limits that upstreams name, as sums over all entry VMs: a request to
- * such an upstream needs a permit, and permits are given out at the limit's rate.
+ * Enforces, on the leader, the rate limits that upstreams announce, for all entry VMs together: a
+ * request to such an upstream needs a permit, and permits are issued at the rate of the limit.
  *
- * <p>Guards against a limit that holds at each VM and not over all. A permit lapses soon, so a VM
- * that is cut off or gone uses none later, and what two leaderships give out one after the other is
- * never more than the rate allows.
+ * <p>Prevents a limit from being enforced at each VM separately and exceeded by all of them
+ * together. Permits expire quickly, so a VM that is partitioned or gone uses none later, and the
+ * permits that two successive leaderships issue never exceed the rate.
  */
 final class RateLimitCoordinator {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Time for which a permit is good from when the VM asked; some of its syncs. */
+  /** Validity of a permit, counted from the VM's request for it; several sync intervals. */
   private static final long PERMIT_VALIDITY_MS = 1_000;
 
-  /** Time for which a more urgent want of another VM goes first: a little over a usual sync. */
+  /**
+   * Time for which a more urgent demand of another VM takes precedence: slightly more than a usual
+   * sync interval.
+   */
   private static final long DEMAND_VALIDITY_NS = 300 * NS_PER_MS;
 
-  private record Want(PermitDemand wanted, long untilNs) {}
+  private record Demand(PermitDemand wanted, long validUntilNs) {}
 
-  /** Is which state of the limits a life of a VM was told. */
-  private record Told(Incarnation incarnation, long revision) {}
+  /** The revision of the limits that was sent to an incarnation of a VM. */
+  private record SentRevision(Incarnation incarnation, long revision) {}
 
   private final Leadership leadership;
 
-  private final RateLimitRegistry book = new RateLimitRegistry();
+  private final RateLimitRegistry rateLimits = new RateLimitRegistry();
   private final Map<UpstreamIncarnation, PermitBucket> buckets = new HashMap<>();
-  private final Map<VmId, Map<ServiceId, Want>> wants = new HashMap<>();
-  private final Map<VmId, Told> told = new HashMap<>();
+  private final Map<VmId, Map<ServiceId, Demand>> demands = new HashMap<>();
+  private final Map<VmId, SentRevision> sent = new HashMap<>();
   private long revision;
 
   RateLimitCoordinator(Leadership leadership) {
@@ -57,27 +60,30 @@
   }
 
   boolean isLimited(Registration upstream) {
-    return book.limit(upstream.upstreamIncarnation()).isLimited();
+    return rateLimits.limit(upstream.upstreamIncarnation()).isLimited();
   }
 
-  /** Tells a VM which upstreams have limits, unless this life of it was told. */
+  /**
+   * Sends a VM the list of rate-limited upstreams, unless it was sent to this incarnation already.
+   */
   void onSync(ServingMessage.Sync sync) {
-    Told before = told.get(sync.vm());
-    boolean sameLife = before != null && before.incarnation().equals(sync.incarnation());
-    told.put(sync.vm(), new Told(sync.incarnation(), sameLife ? before.revision() : 0));
-    tell(sync.vm());
+    SentRevision before = sent.get(sync.vm());
+    boolean sameIncarnation = before != null && before.incarnation().equals(sync.incarnation());
+    sent.put(
+        sync.vm(), new SentRevision(sync.incarnation(), sameIncarnation ? before.revision() : 0));
+    sendLimits(sync.vm());
   }
 
   /**
-   * Takes what a VM heard, tells all VMs if another set of upstreams has limits now, and gives out
-   * permits.
+   * Handles the limits that a VM observed and the permits that it requests. Notifies all VMs if the
+   * set of rate-limited upstreams has changed, and issues permits.
    *
-   * @param message what the VM heard and wants
-   * @param upstreams all upstreams that may get requests
+   * @param message the VM's observations and demands
+   * @param upstreams all upstreams that may receive requests
    */
   void message(ServingMessage.Limits message, Collection<Registration> upstreams) {
     heard(message.sightings());
-    told.keySet().forEach(this::tell);
+    sent.keySet().forEach(this::sendLimits);
     List<SendPermit> permits = permits(message, upstreams);
     if (!permits.isEmpty()) {
       leadership.sendServing(
@@ -87,91 +93,95 @@
     }
   }
 
-  private void tell(VmId vm) {
-    Told before = told.get(vm);
+  private void sendLimits(VmId vm) {
+    SentRevision before = sent.get(vm);
     if (before.revision() != revision) {
-      told.put(vm, new Told(before.incarnation(), revision));
+      sent.put(vm, new SentRevision(before.incarnation(), revision));
       leadership.sendServing(
           vm,
           new ServingReply.LimitUpdate(
-              leadership.fencing(), book.sightings(upstream -> true, leadership.nowNs())));
+              leadership.fencing(), rateLimits.sightings(upstream -> true, leadership.nowNs())));
     }
   }
 
   private void heard(List<RateLimitObservation> sightings) {
     boolean changed = false;
-    for (RateLimitObservation sighting : sightings) {
-      UpstreamIncarnation upstream = sighting.upstream();
-      final boolean wasLimited = book.limit(upstream).isLimited();
-      book.recordObservation(
-          upstream, sighting.limit(), leadership.nowNs() - sighting.agoMs() * NS_PER_MS);
-      changed |= wasLimited != book.limit(upstream).isLimited();
+    for (RateLimitObservation observation : sightings) {
+      UpstreamIncarnation upstream = observation.upstream();
+      final boolean wasLimited = rateLimits.limit(upstream).isLimited();
+      rateLimits.recordObservation(
+          upstream, observation.limit(), leadership.nowNs() - observation.agoMs() * NS_PER_MS);
+      changed |= wasLimited != rateLimits.limit(upstream).isLimited();
     }
     revision += changed ? 1 : 0;
   }
 
   private List<SendPermit> permits(
-      ServingMessage.Limits asking, Collection<Registration> upstreams) {
+      ServingMessage.Limits message, Collection<Registration> upstreams) {
     long nowNs = leadership.nowNs();
-    Map<ServiceId, Want> latest = new HashMap<>();
-    wants.put(asking.vm(), latest);
-    List<SendPermit> given = new ArrayList<>();
-    for (PermitDemand wanted : asking.wanted()) {
-      latest.put(wanted.service(), new Want(wanted, nowNs + DEMAND_VALIDITY_NS));
-      if (!isOthersTurn(asking.vm(), wanted, nowNs)) {
-        int left = give(wanted, upstreams, given, nowNs);
-        if (left < wanted.requests()) {
+    Map<ServiceId, Demand> latest = new HashMap<>();
+    demands.put(message.vm(), latest);
+    List<SendPermit> issued = new ArrayList<>();
+    for (PermitDemand wanted : message.wanted()) {
+      latest.put(wanted.service(), new Demand(wanted, nowNs + DEMAND_VALIDITY_NS));
+      if (!hasMoreUrgentDemandElsewhere(message.vm(), wanted, nowNs)) {
+        int remaining = issuePermits(wanted, upstreams, issued, nowNs);
+        if (remaining < wanted.requests()) {
           latest.remove(wanted.service());
         }
       }
     }
-    return given;
+    return issued;
   }
 
-  /** Forgets a VM that has fallen silent. */
+  /** Removes a VM whose syncs have timed out. */
   void removeVm(VmId vm) {
-    wants.remove(vm);
-    told.remove(vm);
+    demands.remove(vm);
+    sent.remove(vm);
   }
 
-  /** Forgets limits of upstreams that are gone. */
+  /** Removes the limits of upstreams that are no longer registered. */
   void retain(Collection<Registration> present) {
-    Set<UpstreamIncarnation> lives =
+    Set<UpstreamIncarnation> upstreamIncarnations =
         present.stream().map(Registration::upstreamIncarnation).collect(Collectors.toSet());
-    book.removeStale(lives, leadership.nowNs());
-    buckets.keySet().removeIf(upstream -> !book.limit(upstream).isLimited());
+    rateLimits.removeStale(upstreamIncarnations, leadership.nowNs());
+    buckets.keySet().removeIf(upstream -> !rateLimits.limit(upstream).isLimited());
   }
 
-  private boolean isOthersTurn(VmId asking, PermitDemand wanted, long nowNs) {
-    return wants.entrySet().stream()
-        .filter(other -> !other.getKey().equals(asking))
+  private boolean hasMoreUrgentDemandElsewhere(VmId requester, PermitDemand wanted, long nowNs) {
+    return demands.entrySet().stream()
+        .filter(other -> !other.getKey().equals(requester))
         .map(other -> other.getValue().get(wanted.service()))
         .anyMatch(
             other ->
                 other != null
-                    && nowNs <= other.untilNs()
+                    && nowNs <= other.validUntilNs()
                     && other.wanted().hasPriorityOver(wanted));
   }
 
-  /** Returns how many of the wanted permits were not given. */
-  private int give(
-      PermitDemand wanted, Collection<Registration> upstreams, List<SendPermit> given, long nowNs) {
-    int left = wanted.requests();
+  /** Returns how many of the requested permits were not issued. */
+  private int issuePermits(
+      PermitDemand wanted,
+      Collection<Registration> upstreams,
+      List<SendPermit> issued,
+      long nowNs) {
+    int remaining = wanted.requests();
     for (Registration upstream : upstreams) {
-      boolean fits =
+      boolean usable =
           upstream.service().equals(wanted.service())
               && upstream.phase() == RegistrationPhase.READY
               && isLimited(upstream);
-      if (fits && left > 0) {
-        UpstreamIncarnation life = upstream.upstreamIncarnation();
-        PermitBucket bucket = buckets.computeIfAbsent(life, key -> new PermitBucket(nowNs));
-        int taken = bucket.acquire(book.limit(life), left, nowNs);
-        left -= taken;
+      if (usable && remaining > 0) {
+        UpstreamIncarnation upstreamIncarnation = upstream.upstreamIncarnation();
+        PermitBucket bucket =
+            buckets.computeIfAbsent(upstreamIncarnation, key -> new PermitBucket(nowNs));
+        int taken = bucket.acquire(rateLimits.limit(upstreamIncarnation), remaining, nowNs);
+        remaining -= taken;
         if (taken > 0) {
-          given.add(new SendPermit(life, taken));
+          issued.add(new SendPermit(upstreamIncarnation, taken));
         }
       }
     }
-    return left;
+    return remaining;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/RecentDecision.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RecentDecision.java
@@ -3,9 +3,9 @@
 import org.teaseltrail.core.decision.Decision;
 
 /**
- * Is a decision that an operator looks back on.
+ * A recent scheduling decision, as shown to operators.
  *
  * @param decision the decision
- * @param ageMs how long ago it was taken
+ * @param ageMs time since it was made
  */
 public record RecentDecision(Decision decision, long ageMs) {}
--- a/core/src/main/java/org/teaseltrail/core/control/RepairSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RepairSettings.java
@@ -1,21 +1,22 @@
 package org.teaseltrail.core.control;
 
 /**
- * Sets how a control group forms and repairs itself.
+ * Settings of the automatic repair of a control group's membership.
  *
- * @param targetVoters voters that the group wants; twice the members that may be lost, and one
- * @param voterTimeoutMs silence after which a voter gives its place to a learner that has caught
- *     up, in milliseconds
- * @param learnerTimeoutMs silence after which a learner is taken out, in milliseconds
+ * @param targetVoters target number of voters: twice the number of members that may be lost, plus
+ *     one
+ * @param voterTimeoutMs time without a response after which a voter is replaced by a learner that
+ *     has caught up, in milliseconds
+ * @param learnerTimeoutMs time without a response after which a learner is removed, in milliseconds
  */
 public record RepairSettings(int targetVoters, long voterTimeoutMs, long learnerTimeoutMs) {
 
   /**
-   * Returns settings for a number of losses. A voter counts as silent after 2 s: four election
-   * timeouts' least value, and so little that a replaced member is out of the group within the 4 s
-   * that the users' deployments give a new one to catch up.
+   * Returns settings for a number of tolerated losses. A voter times out after 2 s: four times the
+   * minimum election timeout, and short enough to replace a member within the 4 s that a deployment
+   * allows a new member to catch up.
    *
-   * @param toleratedLosses members that may be lost at once
+   * @param toleratedLosses number of members that may be lost at once
    * @return the settings
    */
   public static RepairSettings tolerating(int toleratedLosses) {
--- a/core/src/main/java/org/teaseltrail/core/control/ReplicatedStateMachine.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ReplicatedStateMachine.java
@@ -21,12 +21,13 @@
 import org.teaseltrail.core.state.StateCodec;
 
 /**
- * Joins the log and the state it builds. Events for the log are taken one after the other: the
- * actions of one are carried out before the next begins, so writes keep their order.
+ * Connects the replicated log with the state machine that applies it. Events are processed one at a
+ * time: all actions of an event are carried out before the next one starts, so writes keep their
+ * order.
  */
 final class ReplicatedStateMachine {
 
-  /** Learns what the log does. */
+  /** Receives changes of the log and of leadership. */
   interface Listener {
     void applied(Command command, CommandResult result, long nowNs);
 
@@ -39,32 +40,33 @@
     void leaderChanged(long nowNs);
   }
 
-  /** Learns what becomes of a read. */
+  /** Receives the outcome of a read. */
   interface ReadCallback {
     void ready();
 
     void refused();
   }
 
-  private record Appended(long term, ProposalCallback callback) {}
+  private record AppendedProposal(long term, ProposalCallback callback) {}
 
   private final Replica replica;
   private final StateCodec codec;
-  private final ActionBuffer out;
+  private final ActionBuffer actions;
   private final Listener listener;
-  private final Deque<ReplicaEvent> inbox = new ArrayDeque<>();
+  private final Deque<ReplicaEvent> pendingEvents = new ArrayDeque<>();
   private final Map<Long, ProposalCallback> proposed = new HashMap<>();
-  private final Map<Long, Appended> appended = new TreeMap<>();
+  private final Map<Long, AppendedProposal> appended = new TreeMap<>();
   private final Map<Long, ReadCallback> reads = new HashMap<>();
   private ClusterState state = new ClusterState(ClusterSnapshot.empty());
   private Membership membership = Membership.empty();
   private boolean draining;
   private long lastProposalId;
 
-  ReplicatedStateMachine(Replica replica, StateCodec codec, ActionBuffer out, Listener listener) {
+  ReplicatedStateMachine(
+      Replica replica, StateCodec codec, ActionBuffer actions, Listener listener) {
     this.replica = replica;
     this.codec = codec;
-    this.out = out;
+    this.actions = actions;
     this.listener = listener;
   }
 
@@ -96,7 +98,10 @@
     return lastProposalId;
   }
 
-  /** Asks for a read of all that is committed, confirmed by a quorum from now on. */
+  /**
+   * Requests a linearizable read: a quorum confirms leadership after this call, and then everything
+   * committed by then is visible.
+   */
   void read(ReadCallback callback, long nowNs) {
     lastProposalId++;
     reads.put(lastProposalId, callback);
@@ -108,61 +113,62 @@
   }
 
   void handle(ReplicaEvent event, long nowNs) {
-    inbox.add(event);
+    pendingEvents.add(event);
     if (draining) {
       return;
     }
     draining = true;
-    while (!inbox.isEmpty()) {
-      replica.handle(inbox.poll(), nowNs).forEach(action -> carryOut(action, nowNs));
-      tellMembership();
+    while (!pendingEvents.isEmpty()) {
+      replica.handle(pendingEvents.poll(), nowNs).forEach(action -> execute(action, nowNs));
+      announceMembership();
     }
     draining = false;
   }
 
-  private void carryOut(ReplicaAction action, long nowNs) {
+  private void execute(ReplicaAction action, long nowNs) {
     if (action instanceof ReplicaAction.Write write) {
-      out.persist(write);
+      actions.persist(write);
     } else if (action instanceof ReplicaAction.SendPeer send) {
-      out.sendToPeer(send.envelope());
+      actions.sendToPeer(send.envelope());
     } else if (action instanceof ReplicaAction.Apply apply) {
       apply.entries().forEach(entry -> apply(entry, nowNs));
     } else if (action instanceof ReplicaAction.RestoreSnapshot restore) {
       state = new ClusterState(codec.decodeSnapshot(restore.snapshot().state()));
       listener.restored(nowNs);
     } else if (action instanceof ReplicaAction.TakeSnapshot take) {
-      out.encodeSnapshot(take.index(), state.snapshot());
+      actions.encodeSnapshot(take.index(), state.snapshot());
     } else if (action instanceof ReplicaAction.ReadReady ready) {
       reads.remove(ready.barrierId()).ready();
     } else if (action instanceof ReplicaAction.ReadRejected rejected) {
       reads.remove(rejected.barrierId()).refused();
     } else {
-      carryOutLeadership(action, nowNs);
+      executeLeadershipAction(action, nowNs);
     }
   }
 
   /**
-   * Guards against a member set that was recovered from disk and never told of as a change: the
-   * program would not know the VM of any member after a restart, and no message would leave it.
+   * Announces a change of the member set, including a set that was recovered from disk. If a
+   * recovered set were not announced, the process would not know the VM of any member after a
+   * restart and could send no messages.
    */
-  private void tellMembership() {
+  private void announceMembership() {
     if (!replica.membership().equals(membership)) {
       membership = replica.membership();
-      out.membershipChanged(membership);
+      actions.membershipChanged(membership);
     }
   }
 
-  private void carryOutLeadership(ReplicaAction action, long nowNs) {
+  private void executeLeadershipAction(ReplicaAction action, long nowNs) {
     if (action instanceof ReplicaAction.BecameLeader became) {
       listener.becameLeader(became.term(), nowNs);
     } else if (action instanceof ReplicaAction.LostLeadership) {
       listener.lostLeadership(nowNs);
-      endProposals(nowNs);
+      closeProposals(nowNs);
     } else if (action instanceof ReplicaAction.LeaderChanged) {
       listener.leaderChanged(nowNs);
     } else if (action instanceof ReplicaAction.ProposalAppended accepted) {
       ProposalCallback callback = proposed.remove(accepted.proposalId());
-      appended.put(accepted.index(), new Appended(accepted.term(), callback));
+      appended.put(accepted.index(), new AppendedProposal(accepted.term(), callback));
     } else if (action instanceof ReplicaAction.ProposalRejected rejected) {
       ProposalCallback callback = proposed.remove(rejected.proposalId());
       if (callback != null) {
@@ -173,38 +179,38 @@
 
   private void apply(LogEntry entry, long nowNs) {
     if (!(entry.payload() instanceof EntryPayload.CommandPayload payload)) {
-      answer(entry, null, nowNs);
+      notifyProposer(entry, null, nowNs);
       return;
     }
     Command command = codec.decodeCommand(payload.bytes());
     CommandResult result = state.apply(command);
-    answer(entry, result, nowNs);
+    notifyProposer(entry, result, nowNs);
     listener.applied(command, result, nowNs);
   }
 
   /**
-   * Answers who proposed an entry, before anybody else is told of what it changed.
+   * Answers the proposer of an entry before anybody else is notified of the change.
    *
-   * <p>Guards against an operator who is answered too late and sends the order again and again,
-   * though it was committed at once: telling all entry VMs takes as long as there are many of them.
+   * <p>The time to notify all entry VMs grows with their number. If the proposer were answered
+   * afterwards, an operator could time out and resend an order that was committed at once.
    */
-  private void answer(LogEntry entry, CommandResult result, long nowNs) {
-    Appended own = appended.remove(entry.index());
-    if (own == null || own.callback() == null) {
+  private void notifyProposer(LogEntry entry, CommandResult result, long nowNs) {
+    AppendedProposal proposal = appended.remove(entry.index());
+    if (proposal == null || proposal.callback() == null) {
       return;
     }
-    if (own.term() == entry.term()) {
-      own.callback().committed(result, nowNs);
+    if (proposal.term() == entry.term()) {
+      proposal.callback().committed(result, nowNs);
     } else {
-      own.callback().outcomeIndeterminate(nowNs);
+      proposal.callback().outcomeIndeterminate(nowNs);
     }
   }
 
-  private void endProposals(long nowNs) {
-    List<ProposalCallback> open = new ArrayList<>(proposed.values());
-    appended.values().forEach(own -> open.add(own.callback()));
+  private void closeProposals(long nowNs) {
+    List<ProposalCallback> unresolved = new ArrayList<>(proposed.values());
+    appended.values().forEach(proposal -> unresolved.add(proposal.callback()));
     proposed.clear();
     appended.clear();
-    open.forEach(callback -> callback.outcomeIndeterminate(nowNs));
+    unresolved.forEach(callback -> callback.outcomeIndeterminate(nowNs));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/RequestTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RequestTracker.java
@@ -11,13 +11,13 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.Ticket;
 
-/** Knows the pool of each request that waits or runs, and which request waits under a key. */
+/** Tracks the requests that wait or run, by id and by idempotency key. */
 final class RequestTracker {
 
   private final Map<RequestId, TrackedRequest> requests = new HashMap<>();
   private final Map<ClaimKey, TrackedRequest> byKey = new HashMap<>();
 
-  /** Tracks a request; the first under a key stays the one that is found by it. */
+  /** Tracks a request; a lookup by key returns the first request with that key. */
   TrackedRequest track(VmId vm, Ticket ticket) {
     TrackedRequest tracked =
         requests.computeIfAbsent(ticket.request(), id -> new TrackedRequest(vm, ticket));
@@ -40,14 +40,14 @@
     }
   }
 
-  /** Forgets all requests of a VM. */
+  /** Removes all requests of a VM. */
   void removeAll(VmId vm) {
-    List<RequestId> gone =
+    List<RequestId> requestIds =
         requests.values().stream()
             .filter(tracked -> tracked.vm().equals(vm))
             .map(TrackedRequest::request)
             .toList();
-    gone.forEach(this::remove);
+    requestIds.forEach(this::remove);
   }
 
   Collection<TrackedRequest> all() {
