--- a/core/src/main/java/org/teaseltrail/core/control/RolloutCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutCoordinator.java
@@ -21,96 +21,99 @@
 import org.teaseltrail.core.state.Command;
 
 /**
- * Carries rollouts out on the leader: lends the canary's requests to the entry VMs, gathers what
- * they saw, and turns each rollout to its next phase through the log.
+ * Carries out rollouts on the leader: allocates canary requests to the entry VMs, collects what
+ * they observed, and moves each rollout to its next phase through the log.
  */
 final class RolloutCoordinator {
 
-  /** Is what the leader knows of the entry VMs. */
+  /** The leader's view of the entry VMs. */
   interface EntryVmsView {
 
-    /** Says how far they are with turning to an ordered version. */
+    /** Returns the progress of the shift of a service's traffic to the target version. */
     RolloutMonitor.TrafficShiftState handOver(ServiceId service);
 
-    /** Returns how many requests they have at an upstream. */
+    /** Returns the number of requests that all VMs have in flight at an upstream. */
     int inFlight(UpstreamId upstream);
   }
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Time between two looks at the rollouts that run. */
+  /** Interval between two checks of the running rollouts. */
   private static final long CHECK_INTERVAL_NS = 100 * NS_PER_MS;
 
   /**
-   * Time for which requests are lent. Guards against a VM that is cut off and goes on sending to a
-   * version that was rolled back: it stops by itself.
+   * Validity of a canary allowance. It makes a VM that is partitioned from the leader stop sending
+   * requests to a version that has been rolled back meanwhile.
    */
   private static final long ALLOWANCE_VALIDITY_MS = 1_000;
 
   private final Leadership leadership;
   private final EntryVmsView vms;
-  private final WarmUpTracker warm = new WarmUpTracker();
-  private final Map<ServiceId, RolloutMonitor> open = new HashMap<>();
-  private final Map<ServiceId, RolloutPhase> logged = new HashMap<>();
+  private final WarmUpTracker warmUpTracker = new WarmUpTracker();
+  private final Map<ServiceId, RolloutMonitor> monitors = new HashMap<>();
+  private final Map<ServiceId, RolloutPhase> announcedPhases = new HashMap<>();
   private long nextCheckNs;
 
   RolloutCoordinator(Leadership leadership, EntryVmsView vms) {
     this.leadership = leadership;
     this.vms = vms;
-    state().rollouts().all().forEach(one -> logged.put(one.order().service(), one.phase()));
-    follow();
+    state()
+        .rollouts()
+        .all()
+        .forEach(rollout -> announcedPhases.put(rollout.order().service(), rollout.phase()));
+    updateMonitors();
   }
 
-  /** Takes what a VM has done, and lends it more. */
-  void message(ServingMessage.Rollouts told) {
+  /** Processes a VM's report and allocates further canary requests to it. */
+  void message(ServingMessage.Rollouts message) {
     List<CanaryAllowance> loans = new ArrayList<>();
-    for (RolloutReport use : told.uses()) {
-      watchOf(use).ifPresent(watch -> loans.add(answer(told, use, watch)));
+    for (RolloutReport report : message.uses()) {
+      findMonitor(report).ifPresent(monitor -> loans.add(allocate(message, report, monitor)));
     }
     leadership.sendServing(
-        told.vm(),
+        message.vm(),
         new ServingReply.CanaryLoans(
-            leadership.fencing(), told.sequence(), ALLOWANCE_VALIDITY_MS, loans));
+            leadership.fencing(), message.sequence(), ALLOWANCE_VALIDITY_MS, loans));
   }
 
-  /** Takes what was just committed. */
+  /** Processes commands that have just been committed. */
   void onCommit() {
-    follow();
+    updateMonitors();
     for (Rollout rollout : state().rollouts().all()) {
       ServiceId service = rollout.order().service();
-      RolloutMonitor watch = open.get(service);
-      if (rollout.phase() != logged.put(service, rollout.phase())) {
+      RolloutMonitor monitor = monitors.get(service);
+      if (rollout.phase() != announcedPhases.put(service, rollout.phase())) {
         leadership
             .context()
             .actions()
             .rolloutPhaseChanged(
-                rollout, watch == null ? Optional.empty() : watch.analyzer().verdict());
+                rollout, monitor == null ? Optional.empty() : monitor.analyzer().verdict());
       }
     }
-    open.values().removeIf(watch -> !current(watch).phase().isOpen());
+    monitors.values().removeIf(monitor -> !currentRollout(monitor).phase().isOpen());
   }
 
   void onHeartbeat(Registration heard) {
-    warm.heard(heard, leadership.nowNs());
+    warmUpTracker.heard(heard, leadership.nowNs());
   }
 
   void removeVm(VmId vm) {
-    open.values().forEach(watch -> watch.budgetAllocator().removeVm(vm));
+    monitors.values().forEach(monitor -> monitor.budgetAllocator().removeVm(vm));
   }
 
   void tick() {
     long nowNs = leadership.nowNs();
-    if (open.isEmpty() || nowNs < nextCheckNs) {
+    if (monitors.isEmpty() || nowNs < nextCheckNs) {
       return;
     }
     nextCheckNs = nowNs + CHECK_INTERVAL_NS;
-    warm.retain(state().registry().present());
-    open.values().forEach(watch -> decide(watch, nowNs));
+    warmUpTracker.retain(state().registry().present());
+    monitors.values().forEach(monitor -> decide(monitor, nowNs));
   }
 
-  /** Returns when a look at what runs is due. */
+  /** Returns when the next check of the running rollouts is due. */
   OptionalLong nextWakeupNs() {
-    return open.isEmpty() ? OptionalLong.empty() : OptionalLong.of(nextCheckNs);
+    return monitors.isEmpty() ? OptionalLong.empty() : OptionalLong.of(nextCheckNs);
   }
 
   ServingReply.RolloutUpdate buildUpdate() {
@@ -118,16 +121,16 @@
         leadership.fencing(), state().rollouts().revision(), state().rollouts().all());
   }
 
-  /** Takes over what the log says of rollouts that run. */
-  private void follow() {
+  /** Updates the monitors of running rollouts from the replicated state. */
+  private void updateMonitors() {
     for (Rollout rollout : state().rollouts().all()) {
       ServiceId service = rollout.order().service();
-      RolloutMonitor watch = open.get(service);
-      boolean isNew = watch == null || watch.rollout().orderedMs() != rollout.orderedMs();
+      RolloutMonitor monitor = monitors.get(service);
+      boolean isNew = monitor == null || monitor.rollout().orderedMs() != rollout.orderedMs();
       if (!isNew) {
-        watch.onCommitted(rollout);
+        monitor.onCommitted(rollout);
       } else if (rollout.phase().isOpen()) {
-        open.put(
+        monitors.put(
             service,
             new RolloutMonitor(
                 leadership.context().settings().rollouts(), rollout, leadership.nowNs()));
@@ -135,74 +138,88 @@
     }
   }
 
-  private Rollout current(RolloutMonitor watch) {
-    return state().rollouts().find(watch.rollout().order().service()).orElseThrow();
+  private Rollout currentRollout(RolloutMonitor monitor) {
+    return state().rollouts().find(monitor.rollout().order().service()).orElseThrow();
   }
 
-  private Optional<RolloutMonitor> watchOf(RolloutReport use) {
-    return Optional.ofNullable(open.get(use.service()))
-        .filter(watch -> watch.rollout().orderedMs() == use.orderedMs());
+  private Optional<RolloutMonitor> findMonitor(RolloutReport report) {
+    return Optional.ofNullable(monitors.get(report.service()))
+        .filter(monitor -> monitor.rollout().orderedMs() == report.orderedMs());
   }
 
-  private CanaryAllowance answer(
-      ServingMessage.Rollouts told, RolloutReport use, RolloutMonitor watch) {
-    watch.budgetAllocator().recordReport(told.vm(), told.incarnation(), use);
+  private CanaryAllowance allocate(
+      ServingMessage.Rollouts message, RolloutReport report, RolloutMonitor monitor) {
+    monitor.budgetAllocator().recordReport(message.vm(), message.incarnation(), report);
     long heard =
-        watch
+        monitor
             .analyzer()
-            .recordReport(told.vm(), told.incarnation(), use.firstNumber(), use.observations());
-    Rollout rollout = watch.rollout();
-    boolean lends = rollout.phase() == RolloutPhase.RUNNING && watch.verdict().isEmpty();
+            .recordReport(
+                message.vm(), message.incarnation(), report.firstNumber(), report.observations());
+    Rollout rollout = monitor.rollout();
+    boolean canAllocate = rollout.phase() == RolloutPhase.RUNNING && monitor.verdict().isEmpty();
     List<UpstreamId> targets =
-        lends ? watch.targets(upstreams(rollout), warm, leadership.nowNs()) : List.of();
-    long ceiling = use.ceiling();
+        canAllocate
+            ? monitor.targets(upstreams(rollout), warmUpTracker, leadership.nowNs())
+            : List.of();
+    long ceiling = report.ceiling();
     if (!targets.isEmpty()) {
-      writeAhead(watch);
-      ceiling = watch.budgetAllocator().allocate(told.vm(), freePlaces(targets));
+      persistExposure(monitor);
+      ceiling = monitor.budgetAllocator().allocate(message.vm(), freeSlots(targets));
     }
     return new CanaryAllowance(
         rollout.order().service(), rollout.orderedMs(), ceiling, targets, heard);
   }
 
-  /** Guards against a canary that is slow because its few upstreams were given too much at once. */
-  private long freePlaces(List<UpstreamId> targets) {
-    long free = 0;
+  /**
+   * Returns the free slots of the canary's upstreams. Allowances are limited to these, since
+   * overloaded canary upstreams would make the new version look slow.
+   */
+  private long freeSlots(List<UpstreamId> targets) {
+    long slotsFree = 0;
     for (UpstreamId target : targets) {
       int slots = state().registry().find(target).map(Registration::slots).orElse(0);
-      free += slots - vms.inFlight(target);
+      slotsFree += slots - vms.inFlight(target);
     }
-    return free;
+    return slotsFree;
   }
 
-  /** Lets the log allow more before it is lent, once for some requests. */
-  private void writeAhead(RolloutMonitor watch) {
-    ExposureCounters wanted = watch.budgetAllocator().wanted();
-    if (!watch.canPersist(wanted)) {
+  /**
+   * Raises the exposure limit in the log before requests are allocated from it, for many requests
+   * at a time.
+   */
+  private void persistExposure(RolloutMonitor monitor) {
+    ExposureCounters wanted = monitor.budgetAllocator().wanted();
+    if (!monitor.canPersist(wanted)) {
       return;
     }
-    Rollout rollout = watch.rollout();
+    Rollout rollout = monitor.rollout();
     Command.AccountExposure command =
         new Command.AccountExposure(
             rollout.order().service(),
             rollout.orderedMs(),
             wanted,
             leadership.logTimeMs(leadership.nowNs()));
-    watch.beginPersist();
+    monitor.beginPersist();
     leadership.proposeThen(
         command,
         () -> {
-          watch.endPersist();
-          follow();
+          monitor.endPersist();
+          updateMonitors();
         },
-        watch::endPersist);
+        monitor::endPersist);
   }
 
-  private void decide(RolloutMonitor watch, long nowNs) {
-    watch.analyzer().tick(nowNs);
-    Rollout rollout = watch.rollout();
+  private void decide(RolloutMonitor monitor, long nowNs) {
+    monitor.analyzer().tick(nowNs);
+    Rollout rollout = monitor.rollout();
     ServiceId service = rollout.order().service();
-    watch
-        .turn(leadership.logTimeMs(nowNs), upstreams(rollout), warm, vms.handOver(service), nowNs)
+    monitor
+        .turn(
+            leadership.logTimeMs(nowNs),
+            upstreams(rollout),
+            warmUpTracker,
+            vms.handOver(service),
+            nowNs)
         .ifPresent(turn -> propose(rollout, turn));
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/RolloutMonitor.java
+++ b/core/src/main/java/org/teaseltrail/core/control/RolloutMonitor.java
@@ -15,62 +15,76 @@
 import org.teaseltrail.core.rollout.RolloutSettings;
 import org.teaseltrail.core.rollout.Verdict;
 
-/** Watches, on the leader, one rollout that has not ended: whom to lend to, and when it turns. */
+/**
+ * Monitors, on the leader, one rollout that has not ended: selects the canary's upstreams and
+ * decides on the next phase.
+ */
 final class RolloutMonitor {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Part of its time after which the ordered version gets all new requests. */
+  /**
+   * Fraction of the rollout's duration after which the target version receives all new requests.
+   */
   private static final double SHIFT_START_RATIO = 0.7;
 
-  /** Part of its time after which it is too late for that: the old ones couldn't finish. */
+  /**
+   * Fraction of the duration after which the shift is no longer started: requests on the old
+   * upstreams could not finish in time.
+   */
   private static final double SHIFT_END_RATIO = 0.9;
 
-  /** Part of its time after which it is completed if nothing runs on the old upstreams. */
+  /**
+   * Fraction of the duration after which the rollout is completed if no request runs on the old
+   * upstreams.
+   */
   private static final double COMPLETE_START_RATIO = 0.85;
 
-  /** Part of its time after which it is completed with what still runs there. */
+  /**
+   * Fraction of the duration after which the rollout is completed even if requests still run on the
+   * old upstreams.
+   */
   private static final double COMPLETE_FORCED_RATIO = 0.92;
 
   /**
-   * Places that the ordered version needs, in relation to those of the old ones. Fewer would lose
-   * more requests than a rollout that isn't completed.
+   * Slots that the target version needs, relative to those of the old versions. With fewer slots,
+   * completing the rollout would lose more requests than rolling it back.
    */
   private static final double MIN_SLOT_RATIO = 0.6;
 
-  /** Answers without which nothing is known of a version, unless there are hardly any requests. */
+  /** Answers needed to assess a version, unless there are hardly any requests. */
   private static final int MIN_OBSERVATIONS = 20;
 
-  /** Part of all requests that is enough to look at where there are few. */
+  /** Fraction of all requests that is enough to assess a version if there are few requests. */
   private static final double MIN_OBSERVATION_RATIO = 0.03;
 
-  /** Time after which the canary goes on to other upstreams of the version. */
+  /** Interval at which the canary moves on to other upstreams of the target version. */
   private static final long TARGET_ROTATION_NS = 2_000 * NS_PER_MS;
 
-  /** Says how far all VMs are with what the record asks of them. */
+  /** Progress of the entry VMs in shifting a service's traffic to the target version. */
   enum TrafficShiftState {
-    /** Some VM in touch doesn't have the record yet. */
+    /** Some connected VM does not have the newest rollout state yet. */
     PROPAGATING,
-    /** All have it; some requests still run on old upstreams. */
+    /** All VMs have it; some requests still run on old upstreams. */
     FINISHING,
-    /** Nothing runs on old upstreams any longer. */
+    /** No request runs on old upstreams any longer. */
     FINISHED
   }
 
-  /** What a rollout is to turn to. */
+  /** A transition of the rollout to another phase. */
   record PhaseTransition(RolloutPhase phase, RolloutReason reason) {}
 
   private final RolloutSettings settings;
   private final CanaryAnalyzer analyzer;
   private final CanaryBudgetAllocator budgetAllocator;
-  private final long beganNs;
+  private final long startedNs;
   private Rollout rollout;
   private boolean writes;
 
   RolloutMonitor(RolloutSettings settings, Rollout rollout, long nowNs) {
     this.settings = settings;
     this.rollout = rollout;
-    beganNs = nowNs;
+    startedNs = nowNs;
     analyzer = new CanaryAnalyzer(nowNs);
     budgetAllocator = new CanaryBudgetAllocator(settings.limit(), rollout.account());
   }
@@ -87,13 +101,13 @@
     return budgetAllocator;
   }
 
-  /** Takes over what is in the log by now. */
-  void onCommitted(Rollout newer) {
-    rollout = newer;
-    budgetAllocator.updateCommitted(newer.account());
+  /** Updates the rollout from the replicated state. */
+  void onCommitted(Rollout committed) {
+    rollout = committed;
+    budgetAllocator.updateCommitted(committed.account());
   }
 
-  /** Tells whether an account is to be written down, and nothing is being written yet. */
+  /** Returns whether the counters must be written to the log and no such write is in flight. */
   boolean canPersist(ExposureCounters wanted) {
     return !writes && !wanted.equals(rollout.account());
   }
@@ -111,19 +125,19 @@
   }
 
   /**
-   * Returns the upstreams that get the canary's requests now: so few that they run as full as the
-   * old ones, since some faults show under load only.
+   * Returns the upstreams that receive the canary's requests now. Their number is small enough for
+   * them to run at the same load as the old ones, since some faults appear only under load.
    */
-  List<UpstreamId> targets(List<Registration> upstreams, WarmUpTracker warm, long nowNs) {
+  List<UpstreamId> targets(List<Registration> upstreams, WarmUpTracker warmUpTracker, long nowNs) {
     List<UpstreamId> ready = new ArrayList<>();
     for (Registration upstream : upstreams) {
-      if (rollout.isTargetVersion(upstream.version()) && warm.isWarm(upstream, nowNs)) {
+      if (rollout.isTargetVersion(upstream.version()) && warmUpTracker.isWarm(upstream, nowNs)) {
         ready.add(upstream.id());
       }
     }
-    long old = upstreams.stream().filter(this::isOldAndReady).count();
-    int wanted = (int) Math.max(1, Math.ceil(settings.limit().effectiveShare() * old));
-    int turn = (int) ((nowNs - beganNs) / TARGET_ROTATION_NS);
+    long previousCount = upstreams.stream().filter(this::isPreviousAndReady).count();
+    int wanted = (int) Math.max(1, Math.ceil(settings.limit().effectiveShare() * previousCount));
+    int turn = (int) ((nowNs - startedNs) / TARGET_ROTATION_NS);
     List<UpstreamId> targets = new ArrayList<>();
     for (int i = 0; i < Math.min(wanted, ready.size()); i++) {
       targets.add(ready.get((turn * wanted + i) % ready.size()));
@@ -132,80 +146,88 @@
   }
 
   /**
-   * Returns what the rollout should turn to.
+   * Returns the next transition of the rollout, if one is due.
    *
    * @param logTimeMs log time
    * @param upstreams the service's upstreams
-   * @param warm which of them are warm
-   * @param handedOver whether all VMs have the record, and nothing runs on the old upstreams
+   * @param warmUpTracker warm-up state of the upstreams
+   * @param shiftState progress of the traffic shift
    * @param nowNs time
    */
   Optional<PhaseTransition> turn(
       long logTimeMs,
       List<Registration> upstreams,
-      WarmUpTracker warm,
-      TrafficShiftState handedOver,
+      WarmUpTracker warmUpTracker,
+      TrafficShiftState shiftState,
       long nowNs) {
     if (verdict().isPresent()) {
       return Optional.of(new PhaseTransition(RolloutPhase.ROLLED_BACK, verdict().get().reason()));
     }
-    double passed = rollout.elapsedFraction(logTimeMs);
-    boolean roomy = hasPlaces(upstreams, warm, nowNs);
+    double elapsed = rollout.elapsedFraction(logTimeMs);
+    boolean hasEnoughSlots = hasEnoughSlots(upstreams, warmUpTracker, nowNs);
     if (rollout.phase() == RolloutPhase.SHIFTING) {
-      return whileShifting(passed, roomy, handedOver);
+      return transitionWhileShifting(elapsed, hasEnoughSlots, shiftState);
     }
-    boolean known = isLookedAtEnough();
-    if (passed >= SHIFT_START_RATIO && passed < SHIFT_END_RATIO && roomy && known) {
+    boolean isAssessed = isAssessed();
+    if (elapsed >= SHIFT_START_RATIO && elapsed < SHIFT_END_RATIO && hasEnoughSlots && isAssessed) {
       return Optional.of(new PhaseTransition(RolloutPhase.SHIFTING, RolloutReason.PROVEN));
     }
-    if (passed >= 1) {
-      RolloutReason why = roomy ? RolloutReason.UNPROVEN : RolloutReason.TOO_FEW_UPSTREAMS;
-      return Optional.of(new PhaseTransition(RolloutPhase.ROLLED_BACK, why));
+    if (elapsed >= 1) {
+      RolloutReason reason =
+          hasEnoughSlots ? RolloutReason.UNPROVEN : RolloutReason.TOO_FEW_UPSTREAMS;
+      return Optional.of(new PhaseTransition(RolloutPhase.ROLLED_BACK, reason));
     }
     return Optional.empty();
   }
 
-  private static Optional<PhaseTransition> whileShifting(
-      double passed, boolean roomy, TrafficShiftState handedOver) {
-    boolean finished = passed >= COMPLETE_START_RATIO && handedOver == TrafficShiftState.FINISHED;
-    boolean atLast = passed >= COMPLETE_FORCED_RATIO && handedOver != TrafficShiftState.PROPAGATING;
-    if (finished || atLast || passed >= 1) {
+  private static Optional<PhaseTransition> transitionWhileShifting(
+      double elapsed, boolean hasEnoughSlots, TrafficShiftState shiftState) {
+    boolean isComplete =
+        elapsed >= COMPLETE_START_RATIO && shiftState == TrafficShiftState.FINISHED;
+    boolean isForced =
+        elapsed >= COMPLETE_FORCED_RATIO && shiftState != TrafficShiftState.PROPAGATING;
+    if (isComplete || isForced || elapsed >= 1) {
       return Optional.of(
-          roomy
+          hasEnoughSlots
               ? new PhaseTransition(RolloutPhase.COMPLETED, RolloutReason.IN_FORCE)
               : new PhaseTransition(RolloutPhase.ROLLED_BACK, RolloutReason.TOO_FEW_UPSTREAMS));
     }
     return Optional.empty();
   }
 
-  private boolean isLookedAtEnough() {
+  private boolean isAssessed() {
     double wanted = Math.min(MIN_OBSERVATIONS, MIN_OBSERVATION_RATIO * budgetAllocator.reached());
     return analyzer.targetAnswerCount() >= wanted && !analyzer.isSuspicious();
   }
 
-  private boolean hasPlaces(List<Registration> upstreams, WarmUpTracker warm, long nowNs) {
+  private boolean hasEnoughSlots(
+      List<Registration> upstreams, WarmUpTracker warmUpTracker, long nowNs) {
     int ordered = 0;
-    int old = 0;
+    int previousSlots = 0;
     for (Registration upstream : upstreams) {
       if (rollout.isTargetVersion(upstream.version())) {
-        ordered += takesAll(upstream, warm, nowNs) ? upstream.slots() : 0;
-      } else if (isOldAndReady(upstream)) {
-        old += upstream.slots();
+        ordered += acceptsAllRequests(upstream, warmUpTracker, nowNs) ? upstream.slots() : 0;
+      } else if (isPreviousAndReady(upstream)) {
+        previousSlots += upstream.slots();
       }
     }
-    return ordered > 0 && ordered >= MIN_SLOT_RATIO * old;
+    return ordered > 0 && ordered >= MIN_SLOT_RATIO * previousSlots;
   }
 
   /**
-   * Tells whether an upstream of the ordered version may take any request. Once all turn to it, it
-   * has been warm; a leader that has just begun has not heard of it yet.
+   * Returns whether an upstream of the target version may receive any request. During the traffic
+   * shift, the upstream has warmed up before, and a new leader has not received its heartbeat yet,
+   * so its phase alone decides.
    */
-  private boolean takesAll(Registration upstream, WarmUpTracker warm, long nowNs) {
-    boolean turned = rollout.phase() == RolloutPhase.SHIFTING;
-    return turned ? upstream.phase() == RegistrationPhase.READY : warm.isWarm(upstream, nowNs);
+  private boolean acceptsAllRequests(
+      Registration upstream, WarmUpTracker warmUpTracker, long nowNs) {
+    boolean isShifting = rollout.phase() == RolloutPhase.SHIFTING;
+    return isShifting
+        ? upstream.phase() == RegistrationPhase.READY
+        : warmUpTracker.isWarm(upstream, nowNs);
   }
 
-  private boolean isOldAndReady(Registration upstream) {
+  private boolean isPreviousAndReady(Registration upstream) {
     return upstream.phase() == RegistrationPhase.READY
         && rollout.isPreviousVersion(upstream.version());
   }
--- a/core/src/main/java/org/teaseltrail/core/control/SchedulerFactory.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SchedulerFactory.java
@@ -4,16 +4,16 @@
 import org.teaseltrail.core.id.PoolId;
 import org.teaseltrail.core.schedule.Scheduler;
 
-/** Makes the scheduler of a pool for one leadership. */
+/** Creates the scheduler of a pool for one leadership. */
 @FunctionalInterface
 public interface SchedulerFactory {
 
   /**
-   * Makes a scheduler that knows nothing yet.
+   * Creates a scheduler without any requests.
    *
    * @param pool the pool
-   * @param fencing the leadership it grants under
-   * @param seed seeds what it draws by chance
+   * @param fencing the leadership under which it grants
+   * @param seed seed of its random numbers
    */
   Scheduler create(PoolId pool, FencingNumber fencing, long seed);
 }
--- a/core/src/main/java/org/teaseltrail/core/control/ServingCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ServingCoordinator.java
@@ -27,60 +27,64 @@
 import org.teaseltrail.core.state.Command;
 
 /**
- * Serves, on the leader, the entry VMs that place requests themselves: confirms their sessions,
- * pushes the plan and the registrations, and tells each what goes on elsewhere.
+ * Coordinates, on the leader, the entry VMs that place requests themselves: confirms their
+ * sessions, pushes the plan and the registrations, and sends each VM the slots in use and the quota
+ * usage at the other VMs.
  */
 final class ServingCoordinator {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Silence after which a VM no longer counts; a session's lifetime in the users' settings. */
+  /**
+   * Time without a sync after which a VM no longer counts; equal to the usual lifetime of a
+   * session.
+   */
   private static final long VM_TIMEOUT_NS = 3_000 * NS_PER_MS;
 
-  /** Time after which a push that shows no effect is sent again: four syncs. */
+  /** Time after which a push that was not confirmed is sent again: four sync intervals. */
   private static final long PUSH_RETRY_NS = 1_000 * NS_PER_MS;
 
   /**
-   * Silence after which an upstream is dropped: a dozen of the users' heartbeats of 1.2 s. Entry
-   * VMs notice a dead one much sooner by its failures; one that only can't reach the control
-   * members goes on serving meanwhile.
+   * Time without a heartbeat after which an upstream is removed: a dozen heartbeat intervals of 1.2
+   * s. Entry VMs detect a dead upstream much sooner by failed requests; an upstream that only can't
+   * reach the control members continues to serve meanwhile.
    */
   private static final long UPSTREAM_TIMEOUT_NS = 15_000 * NS_PER_MS;
 
   /**
-   * Part of what may pass a quota by mistake that is handed out to the VMs: as much more as each
-   * has in hand, the fewer callers are refused while others don't use theirs. The rest is kept for
-   * what a new leader can't know.
+   * Fraction of the tolerated excess over a quota that is granted to the VMs. The more allowance
+   * each VM has, the fewer callers are refused while other VMs don't use theirs. The rest is
+   * reserved for usage that a new leader can't know.
    */
   private static final double GRANTED_TOLERANCE_RATIO = 0.7;
 
   private static final long CHECK_INTERVAL_NS = 1_000 * NS_PER_MS;
 
   /**
-   * Time after the beginning of a leadership in which nothing is told or handed out of upstreams'
-   * places: a sync of each VM. Guards against engines that are filled twice when the leader
-   * changes: the new one took the places of VMs it had not heard of yet for free.
+   * Time after the start of a leadership in which no slots are granted and no slot usage is sent:
+   * one sync of each VM. A new leader would take the slots of VMs that have not reported yet for
+   * free, and engines would be filled twice.
    */
   private static final long SLOTS_SETTLING_NS = 300 * NS_PER_MS;
 
-  private static final class Vm {
+  private static final class VmState {
     private ServingMessage.Sync sync;
     private long heardNs;
-    private final Push plan = new Push();
-    private final Push registry = new Push();
-    private final Push quarantine = new Push();
-    private final Push rollouts = new Push();
+    private final PushState plan = new PushState();
+    private final PushState registry = new PushState();
+    private final PushState quarantine = new PushState();
+    private final PushState rollouts = new PushState();
   }
 
-  /** Remembers which version of something was pushed to a VM, and when. */
-  private static final class Push {
+  /** The version of one kind of state that was last pushed to a VM, and when. */
+  private static final class PushState {
     private long version = Long.MIN_VALUE;
     private long atNs;
 
-    /** Tells whether a version must be sent, and takes it as sent then. */
+    /** Returns whether a version must be sent, and records it as sent if so. */
     private boolean isDue(long held, long newest, long nowNs) {
-      boolean sentLately = version == newest && nowNs - atNs < PUSH_RETRY_NS;
-      if (held >= newest || sentLately) {
+      boolean sentRecently = version == newest && nowNs - atNs < PUSH_RETRY_NS;
+      if (held >= newest || sentRecently) {
         return false;
       }
       version = newest;
@@ -90,19 +94,19 @@
   }
 
   private final Leadership leadership;
-  private final Map<VmId, Vm> vms = new TreeMap<>(Comparator.comparing(VmId::value));
-  private final Map<UpstreamId, Long> heartbeatsNs = new HashMap<>();
+  private final Map<VmId, VmState> vms = new TreeMap<>(Comparator.comparing(VmId::value));
+  private final Map<UpstreamId, Long> lastHeartbeatsNs = new HashMap<>();
   private final Map<UpstreamId, Integer> inFlight = new HashMap<>();
   private final QuotaPolicy quotaBounds;
   private final QuotaAllocator quotas;
   private final SlotAllocator slots = new SlotAllocator();
-  private final SlotShareAllocator shares = new SlotShareAllocator();
+  private final SlotShareAllocator slotShares = new SlotShareAllocator();
   private final QuarantineCoordinator quarantine;
   private final RolloutCoordinator rollouts;
   private final RateLimitCoordinator limits;
   private final RandomGenerator random;
-  private final long placesSettledNs;
-  private Set<ServiceId> toldContended = Set.of();
+  private final long slotsSettledNs;
+  private Set<ServiceId> announcedContended = Set.of();
   private long nextCheckNs;
 
   ServingCoordinator(Leadership leadership) {
@@ -113,7 +117,7 @@
     rollouts = new RolloutCoordinator(leadership, new VmsView());
     limits = new RateLimitCoordinator(leadership);
     random = new SplittableRandom(leadership.context().settings().seed());
-    placesSettledNs = leadership.nowNs() + SLOTS_SETTLING_NS;
+    slotsSettledNs = leadership.nowNs() + SLOTS_SETTLING_NS;
   }
 
   void message(ServingMessage message) {
@@ -121,26 +125,26 @@
       sync(sync);
     } else if (message instanceof ServingMessage.Lines lines) {
       slots.lines(lines, leadership.nowNs());
-      tellContention();
-      handOutPlaces();
+      announceContention();
+      grantSlots();
     } else if (message instanceof ServingMessage.Losses losses) {
-      tellIf(quarantine.message(losses));
-    } else if (message instanceof ServingMessage.Rollouts told) {
-      rollouts.message(told);
-    } else if (message instanceof ServingMessage.Limits told) {
-      limits.message(told, notBarred());
+      pushIf(quarantine.message(losses));
+    } else if (message instanceof ServingMessage.Rollouts report) {
+      rollouts.message(report);
+    } else if (message instanceof ServingMessage.Limits report) {
+      limits.message(report, eligibleUpstreams());
     }
   }
 
-  /** Pushes to all VMs if what they are told has changed. */
-  private void tellIf(boolean changed) {
+  /** Pushes updates to all VMs if the state to send has changed. */
+  private void pushIf(boolean changed) {
     if (changed) {
-      vms.forEach(this::pushWhatIsMissing);
+      vms.forEach(this::pushMissing);
     }
   }
 
   private void sync(ServingMessage.Sync sync) {
-    Vm vm = vms.computeIfAbsent(sync.vm(), id -> new Vm());
+    VmState vm = vms.computeIfAbsent(sync.vm(), id -> new VmState());
     if (vm.sync != null) {
       countInFlight(vm.sync, -1);
     }
@@ -148,21 +152,21 @@
     vm.sync = sync;
     vm.heardNs = leadership.nowNs();
     slots.heard(sync.vm(), sync.inFlight(), leadership.nowNs());
-    shares.heard(sync.vm(), wanted(sync));
+    slotShares.heard(sync.vm(), wanted(sync));
     quotas.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), vm.heardNs);
     limits.onSync(sync);
-    pushWhatIsMissing(sync.vm(), vm);
+    pushMissing(sync.vm(), vm);
     leadership.sendServing(sync.vm(), confirmation(sync));
-    handOutPlaces();
+    grantSlots();
   }
 
-  /** Adds what a VM has at upstreams to what all have there, or takes it off. */
+  /** Adds a VM's requests in flight to the totals of all VMs, or subtracts them. */
   private void countInFlight(ServingMessage.Sync sync, int sign) {
     sync.inFlight().forEach((id, count) -> inFlight.merge(id, sign * count, Integer::sum));
     inFlight.values().removeIf(count -> count == 0);
   }
 
-  /** Returns how many requests a VM has at each service, those that wait among them. */
+  /** Returns the number of a VM's requests for each service, including waiting ones. */
   private Map<ServiceId, Integer> wanted(ServingMessage.Sync sync) {
     Map<ServiceId, Integer> wanted = slots.waiting(sync.vm());
     sync.inFlight()
@@ -175,31 +179,33 @@
     return wanted;
   }
 
-  /** Tells all VMs at once when places begin or cease to be handed out. */
-  private void tellContention() {
+  /**
+   * Notifies all VMs immediately when the leader starts or stops granting the slots of a service.
+   */
+  private void announceContention() {
     Set<ServiceId> contended = contended();
-    if (!contended.equals(toldContended)) {
-      toldContended = contended;
-      ServingReply.Contention told =
+    if (!contended.equals(announcedContended)) {
+      announcedContended = contended;
+      ServingReply.Contention update =
           new ServingReply.Contention(leadership.fencing(), List.copyOf(contended));
-      vms.keySet().forEach(vm -> leadership.sendServing(vm, told));
+      vms.keySet().forEach(vm -> leadership.sendServing(vm, update));
     }
   }
 
   private Set<ServiceId> contended() {
-    return knowsPlaces() ? slots.contended(leadership.nowNs()) : Set.of();
+    return areSlotsSettled() ? slots.contended(leadership.nowNs()) : Set.of();
   }
 
-  private boolean knowsPlaces() {
-    return leadership.nowNs() >= placesSettledNs;
+  private boolean areSlotsSettled() {
+    return leadership.nowNs() >= slotsSettledNs;
   }
 
-  private void handOutPlaces() {
+  private void grantSlots() {
     for (ServiceId service : contended()) {
       List<Registration> upstreams =
           state().registry().present().stream()
               .filter(registration -> registration.service().equals(service))
-              .filter(this::isFree)
+              .filter(this::acceptsAllTraffic)
               .filter(upstream -> !limits.isLimited(upstream))
               .toList();
       for (SlotAllocator.Grant grant : slots.allocate(service, upstreams, leadership.nowNs())) {
@@ -215,17 +221,17 @@
     }
   }
 
-  private List<Registration> notBarred() {
+  private List<Registration> eligibleUpstreams() {
     return state().registry().present().stream()
-        .filter(upstream -> useOf(upstream) != TrafficPolicy.NONE)
+        .filter(upstream -> trafficPolicyOf(upstream) != TrafficPolicy.NONE)
         .toList();
   }
 
-  private boolean isFree(Registration upstream) {
-    return useOf(upstream) == TrafficPolicy.ALL;
+  private boolean acceptsAllTraffic(Registration upstream) {
+    return trafficPolicyOf(upstream) == TrafficPolicy.ALL;
   }
 
-  private TrafficPolicy useOf(Registration upstream) {
+  private TrafficPolicy trafficPolicyOf(Registration upstream) {
     return state()
         .rollouts()
         .find(upstream.service())
@@ -233,29 +239,29 @@
         .orElse(TrafficPolicy.ALL);
   }
 
-  /** Pushes what was just committed to all VMs. */
+  /** Pushes newly committed state to all VMs. */
   void onCommit() {
     quarantine.refresh();
     rollouts.onCommit();
-    vms.forEach(this::pushWhatIsMissing);
+    vms.forEach(this::pushMissing);
   }
 
-  /** Returns any VM that was heard of lately, another each time. */
+  /** Returns a random VM among those that have sent a sync recently. */
   Optional<VmId> pickRandomVm() {
     return vms.isEmpty()
         ? Optional.empty()
         : vms.keySet().stream().skip(random.nextInt(vms.size())).findFirst();
   }
 
-  /** Notes an upstream's heartbeat. */
+  /** Records an upstream's heartbeat. */
   void onHeartbeat(Registration heard) {
-    heartbeatsNs.put(heard.id(), leadership.nowNs());
+    lastHeartbeatsNs.put(heard.id(), leadership.nowNs());
     rollouts.onHeartbeat(heard);
-    tellIf(quarantine.onHeartbeat(heard));
+    pushIf(quarantine.onHeartbeat(heard));
   }
 
   void tick() {
-    tellContention();
+    announceContention();
     rollouts.tick();
     long nowNs = leadership.nowNs();
     if (nowNs < nextCheckNs) {
@@ -265,50 +271,51 @@
     vms.entrySet()
         .removeIf(
             entry -> {
-              boolean silent = nowNs - entry.getValue().heardNs > VM_TIMEOUT_NS;
-              if (silent) {
+              boolean timedOut = nowNs - entry.getValue().heardNs > VM_TIMEOUT_NS;
+              if (timedOut) {
                 countInFlight(entry.getValue().sync, -1);
                 quotas.removeVm(entry.getKey(), nowNs);
                 slots.removeVm(entry.getKey());
-                shares.removeVm(entry.getKey());
+                slotShares.removeVm(entry.getKey());
                 rollouts.removeVm(entry.getKey());
                 limits.removeVm(entry.getKey());
               }
-              return silent;
+              return timedOut;
             });
-    dropSilentUpstreams(nowNs);
+    removeSilentUpstreams(nowNs);
     limits.retain(state().registry().present());
-    tellIf(quarantine.tick());
+    pushIf(quarantine.tick());
   }
 
   OptionalLong nextWakeupNs() {
     return OptionalLong.of(Math.min(nextCheckNs, rollouts.nextWakeupNs().orElse(Long.MAX_VALUE)));
   }
 
-  private void dropSilentUpstreams(long nowNs) {
+  private void removeSilentUpstreams(long nowNs) {
     List<Registration> present = state().registry().present();
-    heartbeatsNs.keySet().removeIf(id -> state().registry().find(id).isEmpty());
+    lastHeartbeatsNs.keySet().removeIf(id -> state().registry().find(id).isEmpty());
     for (Registration registration : present) {
-      long heardNs = heartbeatsNs.computeIfAbsent(registration.id(), id -> nowNs);
+      long heardNs = lastHeartbeatsNs.computeIfAbsent(registration.id(), id -> nowNs);
       if (nowNs - heardNs > UPSTREAM_TIMEOUT_NS) {
-        heartbeatsNs.remove(registration.id());
+        lastHeartbeatsNs.remove(registration.id());
         long logTimeMs = leadership.logTimeMs(nowNs);
         leadership.proposeBestEffort(new Command.DropUpstream(registration.id(), logTimeMs));
       }
     }
   }
 
-  private void pushWhatIsMissing(VmId id, Vm vm) {
+  private void pushMissing(VmId id, VmState vm) {
     long nowNs = leadership.nowNs();
-    // Before what lets a VM serve: one that starts anew must not send what is held.
+    // The quarantine is sent before the updates that let a VM serve: a VM that has just started
+    // must not send quarantined requests.
     if (vm.quarantine.isDue(vm.sync.quarantineRevision(), quarantine.revision(), nowNs)) {
       leadership.sendServing(id, quarantine.buildUpdate());
     }
     long rolloutRevision = state().rollouts().revision();
-    boolean knowsRollouts = vm.sync.rolloutRevision() >= rolloutRevision;
+    boolean hasRollouts = vm.sync.rolloutRevision() >= rolloutRevision;
     if (vm.rollouts.isDue(vm.sync.rolloutRevision(), rolloutRevision, nowNs)) {
       leadership.sendServing(id, rollouts.buildUpdate());
-      knowsRollouts = true;
+      hasRollouts = true;
     }
     if (vm.plan.isDue(vm.sync.planVersion(), planVersion(), nowNs)) {
       leadership.sendServing(
@@ -316,8 +323,9 @@
           new ServingReply.PlanUpdate(leadership.fencing(), state().plan().orElseThrow().plan()));
     }
     long revision = state().registry().revision();
-    // One that lost the rollouts on their way would send freely to what is ordered.
-    if (knowsRollouts && vm.registry.isDue(vm.sync.registryRevision(), revision, nowNs)) {
+    // A VM that missed the rollout update would send all kinds of requests to upstreams of the
+    // target version.
+    if (hasRollouts && vm.registry.isDue(vm.sync.registryRevision(), revision, nowNs)) {
       leadership.sendServing(
           id,
           new ServingReply.RegistryUpdate(
@@ -333,21 +341,24 @@
         state().registry().revision(),
         vms.size(),
         memberVms(),
-        knowsPlaces() ? places(sync.vm()) : UpstreamSlots.NONE,
+        areSlotsSettled() ? places(sync.vm()) : UpstreamSlots.NONE,
         List.copyOf(contended()),
         quotas.allocate(sync.vm(), quotaLimits(), leadership.nowNs()));
   }
 
-  private UpstreamSlots places(VmId asking) {
+  private UpstreamSlots places(VmId requester) {
     Map<UpstreamId, Integer> elsewhere = new HashMap<>(inFlight);
-    vms.get(asking).sync.inFlight().forEach((up, own) -> elsewhere.merge(up, -own, Integer::sum));
+    vms.get(requester)
+        .sync
+        .inFlight()
+        .forEach((upstream, count) -> elsewhere.merge(upstream, -count, Integer::sum));
     return UpstreamSlots.of(
         state().registry().present(),
         elsewhere,
-        shares.sharesOf(asking, state().registry(), leadership.nowNs()));
+        slotShares.sharesOf(requester, state().registry(), leadership.nowNs()));
   }
 
-  /** Returns what there is to hand out of each customer's quota. */
+  /** Returns the amounts available for each customer with a quota. */
   private Map<CustomerId, QuotaLimit> quotaLimits() {
     return state().plan().stream()
         .flatMap(held -> held.plan().customers().stream())
@@ -356,12 +367,12 @@
   }
 
   private QuotaLimit quotaLimit(PlanCustomer customer) {
-    double handedOut = GRANTED_TOLERANCE_RATIO * quotaBounds.tolerance(customer);
-    double kept = quotaBounds.tolerance(customer) - handedOut;
+    double grantable = GRANTED_TOLERANCE_RATIO * quotaBounds.tolerance(customer);
+    double kept = quotaBounds.tolerance(customer) - grantable;
     return new QuotaLimit(
-        quotaBounds.limit(customer) + handedOut,
+        quotaBounds.limit(customer) + grantable,
         customer.quotaPerSecond(),
-        customer.quotaBurst() + handedOut,
+        customer.quotaBurst() + grantable,
         kept);
   }
 
@@ -384,23 +395,24 @@
     return leadership.context().stateMachine().state();
   }
 
-  /** Tells those who carry rollouts out of the VMs. */
+  /** Provides rollouts with the state of the entry VMs. */
   private final class VmsView implements RolloutCoordinator.EntryVmsView {
 
     @Override
     public RolloutMonitor.TrafficShiftState handOver(ServiceId service) {
       long revision = state().rollouts().revision();
-      boolean untold = vms.values().stream().anyMatch(vm -> vm.sync.rolloutRevision() < revision);
-      // Right after the beginning of a leadership most VMs have not told anything yet.
-      if (untold || !knowsPlaces()) {
+      boolean propagating =
+          vms.values().stream().anyMatch(vm -> vm.sync.rolloutRevision() < revision);
+      // At the start of a leadership most VMs have not reported yet.
+      if (propagating || !areSlotsSettled()) {
         return RolloutMonitor.TrafficShiftState.PROPAGATING;
       }
-      boolean finishing =
+      boolean inProgress =
           state().registry().present().stream()
               .filter(upstream -> upstream.service().equals(service))
-              .filter(upstream -> useOf(upstream) == TrafficPolicy.NONE)
+              .filter(upstream -> trafficPolicyOf(upstream) == TrafficPolicy.NONE)
               .anyMatch(upstream -> inFlight(upstream.id()) > 0);
-      return finishing
+      return inProgress
           ? RolloutMonitor.TrafficShiftState.FINISHING
           : RolloutMonitor.TrafficShiftState.FINISHED;
     }
--- a/core/src/main/java/org/teaseltrail/core/control/SlotAllocator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotAllocator.java
@@ -21,47 +21,47 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /**
- * Hands out, on the leader, free places at engines while requests wait for them, the most urgent
- * first over all entry VMs.
+ * Allocates, on the leader, free slots of engines to waiting requests, the most urgent first across
+ * all entry VMs.
  *
- * <p>Guards against an order that holds at each VM but not over all: whichever VM's request ends
- * would take the place, though something more urgent waits at another; and all VMs would send what
- * waits to an upstream that has just come, far beyond its places. A VM tells its line and what it
- * has at each upstream with every change, so a place is known to be free a round trip later.
+ * <p>If each VM ordered only its own requests, the VM whose request ends would reuse the slot
+ * although a more urgent request waits at another VM, and all VMs would send their waiting requests
+ * to a new upstream, far beyond its slots. A VM reports its queue and its requests at each upstream
+ * with every change, so the leader learns of a free slot one round trip later.
  *
- * <p>A place that was handed out counts as taken until the VM has told what it did with it.
+ * <p>A granted slot counts as in use until the VM has reported whether it used the grant.
  */
 final class SlotAllocator {
 
   /**
-   * Time without a waiting request after which VMs place by themselves again; two of a VM's usual
-   * syncs.
+   * Time without a waiting request after which VMs place requests by themselves again: two usual
+   * sync intervals of a VM.
    */
   private static final long CONTENTION_TIMEOUT_NS = 500_000_000L;
 
   /**
-   * Of so many places, one goes to a less urgent kind of request that waits. Guards against a kind
-   * of request that is never served while there is more load than fits: the users want each kind to
-   * get at least two fifths of what it is owed.
+   * One in this many slots goes to a waiting request of a less urgent kind, that is, with a lower
+   * route rank. Otherwise some kinds would never be served under overload; each kind is to get at
+   * least two fifths of its fair share.
    */
   private static final long LESS_URGENT_INTERVAL = 4;
 
   /**
-   * Part of a service's places that one kind of request may hold before it gets no such turn.
-   * Guards against a kind that is the least urgent and holds its places the longest: by turns alone
-   * it comes to hold most of them. With places held four times as long, a quarter of the grants is
-   * more than half of the places.
+   * Fraction of a service's slots up to which a less urgent kind of request gets such a slot.
+   * Otherwise the least urgent kind would come to use most of the slots if its requests run the
+   * longest: with requests that run four times as long, a quarter of the grants is more than half
+   * of the slots.
    */
   private static final double LESS_URGENT_MAX_RATIO = 0.25;
 
   /**
-   * Is a place handed out to a VM.
+   * A slot granted to a VM.
    *
-   * @param vm who may use it
-   * @param sequence grows with each grant to that VM
-   * @param service whose requests may use it
-   * @param upstream where it is
-   * @param urgency that of the request it is meant for
+   * @param vm the VM that may use it
+   * @param sequence increases with each grant to that VM
+   * @param service the service whose requests may use it
+   * @param upstream the upstream that has the slot
+   * @param urgency urgency of the request for which it is granted
    */
   record Grant(VmId vm, long sequence, ServiceId service, UpstreamId upstream, Urgency urgency) {}
 
@@ -76,87 +76,89 @@
 
   private final Map<VmId, EntryVmSlotState> vms = new TreeMap<>(Comparator.comparing(VmId::value));
   private final Map<ServiceId, Long> granted = new HashMap<>();
-  private final Map<ServiceId, Long> contendedUntilNs = new HashMap<>();
+  private final Map<ServiceId, Long> contendedUntilByServiceNs = new HashMap<>();
 
-  /** Takes what a VM has at each upstream. */
+  /** Records a VM's requests in flight by upstream. */
   void heard(VmId id, Map<UpstreamId, Integer> inFlight, long nowNs) {
     vms.computeIfAbsent(id, EntryVmSlotState::new).heard(inFlight, nowNs);
   }
 
-  /** Takes what waits at a VM. */
+  /** Records a VM's queues. */
   void lines(ServingMessage.Lines message, long nowNs) {
     vms.computeIfAbsent(message.vm(), EntryVmSlotState::new).recordReport(message, nowNs);
-    for (QueueState line : message.lines()) {
-      contendedUntilNs.put(line.service(), nowNs + CONTENTION_TIMEOUT_NS);
+    for (QueueState queue : message.lines()) {
+      contendedUntilByServiceNs.put(queue.service(), nowNs + CONTENTION_TIMEOUT_NS);
     }
   }
 
-  /** Returns how many requests wait at a VM for each service. */
+  /** Returns the number of requests that wait at a VM for each service. */
   Map<ServiceId, Integer> waiting(VmId id) {
     EntryVmSlotState vm = vms.get(id);
     return vm == null ? new HashMap<>() : vm.waiting();
   }
 
-  /** Takes a VM out that has fallen silent. */
+  /** Removes a VM whose syncs have timed out. */
   void removeVm(VmId id) {
     vms.remove(id);
   }
 
-  /** Returns the services whose places are handed out here. */
+  /** Returns the services whose slots the leader allocates. */
   Set<ServiceId> contended(long nowNs) {
-    contendedUntilNs.values().removeIf(untilNs -> nowNs >= untilNs);
-    return Set.copyOf(contendedUntilNs.keySet());
+    contendedUntilByServiceNs.values().removeIf(untilNs -> nowNs >= untilNs);
+    return Set.copyOf(contendedUntilByServiceNs.keySet());
   }
 
   /**
-   * Hands out what is free.
+   * Allocates the free slots of a service.
    *
    * @param service a service of engines
    * @param upstreams its upstreams
    * @param nowNs time
-   * @return a grant for each place
+   * @return a grant for each allocated slot
    */
   List<Grant> allocate(ServiceId service, Collection<Registration> upstreams, long nowNs) {
     vms.values().forEach(vm -> vm.removeLostGrants(nowNs));
     if (vms.values().stream().noneMatch(vm -> vm.hasQueue(service))) {
       return List.of();
     }
-    SlotUsageTotals tally = new SlotUsageTotals(vms.values(), service);
-    Map<UpstreamId, Integer> free = free(upstreams, tally);
+    SlotUsageTotals totals = new SlotUsageTotals(vms.values(), service);
+    Map<UpstreamId, Integer> free = freeSlots(upstreams, totals);
     if (free.isEmpty()) {
       return List.of();
     }
     List<Grant> grants = new ArrayList<>();
-    Set<VmId> passedOver = silent(nowNs);
-    double othersMost = LESS_URGENT_MAX_RATIO * places(upstreams);
-    Optional<EntryVmSlotState.Candidate> next = next(service, othersMost, tally, passedOver);
+    Set<VmId> skippedVms = silentVms(nowNs);
+    double lessUrgentMaxSlots = LESS_URGENT_MAX_RATIO * places(upstreams);
+    Optional<EntryVmSlotState.Candidate> next =
+        next(service, lessUrgentMaxSlots, totals, skippedVms);
     while (next.isPresent() && !free.isEmpty()) {
       EntryVmSlotState.Candidate candidate = next.get();
-      Optional<UpstreamId> place = emptiest(service, candidate.vm(), free, tally);
-      if (place.isPresent()) {
-        Grant grant = grant(candidate, service, place.get(), nowNs);
+      Optional<UpstreamId> upstreamId = findEmptiest(service, candidate.vm(), free, totals);
+      if (upstreamId.isPresent()) {
+        Grant grant = grant(candidate, service, upstreamId.get(), nowNs);
         grants.add(grant);
-        tally.granted(grant, service);
-        free.computeIfPresent(place.get(), (id, places) -> places > 1 ? places - 1 : null);
+        totals.granted(grant, service);
+        free.computeIfPresent(upstreamId.get(), (id, places) -> places > 1 ? places - 1 : null);
       } else {
-        passedOver.add(candidate.vm().id());
+        skippedVms.add(candidate.vm().id());
       }
-      next = next(service, othersMost, tally, passedOver);
+      next = next(service, lessUrgentMaxSlots, totals, skippedVms);
     }
     return grants;
   }
 
-  private Set<VmId> silent(long nowNs) {
+  private Set<VmId> silentVms(long nowNs) {
     return vms.values().stream()
         .filter(vm -> vm.isSilent(nowNs))
         .map(EntryVmSlotState::id)
         .collect(Collectors.toCollection(HashSet::new));
   }
 
-  private Map<UpstreamId, Integer> free(Collection<Registration> upstreams, SlotUsageTotals tally) {
+  private Map<UpstreamId, Integer> freeSlots(
+      Collection<Registration> upstreams, SlotUsageTotals totals) {
     Map<UpstreamId, Integer> free = new HashMap<>();
     for (Registration upstream : upstreams) {
-      int places = upstream.slots() - tally.usedAt(upstream.id());
+      int places = upstream.slots() - totals.usedAt(upstream.id());
       if (upstream.phase() == RegistrationPhase.READY && places > 0) {
         free.put(upstream.id(), places);
       }
@@ -172,48 +174,49 @@
   }
 
   private Optional<EntryVmSlotState.Candidate> next(
-      ServiceId service, double othersMost, SlotUsageTotals tally, Set<VmId> passedOver) {
+      ServiceId service, double lessUrgentMaxSlots, SlotUsageTotals totals, Set<VmId> skippedVms) {
     List<EntryVmSlotState.Candidate> candidates = new ArrayList<>();
     vms.forEach(
         (id, vm) -> {
-          if (!passedOver.contains(id)) {
+          if (!skippedVms.contains(id)) {
             candidates.addAll(vm.candidates(service));
           }
         });
     Optional<EntryVmSlotState.Candidate> first = candidates.stream().min(MOST_URGENT_FIRST);
-    boolean othersTurn =
+    boolean isLessUrgentTurn =
         granted.getOrDefault(service, 0L) % LESS_URGENT_INTERVAL == LESS_URGENT_INTERVAL - 1;
-    if (!othersTurn || first.isEmpty()) {
+    if (!isLessUrgentTurn || first.isEmpty()) {
       return first;
     }
-    return lessUrgentKind(othersMost, tally, candidates, first.get().urgency()).or(() -> first);
+    return findLessUrgent(lessUrgentMaxSlots, totals, candidates, first.get().urgency())
+        .or(() -> first);
   }
 
   /**
-   * Returns a candidate of the least urgent route among those that are like the first otherwise and
-   * whose kind holds few places.
+   * Returns a candidate with the least urgent route rank among those that have the customer rank
+   * and lateness of the first and whose kind uses few slots.
    */
-  private Optional<EntryVmSlotState.Candidate> lessUrgentKind(
-      double othersMost,
-      SlotUsageTotals tally,
+  private Optional<EntryVmSlotState.Candidate> findLessUrgent(
+      double lessUrgentMaxSlots,
+      SlotUsageTotals totals,
       List<EntryVmSlotState.Candidate> candidates,
       Urgency first) {
     return candidates.stream()
         .filter(each -> each.urgency().customerRank() == first.customerRank())
         .filter(each -> each.urgency().late() == first.late())
-        .filter(each -> tally.usedByKind(each.urgency().routeRank()) < othersMost)
+        .filter(each -> totals.usedByKind(each.urgency().routeRank()) < lessUrgentMaxSlots)
         .min(LEAST_URGENT_FIRST);
   }
 
-  private Optional<UpstreamId> emptiest(
+  private Optional<UpstreamId> findEmptiest(
       ServiceId service,
       EntryVmSlotState vm,
       Map<UpstreamId, Integer> free,
-      SlotUsageTotals tally) {
+      SlotUsageTotals totals) {
     return free.entrySet().stream()
         .filter(entry -> vm.accepts(service, entry.getKey()))
         .filter(
-            entry -> !vm.isSlow(service, entry.getKey()) || !tally.hasUnreadPrompt(entry.getKey()))
+            entry -> !vm.isSlow(service, entry.getKey()) || !totals.hasUnreadPrompt(entry.getKey()))
         .max(Map.Entry.comparingByValue())
         .map(Map.Entry::getKey);
   }
--- a/core/src/main/java/org/teaseltrail/core/control/SlotShareAllocator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotShareAllocator.java
@@ -16,93 +16,106 @@
 import org.teaseltrail.core.registry.UpstreamRegistry;
 
 /**
- * Deals the places of all upstreams out to the entry VMs, by what each has lately wanted, for the
- * time in which they hear from no leader.
+ * Divides the slots of all upstreams among the entry VMs, by each VM's recent demand, for the time
+ * in which they have no connection to a leader.
  *
- * <p>Guards against engines that are filled far beyond their places while nobody leads: each VM
- * then knows only its own requests, all send what comes to the same upstreams, and first events
- * take five times as long. It shows as late answers at all VMs for as long as the leader is away. A
- * place belongs to one VM only, so all of them together never pass an upstream's places, whichever
- * of them go on.
+ * <p>While there is no leader, each VM knows only its own requests. Without shares all VMs would
+ * send their requests to the same upstreams and fill them far beyond their slots; the first events
+ * of streams would take five times as long until a leader is back. A slot is assigned to one VM
+ * only, so all VMs together never exceed an upstream's slots, whichever of them keep running.
  */
 final class SlotShareAllocator {
 
-  /** Time between two deals: VMs that were told before and after one overlap for one sync only. */
+  /**
+   * Interval between two divisions. VMs that were sent the old and the new shares overlap for one
+   * sync interval only.
+   */
   private static final long REBALANCE_INTERVAL_NS = 1_000_000_000L;
 
-  /** Weight of the newest count of what a VM wants: some eight syncs, two seconds, decide. */
+  /**
+   * Weight of the newest sample in a VM's averaged demand: the last eight or so syncs, that is two
+   * seconds, dominate.
+   */
   private static final double DEMAND_WEIGHT = 0.125;
 
-  /** Part of a service's places that is dealt evenly: callers may turn to any VM at once. */
+  /**
+   * Fraction of a service's slots that is divided evenly, since callers may switch to any VM at any
+   * time.
+   */
   private static final double EVEN_RATIO = 0.2;
 
   private record Ticket(VmId vm, double position) {}
 
-  private final Map<VmId, Map<ServiceId, Double>> wants =
+  private final Map<VmId, Map<ServiceId, Double>> demands =
       new TreeMap<>(Comparator.comparing(VmId::value));
   private Map<VmId, Map<UpstreamId, Integer>> parts = Map.of();
-  private long dealtNs;
-  private long dealtRevision = -1;
-  private int dealtVms;
+  private long dividedNs;
+  private long dividedRevision = -1;
+  private int dividedVms;
 
-  /** Takes how many requests a VM has at each service, waiting ones among them. */
+  /** Adds a sample of a VM's demand: its requests for each service, including waiting ones. */
   void heard(VmId vm, Map<ServiceId, Integer> wanted) {
-    Map<ServiceId, Double> known = wants.computeIfAbsent(vm, id -> new HashMap<>());
-    known.replaceAll((service, before) -> before * (1 - DEMAND_WEIGHT));
-    wanted.forEach((service, count) -> known.merge(service, DEMAND_WEIGHT * count, Double::sum));
+    Map<ServiceId, Double> demand = demands.computeIfAbsent(vm, id -> new HashMap<>());
+    demand.replaceAll((service, before) -> before * (1 - DEMAND_WEIGHT));
+    wanted.forEach((service, count) -> demand.merge(service, DEMAND_WEIGHT * count, Double::sum));
   }
 
-  /** Takes a VM out that has fallen silent. */
+  /** Removes a VM whose syncs have timed out. */
   void removeVm(VmId vm) {
-    wants.remove(vm);
+    demands.remove(vm);
   }
 
   /**
-   * Returns the places that a VM may fill by itself.
+   * Returns the slots that a VM may use without a leader.
    *
-   * @param vm a VM that was heard of
+   * @param vm a VM that has sent a sync
    * @param registry the registrations
    * @param nowNs time
-   * @return places by upstream, those without any left out
+   * @return number of slots by upstream; upstreams without any are omitted
    */
   Map<UpstreamId, Integer> sharesOf(VmId vm, UpstreamRegistry registry, long nowNs) {
-    boolean outdated = registry.revision() != dealtRevision || wants.size() != dealtVms;
-    if (outdated || nowNs - dealtNs >= REBALANCE_INTERVAL_NS || !parts.containsKey(vm)) {
-      deal(registry.present());
-      dealtNs = nowNs;
-      dealtRevision = registry.revision();
-      dealtVms = wants.size();
+    boolean isOutdated = registry.revision() != dividedRevision || demands.size() != dividedVms;
+    if (isOutdated || nowNs - dividedNs >= REBALANCE_INTERVAL_NS || !parts.containsKey(vm)) {
+      divide(registry.present());
+      dividedNs = nowNs;
+      dividedRevision = registry.revision();
+      dividedVms = demands.size();
     }
     return parts.getOrDefault(vm, Map.of());
   }
 
-  private void deal(Collection<Registration> present) {
-    Map<VmId, Map<UpstreamId, Integer>> dealt = new HashMap<>();
-    wants.keySet().forEach(vm -> dealt.put(vm, new HashMap<>()));
+  private void divide(Collection<Registration> present) {
+    Map<VmId, Map<UpstreamId, Integer>> assigned = new HashMap<>();
+    demands.keySet().forEach(vm -> assigned.put(vm, new HashMap<>()));
     present.stream()
         .filter(upstream -> upstream.phase() == RegistrationPhase.READY)
         .collect(Collectors.groupingBy(Registration::service))
-        .forEach((service, upstreams) -> deal(service, upstreams, dealt));
-    parts = dealt;
+        .forEach((service, upstreams) -> divide(service, upstreams, assigned));
+    parts = assigned;
   }
 
-  private void deal(
-      ServiceId service, List<Registration> upstreams, Map<VmId, Map<UpstreamId, Integer>> dealt) {
-    List<UpstreamId> places = inLayers(upstreams);
+  private void divide(
+      ServiceId service,
+      List<Registration> upstreams,
+      Map<VmId, Map<UpstreamId, Integer>> assigned) {
+    List<UpstreamId> places = inRounds(upstreams);
     List<Ticket> tickets = tickets(service, places.size());
     for (int i = 0; i < tickets.size(); i++) {
-      UpstreamId place = places.get(i % places.size());
-      dealt.get(tickets.get(i).vm()).merge(place, 1, Integer::sum);
+      UpstreamId slot = places.get(i % places.size());
+      assigned.get(tickets.get(i).vm()).merge(slot, 1, Integer::sum);
     }
   }
 
-  /** Returns all places, the first of each upstream before the second of any. */
-  private static List<UpstreamId> inLayers(List<Registration> upstreams) {
+  /**
+   * Returns all slots in rounds: the first slot of each upstream comes before the second slot of
+   * any.
+   */
+  private static List<UpstreamId> inRounds(List<Registration> upstreams) {
     List<UpstreamId> places = new ArrayList<>();
-    int deepest = upstreams.stream().mapToInt(Registration::slots).max().orElse(0);
-    for (int layer = 0; layer < deepest; layer++) {
+    int maxSlots = upstreams.stream().mapToInt(Registration::slots).max().orElse(0);
+    for (int slotIndex = 0; slotIndex < maxSlots; slotIndex++) {
       for (Registration upstream : upstreams) {
-        if (upstream.slots() > layer) {
+        if (upstream.slots() > slotIndex) {
           places.add(upstream.id());
         }
       }
@@ -111,25 +124,27 @@
   }
 
   /**
-   * Returns a ticket for each place, those of one VM as far apart as can be, so that its places are
-   * at different upstreams. Each VM gets one at least, also where there are fewer places than VMs.
+   * Returns a ticket for each slot. The tickets of one VM are spread as evenly as possible, so that
+   * its slots are at different upstreams. Each VM gets at least one, even if there are fewer slots
+   * than VMs.
    */
   private List<Ticket> tickets(ServiceId service, int places) {
-    if (places == 0 || wants.isEmpty()) {
+    if (places == 0 || demands.isEmpty()) {
       return List.of();
     }
-    double even = 1.0 / wants.size();
+    double evenShare = 1.0 / demands.size();
     double total =
-        wants.values().stream().mapToDouble(known -> known.getOrDefault(service, 0.0)).sum();
+        demands.values().stream().mapToDouble(demand -> demand.getOrDefault(service, 0.0)).sum();
     List<Ticket> tickets = new ArrayList<>();
-    double dealt = 0;
-    double owed = 0;
-    for (Map.Entry<VmId, Map<ServiceId, Double>> entry : wants.entrySet()) {
+    double assigned = 0;
+    double entitled = 0;
+    for (Map.Entry<VmId, Map<ServiceId, Double>> entry : demands.entrySet()) {
       double wanted = entry.getValue().getOrDefault(service, 0.0);
-      double share = total > 0 ? EVEN_RATIO * even + (1 - EVEN_RATIO) * wanted / total : even;
-      owed += share * places;
-      long count = Math.max(1, Math.round(owed - dealt));
-      dealt += count;
+      double share =
+          total > 0 ? EVEN_RATIO * evenShare + (1 - EVEN_RATIO) * wanted / total : evenShare;
+      entitled += share * places;
+      long count = Math.max(1, Math.round(entitled - assigned));
+      assigned += count;
       for (int i = 0; i < count; i++) {
         tickets.add(new Ticket(entry.getKey(), (i + 0.5) / count));
       }
--- a/core/src/main/java/org/teaseltrail/core/control/SlotUsageTotals.java
+++ b/core/src/main/java/org/teaseltrail/core/control/SlotUsageTotals.java
@@ -9,29 +9,30 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Adds up what all entry VMs hold at upstreams, once for all places that are handed out at a time.
+ * Totals of the slots that all entry VMs use at upstreams, computed once for each allocation of
+ * slots.
  *
- * <p>Guards against a leader whose one thread is busy with adding up: sixty VMs tell of each change
- * to their lines, and asking each VM about each of a hundred upstreams every time keeps syncs,
- * quotas and operators waiting. It costs what there is in use, not VMs times upstreams.
+ * <p>Sixty VMs report each change of their queues. If each allocation queried every VM about each
+ * of a hundred upstreams, it would keep the leader's only thread busy and delay syncs, quotas and
+ * operators. The cost here grows with the slots in use and not with VMs times upstreams.
  */
 final class SlotUsageTotals {
 
-  private final Map<UpstreamId, Integer> taken = new HashMap<>();
-  private final Set<UpstreamId> reading = new HashSet<>();
-  private final Map<Integer, Long> heldByRank = new HashMap<>();
+  private final Map<UpstreamId, Integer> slotsInUse = new HashMap<>();
+  private final Set<UpstreamId> unreadUpstreams = new HashSet<>();
+  private final Map<Integer, Long> slotsByRank = new HashMap<>();
 
-  /** Adds up what the VMs hold; by kinds of requests only for one service. */
+  /** Adds up the slots that the VMs use; totals by kind of request cover one service only. */
   SlotUsageTotals(Collection<EntryVmSlotState> vms, ServiceId service) {
     vms.forEach(vm -> vm.addUsageTo(this, service));
   }
 
-  /** Counts places in use at an upstream. */
+  /** Adds slots in use at an upstream. */
   void addInUse(UpstreamId upstream, int places) {
-    taken.merge(upstream, places, Integer::sum);
+    slotsInUse.merge(upstream, places, Integer::sum);
   }
 
-  /** Counts a place that was handed out and not heard of yet. */
+  /** Adds a slot that was granted and that its VM has not reported on yet. */
   void granted(SlotAllocator.Grant grant, ServiceId service) {
     addInUse(grant.upstream(), 1);
     addUnread(grant.upstream());
@@ -40,28 +41,28 @@
     }
   }
 
-  /** Notes that an upstream may have a prompt before it that it has not read. */
+  /** Marks an upstream as possibly having a prompt that it has not processed yet. */
   void addUnread(UpstreamId upstream) {
-    reading.add(upstream);
+    unreadUpstreams.add(upstream);
   }
 
-  /** Counts places that a kind of request holds. */
+  /** Adds slots that requests of a kind, that is, of a route rank, use. */
   void held(int routeRank, int places) {
-    heldByRank.merge(routeRank, (long) places, Long::sum);
+    slotsByRank.merge(routeRank, (long) places, Long::sum);
   }
 
-  /** Returns how many places of an upstream are in use or handed out. */
+  /** Returns how many slots of an upstream are in use or granted. */
   int usedAt(UpstreamId upstream) {
-    return taken.getOrDefault(upstream, 0);
+    return slotsInUse.getOrDefault(upstream, 0);
   }
 
-  /** Tells whether an upstream may have a prompt before it that it has not read. */
+  /** Returns whether an upstream may have a prompt that it has not processed yet. */
   boolean hasUnreadPrompt(UpstreamId upstream) {
-    return reading.contains(upstream);
+    return unreadUpstreams.contains(upstream);
   }
 
-  /** Returns how many places a kind of request holds or is granted. */
+  /** Returns how many slots are in use by, or granted to, requests of a kind. */
   long usedByKind(int routeRank) {
-    return heldByRank.getOrDefault(routeRank, 0L);
+    return slotsByRank.getOrDefault(routeRank, 0L);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/TrackedRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/control/TrackedRequest.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.Ticket;
 
-/** Is what the leader knows of a request that waits or runs. */
+/** The leader's record of a request that waits or runs. */
 final class TrackedRequest {
 
   private final RequestId request;
@@ -53,7 +53,7 @@
     return bodyDigest;
   }
 
-  /** Returns where the request was granted and may run. */
+  /** Returns the upstream to which the request is granted, if any. */
   Optional<UpstreamId> upstream() {
     return upstream;
   }
--- a/core/src/main/java/org/teaseltrail/core/control/VmQuotaAccount.java
+++ b/core/src/main/java/org/teaseltrail/core/control/VmQuotaAccount.java
@@ -3,14 +3,18 @@
 import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.quota.SlidingWindowSum;
 
-/** Is what one life of a VM holds of one customer's quota, as the leader counts it. */
+/**
+ * Account of what one incarnation of a VM holds of one customer's quota, as the leader counts it.
+ */
 final class VmQuotaAccount {
 
-  /** What was taken, at the latest times at which it may have been. */
-  private final SlidingWindowSum history;
+  /** Amounts used, at the latest times at which they may have been used. */
+  private final SlidingWindowSum latestTimes;
 
-  /** What was taken, at the earliest such times; of what is not in it these aren't known. */
-  private final SlidingWindowSum earliest;
+  /**
+   * Amounts used, at the earliest such times. It lacks the amounts whose earliest time is unknown.
+   */
+  private final SlidingWindowSum earliestTimes;
 
   private double used;
   private double takenEver;
@@ -21,79 +25,89 @@
   private long reportedNs;
   private boolean ended;
 
-  /** Creates the line of a VM that comes forward with what it has used. */
-  VmQuotaAccount(long windowMs, QuotaReport first, long nowNs) {
-    history = new SlidingWindowSum(windowMs);
-    earliest = new SlidingWindowSum(windowMs);
-    history.add(first.used(), nowNs);
-    takenEver = first.takenEver();
-    recordReport(first, nowNs);
+  /** Creates the account of a VM that reports for the first time. */
+  VmQuotaAccount(long windowMs, QuotaReport firstReport, long nowNs) {
+    latestTimes = new SlidingWindowSum(windowMs);
+    earliestTimes = new SlidingWindowSum(windowMs);
+    latestTimes.add(firstReport.used(), nowNs);
+    takenEver = firstReport.takenEver();
+    recordReport(firstReport, nowNs);
   }
 
   /**
-   * Takes what the VM tells; what it took since it told last counts from now.
+   * Records a report of the VM. What it has used since its previous report counts from now.
    *
-   * @return how much that is
+   * @return the amount used since the previous report
    */
-  double recordReport(QuotaReport use, long nowNs) {
-    double taken = Math.max(0, use.takenEver() - takenEver);
-    history.add(taken, nowNs);
-    earliest.add(taken, reportedNs);
-    used = use.used();
-    takenEver = Math.max(takenEver, use.takenEver());
+  double recordReport(QuotaReport report, long nowNs) {
+    double taken = Math.max(0, report.takenEver() - takenEver);
+    latestTimes.add(taken, nowNs);
+    earliestTimes.add(taken, reportedNs);
+    used = report.used();
+    takenEver = Math.max(takenEver, report.takenEver());
     reportedNs = nowNs;
-    remainingAllowance = use.allowance();
-    demandPerSecond = use.demandPerSecond();
-    wanted = use.wanted();
+    remainingAllowance = report.allowance();
+    demandPerSecond = report.demandPerSecond();
+    wanted = report.wanted();
     return taken;
   }
 
-  /** Allows an amount; until the VM tells again, it may go on with the one before. */
+  /**
+   * Grants an allowance. Until its next report the VM may still use the previous one, so the
+   * greater of both counts.
+   */
   void raiseAllowance(double allowance) {
     remainingAllowance = Math.max(remainingAllowance, allowance);
   }
 
-  /** Notes that the VM is told that the others may come to hold so much more. */
+  /** Records the bound sent to the VM: by how much the others may increase what they hold. */
   void setOthersMaxGrowth(double amount) {
     othersMaxGrowth = amount;
   }
 
-  /** Notes that another VM has come to hold more. */
+  /** Records that another VM has increased what it holds. */
   void consumeOthersGrowth(double amount) {
     othersMaxGrowth = Math.max(0, othersMaxGrowth - amount);
   }
 
-  /** Returns how much more the others may hold by what the VM was told. */
+  /**
+   * Returns by how much the others may still increase what they hold within the bound sent to the
+   * VM.
+   */
   double othersMaxGrowth() {
     return othersMaxGrowth;
   }
 
-  /** Returns when the VM told last. */
+  /** Returns the time of the VM's last report. */
   long reportedNs() {
     return reportedNs;
   }
 
   /**
-   * Ends the VM's life: what it may have taken unheard counts from now. Beside its allowance, that
-   * is as much as may have left the window since it told: the VM may have used that again.
+   * Closes the account when the incarnation has ended: what the VM may have used without reporting
+   * it counts from now. Besides its allowance this includes amounts that may have left the window
+   * since its last report, since the VM may have used these again.
    */
   void end(long nowNs) {
-    double leftWindow = Math.max(0, used - earliest.total(nowNs));
-    history.add(remainingAllowance + leftWindow, nowNs);
+    double mayHaveLeftWindow = Math.max(0, used - earliestTimes.total(nowNs));
+    latestTimes.add(remainingAllowance + mayHaveLeftWindow, nowNs);
     remainingAllowance = 0;
     ended = true;
   }
 
-  /** Returns what was used within the window: as the VM told, or of an ended life as was noted. */
+  /**
+   * Returns the amount used within the window: as the VM reported, or for an ended incarnation as
+   * recorded here.
+   */
   double used(long nowNs) {
-    return ended ? history.total(nowNs) : used;
+    return ended ? latestTimes.total(nowNs) : used;
   }
 
   double held(long nowNs) {
     return used(nowNs) + remainingAllowance;
   }
 
-  /** Returns what the VM may take yet. */
+  /** Returns the amount that the VM may still use. */
   double remainingAllowance() {
     return remainingAllowance;
   }
@@ -107,6 +121,6 @@
   }
 
   long timeUntilEmptyNs(long nowNs) {
-    return history.timeUntilEmptyNs(nowNs);
+    return latestTimes.timeUntilEmptyNs(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/control/WarmUpTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/control/WarmUpTracker.java
@@ -8,29 +8,32 @@
 import org.teaseltrail.core.registry.RegistrationPhase;
 
 /**
- * Knows, on the leader, which upstreams say that they have warmed up.
+ * Tracks, on the leader, which upstreams have announced that they have warmed up.
  *
- * <p>Guards against a version that is taken for slow because its upstreams have just started.
+ * <p>Without it, a new version could be judged slow because its upstreams have just started.
  */
 final class WarmUpTracker {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private final Map<UpstreamId, Long> warmFromNs = new HashMap<>();
+  private final Map<UpstreamId, Long> warmAtNs = new HashMap<>();
 
-  /** Takes an upstream's heartbeat. */
+  /** Records an upstream's heartbeat. */
   void heard(Registration heard, long nowNs) {
-    warmFromNs.put(heard.id(), nowNs + heard.coldMs() * NS_PER_MS);
+    warmAtNs.put(heard.id(), nowNs + heard.coldMs() * NS_PER_MS);
   }
 
-  /** Forgets all but these. */
+  /** Removes all other upstreams. */
   void retain(List<Registration> present) {
-    warmFromNs.keySet().retainAll(present.stream().map(Registration::id).toList());
+    warmAtNs.keySet().retainAll(present.stream().map(Registration::id).toList());
   }
 
-  /** Tells whether an upstream takes requests and is warm; one that wasn't heard of yet isn't. */
+  /**
+   * Returns whether an upstream accepts requests and has warmed up; false if no heartbeat of it was
+   * received yet.
+   */
   boolean isWarm(Registration upstream, long nowNs) {
-    Long fromNs = warmFromNs.get(upstream.id());
+    Long fromNs = warmAtNs.get(upstream.id());
     return upstream.phase() == RegistrationPhase.READY && fromNs != null && nowNs >= fromNs;
   }
 }
