--- a/core/src/main/java/org/teaseltrail/core/serving/ListDelta.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ListDelta.java
@@ -8,13 +8,14 @@
 import java.util.function.Function;
 
 /**
- * Is what makes one list of named values out of another: those that came or changed, and the names
- * of those that went. Values that stay keep their places, new ones come last.
+ * Difference between two versions of a list of keyed values: the values that were added or changed,
+ * and the keys of those that were removed. Unchanged and changed values keep their positions; added
+ * values are appended.
  *
- * @param put values that came or changed
- * @param removed names of those that went
- * @param <K> the names
- * @param <V> the values
+ * @param put added or changed values
+ * @param removed keys of removed values
+ * @param <K> type of the keys
+ * @param <V> type of the values
  */
 public record ListDelta<K, V>(List<V> put, List<K> removed) {
 
@@ -25,19 +26,19 @@
   }
 
   /**
-   * Finds what differs.
+   * Computes the difference between two lists.
    *
-   * @param from the list before
-   * @param to the list after
-   * @param name returns a value's name, which no other value of its list has
-   * @param <K> the names
-   * @param <V> the values
-   * @return the difference, or empty if the values also stand in another order
+   * @param from the old list
+   * @param to the new list
+   * @param name returns a value's key, which is unique within its list
+   * @param <K> type of the keys
+   * @param <V> type of the values
+   * @return the difference, or empty if it can't express the new order of the values
    */
   public static <K, V> Optional<ListDelta<K, V>> between(
       List<V> from, List<V> to, Function<V, K> name) {
-    Map<K, V> before = byName(from, name);
-    Map<K, V> after = byName(to, name);
+    Map<K, V> before = byKey(from, name);
+    Map<K, V> after = byKey(to, name);
     List<V> put = to.stream().filter(each -> !each.equals(before.get(name.apply(each)))).toList();
     List<K> removed = before.keySet().stream().filter(key -> !after.containsKey(key)).toList();
     ListDelta<K, V> delta = new ListDelta<>(put, removed);
@@ -45,22 +46,22 @@
   }
 
   /**
-   * Makes the list after out of the list before.
+   * Applies the difference to the old list.
    *
-   * @param from the list before
-   * @param name returns a value's name
-   * @return the list after
+   * @param from the old list
+   * @param name returns a value's key
+   * @return the new list
    */
   public List<V> applyTo(List<V> from, Function<V, K> name) {
-    Map<K, V> after = byName(from, name);
+    Map<K, V> after = byKey(from, name);
     removed.forEach(after::remove);
     put.forEach(each -> after.put(name.apply(each), each));
     return new ArrayList<>(after.values());
   }
 
-  private static <K, V> Map<K, V> byName(List<V> values, Function<V, K> name) {
-    Map<K, V> named = new LinkedHashMap<>();
-    values.forEach(each -> named.put(name.apply(each), each));
-    return named;
+  private static <K, V> Map<K, V> byKey(List<V> values, Function<V, K> name) {
+    Map<K, V> keyed = new LinkedHashMap<>();
+    values.forEach(each -> keyed.put(name.apply(each), each));
+    return keyed;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/serving/PermitDemand.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/PermitDemand.java
@@ -4,19 +4,19 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /**
- * Is what an entry VM could send to a service's upstreams that have named limits.
+ * Number of requests that an entry VM could send to the rate-limited upstreams of a service.
  *
  * @param service the service
- * @param requests how many permits are of use
- * @param waiting urgency of the most urgent request that waits there, if any does
+ * @param requests number of permits that the VM can use
+ * @param waiting urgency of the most urgent request that waits at the VM for the service, if any
  */
 public record PermitDemand(ServiceId service, int requests, Optional<Urgency> waiting) {
 
   /**
-   * Tells whether this goes before what another VM wants.
+   * Returns whether this demand has priority over that of another VM.
    *
-   * @param other what the other wants of the same service
-   * @return true if a more urgent request waits here
+   * @param other demand of the other VM for the same service
+   * @return true if a more urgent request waits at this VM
    */
   public boolean hasPriorityOver(PermitDemand other) {
     return waiting.isPresent()
--- a/core/src/main/java/org/teaseltrail/core/serving/QueueState.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/QueueState.java
@@ -5,12 +5,12 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Is what an entry VM tells of the requests that wait there for a place at one service.
+ * State of the queue of requests that wait at an entry VM for a slot of one service.
  *
  * @param service the service
- * @param waiting what waits, by urgency, the most urgent first
- * @param unwanted upstreams that none of them can use at present
- * @param slow upstreams where one prompt after the other is to be read
+ * @param waiting the waiting requests, grouped by urgency, most urgent first
+ * @param unwanted upstreams that none of the waiting requests can use at present
+ * @param slow slow upstreams, which should process the prompt of only one request at a time
  */
 public record QueueState(
     ServiceId service, List<WaitTimes> waiting, List<UpstreamId> unwanted, List<UpstreamId> slow) {
@@ -23,7 +23,7 @@
   }
 
   /**
-   * Returns how many requests wait.
+   * Returns the number of waiting requests.
    *
    * @return the sum over all urgencies
    */
@@ -32,10 +32,10 @@
   }
 
   /**
-   * Is what waits of one urgency.
+   * Wait times of the queued requests of one urgency.
    *
    * @param urgency the urgency
-   * @param waitedMs how long each request has waited, in milliseconds, the longest first
+   * @param waitedMs time that each request has waited, in milliseconds, longest first
    */
   public record WaitTimes(Urgency urgency, List<Long> waitedMs) {
 
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingMessage.java
@@ -11,29 +11,30 @@
 import org.teaseltrail.core.quota.QuotaReport;
 import org.teaseltrail.core.rollout.RolloutReport;
 
-/** Is a message from an entry VM that places requests itself to a control member. */
+/** Message to a control member from an entry VM that selects upstreams locally. */
 public sealed interface ServingMessage {
 
   /**
-   * Returns who sends it.
+   * Returns the sender.
    *
    * @return the entry VM
    */
   VmId vm();
 
   /**
-   * Renews the VM's session and tells what goes on there.
+   * Renews the VM's session and reports the VM's state.
    *
    * @param vm the VM
-   * @param incarnation which life of its process
-   * @param sequence grows with each; the answer carries it back
-   * @param planVersion version of the plan in force there
-   * @param registryRevision revision of the registrations in force there
-   * @param quarantineRevision revision of this leadership's held requests in force there, 0 for
-   *     none
-   * @param rolloutRevision revision of the rollouts in force there
-   * @param inFlight requests that it has at each upstream, those without any left out
-   * @param quotas what customers use of their quotas there
+   * @param incarnation incarnation of the VM's process
+   * @param sequence increases with each sync; the reply returns it
+   * @param planVersion version of the plan that the VM applies
+   * @param registryRevision revision of the upstream registrations that the VM applies
+   * @param quarantineRevision revision of this leadership's held requests that the VM applies, 0
+   *     for none
+   * @param rolloutRevision revision of the rollouts that the VM applies
+   * @param inFlight number of the VM's requests in flight at each upstream; upstreams without any
+   *     are omitted
+   * @param quotas the customers' quota usage at the VM
    */
   record Sync(
       VmId vm,
@@ -54,12 +55,12 @@
   }
 
   /**
-   * Tells under which requests the VM lately saw upstreams' connections end, and which of the
-   * suspects it lately saw served whole; the newest replaces those before.
+   * Reports which requests were in flight on upstream connections that ended recently, and which
+   * suspect requests were recently answered completely. The newest report replaces earlier ones.
    *
    * @param vm the VM
    * @param losses the ended connections
-   * @param served suspects that got a whole answer
+   * @param served suspect requests that received a complete answer
    */
   record Losses(VmId vm, List<Loss> losses, List<Fingerprint> served) implements ServingMessage {
     /** Copies the lists. */
@@ -70,13 +71,13 @@
   }
 
   /**
-   * Tells what the VM has done since the orders of the rollouts that run, and asks for requests
-   * that it may send to the ordered versions.
+   * Reports what the VM has done since the orders of the active rollouts, and requests an allowance
+   * of requests to send to the target versions.
    *
    * @param vm the VM
-   * @param incarnation which life of its process
-   * @param sequence grows with each; the answer carries it back
-   * @param uses what it has done, for each rollout
+   * @param incarnation incarnation of the VM's process
+   * @param sequence increases with each message; the reply returns it
+   * @param uses the VM's report for each rollout
    */
   record Rollouts(VmId vm, Incarnation incarnation, long sequence, List<RolloutReport> uses)
       implements ServingMessage {
@@ -87,13 +88,13 @@
   }
 
   /**
-   * Tells which limits upstreams lately named to the VM, and asks for permits to send to upstreams
-   * with limits.
+   * Reports the rate limits that upstreams recently announced to the VM, and requests permits to
+   * send to rate-limited upstreams.
    *
    * @param vm the VM
-   * @param sequence grows with each; the answer carries it back
-   * @param sightings what the upstreams said; now and then all that is known
-   * @param wanted what the VM could send, for each service
+   * @param sequence increases with each message; the reply returns it
+   * @param sightings recently observed limits; periodically all known ones
+   * @param wanted the VM's demand for permits, for each service
    */
   record Limits(
       VmId vm, long sequence, List<RateLimitObservation> sightings, List<PermitDemand> wanted)
@@ -106,14 +107,18 @@
   }
 
   /**
-   * Tells what waits at the VM, and what it has at each upstream; the newest replaces those before.
+   * Reports the VM's queues and its requests in flight at each upstream. The newest report replaces
+   * earlier ones.
    *
    * @param vm the VM
-   * @param grantsSeen sequence of the newest grant of this leader that the VM has seen, 0 for none
-   * @param inFlight requests that it has at each upstream, those without any left out
-   * @param unread those of them whose prompt may not be read yet, as there is no first event
-   * @param held the same requests by the kinds that hold the places
-   * @param lines what waits for each service of engines, those where nothing waits left out
+   * @param grantsSeen sequence of the newest grant of this leader that the VM has received, 0 for
+   *     none
+   * @param inFlight number of the VM's requests in flight at each upstream; upstreams without any
+   *     are omitted
+   * @param unread how many of them have had no first event, so that their prompts may still be in
+   *     processing
+   * @param held the same requests, by the service and route rank that occupy the slots
+   * @param lines the queue for each service of engines; empty queues are omitted
    */
   record Lines(
       VmId vm,
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingReply.java
@@ -15,15 +15,15 @@
 import org.teaseltrail.core.rollout.CanaryAllowance;
 import org.teaseltrail.core.rollout.Rollout;
 
-/** Is a message from a control member to an entry VM that places requests itself. */
+/** Message from a control member to an entry VM that selects upstreams locally. */
 public sealed interface ServingReply {
 
   /**
-   * Answers a sync: this member doesn't lead.
+   * Rejects a sync because this member is not the leader.
    *
-   * @param sequence the sync's
-   * @param leader the leader's VM, if it is known
-   * @param members VMs of all members that this one knows
+   * @param sequence the sync's sequence
+   * @param leader the leader's VM, if known
+   * @param members VMs of all members that this member knows
    */
   record NotLeading(long sequence, Optional<VmId> leader, List<VmId> members)
       implements ServingReply {
@@ -34,19 +34,19 @@
   }
 
   /**
-   * Answers a sync: this member leads, its lease holds, and nothing newer than what it names was
-   * acknowledged to anyone when it was sent.
+   * Confirms a sync: this member is the leader, its lease is valid, and at the time of sending
+   * nothing newer than the versions in this message had been acknowledged to any client.
    *
-   * @param fencing its leadership
-   * @param sequence the sync's
+   * @param fencing fencing number of the leadership
+   * @param sequence the sync's sequence
    * @param planVersion version of the accepted plan
    * @param registryRevision revision of the accepted registrations
-   * @param vmCount entry VMs with a session
+   * @param vmCount number of entry VMs with a session
    * @param members VMs of all members
-   * @param places what the others have at upstreams, and which places are the VM's own; {@link
-   *     UpstreamSlots#NONE} for as long as the leader doesn't know
-   * @param contended services whose places the leader hands out
-   * @param quotas what the VM may take of customers' quotas
+   * @param places slots in use by other VMs, and the VM's own share of the slots; {@link
+   *     UpstreamSlots#NONE} while the leader doesn't know them
+   * @param contended services whose slots the leader allocates
+   * @param quotas the VM's allowances from customers' quotas
    */
   record Confirmed(
       FencingNumber fencing,
@@ -68,9 +68,9 @@
   }
 
   /**
-   * Says for which services the leader hands out the places, since requests wait for them.
+   * Lists the services whose slots the leader allocates because requests wait for them.
    *
-   * @param fencing its leadership
+   * @param fencing fencing number of the leadership
    * @param services all such services
    */
   record Contention(FencingNumber fencing, List<ServiceId> services) implements ServingReply {
@@ -81,13 +81,14 @@
   }
 
   /**
-   * Gives the VM a place for one of its waiting requests that can use it.
+   * Grants the VM a slot for one of its waiting requests that can use it.
    *
-   * @param fencing the leadership that gives it
-   * @param sequence grows with each grant to this VM
-   * @param service whose requests may use it
-   * @param upstream where the place is
-   * @param urgency that of the request it is meant for; any other may use it if there is none
+   * @param fencing fencing number of the granting leadership
+   * @param sequence increases with each grant to this VM
+   * @param service the service whose requests may use the slot
+   * @param upstream the upstream that has the slot
+   * @param urgency urgency of the request for which the slot is granted; if no such request waits,
+   *     any other may use the slot
    */
   record SlotGrant(
       FencingNumber fencing, long sequence, ServiceId service, UpstreamId upstream, Urgency urgency)
@@ -96,20 +97,20 @@
   /**
    * Carries the accepted plan.
    *
-   * @param fencing the leadership that confirms it
+   * @param fencing fencing number of the confirming leadership
    * @param plan the plan
    */
   record PlanUpdate(FencingNumber fencing, ServingPlan plan) implements ServingReply {}
 
   /**
-   * Carries the requests that no upstream may get, and those that are suspected.
+   * Carries the held requests, which must not be sent to any upstream, and the suspect requests.
    *
-   * @param fencing the leadership that holds them
-   * @param revision grows with each change under this leadership, from 1
-   * @param whole false for as long as the leader may not have heard all VMs: what a VM was told
-   *     before holds on beside it
-   * @param held requests under which too many upstreams were lost
-   * @param watched suspects of which a whole answer is to be told
+   * @param fencing fencing number of the leadership that holds the requests
+   * @param revision increases with each change under this leadership, starting at 1
+   * @param whole false while the leader may not have received reports from all VMs; until then,
+   *     requests that an earlier update held remain held at the VM
+   * @param held requests during which too many upstreams were lost
+   * @param watched suspect requests whose complete answers the VM must report
    */
   record QuarantineUpdate(
       FencingNumber fencing,
@@ -126,19 +127,19 @@
   }
 
   /**
-   * Lets the VM send a held request to one upstream once.
+   * Allows the VM to send a held request to one upstream once.
    *
-   * @param fencing the leadership that allows it
+   * @param fencing fencing number of the permitting leadership
    * @param request the request
-   * @param forMs how long the VM may wait for it to come, in milliseconds
+   * @param forMs time for which the VM may wait for the request to arrive, in milliseconds
    */
   record Trial(FencingNumber fencing, Fingerprint request, long forMs) implements ServingReply {}
 
   /**
    * Carries the newest rollout of each service.
    *
-   * @param fencing the leadership that confirms them
-   * @param revision their revision
+   * @param fencing fencing number of the confirming leadership
+   * @param revision revision of the rollouts
    * @param rollouts the rollouts
    */
   record RolloutUpdate(FencingNumber fencing, long revision, List<Rollout> rollouts)
@@ -150,12 +151,13 @@
   }
 
   /**
-   * Lends the VM requests that it may send to ordered versions.
+   * Allocates requests that the VM may send to the target versions of rollouts.
    *
-   * @param fencing the leadership that lends them
-   * @param sequence that of the message that asked; a VM that has asked again takes no earlier loan
-   * @param forMs how long they are good for from when the VM asked, in milliseconds
-   * @param loans what is lent
+   * @param fencing fencing number of the allocating leadership
+   * @param sequence sequence of the requesting message; a VM that has sent a later request ignores
+   *     the allowances of an earlier one
+   * @param forMs validity in milliseconds, counted from the VM's request
+   * @param loans the allowances
    */
   record CanaryLoans(FencingNumber fencing, long sequence, long forMs, List<CanaryAllowance> loans)
       implements ServingReply {
@@ -166,10 +168,10 @@
   }
 
   /**
-   * Carries which limits upstreams have named, and which they lately lifted.
+   * Carries the rate limits that upstreams have announced or recently lifted.
    *
-   * @param fencing the leadership that tells
-   * @param sightings what the upstreams said last, to whichever VM
+   * @param fencing fencing number of the sending leadership
+   * @param sightings the newest observation of each upstream, by any VM
    */
   record LimitUpdate(FencingNumber fencing, List<RateLimitObservation> sightings)
       implements ServingReply {
@@ -180,12 +182,12 @@
   }
 
   /**
-   * Lets the VM send requests to upstreams that have named limits.
+   * Permits the VM to send requests to rate-limited upstreams.
    *
-   * @param fencing the leadership that allows it
-   * @param sequence that of the message that asked
-   * @param forMs how long it holds from when the VM asked, in milliseconds
-   * @param permits how many requests may be sent to which upstream
+   * @param fencing fencing number of the permitting leadership
+   * @param sequence sequence of the requesting message
+   * @param forMs validity in milliseconds, counted from the VM's request
+   * @param permits number of requests that may be sent to each upstream
    */
   record SendPermits(FencingNumber fencing, long sequence, long forMs, List<SendPermit> permits)
       implements ServingReply {
@@ -196,10 +198,10 @@
   }
 
   /**
-   * Carries the registrations of all upstreams that haven't left.
+   * Carries the registrations of all upstreams that have not deregistered.
    *
-   * @param fencing the leadership that confirms them
-   * @param revision their revision
+   * @param fencing fencing number of the confirming leadership
+   * @param revision revision of the registrations
    * @param present the registrations
    */
   record RegistryUpdate(FencingNumber fencing, long revision, List<Registration> present)
--- a/core/src/main/java/org/teaseltrail/core/serving/ServingSession.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/ServingSession.java
@@ -7,13 +7,13 @@
 import org.teaseltrail.core.id.VmId;
 
 /**
- * Is an entry VM's session with the leading control member: until when what the VM holds may be
- * taken for the newest.
+ * Session of an entry VM with the leading control member. It determines until when the VM may treat
+ * its plan as current.
  *
- * <p>Guards against a VM that is cut off, or frozen and thawed, and goes on under a plan that was
- * replaced, so that a revoked key still runs. The session is counted from the sending of the sync
- * that was confirmed, on a clock that also counts the time of a freeze; and a confirmation counts
- * only once the plan it names is in force here.
+ * <p>A VM that is partitioned from the leader, or was paused, would otherwise continue under a
+ * replaced plan and admit requests with a revoked key. The lifetime is therefore counted from the
+ * time at which the confirmed sync was sent, on a clock that includes the time of a pause. A
+ * confirmation takes effect only after the VM applies the plan version that it names.
  */
 public final class ServingSession {
 
@@ -22,7 +22,7 @@
   private record Pending(long planVersion, long untilNs) {}
 
   private final long lifetimeNs;
-  private final Map<Long, Sent> open = new HashMap<>();
+  private final Map<Long, Sent> pendingSyncs = new HashMap<>();
   private long lastSequence;
   private FencingNumber newestFencing = new FencingNumber(0);
   private long planVersion = -1;
@@ -30,115 +30,117 @@
   private boolean confirmed;
   private long validUntilNs;
   private VmId leader;
-  private long leaderAnsweredNs;
+  private long leaderRepliedNs;
 
   /**
-   * Creates a session that isn't valid yet.
+   * Creates a session that is not valid yet.
    *
-   * @param lifetimeMs how long a confirmed sync is good for, in milliseconds
+   * @param lifetimeMs validity of a confirmed sync in milliseconds
    */
   public ServingSession(long lifetimeMs) {
     lifetimeNs = lifetimeMs * 1_000_000L;
   }
 
   /**
-   * Notes that a sync is sent.
+   * Records that a sync is sent.
    *
-   * @param member to whom
-   * @param nowNs time on the clock that counts freezes
+   * @param member the receiving member
+   * @param nowNs current time, on a clock that includes pauses
    * @return the sync's sequence
    */
   public long recordSync(VmId member, long nowNs) {
     lastSequence++;
-    open.values().removeIf(sent -> nowNs - sent.atNs() > lifetimeNs);
-    open.put(lastSequence, new Sent(member, nowNs));
+    pendingSyncs.values().removeIf(sent -> nowNs - sent.atNs() > lifetimeNs);
+    pendingSyncs.put(lastSequence, new Sent(member, nowNs));
     return lastSequence;
   }
 
   /**
-   * Takes a confirmation.
+   * Handles a confirmation.
    *
    * @param reply the confirmation
-   * @param nowNs time on the clock that counts freezes
-   * @return whether it counts: it answers an open sync and is of the newest leadership seen
+   * @param nowNs current time, on a clock that includes pauses
+   * @return true if the confirmation was accepted: it answers a pending sync and is not from an
+   *     older leadership than the newest known one
    */
   public boolean confirmed(ServingReply.Confirmed reply, long nowNs) {
-    Sent sent = open.remove(reply.sequence());
+    Sent sent = pendingSyncs.remove(reply.sequence());
     if (sent == null || !isCurrentLeadership(reply.fencing())) {
       return false;
     }
     newestFencing = reply.fencing();
     leader = sent.member();
-    leaderAnsweredNs = nowNs;
+    leaderRepliedNs = nowNs;
     pending = new Pending(reply.planVersion(), sent.atNs() + lifetimeNs);
-    countIfInForce();
+    extendIfPlanApplied();
     return true;
   }
 
   /**
-   * Takes a refusal: the member doesn't lead.
+   * Handles a rejection by a member that is not the leader.
    *
-   * @param reply the refusal
+   * @param reply the rejection
    */
   public void notLeading(ServingReply.NotLeading reply) {
-    Sent sent = open.remove(reply.sequence());
+    Sent sent = pendingSyncs.remove(reply.sequence());
     if (sent != null && sent.member().equals(leader)) {
       leader = null;
     }
   }
 
   /**
-   * Notes that a plan is in force here.
+   * Records the version of the plan that the VM applies.
    *
-   * @param version its version
+   * @param version the version
    */
   public void recordPlanVersion(long version) {
     planVersion = version;
-    countIfInForce();
+    extendIfPlanApplied();
   }
 
   /**
-   * Tells whether what comes from a leadership may be applied.
+   * Returns whether messages of a leadership may be applied.
    *
-   * @param fencing the leadership
-   * @return false if a newer one was seen
+   * @param fencing fencing number of the leadership
+   * @return false if a newer leadership is known
    */
   public boolean isCurrentLeadership(FencingNumber fencing) {
     return fencing.compareTo(newestFencing) >= 0;
   }
 
   /**
-   * Returns the newest leadership that has confirmed.
+   * Returns the fencing number of the newest leadership that has confirmed a sync.
    *
-   * @return its number, 0 for none
+   * @return the number, 0 if there is none
    */
   public FencingNumber newestFencing() {
     return newestFencing;
   }
 
   /**
-   * Tells whether requests may be admitted.
+   * Returns whether requests may be admitted.
    *
-   * @param nowNs time on the clock that counts freezes
-   * @return true while nothing newer can have been acknowledged for longer than the lifetime
+   * @param nowNs current time, on a clock that includes pauses
+   * @return true until the lifetime has passed since the last effective sync was sent; until then,
+   *     any newer plan was acknowledged less than one lifetime ago
    */
   public boolean isValid(long nowNs) {
     return confirmed && nowNs < validUntilNs;
   }
 
   /**
-   * Returns the leader's VM if it has answered lately.
+   * Returns the leader's VM if the leader has replied recently.
    *
-   * @param nowNs time on the clock that counts freezes
-   * @param timeoutNs how long ago it may have answered, in nanoseconds
-   * @return the VM to send syncs to, or empty to ask all members
+   * @param nowNs current time, on a clock that includes pauses
+   * @param timeoutNs maximum age of the leader's last reply, in nanoseconds
+   * @return the VM to which syncs are sent, or empty if they must be sent to all members
    */
   public Optional<VmId> leader(long nowNs, long timeoutNs) {
-    boolean silent = leader == null || nowNs - leaderAnsweredNs > timeoutNs;
-    return silent ? Optional.empty() : Optional.of(leader);
+    boolean timedOut = leader == null || nowNs - leaderRepliedNs > timeoutNs;
+    return timedOut ? Optional.empty() : Optional.of(leader);
   }
 
-  private void countIfInForce() {
+  private void extendIfPlanApplied() {
     if (pending == null || planVersion < pending.planVersion()) {
       return;
     }
--- a/core/src/main/java/org/teaseltrail/core/serving/UpstreamSlots.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/UpstreamSlots.java
@@ -6,16 +6,17 @@
 import org.teaseltrail.core.registry.Registration;
 
 /**
- * Is what the leader tells an entry VM of the places at upstreams: one number for each upstream, in
- * the order of the registrations of the revision that is told with it. Each sync carries it, so it
- * names no upstream.
+ * Slots in use and own shares that the leader sends to an entry VM: one number for each upstream,
+ * in the order of the registrations of the revision in the same message. Upstream ids are omitted
+ * to keep the message small, since each confirmed sync carries it.
  *
- * @param elsewhere requests that the other entry VMs have at each upstream
- * @param ownParts places at each upstream that the VM may fill while it hears nothing from a leader
+ * @param elsewhere number of requests that the other entry VMs have in flight at each upstream
+ * @param ownParts slots of each upstream that the VM may use while it receives nothing from a
+ *     leader
  */
 public record UpstreamSlots(List<Integer> elsewhere, List<Integer> ownParts) {
 
-  /** The leader doesn't know yet; what an entry VM was told before goes on. */
+  /** The leader doesn't know the slots yet; the VM keeps the values that it received earlier. */
   public static final UpstreamSlots NONE = new UpstreamSlots(List.of(), List.of());
 
   /** Copies the lists. */
@@ -25,12 +26,12 @@
   }
 
   /**
-   * Puts places into the order of the registrations.
+   * Arranges counts by upstream in the order of the registrations.
    *
    * @param present the registrations
-   * @param elsewhere requests that the other VMs have, by upstream; those without any left out
-   * @param ownParts places of the VM, by upstream; those without any left out
-   * @return the places
+   * @param elsewhere requests of the other VMs, by upstream; upstreams without any are omitted
+   * @param ownParts the VM's own share, by upstream; upstreams without any are omitted
+   * @return the slots
    */
   public static UpstreamSlots of(
       List<Registration> present,
@@ -39,7 +40,7 @@
     return new UpstreamSlots(inOrder(present, elsewhere), inOrder(present, ownParts));
   }
 
-  /** Tells whether the leader doesn't know yet. */
+  /** Returns whether the leader doesn't know the slots yet. */
   public boolean isNone() {
     return elsewhere.isEmpty() && ownParts.isEmpty();
   }
--- a/core/src/main/java/org/teaseltrail/core/serving/Urgency.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/Urgency.java
@@ -3,15 +3,16 @@
 import java.util.Comparator;
 
 /**
- * Says who goes first among requests that wait for a place: by the customer's rank, then those that
- * can still be answered on time, then by the route's rank.
+ * Scheduling priority of a request that waits for a slot. The order is by the customer's rank, then
+ * requests that can still meet their latency objective before those that can't, then by the route's
+ * rank.
  *
- * <p>Under more load than fits, a line that is served strictly as it came makes every request late.
- * Those that are late already give way: an answer on time is worth three to four times a late one
- * to the users.
+ * <p>Under overload, a queue in strict arrival order makes every request late. Requests that are
+ * already late therefore yield to the others: to users, an answer on time is worth three to four
+ * times a late one.
  *
  * @param customerRank rank of the customer, 0 the highest
- * @param late whether the objective can no longer be met
+ * @param late whether the request can no longer meet its objective
  * @param routeRank rank of the route, 0 the highest
  */
 public record Urgency(int customerRank, boolean late, int routeRank)
--- a/core/src/main/java/org/teaseltrail/core/serving/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/serving/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What an entry VM and the leading control member tell each other so that the VM can place requests
- * by itself: the plan, the registrations, who else works where, and shares of quotas.
+ * Messages between entry VMs and the leading control member that let a VM select upstreams locally:
+ * the plan, the registrations, the load of the other VMs, and quota allowances.
  */
 package org.teaseltrail.core.serving;
--- a/core/src/test/java/org/teaseltrail/core/serving/ServingSessionTest.java
+++ b/core/src/test/java/org/teaseltrail/core/serving/ServingSessionTest.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.VmId;
 
-/** Ends a session in time, whatever happens on the way. */
+/** Tests when a session ends. */
 class ServingSessionTest {
 
   private static final VmId MEMBER = new VmId("10.0.0.1:7600");
@@ -30,8 +30,9 @@
   }
 
   /**
-   * A key is revoked; a VM that was cut off still takes it 5 s later. Its last confirmation was
-   * held up for 2 s on its way, and the session was counted from its arrival.
+   * Guards against a VM that accepts a revoked key for longer than the session lifetime: if the
+   * lifetime were counted from the arrival of the confirmation, a delayed confirmation would extend
+   * the session.
    */
   @Test
   void countsFromTheSendingOfTheSync() {
@@ -42,7 +43,10 @@
     assertThat(session.isValid(3_000 * MS)).isFalse();
   }
 
-  /** A confirmation names a plan that hasn't come yet: the VM's own one is known to be old. */
+  /**
+   * A confirmation of a plan version that the VM has not applied must not extend the session, since
+   * the VM's own plan is known to be old.
+   */
   @Test
   void waitsForThePlanThatIsConfirmed() {
     session.recordPlanVersion(7);
@@ -54,7 +58,8 @@
   }
 
   /**
-   * A leader that was replaced without knowing it confirms an older plan to a VM that knows better.
+   * A replaced leader that still believes it leads confirms an older plan; the confirmation must be
+   * ignored by a VM that knows the newer leadership.
    */
   @Test
   void hearsNoOlderLeader() {
@@ -66,7 +71,7 @@
     assertThat(session.isValid(3_500 * MS)).isFalse();
   }
 
-  /** The same confirmation comes twice, or answers a sync that was never sent. */
+  /** A duplicate confirmation, or one for a sync that was never sent, must be ignored. */
   @Test
   void takesOnlyAnswersToOpenSyncs() {
     session.recordPlanVersion(7);
