--- a/core/src/main/java/org/teaseltrail/core/backpressure/PermitBucket.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/PermitBucket.java
@@ -1,54 +1,56 @@
 package org.teaseltrail.core.backpressure;
 
 /**
- * Gives out, for one upstream with a limit, the requests that all entry VMs together may send.
+ * Token bucket that issues send permits for one rate-limited upstream, shared by all entry VMs.
  *
- * <p>It begins empty, so that a leader which begins adds nothing to what the one before gave out.
+ * <p>The bucket starts empty, so that a new leader adds nothing to the permits that the previous
+ * leader issued.
  */
 public final class PermitBucket {
 
   private static final double NS_PER_S = 1e9;
 
-  /** Time for which permits that nobody asked for gather. */
+  /** Time for which unused permits accumulate. */
   private static final double BURST_S = 0.25;
 
   /**
-   * Permits a second whatever the limit. Guards against an upstream that takes nothing for a while
-   * and is never asked again: only an answer tells that its need is over.
+   * Minimum rate of permits per second, whatever the limit is. Otherwise an upstream with a limit
+   * of zero would receive no requests, and since only an answer can show that a limit was lifted,
+   * it would remain without requests forever.
    */
-  private static final double LEAST_PER_S = 0.25;
+  private static final double MIN_PER_S = 0.25;
 
   private double permits;
-  private long filledNs;
+  private long refilledNs;
 
   /**
-   * Begins without a permit.
+   * Creates a bucket without permits.
    *
-   * @param nowNs time
+   * @param nowNs current time
    */
   public PermitBucket(long nowNs) {
-    filledNs = nowNs;
+    refilledNs = nowNs;
   }
 
   /**
-   * Gives permits out.
+   * Acquires permits.
    *
-   * @param limit the upstream's limit
-   * @param wanted permits that are of use at most
-   * @param nowNs time
-   * @return permits given, 0 if there is none yet
+   * @param limit the upstream's current limit
+   * @param wanted maximum number of permits
+   * @param nowNs current time
+   * @return the number of acquired permits, 0 if none is available
    */
   public int acquire(RateLimit limit, int wanted, long nowNs) {
-    fill(limit, nowNs);
-    int taken = (int) Math.min(wanted, Math.floor(permits));
-    permits -= taken;
-    return taken;
+    refill(limit, nowNs);
+    int acquired = (int) Math.min(wanted, Math.floor(permits));
+    permits -= acquired;
+    return acquired;
   }
 
-  private void fill(RateLimit limit, long nowNs) {
-    double perSecond = Math.max(LEAST_PER_S, limit.perSecond());
-    double most = Math.max(1, perSecond * BURST_S);
-    permits = Math.min(most, permits + perSecond * (nowNs - filledNs) / NS_PER_S);
-    filledNs = nowNs;
+  private void refill(RateLimit limit, long nowNs) {
+    double perSecond = Math.max(MIN_PER_S, limit.perSecond());
+    double capacity = Math.max(1, perSecond * BURST_S);
+    permits = Math.min(capacity, permits + perSecond * (nowNs - refilledNs) / NS_PER_S);
+    refilledNs = nowNs;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/backpressure/RateLimit.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimit.java
@@ -1,28 +1,28 @@
 package org.teaseltrail.core.backpressure;
 
 /**
- * Is how many requests an upstream takes from all entry VMs together.
+ * Maximum rate at which an upstream accepts requests, counted over all entry VMs.
  *
- * @param perSecond requests a second; infinite if it names no limit
+ * @param perSecond requests per second; infinite if there is no limit
  */
 public record RateLimit(double perSecond) {
 
-  /** Is said of an upstream that names no limit. */
+  /** Limit of an upstream that has announced none. */
   public static final RateLimit UNLIMITED = new RateLimit(Double.POSITIVE_INFINITY);
 
   /**
    * Checks the rate.
    *
-   * @throws IllegalArgumentException if it is negative or no number
+   * @throws IllegalArgumentException if the rate is negative or not a number
    */
   public RateLimit {
     if (!(perSecond >= 0)) {
-      throw new IllegalArgumentException("no rate: " + perSecond);
+      throw new IllegalArgumentException("rate limit is negative or not a number: " + perSecond);
     }
   }
 
   /**
-   * Tells whether there is a limit.
+   * Returns whether there is a limit.
    *
    * @return false for {@link #UNLIMITED}
    */
--- a/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitObservation.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitObservation.java
@@ -3,10 +3,10 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
- * Is what an answer of an upstream said of its limit.
+ * Rate limit that an upstream announced with an answer.
  *
- * @param upstream the upstream's life
- * @param limit the limit, {@link RateLimit#UNLIMITED} if the answer named none
- * @param agoMs how long ago the answer came, in milliseconds
+ * @param upstream the upstream's incarnation
+ * @param limit the limit, {@link RateLimit#UNLIMITED} if the answer announced none
+ * @param agoMs age of the answer in milliseconds
  */
 public record RateLimitObservation(UpstreamIncarnation upstream, RateLimit limit, long agoMs) {}
--- a/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitRegistry.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/RateLimitRegistry.java
@@ -9,37 +9,37 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
- * Remembers what upstreams said last of their limits, whoever heard it.
+ * Stores the newest rate limit that each upstream has announced, as observed by any entry VM.
  *
- * <p>That a limit was lifted is remembered for a while too. Guards against an older sighting of
- * another VM that comes later and would set the limit again.
+ * <p>A lifted limit is remembered for a while as well. Otherwise an older observation of another VM
+ * that arrives later would set the limit again.
  */
 public final class RateLimitRegistry {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   /**
-   * Time for which a lifted limit, or one of an upstream that is gone, is remembered; no sighting
-   * is on its way for longer.
+   * Time for which the registry keeps a lifted limit, or the limit of an upstream that is no longer
+   * present. No observation is in flight for longer.
    */
-  private static final long MEMORY_NS = 10_000 * NS_PER_MS;
+  private static final long RETENTION_NS = 10_000 * NS_PER_MS;
 
-  private record Entry(RateLimit limit, long seenNs) {}
+  private record Entry(RateLimit limit, long observedNs) {}
 
   private final Map<UpstreamIncarnation, Entry> entries = new HashMap<>();
 
   /**
-   * Takes what an answer said, unless a newer one is known.
+   * Records a limit from an upstream's answer unless a newer observation is known.
    *
-   * @param upstream whose answer
+   * @param upstream the upstream that answered
    * @param limit the limit
-   * @param observedNs when the answer came
-   * @return whether the limit in force is another one now
+   * @param observedNs time at which the answer arrived
+   * @return whether the upstream's limit changed
    */
   public boolean recordObservation(UpstreamIncarnation upstream, RateLimit limit, long observedNs) {
     Entry known = entries.get(upstream);
-    boolean nothingNew = known == null ? !limit.isLimited() : observedNs <= known.seenNs();
-    if (nothingNew) {
+    boolean outdated = known == null ? !limit.isLimited() : observedNs <= known.observedNs();
+    if (outdated) {
       return false;
     }
     entries.put(upstream, new Entry(limit, observedNs));
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Returns an upstream's limit.
+   * Returns the limit of an upstream.
    *
    * @param upstream the upstream
-   * @return the limit in force
+   * @return the current limit
    */
   public RateLimit limit(UpstreamIncarnation upstream) {
     Entry known = entries.get(upstream);
@@ -58,38 +58,38 @@
   }
 
   /**
-   * Returns when an upstream last said something of a limit.
+   * Returns the time of the newest observation of an upstream.
    *
    * @param upstream the upstream
-   * @return the time, {@link Long#MIN_VALUE} if nothing is known
+   * @return the time, {@link Long#MIN_VALUE} if there is no observation
    */
   public long observedNs(UpstreamIncarnation upstream) {
     Entry known = entries.get(upstream);
-    return known == null ? Long.MIN_VALUE : known.seenNs();
+    return known == null ? Long.MIN_VALUE : known.observedNs();
   }
 
   /**
-   * Tells whether nothing is known of any limit, as on most days.
+   * Returns whether no limit is stored, which is the usual case.
    *
-   * @return true if there is neither a limit nor one that was lifted lately
+   * @return true if there is neither a limit nor a recently lifted one
    */
   public boolean isEmpty() {
     return entries.isEmpty();
   }
 
   /**
-   * Returns what is known, for others.
+   * Returns the newest observations, to be sent to other members or VMs.
    *
-   * @param wanted which upstreams are of interest
-   * @param nowNs time
-   * @return what they said last
+   * @param wanted selects the upstreams
+   * @param nowNs current time
+   * @return the newest observation of each selected upstream
    */
   public List<RateLimitObservation> sightings(Predicate<UpstreamIncarnation> wanted, long nowNs) {
     List<RateLimitObservation> sightings = new ArrayList<>();
     entries.forEach(
         (upstream, entry) -> {
           if (wanted.test(upstream)) {
-            long agoMs = (nowNs - entry.seenNs()) / NS_PER_MS;
+            long agoMs = (nowNs - entry.observedNs()) / NS_PER_MS;
             sightings.add(new RateLimitObservation(upstream, entry.limit(), agoMs));
           }
         });
@@ -97,23 +97,23 @@
   }
 
   /**
-   * Forgets upstreams that are gone, and limits that were lifted long ago.
+   * Removes upstreams that are no longer present, and limits that were lifted long ago.
    *
-   * @param present lives of the upstreams that are there
-   * @param nowNs time
-   * @return what was forgotten
+   * @param present incarnations of the present upstreams
+   * @param nowNs current time
+   * @return the removed upstreams
    */
   public List<UpstreamIncarnation> removeStale(Set<UpstreamIncarnation> present, long nowNs) {
-    List<UpstreamIncarnation> forgotten = new ArrayList<>();
+    List<UpstreamIncarnation> stale = new ArrayList<>();
     entries.forEach(
         (upstream, entry) -> {
           boolean lifted = !entry.limit().isLimited();
-          boolean old = nowNs - entry.seenNs() > MEMORY_NS;
+          boolean old = nowNs - entry.observedNs() > RETENTION_NS;
           if (old && (lifted || !present.contains(upstream))) {
-            forgotten.add(upstream);
+            stale.add(upstream);
           }
         });
-    entries.keySet().removeAll(forgotten);
-    return forgotten;
+    entries.keySet().removeAll(stale);
+    return stale;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/backpressure/SendPermit.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/SendPermit.java
@@ -3,9 +3,9 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
- * Lets an entry VM send some requests to an upstream that has named a limit.
+ * Permits an entry VM to send a number of requests to a rate-limited upstream.
  *
- * @param upstream the upstream's life
- * @param requests how many
+ * @param upstream the upstream's incarnation
+ * @param requests number of requests
  */
 public record SendPermit(UpstreamIncarnation upstream, int requests) {}
--- a/core/src/main/java/org/teaseltrail/core/backpressure/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/backpressure/package-info.java
@@ -1,2 +1,2 @@
-/** Remembers how much work upstreams ask for, as they tell in their answers. */
+/** Tracks the rate limits that upstreams announce in their answers. */
 package org.teaseltrail.core.backpressure;
--- a/core/src/test/java/org/teaseltrail/core/backpressure/RateLimitRegistryTest.java
+++ b/core/src/test/java/org/teaseltrail/core/backpressure/RateLimitRegistryTest.java
@@ -14,38 +14,44 @@
       new UpstreamIncarnation(new UpstreamId("u"), 1);
   private static final RateLimit LIMIT = new RateLimit(1.6);
 
-  private final RateLimitRegistry book = new RateLimitRegistry();
+  private final RateLimitRegistry registry = new RateLimitRegistry();
 
-  /** Another VM's sighting of the need comes after this one's of its end. */
+  /**
+   * Guards against an outdated limit: another VM's observation of the limit arrives after this VM
+   * has observed that the limit was lifted.
+   */
   @Test
   void olderSightingSetsNothingAgain() {
-    assertThat(book.recordObservation(UPSTREAM, LIMIT, 100)).isTrue();
-    assertThat(book.recordObservation(UPSTREAM, RateLimit.UNLIMITED, 300)).isTrue();
-    assertThat(book.recordObservation(UPSTREAM, LIMIT, 200)).isFalse();
-    assertThat(book.limit(UPSTREAM)).isEqualTo(RateLimit.UNLIMITED);
+    assertThat(registry.recordObservation(UPSTREAM, LIMIT, 100)).isTrue();
+    assertThat(registry.recordObservation(UPSTREAM, RateLimit.UNLIMITED, 300)).isTrue();
+    assertThat(registry.recordObservation(UPSTREAM, LIMIT, 200)).isFalse();
+    assertThat(registry.limit(UPSTREAM)).isEqualTo(RateLimit.UNLIMITED);
   }
 
   @Test
   void newestSightingCounts() {
-    book.recordObservation(UPSTREAM, LIMIT, 100);
-    assertThat(book.recordObservation(UPSTREAM, new RateLimit(0.5), 200)).isTrue();
-    assertThat(book.recordObservation(UPSTREAM, new RateLimit(0.5), 300)).isFalse();
-    assertThat(book.limit(UPSTREAM)).isEqualTo(new RateLimit(0.5));
+    registry.recordObservation(UPSTREAM, LIMIT, 100);
+    assertThat(registry.recordObservation(UPSTREAM, new RateLimit(0.5), 200)).isTrue();
+    assertThat(registry.recordObservation(UPSTREAM, new RateLimit(0.5), 300)).isFalse();
+    assertThat(registry.limit(UPSTREAM)).isEqualTo(new RateLimit(0.5));
   }
 
-  /** The book holds every upstream that was ever in need. */
+  /**
+   * Guards against unbounded memory: without removal, the registry would keep every upstream that
+   * has ever had a limit.
+   */
   @Test
   void forgetsWhatIsGoneOrLiftedLongAgo() {
-    book.recordObservation(UPSTREAM, LIMIT, 0);
-    assertThat(book.removeStale(Set.of(), 9_000 * NS_PER_MS)).isEmpty();
-    assertThat(book.removeStale(Set.of(UPSTREAM), 11_000 * NS_PER_MS)).isEmpty();
-    assertThat(book.removeStale(Set.of(), 11_000 * NS_PER_MS)).containsExactly(UPSTREAM);
-    assertThat(book.isEmpty()).isTrue();
+    registry.recordObservation(UPSTREAM, LIMIT, 0);
+    assertThat(registry.removeStale(Set.of(), 9_000 * NS_PER_MS)).isEmpty();
+    assertThat(registry.removeStale(Set.of(UPSTREAM), 11_000 * NS_PER_MS)).isEmpty();
+    assertThat(registry.removeStale(Set.of(), 11_000 * NS_PER_MS)).containsExactly(UPSTREAM);
+    assertThat(registry.isEmpty()).isTrue();
   }
 
   @Test
   void upstreamWithoutLimitIsNotRemembered() {
-    assertThat(book.recordObservation(UPSTREAM, RateLimit.UNLIMITED, 100)).isFalse();
-    assertThat(book.isEmpty()).isTrue();
+    assertThat(registry.recordObservation(UPSTREAM, RateLimit.UNLIMITED, 100)).isFalse();
+    assertThat(registry.isEmpty()).isTrue();
   }
 }
