--- a/core/src/main/java/org/teaseltrail/core/entry/ActionBuffer.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ActionBuffer.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.request.Request;
 import org.teaseltrail.core.request.UpstreamTarget;
 
-/** Collects the actions of one event, in order. */
+/** Buffers the actions of one event in order. */
 final class ActionBuffer {
 
   private List<EntryAction> actions = new ArrayList<>();
--- a/core/src/main/java/org/teaseltrail/core/entry/AdmissionHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/AdmissionHandler.java
@@ -19,16 +19,19 @@
 import org.teaseltrail.core.request.Request;
 import org.teaseltrail.core.request.TokenEstimator;
 
-/** Takes requests in: who asks, for what, whether it may run, and its ticket. */
+/**
+ * Admits or rejects arriving requests: authenticates the customer, resolves the route, and offers
+ * an admitted request to its pool's scheduler.
+ */
 final class AdmissionHandler {
 
-  /** When a caller refused for want of a session may come back: two hello intervals. */
+  /** Retry-After of a request that is rejected for lack of a valid session: two hello intervals. */
   static final long RETRY_AFTER_MS = 1_000;
 
-  private final EntryContext parts;
+  private final EntryComponents parts;
   private final DrainCoordinator drain;
 
-  AdmissionHandler(EntryContext parts, DrainCoordinator drain) {
+  AdmissionHandler(EntryComponents parts, DrainCoordinator drain) {
     this.parts = parts;
     this.drain = drain;
   }
@@ -57,7 +60,7 @@
     admit(ticket(id, call, customer.get(), route.get(), nonIdempotent), call, route.get(), nowNs);
   }
 
-  /** Returns why the VM admits nothing now, if it doesn't. */
+  /** Returns the reason for which the VM currently rejects all requests, if there is one. */
   Optional<NotRunReason> rejectionReason(long nowNs) {
     if (drain.isListenerClosed()) {
       return Optional.of(NotRunReason.DRAINING);
--- a/core/src/main/java/org/teaseltrail/core/entry/AnnouncementStore.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/AnnouncementStore.java
@@ -15,11 +15,14 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Holds the newest announcement of each upstream that this VM has heard. */
+/**
+ * Stores the newest announcement of each upstream that this VM has received, and checks the
+ * credentials of announcing upstreams.
+ */
 final class AnnouncementStore {
 
   private final AppliedConfiguration configuration;
-  private final Map<UpstreamId, Heard> heard = new LinkedHashMap<>();
+  private final Map<UpstreamId, Received> heard = new LinkedHashMap<>();
 
   AnnouncementStore(AppliedConfiguration configuration) {
     this.configuration = configuration;
@@ -33,64 +36,66 @@
     if (allowed.isEmpty()) {
       return UpstreamVerdict.NOT_ALLOWED;
     }
-    return sameHash(allowed.get().secretHash(), secretHash)
+    return isSameHash(allowed.get().secretHash(), secretHash)
         ? UpstreamVerdict.ACCEPTED
         : UpstreamVerdict.WRONG_SECRET;
   }
 
-  private static boolean sameHash(String expected, String actual) {
+  private static boolean isSameHash(String expected, String actual) {
     return MessageDigest.isEqual(
         expected.getBytes(StandardCharsets.US_ASCII), actual.getBytes(StandardCharsets.US_ASCII));
   }
 
   /**
-   * Takes an announcement in, unless a later one of the same upstream is known.
+   * Stores an announcement unless a later one of the same upstream is known.
    *
-   * @return whether it is news, so that it is passed on
+   * @return whether it was stored and must be forwarded to the leader
    */
   boolean storeIfNewer(Announcement announcement, long nowNs) {
-    Heard known = heard.get(announcement.upstream());
+    Received known = heard.get(announcement.upstream());
     if (known != null && !isLater(announcement, known.announcement())) {
       return false;
     }
-    heard.put(announcement.upstream(), new Heard(announcement, nowNs));
+    heard.put(announcement.upstream(), new Received(announcement, nowNs));
     return true;
   }
 
   private static boolean isLater(Announcement candidate, Announcement known) {
-    int byLife = candidate.incarnation().compareTo(known.incarnation());
-    return byLife > 0 || byLife == 0 && candidate.sequence() > known.sequence();
+    int byIncarnation = candidate.incarnation().compareTo(known.incarnation());
+    return byIncarnation > 0 || byIncarnation == 0 && candidate.sequence() > known.sequence();
   }
 
   /**
-   * Returns whether an upstream must not get new work from this VM.
+   * Returns whether this VM must not dispatch new work to an upstream.
    *
-   * <p>Guards against a grant that crosses the upstream's own word that it leaves, or an operator's
-   * drain, on the way: it shows as work cut off when the upstream exits. The VM's own knowledge is
-   * asked right before the dispatch, so the grant's age doesn't matter.
+   * <p>A grant can cross the upstream's announcement that it is leaving, or an operator's drain,
+   * and the work would be cut off when the upstream exits. The VM therefore checks its own state
+   * right before the dispatch, so that the age of the grant doesn't matter.
    */
   boolean isLeaving(UpstreamId upstream, Incarnation granted) {
     if (configuration.upstream(upstream).map(AllowedUpstream::draining).orElse(true)) {
       return true;
     }
-    Heard known = heard.get(upstream);
+    Received known = heard.get(upstream);
     if (known == null) {
       return false;
     }
-    int life = known.announcement().incarnation().compareTo(granted);
-    return life > 0 || life == 0 && known.announcement().phase() == UpstreamPhase.LEAVING;
+    int comparison = known.announcement().incarnation().compareTo(granted);
+    return comparison > 0
+        || comparison == 0 && known.announcement().phase() == UpstreamPhase.LEAVING;
   }
 
   /**
-   * Returns what a new leader must be told: the announcements that are still good. Older ones stay
-   * known here, since an upstream's word that it leaves holds for the rest of that life; only what
-   * operators no longer allow is forgotten, so that memory is bounded.
+   * Returns the announcements that have not expired, to be reported to a new leader. Expired ones
+   * are kept, since an upstream's announcement that it is leaving applies for the rest of its
+   * incarnation. Only upstreams that the configuration no longer allows are removed, which bounds
+   * memory.
    */
   List<UpstreamSeen> validAnnouncements(long nowNs) {
     heard.keySet().removeIf(upstream -> configuration.upstream(upstream).isEmpty());
     List<UpstreamSeen> messages = new ArrayList<>(heard.size());
-    for (Heard entry : heard.values()) {
-      if (!entry.isOver(nowNs)) {
+    for (Received entry : heard.values()) {
+      if (!entry.isExpired(nowNs)) {
         messages.add(
             new UpstreamSeen(entry.announcement(), Millis.ofNanos(nowNs - entry.heardNs())));
       }
@@ -98,9 +103,9 @@
     return messages;
   }
 
-  private record Heard(Announcement announcement, long heardNs) {
+  private record Received(Announcement announcement, long heardNs) {
 
-    boolean isOver(long nowNs) {
+    boolean isExpired(long nowNs) {
       return nowNs - heardNs > Millis.toNanos(announcement.lifetimeMs());
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/AppliedConfiguration.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/AppliedConfiguration.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.invariant.Invariant;
 import org.teaseltrail.core.invariant.InvariantName;
 
-/** Is the configuration in force on an entry VM, with the look-ups that admission needs. */
+/** The configuration that an entry VM applies, indexed for the look-ups during admission. */
 final class AppliedConfiguration {
 
   private Configuration configuration = Configuration.empty();
@@ -22,10 +22,10 @@
   private Map<String, Customer> customersByKeyHash = Map.of();
 
   /**
-   * Applies a configuration if it is newer.
+   * Applies a configuration if its revision is newer.
    *
-   * <p>Guards against updates that come late, doubled or out of order, which show as a removed
-   * customer served again: only a greater revision is ever applied.
+   * <p>Updates can arrive late, duplicated or out of order. Only a greater revision is applied,
+   * since an older one could serve a removed customer again.
    *
    * @return whether it was applied
    */
@@ -50,7 +50,7 @@
     return index;
   }
 
-  /** Returns whether a configuration has come since the process started. */
+  /** Returns whether a configuration has been received since the process started. */
   boolean isConfirmed() {
     return confirmed;
   }
@@ -67,18 +67,18 @@
     return Optional.ofNullable(configuration.upstreams().get(id));
   }
 
-  /** Returns the greatest rank of a tier, which is the lowest tier. */
+  /** Returns the greatest rank of any tier, which is that of the lowest tier. */
   int lowestTierRank() {
     return configuration.tiers().keySet().stream().mapToInt(Tier::rank).max().orElse(1);
   }
 
   Optional<Route> route(CallTarget target) {
     return configuration.routes().values().stream()
-        .filter(route -> leadsTo(route, target))
+        .filter(route -> matches(route, target))
         .max((a, b) -> a.id().value().compareTo(b.id().value()));
   }
 
-  private static boolean leadsTo(Route route, CallTarget target) {
+  private static boolean matches(Route route, CallTarget target) {
     if (target instanceof CallTarget.Generation wanted
         && route.target() instanceof RouteTarget.ModelTarget served) {
       return wanted.model().equals(served.model())
--- a/core/src/main/java/org/teaseltrail/core/entry/CallTarget.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/CallTarget.java
@@ -6,17 +6,17 @@
 import org.teaseltrail.core.id.ModelVersion;
 import org.teaseltrail.core.id.ServiceId;
 
-/** Is a model to generate with or a plain service to call. */
+/** Target of a call: a model that generates an answer, or a plain service. */
 public sealed interface CallTarget {
 
   /**
-   * Asks for a generation.
+   * Requests a generation.
    *
    * @param model the model
-   * @param version its version; the one served if absent
+   * @param version version of the model; if absent, the served version
    * @param adapter the adapter, if any
-   * @param promptUtf8 the prompt; only its length and its blocks' hashes are kept
-   * @param maxTokens the most tokens to generate
+   * @param promptUtf8 the prompt; only its length and the hashes of its blocks are stored
+   * @param maxTokens maximum number of tokens to generate
    */
   record Generation(
       ModelId model,
@@ -27,7 +27,7 @@
       implements CallTarget {}
 
   /**
-   * Asks for a call of a plain service.
+   * Requests a call of a plain service.
    *
    * @param service the service
    * @param method the HTTP method in upper case
--- a/core/src/main/java/org/teaseltrail/core/entry/CallerCall.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/CallerCall.java
@@ -4,15 +4,15 @@
 import org.teaseltrail.core.id.IdempotencyKey;
 
 /**
- * Is what a caller asks for, checked for form.
+ * A caller's request after validation of its syntax.
  *
- * @param keyHash SHA-256 of the API key in lower-case hexadecimal, if one came
- * @param target what is asked for
- * @param idempotent whether the caller lets it run more than once
- * @param idempotencyKey the key under which it runs at most once, if one came
+ * @param keyHash SHA-256 of the API key in lower-case hexadecimal, if the caller sent one
+ * @param target the requested model or service
+ * @param idempotent whether the caller allows the request to run more than once
+ * @param idempotencyKey the key under which the request runs at most once, if the caller sent one
  * @param bodyDigest SHA-256 of the body in lower-case hexadecimal
- * @param deadlineMs time until the caller's deadline; zero if it has none
- * @param lastSequence the last frame of the answer that the caller has, if it has some
+ * @param deadlineMs time until the caller's deadline in milliseconds; zero if there is none
+ * @param lastSequence sequence of the last frame of the answer that the caller has received, if any
  */
 public record CallerCall(
     Optional<String> keyHash,
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlConnection.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlConnection.java
@@ -5,7 +5,7 @@
 import org.teaseltrail.core.id.FencingNumber;
 import org.teaseltrail.core.id.MemberId;
 
-/** Is the connection to one control member, with the hellos that are under way on it. */
+/** Connection to one control member, with the hellos on it that have not been answered yet. */
 final class ControlConnection {
 
   private final MemberId member;
@@ -13,7 +13,7 @@
   private boolean open;
   private long epoch;
   private long nextHelloNs;
-  private long lastHeardNs;
+  private long lastReceivedNs;
   private FencingNumber reportedFencing;
   private long reportedSequence;
 
@@ -26,7 +26,7 @@
     epoch++;
     sentNsBySequence.clear();
     nextHelloNs = nowNs;
-    lastHeardNs = nowNs;
+    lastReceivedNs = nowNs;
     forgetReports();
   }
 
@@ -37,17 +37,17 @@
   }
 
   void heard(long nowNs) {
-    lastHeardNs = nowNs;
+    lastReceivedNs = nowNs;
   }
 
   /**
-   * Returns whether the member has said nothing for too long.
+   * Returns whether the connection is open but the member has sent nothing for too long.
    *
-   * <p>Guards against a link that is cut without a word (a silent partition, a frozen member): TCP
-   * alone would not tell for minutes, and the VM would wait on a dead connection.
+   * <p>Without this timeout, a connection that is lost silently (a network partition, a paused
+   * member) would remain in use: TCP alone may take minutes to detect the loss.
    */
   boolean isSilent(long nowNs, long silenceNs) {
-    return open && nowNs - lastHeardNs > silenceNs;
+    return open && nowNs - lastReceivedNs > silenceNs;
   }
 
   boolean isHelloDue(long nowNs) {
@@ -60,7 +60,8 @@
   }
 
   /**
-   * Returns when the hello was sent; hellos up to it are forgotten, so doubled answers are idle.
+   * Returns the time at which the hello was sent, and removes all hellos up to it, so that a
+   * duplicate answer has no effect.
    */
   OptionalLong answered(long sequence) {
     Long sentNs = sentNsBySequence.get(sequence);
@@ -72,8 +73,9 @@
   }
 
   /**
-   * Returns whether the leader at the other end must be told of all that waits and runs: it is new,
-   * the connection is new (what was under way on the old one may be lost), or it asks again.
+   * Returns whether the VM must report all waiting and running requests to the leader: the leader
+   * is new, the connection is new (messages in flight on the old one may be lost), or the leader
+   * requests the reports again.
    */
   boolean needsReports(FencingNumber fencing, boolean wanted, long sequence) {
     return !fencing.equals(reportedFencing) || wanted && sequence > reportedSequence;
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlMessageHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlMessageHandler.java
@@ -8,13 +8,16 @@
 import org.teaseltrail.core.request.RequestState;
 import org.teaseltrail.core.request.UpstreamTarget;
 
-/** Follows what control members say, and tells a new leader of all that waits and runs here. */
+/**
+ * Handles messages from control members, and reports all waiting and running requests to a new
+ * leader.
+ */
 final class ControlMessageHandler {
 
-  private final EntryContext parts;
+  private final EntryComponents parts;
   private final Dispatcher dispatcher;
 
-  ControlMessageHandler(EntryContext parts, Dispatcher dispatcher) {
+  ControlMessageHandler(EntryComponents parts, Dispatcher dispatcher) {
     this.parts = parts;
     this.dispatcher = dispatcher;
   }
@@ -44,23 +47,24 @@
     if (accepted.isEmpty()) {
       return;
     }
-    ControlConnection link = accepted.get();
+    ControlConnection connection = accepted.get();
     boolean report =
         !wasInReach
-            || link.needsReports(welcome.fencing(), welcome.reportsWanted(), welcome.sequence());
+            || connection.needsReports(
+                welcome.fencing(), welcome.reportsWanted(), welcome.sequence());
     if (report) {
-      reportAll(link, welcome, nowNs);
+      reportAll(connection, welcome, nowNs);
     }
-    parts.endedReports.confirm(link, welcome.sequence());
+    parts.endedReports.confirm(connection, welcome.sequence());
   }
 
-  private void reportAll(ControlConnection link, ControlMessage.Welcome welcome, long nowNs) {
+  private void reportAll(ControlConnection connection, ControlMessage.Welcome welcome, long nowNs) {
     parts.upstreams.validAnnouncements(nowNs).forEach(parts.session::sendToLeader);
     parts.requests.all().forEach(request -> reportOne(request, nowNs));
     parts.endedReports.resendAll();
     parts.session.sendToLeader(
         new EntryMessage.ReportsComplete(parts.settings.vm(), welcome.fencing()));
-    link.reported(welcome.fencing(), parts.session.helloSequence());
+    connection.reported(welcome.fencing(), parts.session.helloSequence());
     parts.actions.log(
         EntryDecisionKind.SESSION,
         Optional.empty(),
--- a/core/src/main/java/org/teaseltrail/core/entry/ControlSession.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/ControlSession.java
@@ -12,19 +12,20 @@
 import org.teaseltrail.core.request.Millis;
 
 /**
- * Is the VM's session with the control members: who leads, and until when the VM may admit.
+ * Session of the VM with the control members. It tracks the leader and the time until which the VM
+ * may admit requests.
  *
- * <p>Guards against a VM that is cut off, or frozen and thawed, and goes on under an old
- * configuration. The session's end is counted on the VM's own monotonic clock from the sending of
- * the hello that was welcomed, so no delay on the way back can lengthen it; and a welcome counts
- * only once the configuration it names is in force here.
+ * <p>A VM that is partitioned from the leader, or was paused, would otherwise continue under an old
+ * configuration. The end of the session is counted on the VM's own monotonic clock from the time at
+ * which the answered hello was sent, so that a delayed answer can't extend it. A welcome takes
+ * effect only after the configuration that it names is applied.
  */
 final class ControlSession {
 
   private final EntrySettings settings;
   private final AppliedConfiguration configuration;
-  private final ActionBuffer out;
-  private final Map<MemberId, ControlConnection> links = new LinkedHashMap<>();
+  private final ActionBuffer actions;
+  private final Map<MemberId, ControlConnection> connections = new LinkedHashMap<>();
 
   private FencingNumber greatestFencing = new FencingNumber(0);
   private MemberId leader;
@@ -36,50 +37,52 @@
   private long confirmedUntilNs;
   private Confirmation pending;
 
-  ControlSession(EntrySettings settings, AppliedConfiguration configuration, ActionBuffer out) {
+  ControlSession(EntrySettings settings, AppliedConfiguration configuration, ActionBuffer actions) {
     this.settings = settings;
     this.configuration = configuration;
-    this.out = out;
+    this.actions = actions;
   }
 
   void connected(MemberId member, long nowNs) {
-    links.computeIfAbsent(member, ControlConnection::new).open(nowNs);
+    connections.computeIfAbsent(member, ControlConnection::new).open(nowNs);
     sendDueHellos(nowNs);
   }
 
   void disconnected(MemberId member) {
-    ControlConnection link = links.get(member);
-    if (link != null) {
-      link.close();
+    ControlConnection connection = connections.get(member);
+    if (connection != null) {
+      connection.close();
     }
   }
 
   void messageReceived(MemberId member, long nowNs) {
-    ControlConnection link = links.get(member);
-    if (link != null) {
-      link.heard(nowNs);
+    ControlConnection connection = connections.get(member);
+    if (connection != null) {
+      connection.heard(nowNs);
     }
   }
 
-  /** Sends the hellos that are due and gives up connections that have fallen silent. */
+  /**
+   * Sends the hellos that are due, and reconnects to members that have sent nothing for too long.
+   */
   void sendDueHellos(long nowNs) {
-    for (ControlConnection link : links.values()) {
-      if (link.isSilent(nowNs, Millis.toNanos(settings.silenceTimeoutMs()))) {
-        link.close();
-        out.add(new EntryAction.ReconnectControl(link.member()));
+    for (ControlConnection connection : connections.values()) {
+      if (connection.isSilent(nowNs, Millis.toNanos(settings.silenceTimeoutMs()))) {
+        connection.close();
+        actions.add(new EntryAction.ReconnectControl(connection.member()));
       }
-      if (link.isHelloDue(nowNs)) {
-        sendHello(link, nowNs);
+      if (connection.isHelloDue(nowNs)) {
+        sendHello(connection, nowNs);
       }
     }
   }
 
-  private void sendHello(ControlConnection link, long nowNs) {
+  private void sendHello(ControlConnection connection, long nowNs) {
     helloSequence++;
-    link.helloSent(helloSequence, nowNs, Millis.toNanos(settings.helloIntervalMs()));
-    out.add(
+    connection.helloSent(helloSequence, nowNs, Millis.toNanos(settings.helloIntervalMs()));
+    actions.add(
         new EntryAction.SendControl(
-            link.member(),
+            connection.member(),
             new EntryMessage.Hello(
                 settings.vm(),
                 settings.incarnation(),
@@ -89,14 +92,15 @@
   }
 
   /**
-   * Takes a welcome in.
+   * Handles a welcome.
    *
-   * @return the link to the leader, or empty if the welcome is of an older leadership or answers no
-   *     hello of this connection
+   * @return the connection to the leader, or empty if the welcome is from an older leadership or
+   *     answers no pending hello of this connection
    */
   Optional<ControlConnection> welcomed(Welcome welcome, MemberId member, long nowNs) {
-    ControlConnection link = links.get(member);
-    OptionalLong sentNs = link == null ? OptionalLong.empty() : link.answered(welcome.sequence());
+    ControlConnection connection = connections.get(member);
+    OptionalLong sentNs =
+        connection == null ? OptionalLong.empty() : connection.answered(welcome.sequence());
     if (sentNs.isEmpty() || welcome.fencing().compareTo(greatestFencing) < 0) {
       return Optional.empty();
     }
@@ -107,10 +111,13 @@
     leaseSeen = true;
     pending = new Confirmation(welcome.revision(), sentNs.getAsLong() + lifetimeNs);
     confirmIfApplied();
-    return Optional.of(link);
+    return Optional.of(connection);
   }
 
-  /** Lets the newest welcome count once the configuration that it names is in force. */
+  /**
+   * Extends the session by the newest welcome if the configuration that the welcome names is
+   * applied.
+   */
   void confirmIfApplied() {
     boolean applied =
         pending != null
@@ -124,25 +131,28 @@
     }
   }
 
-  /** Notes that the member no longer leads, so that its next welcome asks for all reports. */
+  /**
+   * Records that the member is not the leader any more, so that all requests are reported again
+   * after its next welcome.
+   */
   void notLeader(MemberId member) {
-    ControlConnection link = links.get(member);
-    if (link != null) {
-      link.forgetReports();
+    ControlConnection connection = connections.get(member);
+    if (connection != null) {
+      connection.forgetReports();
     }
   }
 
-  /** Returns whether a configuration from this member and leadership may be applied. */
+  /** Returns whether no newer leadership is known than this one. */
   boolean isCurrentLeadership(FencingNumber fencing) {
     return fencing.compareTo(greatestFencing) >= 0;
   }
 
-  /** Notes a leadership that was seen in a configuration update. */
+  /** Records the leadership of a configuration update. */
   void observeFencing(FencingNumber fencing) {
     greatestFencing = fencing.compareTo(greatestFencing) > 0 ? fencing : greatestFencing;
   }
 
-  /** Returns whether a grant is of the newest leadership seen. */
+  /** Returns whether a message comes from the leader of the newest known leadership. */
   boolean isFromLeader(MemberId member, FencingNumber fencing) {
     return member.equals(leader) && fencing.equals(greatestFencing);
   }
@@ -152,17 +162,20 @@
     return confirmedOnce && nowNs < confirmedUntilNs;
   }
 
-  /** Returns whether a scheduler is in reach. */
+  /**
+   * Returns whether a scheduler is reachable: a lease was confirmed within the last session
+   * lifetime.
+   */
   boolean isSchedulerReachable(long nowNs) {
     return leaseSeen && nowNs - lastLeaseNs < lifetimeNs;
   }
 
-  /** Returns the time since the last lease seen. */
+  /** Returns the time since the last confirmed lease. */
   long timeSinceLeaseNs(long nowNs) {
     return leaseSeen ? nowNs - lastLeaseNs : 0;
   }
 
-  /** Returns when the last lease was seen. */
+  /** Returns the time of the last confirmed lease. */
   long lastLeaseNs() {
     return lastLeaseNs;
   }
@@ -177,23 +190,24 @@
 
   /** Returns the open connection to the leader, if there is one. */
   Optional<ControlConnection> leaderConnection() {
-    return Optional.ofNullable(leader).map(links::get).filter(ControlConnection::isOpen);
+    return Optional.ofNullable(leader).map(connections::get).filter(ControlConnection::isOpen);
   }
 
-  /** Sends a message to the leader; without a connection to one it is left out. */
+  /** Sends a message to the leader, or drops it if there is no connection to a leader. */
   void sendToLeader(EntryMessage message) {
     leaderConnection()
-        .ifPresent(link -> out.add(new EntryAction.SendControl(link.member(), message)));
+        .ifPresent(
+            connection -> actions.add(new EntryAction.SendControl(connection.member(), message)));
   }
 
   OptionalLong nextHelloNs() {
-    return links.values().stream()
+    return connections.values().stream()
         .filter(ControlConnection::isOpen)
         .mapToLong(ControlConnection::nextHelloNs)
         .min();
   }
 
-  /** Returns when the session ends unless it is renewed. */
+  /** Returns the time at which the session ends unless it is renewed. */
   OptionalLong confirmedUntilNs() {
     return confirmedOnce ? OptionalLong.of(confirmedUntilNs) : OptionalLong.empty();
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/Dispatcher.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/Dispatcher.java
@@ -23,26 +23,29 @@
 import org.teaseltrail.core.request.RequestState;
 import org.teaseltrail.core.request.UpstreamTarget;
 
-/** Follows the scheduler's answers up to the dispatch. */
+/**
+ * Handles the scheduler's decisions about waiting requests, and dispatches granted ones to their
+ * upstreams.
+ */
 final class Dispatcher {
 
-  /** When a caller may come back whose request its upstream refused. */
+  /** Retry-After of a request that its upstream refused. */
   static final long REFUSED_RETRY_AFTER_MS = 1_000;
 
-  private final EntryContext parts;
+  private final EntryComponents parts;
   private final RequestCloser closer;
 
-  Dispatcher(EntryContext parts, RequestCloser closer) {
+  Dispatcher(EntryComponents parts, RequestCloser closer) {
     this.parts = parts;
     this.closer = closer;
   }
 
   /**
-   * Follows a grant or declines it.
+   * Connects to the granted upstream, or declines the grant.
    *
-   * <p>Guards against a leader that was frozen and thaws with old grants, which would show as work
-   * for an upstream that has left since: only the newest leadership seen, within a valid session,
-   * may grant. A doubled grant finds its request no longer waiting and changes nothing.
+   * <p>A leader that was paused may resume and send outdated grants, for upstreams that have left
+   * in the meantime. A grant is therefore accepted only from the newest known leadership and within
+   * a valid session. A duplicate grant finds the request no longer waiting and has no effect.
    */
   void granted(MemberId member, Grant grant, long nowNs) {
     Optional<Request> request = parts.requests.live(grant.request());
@@ -51,31 +54,35 @@
     } else if (!parts.session.isValid(nowNs)) {
       decline(member, grant, DeclineReason.NO_SESSION);
     } else if (request.isEmpty()) {
-      answerUnheld(member, grant);
+      answerInactive(member, grant);
     } else if (request.get().state() == RequestState.WAITING) {
-      follow(member, grant, request.get(), nowNs);
+      connect(member, grant, request.get(), nowNs);
     }
   }
 
   /**
-   * Answers a grant for a request that no longer lives here.
+   * Answers a grant for a request that is no longer active on this VM.
    *
-   * <p>Guards against an offer that lay in a cut link while the request ran and ended under another
-   * leader: the next leader reads it late and grants. It shows as places of an upstream that stay
-   * taken for minutes. One that ran here is told as ended once more; any other did not run.
+   * <p>An offer can be delayed by a network partition while its request runs and ends under another
+   * leader; the next leader then receives the offer late and grants it. Without an answer, the
+   * upstream's slots would stay occupied for minutes. If the request ran here, its end is reported
+   * again; otherwise the grant is declined.
    */
-  private void answerUnheld(MemberId member, Grant grant) {
+  private void answerInactive(MemberId member, Grant grant) {
     Optional<RequestStatus> ran =
         parts.requests.status(grant.request()).filter(RequestStatus::dispatched);
     if (ran.isPresent()) {
-      parts.endedReports.send(endOf(ran.get(), grant.upstream()));
+      parts.endedReports.send(repeatedEnd(ran.get(), grant.upstream()));
     } else {
       decline(member, grant, DeclineReason.UNKNOWN_REQUEST);
     }
   }
 
-  /** Tells an end again; the time of the answer isn't kept, and zero says so. */
-  private static EntryMessage.Ended endOf(RequestStatus ran, UpstreamId granted) {
+  /**
+   * Creates a repeated end report. The time since the dispatch is no longer known, which the report
+   * states as zero.
+   */
+  private static EntryMessage.Ended repeatedEnd(RequestStatus ran, UpstreamId granted) {
     Optional<Usage> usage =
         ran.outcome()
             .filter(Outcome.Completed.class::isInstance)
@@ -89,7 +96,7 @@
         EntryMessage.Ended.UNKNOWN_DURATION_MS);
   }
 
-  private void follow(MemberId member, Grant grant, Request request, long nowNs) {
+  private void connect(MemberId member, Grant grant, Request request, long nowNs) {
     if (parts.upstreams.isLeaving(grant.upstream(), grant.upstreamIncarnation())) {
       decline(member, grant, DeclineReason.LEAVING);
       return;
@@ -114,9 +121,10 @@
   }
 
   /**
-   * Gives back a grant that its scheduler asks back, unless the request was dispatched.
+   * Declines a grant that the scheduler recalls, unless the request was already dispatched.
    *
-   * <p>Only the newest leadership may ask: an older one doesn't know of later grants.
+   * <p>Only the newest leadership may recall a grant, since an older one doesn't know of later
+   * grants.
    */
   void recalled(MemberId member, ControlMessage.Recall recall) {
     Optional<Request> request = parts.requests.live(recall.request());
@@ -127,7 +135,7 @@
     if (request.get().state() == RequestState.WAITING) {
       decline(member, recall.request(), recall.upstream(), DeclineReason.LEAVING);
     } else if (granted && isAt(request.get(), recall.upstream())) {
-      giveBack(request.get(), DeclineReason.LEAVING);
+      declineGranted(request.get(), DeclineReason.LEAVING);
     }
   }
 
@@ -135,16 +143,19 @@
     return request.target().filter(target -> target.upstream().equals(upstream)).isPresent();
   }
 
-  /** Dispatches over the connection that stands, unless the upstream is leaving by now. */
+  /**
+   * Dispatches a request after its connection is established, unless the upstream is leaving by
+   * now.
+   */
   void connected(Request request, long nowNs) {
     if (request.state() != RequestState.GRANTED) {
       return;
     }
     UpstreamTarget target = request.target().orElseThrow();
     if (parts.upstreams.isLeaving(target.upstream(), request.grantedIncarnation())) {
-      giveBack(request, DeclineReason.LEAVING);
+      declineGranted(request, DeclineReason.LEAVING);
     } else if (!parts.session.isValid(nowNs)) {
-      giveBack(request, DeclineReason.NO_SESSION);
+      declineGranted(request, DeclineReason.NO_SESSION);
     } else {
       dispatch(request, target, nowNs);
     }
@@ -164,11 +175,11 @@
 
   void connectFailed(Request request) {
     if (request.state() == RequestState.GRANTED) {
-      giveBack(request, DeclineReason.CONNECT_FAILED);
+      declineGranted(request, DeclineReason.CONNECT_FAILED);
     }
   }
 
-  private void giveBack(Request request, DeclineReason reason) {
+  private void declineGranted(Request request, DeclineReason reason) {
     final UpstreamTarget target = request.target().orElseThrow();
     parts.actions.add(new EntryAction.CloseUpstream(request.id()));
     parts.actions.log(EntryDecisionKind.DECLINE, request, "reason=" + reason);
@@ -177,8 +188,9 @@
   }
 
   /**
-   * Ends a request that its upstream explicitly refused before it ran. It was dispatched once, so
-   * it isn't dispatched again; the caller learns at once that it did not run.
+   * Ends a request that its upstream refused before running it. Since the request was already
+   * dispatched once, it is not dispatched again; the caller is informed immediately that it did not
+   * run.
    */
   void refusedByUpstream(Request request) {
     if (request.state() != RequestState.DISPATCHED) {
@@ -193,7 +205,10 @@
         request, WithdrawReason.GIVEN_UP, NotRunReason.REFUSED_BY_UPSTREAM, REFUSED_RETRY_AFTER_MS);
   }
 
-  /** Ends a request that the scheduler has given up; one that was granted goes on. */
+  /**
+   * Ends a request that the scheduler refused. A request that was granted in the meantime
+   * continues.
+   */
   void refused(Refused refused) {
     parts
         .requests
@@ -204,7 +219,10 @@
                 closer.notRun(request, NotRunReason.of(refused.kind()), refused.retryAfterMs()));
   }
 
-  /** Takes over the stream of the key's holder, or tells the caller how far the holder has come. */
+  /**
+   * Takes over the stream of the request that holds the idempotency key, or reports the state of
+   * that request to the caller.
+   */
   void claimExists(ClaimExists claim, long nowNs) {
     parts
         .requests
--- a/core/src/main/java/org/teaseltrail/core/entry/DrainCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/DrainCoordinator.java
@@ -5,18 +5,18 @@
 import org.teaseltrail.core.request.Millis;
 
 /**
- * Is the graceful shutdown: not ready at once, no new connections after the balancer's delay, and
- * the end when all that waits and runs has finished.
+ * Coordinates the graceful shutdown of an entry VM: readiness ends at once, the listener closes
+ * after the load balancer's delay, and the process exits when no request is waiting or running.
  *
- * <p>Guards against requests that the balancer still sends while it learns that the VM leaves; they
- * would be cut off if the listener closed at once.
+ * <p>The listener stays open at first because the load balancer continues to send requests until it
+ * detects that the VM is not ready; these would fail if the listener closed at once.
  */
 final class DrainCoordinator {
 
-  /** Time that the last reports get to reach a leader. */
+  /** Maximum time to wait for the leader to receive the last reports. */
   static final long LAST_REPORTS_MS = 3_000;
 
-  private final EntryContext parts;
+  private final EntryComponents parts;
   private boolean requested;
   private boolean listenerClosed;
   private boolean exited;
@@ -24,7 +24,7 @@
   private long idleSinceNs;
   private boolean idle;
 
-  DrainCoordinator(EntryContext parts) {
+  DrainCoordinator(EntryComponents parts) {
     this.parts = parts;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/entry/EndedReportQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EndedReportQueue.java
@@ -8,15 +8,18 @@
 import org.teaseltrail.core.message.EntryMessage.Ended;
 
 /**
- * Holds the reports of ended requests until a leader has certainly read them.
+ * Stores the reports of ended requests until a leader has confirmed that it received them.
  *
- * <p>Guards against a report that is lost with its connection or its leader: the upstream's window
- * would stay taken and the claim would stay open. A connection keeps its order, so a welcome to a
- * hello that was sent after the report shows that the report was read.
+ * <p>If a report were lost with its connection or its leader, the upstream's slot would stay
+ * occupied and the claim would stay open. Messages on a connection keep their order, so that a
+ * welcome which answers a hello sent after the report proves that the report was received.
  */
 final class EndedReportQueue {
 
-  /** Reports held at most; the oldest goes first, so that memory is bounded without a leader. */
+  /**
+   * Maximum number of stored reports, which bounds memory while there is no leader; the oldest is
+   * dropped first.
+   */
   static final int MAX_REPORTS = 20_000;
 
   private final ControlSession session;
@@ -33,7 +36,7 @@
     pending.addLast(sendNow(ended));
   }
 
-  /** Sends all again, to a new leader or over a new connection. */
+  /** Sends all reports again, to a new leader or over a new connection. */
   void resendAll() {
     List<Pending> old = new ArrayList<>(pending);
     pending.clear();
@@ -44,23 +47,28 @@
     session.sendToLeader(ended);
     return session
         .leaderConnection()
-        .map(link -> new Pending(ended, link, link.epoch(), session.helloSequence()))
+        .map(
+            connection ->
+                new Pending(ended, connection, connection.epoch(), session.helloSequence()))
         .orElseGet(() -> new Pending(ended, null, 0, 0));
   }
 
-  /** Forgets the reports that the leader has read for certain. */
-  void confirm(ControlConnection link, long welcomedSequence) {
-    pending.removeIf(report -> report.wasReadBefore(link, welcomedSequence));
+  /** Removes the reports whose receipt a welcome proves. */
+  void confirm(ControlConnection connection, long welcomedSequence) {
+    pending.removeIf(report -> report.wasReadBefore(connection, welcomedSequence));
   }
 
   boolean isEmpty() {
     return pending.isEmpty();
   }
 
-  private record Pending(Ended ended, ControlConnection link, long epoch, long helloSequence) {
+  private record Pending(
+      Ended ended, ControlConnection connection, long epoch, long helloSequence) {
 
     boolean wasReadBefore(ControlConnection answering, long welcomedSequence) {
-      return link == answering && epoch == answering.epoch() && welcomedSequence > helloSequence;
+      return connection == answering
+          && epoch == answering.epoch()
+          && welcomedSequence > helloSequence;
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryAction.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryAction.java
@@ -8,11 +8,11 @@
 import org.teaseltrail.core.request.StreamFrame;
 import org.teaseltrail.core.request.UpstreamTarget;
 
-/** Is something that an entry VM wants done. */
+/** Action that an entry VM's state machine requests from the process. */
 public sealed interface EntryAction {
 
   /**
-   * Send a message to a control member.
+   * Sends a message to a control member.
    *
    * @param member the member
    * @param message the message
@@ -20,53 +20,53 @@
   record SendControl(MemberId member, EntryMessage message) implements EntryAction {}
 
   /**
-   * Close the connection to a control member and make a new one.
+   * Closes the connection to a control member and opens a new one.
    *
    * @param member the member
    */
   record ReconnectControl(MemberId member) implements EntryAction {}
 
   /**
-   * Make a connection for a request, and write nothing to it yet.
+   * Opens a connection for a request without writing to it.
    *
    * @param request the request
-   * @param attempt the number that events of this connection carry
+   * @param attempt number of the attempt, which events of this connection state
    * @param target the upstream
-   * @param asked the model, version and adapter, or the service, that is to be asked for
+   * @param asked the model, version and adapter, or the service, to request
    */
   record Connect(RequestId request, int attempt, UpstreamTarget target, RouteTarget asked)
       implements EntryAction {}
 
   /**
-   * Write the request to its connection.
+   * Writes the request to its connection.
    *
    * @param request the request
-   * @param attempt the connection's attempt
+   * @param attempt number of the connection's attempt
    */
   record Transmit(RequestId request, int attempt) implements EntryAction {}
 
   /**
-   * Close whatever connection a request has to its upstream.
+   * Closes any connection of a request to its upstream.
    *
    * @param request the request
    */
   record CloseUpstream(RequestId request) implements EntryAction {}
 
   /**
-   * Ask the upstream for the rest of a stream.
+   * Requests the rest of a stream from the upstream.
    *
-   * @param request the request to whose caller it goes
-   * @param attempt the number that events of this connection carry
-   * @param stream the stream's id at the upstream
+   * @param request the request whose caller receives the stream
+   * @param attempt number of the attempt, which events of this connection state
+   * @param stream id of the stream at the upstream
    * @param target the upstream
-   * @param fromSequence the first frame wanted
+   * @param fromSequence sequence of the first requested frame
    */
   record Resume(
       RequestId request, int attempt, RequestId stream, UpstreamTarget target, long fromSequence)
       implements EntryAction {}
 
   /**
-   * Tell the upstream to stop, and close the connection.
+   * Cancels the request at the upstream and closes the connection.
    *
    * @param request the request
    * @param target the upstream
@@ -74,15 +74,15 @@
   record CancelUpstream(RequestId request, UpstreamTarget target) implements EntryAction {}
 
   /**
-   * Give the caller the next piece of its answer.
+   * Delivers the next frame of the answer to the caller.
    *
    * @param request the request
-   * @param frame the piece
+   * @param frame the frame
    */
   record Deliver(RequestId request, StreamFrame.Text frame) implements EntryAction {}
 
   /**
-   * Tell the caller the outcome; the last word on a request.
+   * Sends the outcome to the caller. This is the last action for a request.
    *
    * @param request the request
    * @param outcome the outcome
@@ -90,21 +90,21 @@
   record Conclude(RequestId request, Outcome outcome) implements EntryAction {}
 
   /**
-   * Answer an upstream's announcement or cache event.
+   * Answers an upstream's announcement or cache event.
    *
-   * @param exchange the number that came with it
+   * @param exchange number of the exchange, as stated in the event
    * @param verdict the answer
    */
   record AnswerUpstream(long exchange, UpstreamVerdict verdict) implements EntryAction {}
 
-  /** Take no more connections from callers. */
+  /** Stops accepting connections from callers. */
   record CloseListener() implements EntryAction {}
 
-  /** All is finished: end the process. */
+  /** Ends the process after all requests have finished. */
   record Exit() implements EntryAction {}
 
   /**
-   * Write a decision to the log.
+   * Writes a decision to the log.
    *
    * @param decision the decision
    */
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryContext.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryComponents.java
@@ -2,8 +2,8 @@
 
 import org.teaseltrail.core.request.OutputLengthEstimator;
 
-/** Holds the parts that the handlers of an entry VM share. */
-final class EntryContext {
+/** Components that the handlers of an entry VM share. */
+final class EntryComponents {
 
   final EntrySettings settings;
   final ActionBuffer actions = new ActionBuffer();
@@ -15,7 +15,7 @@
   final ControlSession session;
   final EndedReportQueue endedReports;
 
-  EntryContext(EntrySettings settings) {
+  EntryComponents(EntrySettings settings) {
     this.settings = settings;
     this.session = new ControlSession(settings, configuration, actions);
     this.endedReports = new EndedReportQueue(session);
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryDecision.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryDecision.java
@@ -7,14 +7,14 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Is one decision of an entry VM with its reason, for one log line. It holds no prompt, body or
+ * Decision of an entry VM with its reason, written as one log line. It contains no prompt, body or
  * secret.
  *
- * @param kind what was decided
- * @param request the request it is about
- * @param customer whose request
- * @param tier its tier
- * @param upstream the upstream it is about
+ * @param kind kind of the decision
+ * @param request the request, if the decision is about one
+ * @param customer customer of the request
+ * @param tier tier of the customer
+ * @param upstream the upstream, if the decision is about one
  * @param reason a short reason in the form key=value
  */
 public record EntryDecision(
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryDecisionKind.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryDecisionKind.java
@@ -1,18 +1,18 @@
 package org.teaseltrail.core.entry;
 
-/** Says what an entry VM decided. */
+/** Kind of a decision that an entry VM logs. */
 public enum EntryDecisionKind {
-  /** A request was taken in and offered. */
+  /** A request was admitted and offered to the scheduler. */
   ADMIT,
-  /** A request was refused or given up; it did not run. */
+  /** A request was refused or dropped before it ran. */
   REFUSE,
-  /** A request goes to its upstream. */
+  /** A request was sent to its upstream. */
   DISPATCH,
-  /** A grant was given back. */
+  /** A grant was declined. */
   DECLINE,
   /** A broken stream is resumed. */
   RESUME,
-  /** The stream of an earlier request under the same key is taken over. */
+  /** The stream of an earlier request with the same idempotency key is taken over. */
   ADOPT,
   /** A frame was dropped. */
   DROP,
@@ -20,10 +20,10 @@
   END,
   /** The session with the control members changed. */
   SESSION,
-  /** A configuration was applied or passed over. */
+  /** A configuration was applied or ignored. */
   CONFIGURATION,
-  /** An upstream's announcement changed its phase, or was turned away. */
+  /** An upstream's announcements are rejected for a new reason. */
   UPSTREAM,
-  /** A step of the shutdown. */
+  /** A step of the graceful shutdown. */
   DRAIN
 }
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryEvent.java
@@ -8,25 +8,25 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.CacheEvent;
 
-/** Is something that has happened and that an entry VM must know. */
+/** Input event of an entry VM's state machine. */
 public sealed interface EntryEvent {
 
   /**
-   * A connection to a control member stands.
+   * A connection to a control member was established.
    *
    * @param member the member
    */
   record ControlConnected(MemberId member) implements EntryEvent {}
 
   /**
-   * A connection to a control member is gone.
+   * A connection to a control member was closed.
    *
    * @param member the member
    */
   record ControlDisconnected(MemberId member) implements EntryEvent {}
 
   /**
-   * A control member has sent a message.
+   * A message from a control member was received.
    *
    * @param member the member
    * @param message the message
@@ -34,75 +34,75 @@
   record ControlReceived(MemberId member, ControlMessage message) implements EntryEvent {}
 
   /**
-   * A caller has sent a whole request.
+   * A complete request from a caller was received.
    *
-   * @param request its new id
-   * @param call what it asks for
+   * @param request the new request's id
+   * @param call the caller's request
    */
   record RequestArrived(RequestId request, CallerCall call) implements EntryEvent {}
 
   /**
-   * A caller has hung up, or has read nothing for too long.
+   * A caller has disconnected, or has read nothing for too long.
    *
-   * @param request its request
+   * @param request the caller's request
    */
   record CallerGone(RequestId request) implements EntryEvent {}
 
   /**
-   * A whole answer can't be held for a caller who wants it in one piece.
+   * An answer exceeds the buffer for a caller that requested it in one piece.
    *
    * @param request the request
    */
   record AnswerTooLarge(RequestId request) implements EntryEvent {}
 
   /**
-   * A connection to the granted upstream stands; nothing is written to it yet.
+   * A connection to the granted upstream was established; nothing was written to it yet.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
+   * @param attempt number of the attempt
    */
   record UpstreamConnected(RequestId request, int attempt) implements EntryEvent {}
 
   /**
-   * No connection to the granted upstream came about; nothing was written.
+   * A connection to the granted upstream could not be established; nothing was written.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
+   * @param attempt number of the attempt
    */
   record UpstreamConnectFailed(RequestId request, int attempt) implements EntryEvent {}
 
   /**
-   * The upstream says that it refused the request before it ran.
+   * The upstream reported that it refused the request before running it.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
+   * @param attempt number of the attempt
    */
   record UpstreamRefused(RequestId request, int attempt) implements EntryEvent {}
 
   /**
-   * The upstream has answered in a way that ends the request without a whole answer.
+   * The upstream sent a response that ends the request without a complete answer.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
-   * @param reason why
+   * @param attempt number of the attempt
+   * @param reason reason of the failure
    */
   record UpstreamFailed(RequestId request, int attempt, FailureReason reason)
       implements EntryEvent {}
 
   /**
-   * A frame has arrived.
+   * A frame was received.
    *
-   * @param request the request that the connection was made for
-   * @param attempt the attempt it belongs to
+   * @param request the request for which the connection was opened
+   * @param attempt number of the attempt
    * @param frame the frame
    */
   record FrameReceived(RequestId request, int attempt, StreamFrame frame) implements EntryEvent {}
 
   /**
-   * A connection that had been written to has ended, with or without an error.
+   * A connection to which a request had been written has ended, with or without an error.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
+   * @param attempt number of the attempt
    */
   record StreamBroken(RequestId request, int attempt) implements EntryEvent {}
 
@@ -110,49 +110,49 @@
    * The upstream doesn't know the stream that was to be resumed.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
+   * @param attempt number of the attempt
    */
   record StreamUnknown(RequestId request, int attempt) implements EntryEvent {}
 
   /**
-   * A plain service has begun to answer.
+   * A plain service has started its response.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
+   * @param attempt number of the attempt
    */
   record ServiceAnswering(RequestId request, int attempt) implements EntryEvent {}
 
   /**
-   * A plain service's whole answer has arrived.
+   * The complete response of a plain service was received.
    *
    * @param request the request
-   * @param attempt the attempt it belongs to
+   * @param attempt number of the attempt
    */
   record ServiceCompleted(RequestId request, int attempt) implements EntryEvent {}
 
   /**
-   * An upstream has announced itself.
+   * An upstream's announcement was received.
    *
-   * @param exchange the number by which the answer is matched
+   * @param exchange number that identifies the exchange in the answer
    * @param announcement the announcement
-   * @param secretHash SHA-256 of the secret that came with it, in lower-case hexadecimal
+   * @param secretHash SHA-256 of the secret that was sent with it, in lower-case hexadecimal
    */
   record AnnouncementReceived(long exchange, Announcement announcement, String secretHash)
       implements EntryEvent {}
 
   /**
-   * An engine has sent a cache event.
+   * An engine's cache event was received.
    *
-   * @param exchange the number by which the answer is matched
+   * @param exchange number that identifies the exchange in the answer
    * @param event the event
-   * @param secretHash SHA-256 of the secret that came with it, in lower-case hexadecimal
+   * @param secretHash SHA-256 of the secret that was sent with it, in lower-case hexadecimal
    */
   record CacheEventReceived(long exchange, CacheEvent event, String secretHash)
       implements EntryEvent {}
 
-  /** The process is asked to shut down. */
+  /** A shutdown of the process was requested. */
   record DrainRequested() implements EntryEvent {}
 
-  /** Time has passed. */
+  /** A timer of the process has fired. */
   record Tick() implements EntryEvent {}
 }
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryNode.java
@@ -15,53 +15,54 @@
 import org.teaseltrail.core.request.Request;
 
 /**
- * Is the whole of an entry VM's decisions: whom it admits, whom it follows, what it dispatches and
- * what its callers are told.
+ * State machine of an entry VM whose requests the leader schedules. It makes all of the VM's
+ * decisions: which requests to admit, which control member to follow, what to dispatch, and which
+ * outcome to send to each caller.
  *
- * <p>Deterministic and without I/O: it is told of events with the monotonic time, and answers with
- * actions that the program carries out in order. One thread at a time may use it.
+ * <p>It is deterministic and performs no I/O: it receives events with the monotonic time, and
+ * returns actions that the process executes in order. It is not thread-safe.
  */
 public final class EntryNode {
 
-  private final EntryContext parts;
-  private final RejectedUpstreamTracker turnedAway = new RejectedUpstreamTracker();
+  private final EntryComponents parts;
+  private final RejectedUpstreamTracker rejectedUpstreams = new RejectedUpstreamTracker();
   private final DrainCoordinator drain;
   private final AdmissionHandler admission;
   private final RequestCloser closer;
   private final Dispatcher dispatcher;
   private final StreamHandler streams;
   private final ControlMessageHandler control;
-  private final TimerHandler scheduled;
-  private final StallDetector stalls = new StallDetector();
+  private final TimerHandler timerHandler;
+  private final StallDetector stallDetector = new StallDetector();
   private long nowNs;
 
   /**
-   * Creates a VM that has no session yet.
+   * Creates a state machine without a session.
    *
-   * @param settings its settings
+   * @param settings the VM's settings
    */
   public EntryNode(EntrySettings settings) {
-    parts = new EntryContext(settings);
+    parts = new EntryComponents(settings);
     drain = new DrainCoordinator(parts);
     admission = new AdmissionHandler(parts, drain);
     closer = new RequestCloser(parts);
     dispatcher = new Dispatcher(parts, closer);
     streams = new StreamHandler(parts, closer);
     control = new ControlMessageHandler(parts, dispatcher);
-    scheduled = new TimerHandler(parts, closer, streams);
+    timerHandler = new TimerHandler(parts, closer, streams);
   }
 
   /**
-   * Takes an event.
+   * Handles an event.
    *
-   * @param event what has happened
-   * @param now monotonic time in nanoseconds, never less than at the call before
-   * @return what is to be done, in order
+   * @param event the event
+   * @param now monotonic time in nanoseconds, not less than in the previous call
+   * @return the actions to execute, in order
    */
   public List<EntryAction> handle(EntryEvent event, long now) {
     nowNs = now;
-    stalls.running(now);
-    scheduled.advance(now);
+    stallDetector.running(now);
+    timerHandler.advance(now);
     if (event instanceof EntryEvent.ControlConnected connected) {
       parts.session.connected(connected.member(), now);
     } else if (event instanceof EntryEvent.ControlDisconnected gone) {
@@ -131,8 +132,8 @@
   }
 
   /**
-   * Lets go of a request whose caller has hung up. One with a key runs on, since its caller may
-   * come back for the answer over any VM.
+   * Handles a caller's disconnection. A dispatched request with an idempotency key continues, since
+   * its caller may retrieve the answer through any VM.
    */
   private void callerGone(Request request) {
     request.markCallerDisconnected();
@@ -147,10 +148,10 @@
     UpstreamId upstream = heard.announcement().upstream();
     UpstreamVerdict verdict = parts.upstreams.authorize(upstream, heard.secretHash());
     parts.actions.add(new EntryAction.AnswerUpstream(heard.exchange(), verdict));
-    if (turnedAway.isNewRejection(upstream, verdict)) {
+    if (rejectedUpstreams.isNewRejection(upstream, verdict)) {
       parts.actions.log(EntryDecisionKind.UPSTREAM, Optional.of(upstream), "verdict=" + verdict);
     }
-    long heardNs = stalls.earliestArrivalNs(nowNs);
+    long heardNs = stallDetector.earliestArrivalNs(nowNs);
     if (verdict == UpstreamVerdict.ACCEPTED
         && parts.upstreams.storeIfNewer(heard.announcement(), heardNs)) {
       long ageMs = Millis.ofNanos(nowNs - heardNs);
@@ -168,20 +169,20 @@
   }
 
   /**
-   * Returns when the VM next wants a tick if nothing else happens.
+   * Returns the time at which the VM needs a tick unless another event arrives earlier.
    *
-   * @return monotonic time in nanoseconds, or empty if it waits for nothing
+   * @return monotonic time in nanoseconds, or empty if no timer is pending
    */
   public OptionalLong nextWakeupNs() {
     return LongStream.concat(
             LongStream.concat(
-                parts.session.nextHelloNs().stream(), scheduled.nextWakeupNs(nowNs).stream()),
+                parts.session.nextHelloNs().stream(), timerHandler.nextWakeupNs(nowNs).stream()),
             drain.nextWakeupNs().stream())
         .min();
   }
 
   /**
-   * Returns whether the balancer may send requests here.
+   * Returns whether the load balancer may send requests to this VM.
    *
    * @param now monotonic time in nanoseconds
    */
@@ -190,11 +191,11 @@
   }
 
   /**
-   * Returns the state of a customer's own request.
+   * Returns the state of a request if it belongs to the customer with the API key.
    *
    * @param request the request
-   * @param keyHash SHA-256 of the API key in lower-case hexadecimal, if one came
-   * @return empty if the customer has no such request here
+   * @param keyHash SHA-256 of the API key in lower-case hexadecimal, if the caller sent one
+   * @return empty if the customer has no such request on this VM
    */
   public Optional<RequestStatus> findOwnedRequest(RequestId request, Optional<String> keyHash) {
     Optional<CustomerId> customer = parts.configuration.customer(keyHash).map(c -> c.id());
@@ -207,13 +208,13 @@
   /**
    * Returns whether a key belongs to a customer.
    *
-   * @param keyHash SHA-256 of the API key in lower-case hexadecimal, if one came
+   * @param keyHash SHA-256 of the API key in lower-case hexadecimal, if the caller sent one
    */
   public boolean isCustomer(Optional<String> keyHash) {
     return parts.configuration.customer(keyHash).isPresent();
   }
 
-  /** Returns a count of what the VM holds, for its metrics. */
+  /** Returns the counts for the VM's metrics. */
   public EntryStatus status() {
     return EntryStatus.of(parts, nowNs);
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/EntrySettings.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntrySettings.java
@@ -5,19 +5,22 @@
 import org.teaseltrail.core.id.VmId;
 
 /**
- * Holds what an entry VM's decisions depend on.
+ * Settings of an entry VM's state machine.
  *
- * @param vm the VM's name
- * @param incarnation which life of its process
- * @param dataCenter where it stands
- * @param helloIntervalMs time between hellos on one connection
- * @param silenceTimeoutMs time without an answer after which a connection to a member is made anew
- * @param sheddingDelayMs time since the last lease seen after which the lowest tier is given up
- * @param sheddingStepMs time from one tier's giving up to the next higher one's
- * @param resumeBackoffMs wait before the first resume of a broken stream; doubles with each
- * @param progressIntervalMs time between two progress reports of a stream
+ * @param vm name of the VM
+ * @param incarnation incarnation of the VM's process
+ * @param dataCenter data centre of the VM
+ * @param helloIntervalMs interval between hellos on one connection
+ * @param silenceTimeoutMs time without a message from a control member after which the VM
+ *     reconnects to it
+ * @param sheddingDelayMs time after the last confirmed lease until the VM rejects waiting requests
+ *     of the lowest tier
+ * @param sheddingStepMs time until it also rejects those of the next higher tier
+ * @param resumeBackoffMs delay before the first attempt to resume a broken stream; doubles with
+ *     each further attempt
+ * @param progressIntervalMs interval between progress reports of a stream
  * @param balancerDelayMs time from the start of a shutdown until the listener closes
- * @param maxRequests requests that the VM holds at most
+ * @param maxRequests maximum number of active requests on the VM
  */
 public record EntrySettings(
     VmId vm,
@@ -33,12 +36,12 @@
     int maxRequests) {
 
   /**
-   * Returns settings with the defaults: hellos as the internals page sets them, the rest small
-   * against a session's three seconds.
+   * Returns default settings. The hello interval and the other times are short compared with the
+   * session lifetime of three seconds.
    *
-   * @param vm the VM's name
-   * @param incarnation which life of its process
-   * @param dataCenter where it stands
+   * @param vm name of the VM
+   * @param incarnation incarnation of the VM's process
+   * @param dataCenter data centre of the VM
    */
   public static EntrySettings defaults(VmId vm, Incarnation incarnation, DataCenterId dataCenter) {
     return new EntrySettings(
--- a/core/src/main/java/org/teaseltrail/core/entry/EntryStatus.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/EntryStatus.java
@@ -4,18 +4,19 @@
 import org.teaseltrail.core.request.RequestState;
 
 /**
- * Counts what an entry VM holds.
+ * Counts of an entry VM for its metrics.
  *
- * @param waitingRequests requests that wait for an upstream
- * @param runningRequests requests that were dispatched and haven't ended
- * @param revision the configuration in force
- * @param fencing the greatest leadership seen
- * @param sessionLeftMs time until the session ends unless renewed; zero or less once it has
+ * @param waitingRequests number of requests that wait for an upstream
+ * @param runningRequests number of dispatched requests that have not ended
+ * @param revision revision of the applied configuration
+ * @param fencing greatest known fencing number
+ * @param sessionLeftMs time until the session ends unless it is renewed; zero or less after it has
+ *     ended
  */
 public record EntryStatus(
     int waitingRequests, int runningRequests, long revision, long fencing, long sessionLeftMs) {
 
-  static EntryStatus of(EntryContext parts, long nowNs) {
+  static EntryStatus of(EntryComponents parts, long nowNs) {
     int running =
         parts.requests.count(RequestState.DISPATCHED)
             + parts.requests.count(RequestState.STREAMING);
--- a/core/src/main/java/org/teaseltrail/core/entry/RejectedUpstreamTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/RejectedUpstreamTracker.java
@@ -5,16 +5,19 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Remembers why announcements were turned away, so that the log tells of each upstream only when
- * the reason changes.
+ * Tracks the reasons for which upstreams' announcements are rejected, so that a rejection is logged
+ * only when its reason changes.
  *
- * <p>Guards against a log that fills up: an upstream that isn't allowed announces itself every
- * second to every VM. Names come from callers that hold no secret, so only a bounded number is
- * kept; the oldest is forgotten, and told of again.
+ * <p>An upstream that isn't allowed announces itself every second to every VM, which would
+ * otherwise fill the log. Since the names come from callers without a valid secret, only a limited
+ * number is kept; after the oldest one is removed, its rejection is logged again.
  */
 final class RejectedUpstreamTracker {
 
-  /** About as many servers as the two-year size has. */
+  /**
+   * Maximum number of tracked upstreams, about the number of servers in the largest planned
+   * deployment.
+   */
   static final int MAX_UPSTREAMS = 1_000;
 
   private final Map<UpstreamId, UpstreamVerdict> verdicts =
@@ -27,7 +30,10 @@
         }
       };
 
-  /** Notes a verdict and returns whether the upstream was turned away for another reason before. */
+  /**
+   * Records a verdict, and returns whether it is a rejection that differs from the previous
+   * verdict.
+   */
   boolean isNewRejection(UpstreamId upstream, UpstreamVerdict verdict) {
     if (verdict == UpstreamVerdict.ACCEPTED) {
       verdicts.remove(upstream);
--- a/core/src/main/java/org/teaseltrail/core/entry/RequestCloser.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/RequestCloser.java
@@ -10,22 +10,22 @@
 import org.teaseltrail.core.request.Request;
 import org.teaseltrail.core.request.UpstreamTarget;
 
-/** Ends requests: tells the caller, the scheduler and the log. */
+/** Ends requests, and reports each end to the caller, the scheduler and the log. */
 final class RequestCloser {
 
-  private final EntryContext parts;
+  private final EntryComponents parts;
 
-  RequestCloser(EntryContext parts) {
+  RequestCloser(EntryComponents parts) {
     this.parts = parts;
   }
 
-  /** Ends a request that did not run and that the scheduler has let go of. */
+  /** Ends a request that did not run and that the scheduler no longer has. */
   void notRun(Request request, NotRunReason reason, long retryAfterMs) {
     conclude(request, new Outcome.NotRun(reason, retryAfterMs));
     parts.actions.log(EntryDecisionKind.REFUSE, request, "reason=" + reason.problemName());
   }
 
-  /** Ends a request that did not run and takes its ticket back. */
+  /** Ends a request that did not run, and withdraws its ticket from the scheduler. */
   void withdraw(Request request, WithdrawReason withdrawal, NotRunReason reason, long retryMs) {
     if (request.target().isPresent()) {
       parts.actions.add(new EntryAction.CloseUpstream(request.id()));
@@ -46,7 +46,11 @@
     ended(request, EndKind.FAILED, request.usageSoFar(), request.failure(reason), nowNs);
   }
 
-  /** Ends a running request that no one wants any more, and stops its upstream. */
+  /**
+   * Ends a dispatched request before its answer is complete, and cancels it at its upstream. The
+   * upstream is not cancelled for a stream that was taken over; only this VM's connection is
+   * closed.
+   */
   void cancelled(Request request, FailureReason reason, long nowNs) {
     UpstreamTarget target = request.target().orElseThrow();
     parts.actions.add(
--- a/core/src/main/java/org/teaseltrail/core/entry/RequestStatus.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/RequestStatus.java
@@ -10,14 +10,15 @@
 import org.teaseltrail.core.request.UpstreamTarget;
 
 /**
- * Is what a caller may ask about its request. Small, so that many ended ones can be kept.
+ * Status of a request as returned to its caller. It is small, so that the VM can keep it for many
+ * ended requests.
  *
  * @param request the request
- * @param customer whose request
- * @param state how far it has come
- * @param upstream the upstream it was given, if any
- * @param outcome how it ended, once it has
- * @param dispatched whether it was ever dispatched
+ * @param customer customer of the request
+ * @param state current state
+ * @param upstream the assigned upstream, if any
+ * @param outcome the outcome, if the request has ended
+ * @param dispatched whether the request was ever dispatched
  */
 public record RequestStatus(
     RequestId request,
--- a/core/src/main/java/org/teaseltrail/core/entry/RequestTable.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/RequestTable.java
@@ -10,10 +10,12 @@
 import org.teaseltrail.core.request.Request;
 import org.teaseltrail.core.request.RequestState;
 
-/** Holds the requests of this VM, and for a while those that have ended. */
+/** Stores the active requests of this VM, and the status of recently ended ones. */
 final class RequestTable {
 
-  /** Ended requests whose state callers may still ask for; the oldest goes first. */
+  /**
+   * Maximum number of ended requests whose status is kept for callers; the oldest is removed first.
+   */
   static final int MAX_ENDED = 10_000;
 
   private final Map<RequestId, Request> live = new LinkedHashMap<>();
@@ -27,7 +29,7 @@
     return Optional.ofNullable(live.get(id));
   }
 
-  /** Returns the live request if the event belongs to its newest connection attempt. */
+  /** Returns the active request if the event belongs to its newest connection attempt. */
   Optional<Request> live(RequestId id, int attempt) {
     return live(id).filter(request -> request.attempt() == attempt);
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/StreamHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/StreamHandler.java
@@ -13,13 +13,13 @@
 import org.teaseltrail.core.request.StreamFrame;
 import org.teaseltrail.core.request.UpstreamTarget;
 
-/** Follows an answer from its first frame to its end mark. */
+/** Handles the frames of an answer, from the first one to the end frame. */
 final class StreamHandler {
 
-  private final EntryContext parts;
+  private final EntryComponents parts;
   private final RequestCloser closer;
 
-  StreamHandler(EntryContext parts, RequestCloser closer) {
+  StreamHandler(EntryComponents parts, RequestCloser closer) {
     this.parts = parts;
     this.closer = closer;
   }
@@ -32,7 +32,7 @@
     FrameDisposition verdict = request.accept(frame);
     if (verdict == FrameDisposition.NEXT) {
       reportFirstToken(request, first, nowNs);
-      pass(request, frame, nowNs);
+      handleNext(request, frame, nowNs);
       return;
     }
     parts.actions.log(
@@ -52,7 +52,7 @@
     }
   }
 
-  private void pass(Request request, StreamFrame frame, long nowNs) {
+  private void handleNext(Request request, StreamFrame frame, long nowNs) {
     if (frame instanceof StreamFrame.Text text) {
       parts.actions.add(new EntryAction.Deliver(request.id(), text));
       reportProgress(request, nowNs);
@@ -75,12 +75,12 @@
   }
 
   /**
-   * Resumes a stream whose connection ended without the end mark, or was not to be trusted.
+   * Resumes a stream whose connection ended without an end frame, or delivered invalid frames.
    *
-   * <p>Guards against a connection that breaks in mid-answer, which would show as a short answer
-   * that looks whole, or as a second run if the request were sent again. The rest is asked of the
-   * same upstream by number; tries are bounded, and after the last the caller is told that the
-   * request may have run.
+   * <p>Without resumption, a connection that breaks would deliver a truncated answer that looks
+   * complete, and sending the request again could run it twice. Instead, the VM requests the
+   * remaining frames from the same upstream by sequence number. The number of attempts is limited;
+   * after the last one, the caller is informed that the request may have run.
    */
   void broken(Request request, long nowNs) {
     if (!request.state().isDispatched()) {
@@ -98,7 +98,7 @@
             nowNs + backoffNs, TimerQueue.Kind.RESUME, request.id(), request.attempt()));
   }
 
-  /** Asks for the rest of a stream after the wait. */
+  /** Requests the rest of a stream after the backoff. */
   void resume(Request request) {
     UpstreamTarget target = request.target().orElseThrow();
     parts.actions.add(
@@ -111,8 +111,9 @@
   }
 
   /**
-   * Ends a request whose stream its upstream doesn't know. The holder of an adopted stream may not
-   * have sent it yet, so an adopter asks again.
+   * Handles a stream that its upstream doesn't know. If another request still runs under the
+   * idempotency key, its VM may not have sent it to the upstream yet, so that the stream is
+   * requested again after a backoff. Otherwise the request fails.
    */
   void unknown(Request request, long nowNs) {
     if (request.holderState().equals(Optional.of(ClaimState.RUNNING))) {
--- a/core/src/main/java/org/teaseltrail/core/entry/TierSheddingPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/TierSheddingPolicy.java
@@ -3,43 +3,43 @@
 import org.teaseltrail.core.request.Millis;
 
 /**
- * Says which tiers are given up while no scheduler is in reach: from the lowest up, at fixed times
- * counted from the last lease seen.
+ * Policy for shedding waiting requests while no scheduler is reachable: tiers are shed from the
+ * lowest up, at fixed times after the last confirmed lease.
  *
- * <p>Guards against VMs that drop different tiers when a region loses its schedulers, which would
- * show as a higher tier refused by one VM while another keeps a lower one. All VMs saw the same
- * last lease within one hello interval, which is small against the step between tiers.
+ * <p>The fixed times keep the VMs of a region consistent when it loses its schedulers: otherwise
+ * one VM could reject a higher tier while another still keeps a lower one. All VMs received the
+ * last lease within one hello interval, which is small compared with the step between tiers.
  */
 final class TierSheddingPolicy {
 
-  private final long holdNs;
+  private final long delayNs;
   private final long stepNs;
 
   TierSheddingPolicy(EntrySettings settings) {
-    this.holdNs = Millis.toNanos(settings.sheddingDelayMs());
+    this.delayNs = Millis.toNanos(settings.sheddingDelayMs());
     this.stepNs = Millis.toNanos(settings.sheddingStepMs());
   }
 
   /**
-   * Returns the lowest tier's rank that is kept; ranks above it are given up.
+   * Returns the rank of the lowest tier that is kept; tiers with a greater rank are shed.
    *
-   * @param sinceLeaseNs time since the last lease seen
-   * @param lowestRank the greatest rank that is configured
-   * @return a rank; zero if all are given up
+   * @param sinceLeaseNs time since the last confirmed lease
+   * @param lowestRank the greatest configured rank
+   * @return a rank; zero if all tiers are shed
    */
   int lowestKeptRank(long sinceLeaseNs, int lowestRank) {
-    if (sinceLeaseNs < holdNs) {
+    if (sinceLeaseNs < delayNs) {
       return Integer.MAX_VALUE;
     }
-    long steps = 1 + (sinceLeaseNs - holdNs) / stepNs;
+    long steps = 1 + (sinceLeaseNs - delayNs) / stepNs;
     return (int) Math.max(0, lowestRank - steps);
   }
 
-  /** Returns the time since the last lease at which the next tier is given up. */
+  /** Returns the time, counted from the last confirmed lease, at which the next tier is shed. */
   long nextStepNs(long sinceLeaseNs) {
-    if (sinceLeaseNs < holdNs) {
-      return holdNs;
+    if (sinceLeaseNs < delayNs) {
+      return delayNs;
     }
-    return holdNs + (1 + (sinceLeaseNs - holdNs) / stepNs) * stepNs;
+    return delayNs + (1 + (sinceLeaseNs - delayNs) / stepNs) * stepNs;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/entry/TimerHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/TimerHandler.java
@@ -11,18 +11,21 @@
 import org.teaseltrail.core.request.NotRunReason;
 import org.teaseltrail.core.request.Request;
 
-/** Does what falls due with time: deadlines, resumes, and giving up without a scheduler. */
+/**
+ * Handles time-driven work: deadlines, resuming streams, and shedding while no scheduler is
+ * reachable.
+ */
 final class TimerHandler {
 
-  /** When a caller may come back whose request was given up: the time an election needs, twice. */
+  /** Retry-After of a request that is shed: twice the time of a leader election. */
   static final long NO_SCHEDULER_RETRY_AFTER_MS = 5_000;
 
-  private final EntryContext parts;
+  private final EntryComponents parts;
   private final RequestCloser closer;
   private final StreamHandler streams;
   private final TierSheddingPolicy timetable;
 
-  TimerHandler(EntryContext parts, RequestCloser closer, StreamHandler streams) {
+  TimerHandler(EntryComponents parts, RequestCloser closer, StreamHandler streams) {
     this.parts = parts;
     this.closer = closer;
     this.streams = streams;
@@ -35,7 +38,7 @@
       fire(due.get(), nowNs);
       due = parts.timers.pollDue(nowNs);
     }
-    giveUp(nowNs);
+    shedWaiting(nowNs);
   }
 
   private void fire(TimerQueue.Timer timer, long nowNs) {
@@ -54,27 +57,27 @@
     }
   }
 
-  private void giveUp(long nowNs) {
+  private void shedWaiting(long nowNs) {
     if (parts.session.isSchedulerReachable(nowNs)) {
       return;
     }
     int keptRank = keptRank(nowNs);
-    List<Request> given =
+    List<Request> rejected =
         parts.requests.waiting().stream()
             .filter(request -> rank(request) > keptRank)
             .sorted(Comparator.comparingInt(TimerHandler::rank).reversed())
             .toList();
-    for (Request request : given) {
+    for (Request request : rejected) {
       closer.withdraw(
           request, WithdrawReason.GIVEN_UP, NotRunReason.NO_SCHEDULER, NO_SCHEDULER_RETRY_AFTER_MS);
-      checkLowestFirst(request, given);
+      checkLowestTierFirst(request, rejected);
     }
   }
 
-  private void checkLowestFirst(Request givenUp, List<Request> given) {
+  private void checkLowestTierFirst(Request rejectedRequest, List<Request> rejected) {
     boolean lowerKept =
         parts.requests.waiting().stream()
-            .anyMatch(kept -> rank(kept) > rank(givenUp) && !given.contains(kept));
+            .anyMatch(kept -> rank(kept) > rank(rejectedRequest) && !rejected.contains(kept));
     Invariant.check(!lowerKept, InvariantName.GIVEN_UP_LOWEST_TIER_FIRST);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/entry/TimerQueue.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/TimerQueue.java
@@ -6,16 +6,16 @@
 import java.util.TreeSet;
 import org.teaseltrail.core.id.RequestId;
 
-/** Holds the times at which something about a request falls due. */
+/** Queue of the requests' timers, ordered by due time. */
 final class TimerQueue {
 
-  /** Says what falls due. */
+  /** Kind of a timer. */
   enum Kind {
     DEADLINE,
     RESUME
   }
 
-  /** Is one timer; the attempt matters for resumes only. */
+  /** Timer of a request; the attempt is used by resume timers only. */
   record Timer(long atNs, Kind kind, RequestId request, int attempt) {}
 
   private static final Comparator<Timer> ORDER =
@@ -30,7 +30,7 @@
     timers.add(timer);
   }
 
-  /** Takes a timer back, so that far deadlines of ended requests hold no memory. */
+  /** Cancels a timer, so that long deadlines of ended requests don't occupy memory. */
   void cancel(Timer timer) {
     timers.remove(timer);
   }
@@ -44,7 +44,7 @@
     return timers.isEmpty() ? OptionalLong.empty() : OptionalLong.of(timers.first().atNs());
   }
 
-  /** Returns the timer of a request's deadline. */
+  /** Returns the timer for a request's deadline. */
   static Timer deadline(long deadlineNs, RequestId request) {
     return new Timer(deadlineNs, Kind.DEADLINE, request, 0);
   }
--- a/core/src/main/java/org/teaseltrail/core/entry/UpstreamVerdict.java
+++ b/core/src/main/java/org/teaseltrail/core/entry/UpstreamVerdict.java
@@ -1,14 +1,14 @@
 package org.teaseltrail.core.entry;
 
-/** Says what an entry VM answers to an upstream that announces itself or sends cache events. */
+/** Answer of an entry VM to an upstream's announcement or cache event. */
 public enum UpstreamVerdict {
-  /** Accepted and passed on. */
+  /** Accepted and forwarded to the leader. */
   ACCEPTED(204),
   /** The secret is wrong. */
   WRONG_SECRET(401),
-  /** The operators don't allow this upstream. */
+  /** The configuration doesn't allow this upstream. */
   NOT_ALLOWED(403),
-  /** The VM has no configuration yet and can't tell; come back. */
+  /** The VM has no configuration yet and can't decide; the upstream must retry. */
   NOT_READY(503);
 
   private final int httpStatus;
--- a/core/src/test/java/org/teaseltrail/core/entry/CallerOracle.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/CallerOracle.java
@@ -14,12 +14,15 @@
 import org.teaseltrail.core.request.StreamFrame;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Knows from the outside alone what an entry VM may do, and checks each of its actions. */
+/**
+ * Test oracle that derives from an entry VM's inputs and actions alone what the VM may do, and
+ * checks each of its actions.
+ */
 final class CallerOracle {
 
   private static final long LIFETIME_NS = 3_000_000_000L;
 
-  private final Map<RequestId, Long> firstWanted = new HashMap<>();
+  private final Map<RequestId, Long> firstRequested = new HashMap<>();
   private final Map<RequestId, Long> nextFrames = new HashMap<>();
   private final Map<RequestId, RequestId> streams = new HashMap<>();
   private final Set<RequestId> dispatched = new HashSet<>();
@@ -31,7 +34,7 @@
   private boolean leaving;
 
   void arrived(RequestId id, long firstFrame) {
-    firstWanted.put(id, firstFrame);
+    firstRequested.put(id, firstFrame);
   }
 
   RequestId stream(RequestId id) {
@@ -102,7 +105,7 @@
     if (!resume.stream().equals(id)) {
       assertThat(dispatched).doesNotContain(id);
       if (streams.put(id, resume.stream()) == null) {
-        nextFrames.put(id, firstWanted.get(id));
+        nextFrames.put(id, firstRequested.get(id));
       }
     }
     assertThat(resume.fromSequence()).isEqualTo(nextFrame(id));
@@ -120,7 +123,9 @@
     if (outcome instanceof Outcome.NotRun) {
       boolean refused =
           event instanceof EntryEvent.UpstreamRefused refusal && refusal.request().equals(id);
-      assertThat(!dispatched.contains(id) || refused).as("false 'not run' of " + id).isTrue();
+      assertThat(!dispatched.contains(id) || refused)
+          .as("outcome 'not run' although dispatched: " + id)
+          .isTrue();
       assertThat(streams).doesNotContainKey(id);
     } else if (outcome instanceof Outcome.Completed) {
       StreamFrame last = ((EntryEvent.FrameReceived) event).frame();
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryDeadlyRequestTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryDeadlyRequestTest.java
@@ -8,8 +8,8 @@
 import org.teaseltrail.core.id.RequestId;
 
 /**
- * Seen: on an entry VM whose requests the leader places, a request that ends the engines which run
- * it is offered and dispatched anew each time that its caller asks again.
+ * Known failure: on an entry VM whose requests the leader schedules, a request that crashes the
+ * engines which run it is offered and dispatched again whenever its caller retries.
  */
 @Tag("known-red")
 class EntryDeadlyRequestTest {
@@ -18,7 +18,9 @@
   private static final int LOST_UNTIL_KNOWN = 3;
   private static final int ALLOWED_SENDS = 3;
 
-  /** A caller asks again and again for what ends each engine; every try ends another. */
+  /**
+   * A caller repeatedly sends a request that crashes its engine; every attempt crashes another one.
+   */
   @Test
   void requestThatEndsEnginesIsStopped() {
     EntryFixture vm = new EntryFixture();
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryFixture.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryFixture.java
@@ -42,7 +42,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Drives an entry node under virtual time and remembers what it wanted done. */
+/** Runs an entry VM's state machine with simulated time and records its actions. */
 final class EntryFixture {
 
   static final MemberId C1 = new MemberId("c1");
@@ -53,7 +53,10 @@
   static final int TIERS = 3;
   private static final long MILLI = 1_000_000;
 
-  /** Long, so that steps of virtual time over several hellos don't count as a cut link. */
+  /**
+   * Long enough that a step of simulated time over several hellos doesn't count as a lost
+   * connection.
+   */
   static final long SILENCE_MS = 60_000;
 
   final EntryNode node = new EntryNode(settings());
@@ -112,7 +115,7 @@
     send(new EntryEvent.Tick());
   }
 
-  /** Connects a member, which answers the hello as the leader. */
+  /** Connects a member, which then answers the hello as the leader. */
   void join(MemberId member, long fencing, long revision) {
     send(new EntryEvent.ControlConnected(member));
     receive(member, update(fencing, revision));
@@ -197,7 +200,7 @@
         request, U1, new Incarnation(1), ADDRESS, new FencingNumber(fencing));
   }
 
-  /** Grants, connects and dispatches. */
+  /** Grants a request and establishes its connection, so that it is dispatched. */
   void dispatch(RequestId request) {
     grant(C1, request, 1);
     connected(request);
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryNodeFuzzer.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryNodeFuzzer.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.message.RefusalKind;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Plays a random course of events on an entry VM and checks what its callers see. */
+/** Sends random events to an entry VM's state machine and checks its actions. */
 final class EntryNodeFuzzer {
 
   private static final MemberId[] MEMBERS = {EntryFixture.C1, EntryFixture.C2};
@@ -32,19 +32,19 @@
   }
 
   void run(int steps) {
-    play(new EntryEvent.ControlConnected(MEMBERS[0]));
+    handleAndCheck(new EntryEvent.ControlConnected(MEMBERS[0]));
     for (int step = 0; step < steps; step++) {
       vm.nowNs += random.nextInt(300) * 1_000_000L;
       EntryEvent event = next();
-      boolean fromOutside = !(event instanceof EntryEvent.RequestArrived);
-      if (fromOutside && random.nextInt(5) == 0) {
+      boolean external = !(event instanceof EntryEvent.RequestArrived);
+      if (external && random.nextInt(5) == 0) {
         delayed.add(event);
       }
-      if (!fromOutside || random.nextInt(8) != 0) {
-        play(event);
+      if (!external || random.nextInt(8) != 0) {
+        handleAndCheck(event);
       }
       if (!delayed.isEmpty() && random.nextInt(4) == 0) {
-        play(delayed.remove(random.nextInt(delayed.size())));
+        handleAndCheck(delayed.remove(random.nextInt(delayed.size())));
       }
     }
   }
@@ -78,7 +78,7 @@
     return MEMBERS[random.nextInt(MEMBERS.length)];
   }
 
-  private long someFencing() {
+  private long randomFencing() {
     return random.nextInt(4) == 0 ? Math.max(1, fencing - 1) : fencing;
   }
 
@@ -90,7 +90,7 @@
     long last = vm.lastHello(leader());
     return new ControlMessage.Welcome(
         leader(),
-        new FencingNumber(someFencing()),
+        new FencingNumber(randomFencing()),
         new Revision(revision),
         3_000,
         random.nextInt(6) == 0,
@@ -100,7 +100,7 @@
   private ControlMessage update() {
     revision += random.nextInt(4) == 0 ? 1 : 0;
     return EntryFixture.update(
-        someFencing(), random.nextInt(4) == 0 ? Math.max(1, revision - 1) : revision);
+        randomFencing(), random.nextInt(4) == 0 ? Math.max(1, revision - 1) : revision);
   }
 
   private EntryEvent arrival() {
@@ -133,7 +133,7 @@
   }
 
   private ControlMessage grant() {
-    return EntryFixture.grantOf(request(), someFencing());
+    return EntryFixture.grantOf(request(), randomFencing());
   }
 
   private EntryEvent frame() {
@@ -183,7 +183,7 @@
     };
   }
 
-  private void play(EntryEvent event) {
+  private void handleAndCheck(EntryEvent event) {
     if (event instanceof EntryEvent.ControlReceived received) {
       oracle.welcomed(received);
     }
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryNodeProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryNodeProperties.java
@@ -10,8 +10,8 @@
 
   private static final int STEPS = 250;
 
-  // Requests, grants, frames and welcomes come late, doubled, out of order or not at all, while
-  // leaders change, links break, upstreams leave and callers hang up.
+  // Requests, grants, frames and welcomes are delayed, duplicated, reordered or lost, while the
+  // leader changes, connections break, upstreams leave and callers disconnect.
   @Property(seed = "4711", tries = 400, shrinking = ShrinkingMode.OFF)
   void callersAreToldTheTruth(@ForAll long seed) {
     new EntryNodeFuzzer(new Random(seed)).run(STEPS);
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryNodeTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryNodeTest.java
@@ -17,7 +17,7 @@
 import org.teaseltrail.core.request.Outcome;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Takes grants, dispatches, and declines what it must not dispatch. */
+/** Tests how an entry VM follows grants, and which grants it must decline. */
 class EntryNodeTest {
 
   private final EntryFixture vm = new EntryFixture();
@@ -49,8 +49,9 @@
         .isEqualTo(EndKind.COMPLETED);
   }
 
-  // A quiz submission is doubled: the leader's grant comes twice, since its first copy was thought
-  // lost, once before and once after the dispatch. Only one may lead to a connection.
+  // The leader resends a grant because it assumes that the first copy was lost; the second copy
+  // arrives once before and once after the dispatch. Only one connection may be opened, or the
+  // request could run twice.
   @Test
   void doubledGrantDispatchesOnce() {
     RequestId id = vm.arrive(1);
@@ -66,10 +67,9 @@
     assertThat(vm.sentMessages(EntryMessage.Declined.class)).isEmpty();
   }
 
-  // An engine leaves while a VM is frozen; the VM thaws and offers its request again. The grant
-  // that
-  // it missed, or has not followed to the first byte, is asked back and given back; a request that
-  // was dispatched goes on.
+  // An upstream leaves while a VM is paused, and the VM offers its request again after it resumes.
+  // The leader recalls the grant that the VM has missed or has not yet dispatched, and the VM
+  // declines it; a request that was already dispatched continues.
   @Test
   void recalledGrantIsGivenBackUnlessItWasDispatched() {
     RequestId missed = vm.arrive(1);
@@ -87,8 +87,9 @@
     assertThat(vm.outcome(running)).isEmpty();
   }
 
-  // A leader freezes, another one takes over, and the frozen one thaws and sends the grants it had
-  // ready, for upstreams that may have left since. The VM has seen the newer leadership.
+  // A leader is paused, another one takes over, and the paused one resumes and sends outdated
+  // grants for upstreams that may have left. A VM that knows the newer leadership must decline
+  // them.
   @Test
   void staleLeadersGrantIsDeclined() {
     RequestId id = vm.arrive(1);
@@ -101,9 +102,8 @@
     assertThat(vm.actionsOfType(EntryAction.Connect.class)).hasSize(1);
   }
 
-  // A grant lies in a cut link for a minute and arrives when the link heals, before any newer
-  // leader was heard. The session has run out meanwhile, so the VM may not follow the grant; the
-  // leader must hear that it is this leader's grant that was given back.
+  // A network partition delays a grant until the session has expired, and no newer leader is known
+  // yet. The VM must not follow the grant, and must report that it declined a grant of this leader.
   @Test
   void grantAfterSessionsEndIsDeclined() {
     RequestId id = vm.arrive(1);
@@ -114,11 +114,9 @@
     assertThat(lastDecline()).isEqualTo(DeclineReason.NO_SESSION);
   }
 
-  // A pool stands still although its engines are idle. Offers lay in a cut link while their
-  // requests
-  // ran and ended under another leader; the next leader read them late and granted them, and the
-  // VM,
-  // which had nothing to dispatch, said nothing.
+  // An offer is delayed by a network partition while its request runs and ends under another
+  // leader. The next leader receives the offer late and grants it. If the VM didn't answer, the
+  // upstream's slots would stay occupied although its engine is idle.
   @Test
   void grantForEndedRequestIsAnsweredByItsEnd() {
     RequestId id = vm.arrive(1);
@@ -142,8 +140,9 @@
     assertThat(lastDecline()).isEqualTo(DeclineReason.UNKNOWN_REQUEST);
   }
 
-  // An upstream says that it leaves while the connection for a granted request is being made. The
-  // request would be cut off when the upstream exits; it is given back before its first byte.
+  // An upstream announces that it is leaving while the connection for a granted request is being
+  // established. The grant must be declined before the first byte is sent, or the request would be
+  // cut off when the upstream exits.
   @Test
   void upstreamLeavingBetweenGrantAndDispatchGetsNothing() {
     RequestId id = vm.arrive(1);
--- a/core/src/test/java/org/teaseltrail/core/entry/EntrySessionTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntrySessionTest.java
@@ -21,7 +21,10 @@
 import org.teaseltrail.core.request.Outcome;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Admits only while its session and configuration allow, and ends without cutting anything. */
+/**
+ * Tests that requests are admitted only with a valid session and configuration, and that a shutdown
+ * completes all running requests.
+ */
 class EntrySessionTest {
 
   private final EntryFixture vm = new EntryFixture();
@@ -31,8 +34,8 @@
     vm.join(C1, 1, 5);
   }
 
-  // A VM is cut off and would serve a removed customer for as long as the cut lasts. It stops
-  // admitting when its session ends, and what runs there goes on.
+  // A partitioned VM could serve a removed customer for as long as the partition lasts. It must
+  // stop admitting requests when its session expires, while running requests continue.
   @Test
   void cutOffVmStopsAdmittingAfterThreeSeconds() {
     RequestId running = vm.arrive(1);
@@ -49,8 +52,8 @@
     assertThat(vm.node.isReady(vm.nowNs)).isFalse();
   }
 
-  // An answer to an old hello is held up on the way. It must not lengthen the session beyond three
-  // seconds from that hello's sending.
+  // The answer to an old hello is delayed. It must not extend the session beyond three seconds
+  // after that hello was sent.
   @Test
   void lateWelcomeDoesNotLengthenSession() {
     vm.advance(500);
@@ -64,8 +67,8 @@
     assertThat(vm.outcome(vm.arrive(1))).isPresent();
   }
 
-  // An operator's change is accepted, but its update is held up. A welcome that names the newer
-  // revision doesn't lengthen the session until the update is applied.
+  // A changed configuration is accepted, but its update is delayed. A welcome that names the newer
+  // revision must not extend the session until the update is applied.
   @Test
   void welcomeCountsOnlyWithItsConfigurationApplied() {
     vm.advance(2_500);
@@ -77,8 +80,8 @@
     assertThat(vm.node.isReady(vm.nowNs)).isTrue();
   }
 
-  // Updates arrive out of order, and one of an older leader late. A removed customer would be
-  // served again if an older revision were applied.
+  // Updates arrive out of order, and one from an older leader arrives late. If an older revision
+  // were applied, a removed customer could be served again.
   @Test
   void olderConfigurationIsNeverApplied() {
     vm.receive(C1, EntryFixture.update(1, 7));
@@ -100,8 +103,9 @@
         .contains(new Outcome.NotRun(NotRunReason.NOT_ADMITTING, 1_000));
   }
 
-  // The leader is killed. The new one knows nothing: it is told of what waits, what runs, what has
-  // ended unheard and which upstreams announced themselves, and then that this was all.
+  // A new leader after the failure of the previous one knows nothing. The VM must report waiting
+  // and running requests, unconfirmed ends and announced upstreams, and then that the reports are
+  // complete.
   @Test
   void newLeaderIsToldOfEverything() {
     final RequestId waiting = vm.arrive(2);
@@ -128,8 +132,9 @@
     assertThat(vm.sentMessages(EntryMessage.ReportsComplete.class)).hasSize(1);
   }
 
-  // A report of an end is lost with its connection: the upstream's window would stay taken. It is
-  // sent again over the new connection, until a welcome to a later hello shows that it was read.
+  // If an end report were lost with its connection, the upstream's slot would stay occupied. The
+  // report is sent again over the new connection, until a welcome to a later hello proves that it
+  // was received.
   @Test
   void endIsReportedUntilWelcomed() {
     RequestId id = vm.arrive(1);
@@ -146,8 +151,8 @@
     assertThat(vm.sentMessages(EntryMessage.Ended.class)).hasSize(2);
   }
 
-  // All schedulers of a region are gone. Every VM gives its waiting requests up at the same times,
-  // the lowest tier first, and tells the callers at once when to come back.
+  // All schedulers of a region are unreachable. Every VM must reject its waiting requests at the
+  // same times, lowest tier first, and state when callers may retry.
   @Test
   void givesUpFromLowestTierUpWithoutScheduler() {
     final RequestId top = vm.arrive(1);
@@ -210,13 +215,13 @@
   @Test
   void nonIdempotentCallNeedsKey() {
     CallTarget post = new CallTarget.ServiceCall(new ServiceId("s"), "POST");
-    RequestId without = vm.arriveWith(call(post, Optional.empty()));
+    RequestId keyless = vm.arriveWith(call(post, Optional.empty()));
     RequestId with = vm.arriveWith(call(post, Optional.of(new IdempotencyKey("k"))));
     RequestId get =
         vm.arriveWith(
             call(new CallTarget.ServiceCall(new ServiceId("s"), "GET"), Optional.empty()));
 
-    assertThat(vm.outcome(without)).contains(new Outcome.NotRun(NotRunReason.KEY_REQUIRED, 0));
+    assertThat(vm.outcome(keyless)).contains(new Outcome.NotRun(NotRunReason.KEY_REQUIRED, 0));
     assertThat(vm.outcome(with)).isEmpty();
     assertThat(vm.outcome(get)).isEmpty();
     assertThat(vm.sentMessages(EntryMessage.Offer.class).get(0).ticket().claim().orElseThrow())
@@ -227,8 +232,9 @@
     return new CallerCall(Optional.of("key-1"), target, true, key, "digest", 0, Optional.empty());
   }
 
-  // The balancer still sends requests while it learns that the VM leaves. They are served; then the
-  // listener closes, and the process ends only when the last answer is whole.
+  // The load balancer continues to send requests until it detects that the VM is not ready. These
+  // are served; then the listener closes, and the process exits only after the last answer is
+  // complete.
   @Test
   void shutdownCutsNothing() {
     RequestId running = vm.arrive(1);
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryStallTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryStallTest.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.message.EntryMessage;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Tells how old an announcement may be that an entry VM reads after it stood still. */
+/** Tests the age of an announcement that an entry VM reads after a stall. */
 class EntryStallTest {
 
   private static final long FREEZE_MS = 4_000;
@@ -26,9 +26,10 @@
   }
 
   /**
-   * An entry VM is frozen. An upstream announces that it serves, and a second later tells another
-   * VM that it leaves. The first VM thaws, reads the announcement as if it were new, and a new
-   * leader gives the upstream work seconds after it left.
+   * Guards against an outdated announcement that is taken for a current one: an upstream announces
+   * to a paused VM that it is serving, and a second later announces to another VM that it is
+   * leaving. When the paused VM resumes and forwards the old announcement as current, a new leader
+   * assigns work to the upstream although it has left.
    */
   @Test
   void announcementReadAfterFreezeMayBeAsOldAsTheFreeze() {
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryStreamTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryStreamTest.java
@@ -17,7 +17,10 @@
 import org.teaseltrail.core.request.FailureReason;
 import org.teaseltrail.core.request.Outcome;
 
-/** Goes on with streams whose connection broke, and completes none that has no end. */
+/**
+ * Tests that broken streams are resumed, and that no stream without an end frame counts as
+ * completed.
+ */
 class EntryStreamTest {
 
   private final EntryFixture vm = new EntryFixture();
@@ -27,8 +30,8 @@
     vm.join(C1, 1, 5);
   }
 
-  // A long report stops in the middle: its connection breaks. The rest is asked of the same
-  // upstream by number, the doubled frame is dropped, and the request isn't sent again.
+  // The connection breaks in the middle of an answer. The rest is requested from the same upstream
+  // by sequence number, the duplicate frame is dropped, and the request is not sent again.
   @Test
   void brokenConnectionIsResumed() {
     RequestId id = vm.arrive(1);
@@ -49,8 +52,8 @@
     assertThat(vm.transmitCount(id)).isEqualTo(1);
   }
 
-  // The end of a connection that was given up is heard late, after the stream was resumed over a
-  // new one. It must not count against the new connection.
+  // The end of an old connection is reported after the stream was resumed over a new one. It must
+  // not count as a failure of the new connection.
   @Test
   void lateEventOfOldConnectionIsIgnored() {
     RequestId id = vm.arrive(1);
@@ -64,8 +67,9 @@
     assertThat(vm.actionsOfType(EntryAction.Resume.class)).hasSize(1);
   }
 
-  // A stream ends without its end mark, again and again. The caller must not take the short answer
-  // for a whole one: after bounded tries it is told that the request may have run.
+  // A stream repeatedly ends without its end frame. The truncated answer must not count as
+  // complete: after a limited number of attempts, the caller is informed that the request may have
+  // run.
   @Test
   void missingEndMarkIsNeverCompleted() {
     RequestId id = vm.arrive(1);
@@ -82,8 +86,8 @@
     assertThat(vm.sentMessages(EntryMessage.Ended.class)).hasSize(1);
   }
 
-  // A caller reads another's words: an engine mixes two streams up. The foreign frame is dropped,
-  // the connection given up, and the rest asked for anew.
+  // An engine confuses two streams, which could deliver one caller's answer to another. The foreign
+  // frame must be dropped, the connection closed, and the rest requested again.
   @Test
   void frameOfAnotherRequestIsNotDelivered() {
     RequestId id = vm.arrive(1);
@@ -97,8 +101,9 @@
     assertThat(vm.actionsOfType(EntryAction.Resume.class)).hasSize(1);
   }
 
-  // An entry VM dies under a long report. The caller comes back over this VM with the key and the
-  // last frame it has; the holder's stream is taken over from there, and nothing runs twice.
+  // An entry VM fails during an answer. The caller retries through this VM with the idempotency key
+  // and the last frame that it received; the VM takes the stream over from there, and nothing runs
+  // twice.
   @Test
   void keyHoldersStreamIsAdopted() {
     RequestId id = vm.arrive(1, Optional.of("k"), 0, Optional.of(4L));
--- a/core/src/test/java/org/teaseltrail/core/entry/RejectedUpstreamTrackerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/RejectedUpstreamTrackerTest.java
@@ -12,8 +12,8 @@
   private final RejectedUpstreamTracker upstreams = new RejectedUpstreamTracker();
 
   /**
-   * An operator forgets to allow one upstream, which announces itself every second. The log of each
-   * VM must tell of it once, not once a second.
+   * An upstream that isn't allowed announces itself every second. Each VM must log the rejection
+   * once instead of once per second.
    */
   @Test
   void tellsEachReasonOnce() {
