--- a/core/src/main/java/org/teaseltrail/core/quota/QuotaGrant.java
+++ b/core/src/main/java/org/teaseltrail/core/quota/QuotaGrant.java
@@ -3,15 +3,15 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /**
- * Is what the leader allows an entry VM of one customer's quota. Amounts are requests or tokens, by
- * the quota's unit.
+ * Allowance from one customer's quota that the leader grants to an entry VM. Amounts are requests
+ * or tokens, depending on the quota's unit.
  *
  * @param customer the customer
- * @param allowance what may be taken at the VM after the sync that is answered
- * @param usedElsewhere what was used within the window at the other VMs
- * @param heldElsewhere what is counted for the other VMs: what they used and what they may take
- * @param heldByEnded what is counted for ended lives of VMs
- * @param endedForMs how long the last of that counts on, in milliseconds
+ * @param allowance amount that the VM may use after the sync to which this replies
+ * @param usedElsewhere amount used at the other VMs within the window
+ * @param heldElsewhere amount counted for the other VMs: their use and their allowances
+ * @param heldByEnded amount counted for VM incarnations that have ended
+ * @param endedForMs time in milliseconds after which none of {@code heldByEnded} counts any more
  */
 public record QuotaGrant(
     CustomerId customer,
--- a/core/src/main/java/org/teaseltrail/core/quota/QuotaReport.java
+++ b/core/src/main/java/org/teaseltrail/core/quota/QuotaReport.java
@@ -3,19 +3,20 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /**
- * Is what an entry VM tells the leader of one customer's quota. Amounts are requests or tokens, by
- * the quota's unit.
+ * Report of an entry VM to the leader about one customer's quota. Amounts are requests or tokens,
+ * depending on the quota's unit.
  *
  * @param customer the customer
- * @param used what was used there within the window
- * @param takenEver all that this life of the VM has taken
- * @param allowance what it may take yet
- * @param demandPerSecond what is asked for there in a second
- * @param wanted what requests wait for that the allowance is too small for
- * @param heldElsewhere what the last leader heard counted for the other VMs, as in the grant; 0
- *     once that is too old to matter
- * @param heldByEnded the same for ended lives of VMs
- * @param endedForMs the same for how long that counts on
+ * @param used amount used at the VM within the window
+ * @param takenEver total amount used by this incarnation of the VM
+ * @param allowance remaining allowance
+ * @param demandPerSecond amount requested at the VM per second
+ * @param wanted amount that waiting requests need and the allowance doesn't cover
+ * @param heldElsewhere amount that the last leader counted for the other VMs, as stated in its
+ *     grant; 0 once that is too old to matter
+ * @param heldByEnded amount that the last leader counted for VM incarnations that have ended, as
+ *     stated in its grant
+ * @param endedForMs remaining time in milliseconds for which any of {@code heldByEnded} counts
  */
 public record QuotaReport(
     CustomerId customer,
@@ -29,9 +30,9 @@
     long endedForMs) {
 
   /**
-   * Returns what may be used at the VM within the window, as far as it knows.
+   * Returns the maximum amount that the VM may use within the window, as far as it knows.
    *
-   * @return the sum of what was used and what may be taken
+   * @return the sum of the used amount and the remaining allowance
    */
   public double held() {
     return used + allowance;
--- a/core/src/main/java/org/teaseltrail/core/quota/SlidingWindowSum.java
+++ b/core/src/main/java/org/teaseltrail/core/quota/SlidingWindowSum.java
@@ -4,7 +4,10 @@
 import java.util.Deque;
 import java.util.Iterator;
 
-/** Adds up amounts, each for the length of a window from its time on. */
+/**
+ * Sum over a sliding window: each amount counts from the time at which it is added until it is
+ * older than the window.
+ */
 public final class SlidingWindowSum {
 
   private record Entry(long atNs, double amount) {}
@@ -16,7 +19,7 @@
   /**
    * Creates an empty sum.
    *
-   * @param windowMs how long an amount counts, in milliseconds
+   * @param windowMs length of the window in milliseconds
    */
   public SlidingWindowSum(long windowMs) {
     windowNs = windowMs * 1_000_000L;
@@ -25,8 +28,8 @@
   /**
    * Adds an amount.
    *
-   * @param amount the amount; nothing is noted unless it is positive
-   * @param nowNs its time, never less than that of an amount before
+   * @param amount the amount; ignored unless it is positive
+   * @param nowNs current time, not less than that of any earlier amount
    */
   public void add(double amount, long nowNs) {
     if (amount > 0) {
@@ -36,8 +39,8 @@
   }
 
   /**
-   * Takes an amount back, as if it had never been added. One that has left the window already
-   * changes nothing.
+   * Removes an amount as if it had never been added. Has no effect if the amount has already left
+   * the window.
    *
    * @param amount the amount
    * @param atNs the time at which it was added
@@ -55,10 +58,10 @@
   }
 
   /**
-   * Returns the amounts of the window that ends now.
+   * Returns the sum of the amounts in the window that ends now.
    *
-   * @param nowNs time
-   * @return their sum
+   * @param nowNs current time
+   * @return the sum
    */
   public double total(long nowNs) {
     while (!entries.isEmpty() && nowNs - entries.peekFirst().atNs() > windowNs) {
@@ -71,10 +74,10 @@
   }
 
   /**
-   * Returns how long the last of the amounts counts on.
+   * Returns the time until the newest amount leaves the window.
    *
-   * @param nowNs time
-   * @return nanoseconds, 0 if there is none
+   * @param nowNs current time
+   * @return time in nanoseconds, 0 if there are no amounts
    */
   public long timeUntilEmptyNs(long nowNs) {
     return entries.isEmpty() ? 0 : Math.max(0, entries.peekLast().atNs() + windowNs - nowNs);
--- a/core/src/main/java/org/teaseltrail/core/quota/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/quota/package-info.java
@@ -1,2 +1,2 @@
-/** Counts what customers use of their quotas, on entry VMs and on the leader. */
+/** Counts the use of customers' quotas, on entry VMs and on the leader. */
 package org.teaseltrail.core.quota;
