--- a/core/src/main/java/org/teaseltrail/core/claim/ClaimKey.java
+++ b/core/src/main/java/org/teaseltrail/core/claim/ClaimKey.java
@@ -4,9 +4,10 @@
 import org.teaseltrail.core.id.IdempotencyKey;
 
 /**
- * Names what a claim is on: keys of different customers never meet.
+ * Identifies a claim by an idempotency key within the scope of one customer, so that equal keys of
+ * different customers don't conflict.
  *
  * @param customer the customer
- * @param key the customer's key
+ * @param key the customer's idempotency key
  */
 public record ClaimKey(CustomerId customer, IdempotencyKey key) {}
--- a/core/src/main/java/org/teaseltrail/core/claim/ClaimRecord.java
+++ b/core/src/main/java/org/teaseltrail/core/claim/ClaimRecord.java
@@ -6,16 +6,16 @@
 import org.teaseltrail.core.message.ClaimState;
 
 /**
- * Is one claim.
+ * Claim of a request on a customer's idempotency key.
  *
- * @param key what it is on
+ * @param key the claimed key
  * @param bodyDigest SHA-256 of the holder's body, in lower-case hexadecimal
  * @param nonIdempotent whether the holder must not run twice
  * @param holder the request that holds the key
  * @param vm the entry VM that reads the holder's answer
- * @param upstream where the holder was granted
- * @param attempt counts the grants of the holder; a release names the one it takes back
- * @param state how far the holder has come; never waiting, since a claim begins with a grant
+ * @param upstream the upstream for which the holder was granted
+ * @param attempt number of grants of the holder so far; a release states the grant that it releases
+ * @param state the holder's progress; never waiting, since a claim starts with a grant
  * @param changedAtMs log time of the last change, in milliseconds
  */
 public record ClaimRecord(
@@ -29,7 +29,7 @@
     ClaimState state,
     long changedAtMs) {
 
-  /** Returns whether the holder's fate is settled. */
+  /** Returns whether the claim is completed or marked as possibly run. */
   public boolean isFinished() {
     return state == ClaimState.COMPLETED || state == ClaimState.MAY_HAVE_RUN;
   }
--- a/core/src/main/java/org/teaseltrail/core/claim/ClaimStore.java
+++ b/core/src/main/java/org/teaseltrail/core/claim/ClaimStore.java
@@ -15,15 +15,20 @@
 import org.teaseltrail.core.message.EndKind;
 
 /**
- * Holds all claims. Deterministic: time is the log's, and order is that of the calls, so members
- * that apply the same log hold the same claims.
+ * Stores all claims on idempotency keys. The store is deterministic: it uses log time, and its
+ * order depends only on the order of the calls, so that members which apply the same log hold the
+ * same claims.
  */
 public final class ClaimStore {
 
   private final Map<ClaimKey, ClaimRecord> byKey = new HashMap<>();
   private final Map<RequestId, ClaimKey> byHolder = new HashMap<>();
 
-  /** Keys by the time of the last change, oldest first, apart by what may be dropped when full. */
+  /**
+   * Claims ordered by the time of their last change, oldest first. Running and finished claims are
+   * kept apart because they have different retention, and finished idempotent ones because only
+   * these may be dropped when the store is full.
+   */
   private final Map<ClaimKey, ClaimRecord> running = new LinkedHashMap<>();
 
   private final Map<ClaimKey, ClaimRecord> finishedIdempotent = new LinkedHashMap<>();
@@ -31,18 +36,19 @@
   private ClaimLimits limits = ClaimLimits.DEFAULT;
 
   /**
-   * Opens a claim for a request that is about to be granted, or grants its holder again.
+   * Opens a claim for a request that is about to be granted, or updates the claim of a request that
+   * is granted again.
    *
-   * <p>A holder may be granted again because its entry VM has said that the grant before was not
-   * dispatched, and because that VM dispatches a request id at most once.
+   * <p>Granting the holder again is safe because its entry VM has reported that the previous grant
+   * was not dispatched, and because that VM dispatches a request id at most once.
    *
-   * @param requested the claim wished for; its attempt and state are not looked at
-   * @return the claim opened, or why not
+   * @param requested the requested claim; its attempt and state are ignored
+   * @return the opened claim, or the reason why it was not opened
    */
   public OpenClaimResult open(ClaimRecord requested) {
     ClaimRecord present = byKey.get(requested.key());
     if (present != null) {
-      return openHeld(present, requested);
+      return reopen(present, requested);
     }
     if (byKey.size() >= limits.maxClaims() && !dropOldestIdempotent()) {
       return new OpenClaimResult.Full();
@@ -63,13 +69,14 @@
   }
 
   /**
-   * Ends the claim of a request. What is finished stays as it is: an end told twice, or by the VM
-   * and its adopter, counts once.
+   * Finishes the claim of a request. A finished claim doesn't change, so that an end which is
+   * reported twice, or both by the original VM and by the VM that took the stream over, counts
+   * once. The exception is a claim that may have run: a complete answer still completes it.
    *
    * @param holder the request
-   * @param kind how it ended
+   * @param kind how the request ended
    * @param nowMs log time
-   * @return the claim after that, or empty if the request holds none
+   * @return the resulting claim, or empty if the request holds none
    */
   public Optional<ClaimRecord> finish(RequestId holder, EndKind kind, long nowMs) {
     Optional<ClaimRecord> present = byHolder(holder);
@@ -83,15 +90,14 @@
   }
 
   /**
-   * Releases the claim of a request that did not run, so that the key is free again.
+   * Releases the claim of a request that did not run, so that its key can be claimed again.
    *
-   * <p>Guards against a release that comes late: the holder was granted again meanwhile and runs,
-   * and a second request under the freed key would run the work twice. The attempt tells the two
-   * apart.
+   * <p>The attempt number guards against a late release: if the holder was granted again in the
+   * meantime and is running, a second request could claim the freed key and run the work twice.
    *
    * @param holder the request
    * @param attempt the grant that was not dispatched
-   * @return whether the key is free now
+   * @return whether the key is free
    */
   public boolean release(RequestId holder, int attempt) {
     Optional<ClaimRecord> present = byHolder(holder);
@@ -107,12 +113,12 @@
   }
 
   /**
-   * Lets another VM take the reading of a running answer over.
+   * Transfers the reading of a running answer to another VM.
    *
    * @param holder the request
    * @param vm the VM that reads the answer from now on
    * @param nowMs log time
-   * @return the claim after that, or empty if the request holds none
+   * @return the resulting claim, or empty if the request holds none
    */
   public Optional<ClaimRecord> adopt(RequestId holder, VmId vm, long nowMs) {
     Optional<ClaimRecord> present = byHolder(holder);
@@ -125,46 +131,52 @@
   }
 
   /**
-   * Drops what is older than its retention, and settles running claims that nobody has ended.
+   * Drops claims whose retention has passed, and marks running claims whose end was not reported in
+   * time as possibly run.
    *
-   * @param newLimits the limits from now on
+   * @param newLimits the limits to apply from now on
    * @param nowMs log time
-   * @return the count of claims dropped or settled
+   * @return number of dropped or changed claims
    */
   public int expire(ClaimLimits newLimits, long nowMs) {
     limits = newLimits;
-    int settled = settleRunning(nowMs);
-    return settled + dropOld(finishedIdempotent, nowMs) + dropOld(finishedNonIdempotent, nowMs);
+    int expiredRunning = expireRunning(nowMs);
+    return expiredRunning
+        + dropExpired(finishedIdempotent, nowMs)
+        + dropExpired(finishedNonIdempotent, nowMs);
   }
 
-  /** Returns the claim on a key, if any. */
+  /** Returns the claim on a key, if there is one. */
   public Optional<ClaimRecord> find(ClaimKey key) {
     return Optional.ofNullable(byKey.get(key));
   }
 
-  /** Returns the claim that a request holds, if any. */
+  /** Returns the claim that a request holds, if there is one. */
   public Optional<ClaimRecord> byHolder(RequestId holder) {
     return Optional.ofNullable(byHolder.get(holder)).map(byKey::get);
   }
 
-  /** Returns the count of claims. */
+  /** Returns the number of claims. */
   public int size() {
     return byKey.size();
   }
 
-  /** Returns whether a claim is old enough to be dropped or settled. */
+  /** Returns whether the retention of any claim has passed. */
   public boolean hasExpired(long nowMs) {
-    return isOld(running, limits.runningRetentionMs(), nowMs)
-        || isOld(finishedIdempotent, limits.finishedRetentionMs(), nowMs)
-        || isOld(finishedNonIdempotent, limits.finishedRetentionMs(), nowMs);
+    return isExpired(running, limits.runningRetentionMs(), nowMs)
+        || isExpired(finishedIdempotent, limits.finishedRetentionMs(), nowMs)
+        || isExpired(finishedNonIdempotent, limits.finishedRetentionMs(), nowMs);
   }
 
-  /** Returns the limits in force. */
+  /** Returns the current limits. */
   public ClaimLimits limits() {
     return limits;
   }
 
-  /** Returns all claims, oldest change first within the running, then within the finished. */
+  /**
+   * Returns all claims: running ones first, then finished ones, each ordered by the time of their
+   * last change.
+   */
   public List<ClaimRecord> toList() {
     List<ClaimRecord> claims = new ArrayList<>(byKey.size());
     claims.addAll(running.values());
@@ -174,56 +186,63 @@
   }
 
   /**
-   * Builds the book from a snapshot.
+   * Restores a store from a snapshot.
    *
-   * @param claims what {@link #toList} gave
-   * @param limits the limits in force
-   * @return a book that goes on as the one the snapshot was taken of
+   * @param claims the result of {@link #toList}
+   * @param limits the limits at the time of the snapshot
+   * @return a store in the same state as the one from which the snapshot was taken
    */
   public static ClaimStore restore(List<ClaimRecord> claims, ClaimLimits limits) {
-    ClaimStore book = new ClaimStore();
-    book.limits = limits;
-    claims.forEach(book::put);
-    return book;
+    ClaimStore store = new ClaimStore();
+    store.limits = limits;
+    claims.forEach(store::put);
+    return store;
   }
 
-  private OpenClaimResult openHeld(ClaimRecord present, ClaimRecord wish) {
-    if (!present.bodyDigest().equals(wish.bodyDigest())) {
+  private OpenClaimResult reopen(ClaimRecord present, ClaimRecord requested) {
+    if (!present.bodyDigest().equals(requested.bodyDigest())) {
       return new OpenClaimResult.DigestConflict(present);
     }
-    if (!present.holder().equals(wish.holder()) || present.isFinished()) {
+    if (!present.holder().equals(requested.holder()) || present.isFinished()) {
       return new OpenClaimResult.Held(present);
     }
-    ClaimRecord again = present.regranted(wish.vm(), wish.upstream(), wish.changedAtMs());
-    put(again);
-    return new OpenClaimResult.Opened(again);
+    ClaimRecord regranted =
+        present.regranted(requested.vm(), requested.upstream(), requested.changedAtMs());
+    put(regranted);
+    return new OpenClaimResult.Opened(regranted);
   }
 
-  /** A whole answer that reached an adopter settles what the first VM gave up as perhaps run. */
+  /**
+   * A complete answer that was read by the VM that took the stream over completes a claim that the
+   * original VM reported as possibly run.
+   */
   private static boolean mayFinish(ClaimRecord claim, EndKind kind) {
     return !claim.isFinished()
         || claim.state() == ClaimState.MAY_HAVE_RUN && kind == EndKind.COMPLETED;
   }
 
-  private int settleRunning(long nowMs) {
-    List<ClaimRecord> old =
+  private int expireRunning(long nowMs) {
+    List<ClaimRecord> expired =
         running.values().stream()
-            .takeWhile(claim -> isOld(claim, limits.runningRetentionMs(), nowMs))
+            .takeWhile(claim -> isExpired(claim, limits.runningRetentionMs(), nowMs))
             .toList();
-    old.forEach(claim -> put(claim.finished(ClaimState.MAY_HAVE_RUN, nowMs)));
-    return old.size();
+    expired.forEach(claim -> put(claim.finished(ClaimState.MAY_HAVE_RUN, nowMs)));
+    return expired.size();
   }
 
-  private int dropOld(Map<ClaimKey, ClaimRecord> finished, long nowMs) {
-    List<ClaimRecord> old =
+  private int dropExpired(Map<ClaimKey, ClaimRecord> finished, long nowMs) {
+    List<ClaimRecord> expired =
         finished.values().stream()
-            .takeWhile(claim -> isOld(claim, limits.finishedRetentionMs(), nowMs))
+            .takeWhile(claim -> isExpired(claim, limits.finishedRetentionMs(), nowMs))
             .toList();
-    old.forEach(this::remove);
-    return old.size();
+    expired.forEach(this::remove);
+    return expired.size();
   }
 
-  /** Non-idempotent claims are never dropped early: their key would be free to run again. */
+  /**
+   * Drops the oldest finished idempotent claim. Non-idempotent claims are never dropped early,
+   * because a request with the same key could then run again.
+   */
   private boolean dropOldestIdempotent() {
     Iterator<ClaimRecord> oldest = finishedIdempotent.values().iterator();
     if (!oldest.hasNext()) {
@@ -265,11 +284,11 @@
         || before == ClaimState.MAY_HAVE_RUN && after == ClaimState.COMPLETED;
   }
 
-  private static boolean isOld(Map<ClaimKey, ClaimRecord> queue, long retentionMs, long nowMs) {
-    return !queue.isEmpty() && isOld(queue.values().iterator().next(), retentionMs, nowMs);
+  private static boolean isExpired(Map<ClaimKey, ClaimRecord> queue, long retentionMs, long nowMs) {
+    return !queue.isEmpty() && isExpired(queue.values().iterator().next(), retentionMs, nowMs);
   }
 
-  private static boolean isOld(ClaimRecord claim, long retentionMs, long nowMs) {
+  private static boolean isExpired(ClaimRecord claim, long retentionMs, long nowMs) {
     return nowMs - claim.changedAtMs() >= retentionMs;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/claim/OpenClaimResult.java
+++ b/core/src/main/java/org/teaseltrail/core/claim/OpenClaimResult.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.core.claim;
 
-/** Is what becomes of a request's wish to hold a key. */
+/** Result of opening a claim. */
 public sealed interface OpenClaimResult {
 
   /**
-   * The request holds the key; its grant may go out.
+   * The request holds the key; its grant may be sent.
    *
    * @param claim the claim
    */
@@ -18,12 +18,12 @@
   record Held(ClaimRecord claim) implements OpenClaimResult {}
 
   /**
-   * An earlier request with another body holds the key.
+   * An earlier request with a different body holds the key.
    *
    * @param claim the earlier request's claim
    */
   record DigestConflict(ClaimRecord claim) implements OpenClaimResult {}
 
-  /** There is no room for a claim, and none may be dropped. */
+  /** The store is full, and no claim may be dropped. */
   record Full() implements OpenClaimResult {}
 }
--- a/core/src/main/java/org/teaseltrail/core/claim/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/claim/package-info.java
@@ -1,2 +1,2 @@
-/** Claims: which request holds a customer's idempotency key, and how far it has come. */
+/** Claims, which record the request that holds a customer's idempotency key and its progress. */
 package org.teaseltrail.core.claim;
--- a/core/src/test/java/org/teaseltrail/core/claim/ClaimStoreTest.java
+++ b/core/src/test/java/org/teaseltrail/core/claim/ClaimStoreTest.java
@@ -19,9 +19,9 @@
   private static final RequestId FIRST = new RequestId("r1");
   private static final RequestId SECOND = new RequestId("r2");
 
-  private final ClaimStore book = new ClaimStore();
+  private final ClaimStore store = new ClaimStore();
 
-  static ClaimRecord wish(String key, String holder, boolean nonIdempotent, long nowMs) {
+  static ClaimRecord requested(String key, String holder, boolean nonIdempotent, long nowMs) {
     return new ClaimRecord(
         new ClaimKey(new CustomerId("c"), new IdempotencyKey(key)),
         "digest",
@@ -35,75 +35,83 @@
   }
 
   /**
-   * A grant is declined and its release is on the way while the holder is granted again and runs.
-   * The late release would free the key and let the work run twice.
+   * A grant is declined, and its release is in flight while the holder is granted again and runs.
+   * The late release must not free the key, or the work could run twice.
    */
   @Test
   void lateReleaseOfAnEarlierGrantHasNoEffect() {
-    book.open(wish("k", "r1", true, 0));
-    book.open(wish("k", "r1", true, 10));
-    assertThat(book.release(FIRST, 1)).isFalse();
-    assertThat(book.open(wish("k", "r2", true, 20))).isInstanceOf(OpenClaimResult.Held.class);
-    assertThat(book.release(FIRST, 2)).isTrue();
-    assertThat(book.open(wish("k", "r2", true, 30))).isInstanceOf(OpenClaimResult.Opened.class);
+    store.open(requested("k", "r1", true, 0));
+    store.open(requested("k", "r1", true, 10));
+    assertThat(store.release(FIRST, 1)).isFalse();
+    assertThat(store.open(requested("k", "r2", true, 20))).isInstanceOf(OpenClaimResult.Held.class);
+    assertThat(store.release(FIRST, 2)).isTrue();
+    assertThat(store.open(requested("k", "r2", true, 30)))
+        .isInstanceOf(OpenClaimResult.Opened.class);
   }
 
-  /** A release that comes after the end must not free the key of work that ran. */
+  /** A release that arrives after the end must not free the key of work that ran. */
   @Test
   void releaseAfterTheEndHasNoEffect() {
-    book.open(wish("k", "r1", true, 0));
-    book.finish(FIRST, EndKind.FAILED, 5);
-    assertThat(book.release(FIRST, 1)).isFalse();
-    assertThat(book.open(wish("k", "r2", true, 20))).isInstanceOf(OpenClaimResult.Held.class);
+    store.open(requested("k", "r1", true, 0));
+    store.finish(FIRST, EndKind.FAILED, 5);
+    assertThat(store.release(FIRST, 1)).isFalse();
+    assertThat(store.open(requested("k", "r2", true, 20))).isInstanceOf(OpenClaimResult.Held.class);
   }
 
   /**
-   * The first VM tells that its stream broke; the VM that adopted the stream tells the whole
-   * answer. The caller must read "completed" whichever comes first.
+   * The original VM reports a broken stream, and the VM that took the stream over reports the
+   * complete answer. The claim must end as completed, whichever report arrives first.
    */
   @Test
   void wholeAnswerSettlesWhatMayHaveRun() {
-    book.open(wish("k", "r1", true, 0));
-    book.finish(FIRST, EndKind.FAILED, 5);
-    assertThat(book.finish(FIRST, EndKind.COMPLETED, 6).orElseThrow().state())
+    store.open(requested("k", "r1", true, 0));
+    store.finish(FIRST, EndKind.FAILED, 5);
+    assertThat(store.finish(FIRST, EndKind.COMPLETED, 6).orElseThrow().state())
         .isEqualTo(ClaimState.COMPLETED);
-    assertThat(book.finish(FIRST, EndKind.FAILED, 7).orElseThrow().state())
+    assertThat(store.finish(FIRST, EndKind.FAILED, 7).orElseThrow().state())
         .isEqualTo(ClaimState.COMPLETED);
   }
 
-  /** Load fills the book; a key that guards against a second run must never make room. */
+  /** A full store must not drop a claim that prevents a second run of non-idempotent work. */
   @Test
   void fullBookDropsIdempotentClaimsOnly() {
-    book.expire(new ClaimLimits(2, 1_000, 1_000), 0);
-    book.open(wish("a", "r1", false, 0));
-    book.open(wish("b", "r2", true, 0));
-    book.finish(FIRST, EndKind.COMPLETED, 1);
-    book.finish(SECOND, EndKind.COMPLETED, 2);
-    assertThat(book.open(wish("c", "r3", true, 3))).isInstanceOf(OpenClaimResult.Opened.class);
-    assertThat(book.open(wish("d", "r4", true, 4))).isInstanceOf(OpenClaimResult.Full.class);
-    assertThat(book.byHolder(SECOND)).isPresent();
+    store.expire(new ClaimLimits(2, 1_000, 1_000), 0);
+    store.open(requested("a", "r1", false, 0));
+    store.open(requested("b", "r2", true, 0));
+    store.finish(FIRST, EndKind.COMPLETED, 1);
+    store.finish(SECOND, EndKind.COMPLETED, 2);
+    assertThat(store.open(requested("c", "r3", true, 3)))
+        .isInstanceOf(OpenClaimResult.Opened.class);
+    assertThat(store.open(requested("d", "r4", true, 4))).isInstanceOf(OpenClaimResult.Full.class);
+    assertThat(store.byHolder(SECOND)).isPresent();
   }
 
-  /** A claim of which nothing more is heard may have run; its key is freed only by its age. */
+  /**
+   * A running claim whose end is never reported may have run. Its key is freed only when its
+   * retention has passed.
+   */
   @Test
   void oldClaimsAreSettledThenDropped() {
     ClaimLimits limits = new ClaimLimits(10, 1_000, 100);
-    book.open(wish("k", "r1", true, 0));
-    assertThat(book.expire(limits, 99)).isZero();
-    assertThat(book.hasExpired(100)).isTrue();
-    book.expire(limits, 100);
-    assertThat(book.byHolder(FIRST).orElseThrow().state()).isEqualTo(ClaimState.MAY_HAVE_RUN);
-    book.expire(limits, 1_099);
-    assertThat(book.size()).isOne();
-    book.expire(limits, 1_100);
-    assertThat(book.size()).isZero();
+    store.open(requested("k", "r1", true, 0));
+    assertThat(store.expire(limits, 99)).isZero();
+    assertThat(store.hasExpired(100)).isTrue();
+    store.expire(limits, 100);
+    assertThat(store.byHolder(FIRST).orElseThrow().state()).isEqualTo(ClaimState.MAY_HAVE_RUN);
+    store.expire(limits, 1_099);
+    assertThat(store.size()).isOne();
+    store.expire(limits, 1_100);
+    assertThat(store.size()).isZero();
   }
 
-  /** Two claims under one key must stop the program, not its users. */
+  /**
+   * Two claims with the same key violate an invariant, which must stop the process before a request
+   * runs twice.
+   */
   @Test
   void assertsOneClaimForEachKey() {
-    ClaimRecord one = wish("k", "r1", true, 0);
-    ClaimRecord other = wish("k", "r2", true, 0);
+    ClaimRecord one = requested("k", "r1", true, 0);
+    ClaimRecord other = requested("k", "r2", true, 0);
     assertThatThrownBy(() -> ClaimStore.restore(List.of(one, other), ClaimLimits.DEFAULT))
         .isInstanceOf(InvariantViolation.class);
   }
