--- a/core/src/main/java/org/teaseltrail/core/session/HelloResult.java
+++ b/core/src/main/java/org/teaseltrail/core/session/HelloResult.java
@@ -1,28 +1,29 @@
 package org.teaseltrail.core.session;
 
 /**
- * Says how a leader answers a hello.
+ * Result of handling a hello on the leader; it determines the reply.
  *
- * @param sessionChange what the hello does to the VM's session
+ * @param sessionChange effect of the hello on the VM's session
  * @param renewed whether the session is renewed
- * @param needsConfiguration whether the VM needs the accepted configuration
+ * @param needsConfiguration whether the accepted configuration must be sent to the VM
  */
 public record HelloResult(
     SessionChange sessionChange, boolean renewed, boolean needsConfiguration) {
 
-  /** Says what a hello does to a session. */
+  /** Effect of a hello on the session of its VM. */
   public enum SessionChange {
-    /** It opens the first session of the VM. */
+    /** The VM had no session, and a new one is opened. */
     OPENED,
-    /** It comes from a later life of the process, whose session replaces that of the one before. */
+    /** The hello is from a later incarnation, whose session replaces the existing one. */
     REPLACED,
-    /** It goes on with the session. */
+    /** The hello belongs to the existing session. */
     KEPT,
     /**
-     * It opens no session, for the VM's last one lapsed while it applied too old a configuration.
+     * No session is opened, because the VM's previous session expired while the VM applied an
+     * outdated configuration.
      */
     HELD_OFF,
-    /** It comes from an earlier life than the session's and counts for nothing. */
+    /** The hello is from an earlier incarnation than the session and is ignored. */
     STALE
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/session/Session.java
+++ b/core/src/main/java/org/teaseltrail/core/session/Session.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.EntryMessage.Hello;
 
-/** Is the session of one life of an entry VM. */
+/** Session of one incarnation of an entry VM. */
 public final class Session {
 
   private final VmId vm;
@@ -15,19 +15,19 @@
   private Revision appliedRevision;
   private long expiresAtNs;
   private long helloAtNs;
-  private boolean behind;
-  private long behindSinceNs;
+  private boolean lagging;
+  private long laggingSinceNs;
   private long pushedAtNs;
   private Revision pushedRevision;
   private boolean reported;
 
-  Session(Hello hello, long lapsesAtNs) {
+  Session(Hello hello, long expiresAtNs) {
     vm = hello.vm();
     incarnation = hello.incarnation();
     dataCenter = hello.dataCenter();
     appliedRevision = hello.appliedRevision();
     pushedRevision = new Revision(0);
-    this.expiresAtNs = lapsesAtNs;
+    this.expiresAtNs = expiresAtNs;
   }
 
   /** Returns the VM. */
@@ -35,32 +35,32 @@
     return vm;
   }
 
-  /** Returns which life of the VM's process it is. */
+  /** Returns the incarnation of the VM's process. */
   public Incarnation incarnation() {
     return incarnation;
   }
 
-  /** Returns where the VM stands. */
+  /** Returns the data centre of the VM. */
   public DataCenterId dataCenter() {
     return dataCenter;
   }
 
-  /** Returns the newest configuration that the VM has said it applies. */
+  /** Returns the newest configuration revision that the VM has reported as applied. */
   public Revision appliedRevision() {
     return appliedRevision;
   }
 
-  /** Returns whether the VM has told this leadership of all that waits and runs there. */
+  /** Returns whether the VM has reported all its waiting and running requests to this leader. */
   public boolean hasReported() {
     return reported;
   }
 
-  /** Notes that the VM has told all. */
+  /** Records that the VM has reported all its waiting and running requests. */
   public void markReportsComplete() {
     reported = true;
   }
 
-  /** Returns whether the VM applies the revision or a newer one. */
+  /** Returns whether the VM has applied the revision or a newer one. */
   public boolean hasApplied(Revision revision) {
     return appliedRevision.compareTo(revision) >= 0;
   }
@@ -74,15 +74,15 @@
     helloAtNs = nowNs;
   }
 
-  /** Returns when the session lapses, in nanoseconds. */
+  /** Returns the monotonic time at which the session expires, in nanoseconds. */
   long expiresAtNs() {
     return expiresAtNs;
   }
 
   /**
-   * Notes which revision the VM applies.
+   * Records the revision that the VM applies.
    *
-   * @param applied the revision its hello tells; an older hello that comes late changes nothing
+   * @param applied the revision in the hello; a lower one, from a delayed hello, is ignored
    */
   void apply(Revision applied) {
     if (applied.compareTo(appliedRevision) > 0) {
@@ -90,44 +90,44 @@
     }
   }
 
-  void renew(long newLapsesAtNs) {
-    expiresAtNs = newLapsesAtNs;
+  void renew(long newExpiresAtNs) {
+    expiresAtNs = newExpiresAtNs;
   }
 
   /**
-   * Returns how long the VM has applied an older configuration than the accepted one.
+   * Returns how long the VM has been applying an older configuration than the accepted one.
    *
    * @param accepted the accepted revision
    * @param nowNs monotonic time
-   * @return nanoseconds since this was first seen, zero if it applies the accepted one
+   * @return nanoseconds since the lag was first observed; zero if the accepted one is applied
    */
   long lagNs(Revision accepted, long nowNs) {
-    boolean wasBehind = behind;
-    behind = !hasApplied(accepted);
-    if (!behind) {
+    boolean wasLagging = lagging;
+    lagging = !hasApplied(accepted);
+    if (!lagging) {
       return 0;
     }
-    if (!wasBehind) {
-      behindSinceNs = nowNs;
+    if (!wasLagging) {
+      laggingSinceNs = nowNs;
     }
-    return nowNs - behindSinceNs;
+    return nowNs - laggingSinceNs;
   }
 
-  /** Goes on counting where the same life's lapsed session stopped. */
-  void inheritLag(Session lapsed) {
-    behind = lapsed.behind;
-    behindSinceNs = lapsed.behindSinceNs;
-    pushedRevision = lapsed.pushedRevision;
-    pushedAtNs = lapsed.pushedAtNs;
+  /** Copies the configuration lag of the expired session of the same incarnation. */
+  void inheritLag(Session expired) {
+    lagging = expired.lagging;
+    laggingSinceNs = expired.laggingSinceNs;
+    pushedRevision = expired.pushedRevision;
+    pushedAtNs = expired.pushedAtNs;
   }
 
   boolean isLagging() {
-    return behind;
+    return lagging;
   }
 
-  boolean needsPush(Revision accepted, long nowNs, long repeatNs) {
-    boolean pushed = pushedRevision.equals(accepted) && nowNs - pushedAtNs < repeatNs;
-    return !hasApplied(accepted) && !pushed;
+  boolean needsPush(Revision accepted, long nowNs, long retryNs) {
+    boolean pushedRecently = pushedRevision.equals(accepted) && nowNs - pushedAtNs < retryNs;
+    return !hasApplied(accepted) && !pushedRecently;
   }
 
   void markPushed(Revision accepted, long nowNs) {
--- a/core/src/main/java/org/teaseltrail/core/session/SessionRegistry.java
+++ b/core/src/main/java/org/teaseltrail/core/session/SessionRegistry.java
@@ -16,63 +16,66 @@
 import org.teaseltrail.core.session.HelloResult.SessionChange;
 
 /**
- * Holds the sessions of one leadership. A new leadership begins with none; VMs that an older leader
- * has welcomed may serve on under it for a session's lifetime, so what is said of all VMs is true
- * only after that.
+ * Registry of the sessions of one leadership.
+ *
+ * <p>A new leader starts without sessions. VMs with a session at an earlier leader may continue to
+ * serve until that session expires, so statements about all VMs hold only after one session
+ * lifetime.
  */
 public final class SessionRegistry {
 
   private static final long NS_PER_MS = 1_000_000L;
 
   private final SessionSettings settings;
-  private final long settledAtNs;
-  private final Map<VmId, Session> heldOff = new HashMap<>();
+  private final long priorSessionsExpireAtNs;
+  private final Map<VmId, Session> expiredLagging = new HashMap<>();
   private final Map<VmId, Session> sessions = new TreeMap<>(Comparator.comparing(VmId::value));
 
   /**
-   * Creates the sessions of a leadership.
+   * Creates an empty registry.
    *
-   * @param settings the times
-   * @param nowNs when the leadership begins
+   * @param settings the timeouts
+   * @param nowNs monotonic time at which the leadership begins
    */
   public SessionRegistry(SessionSettings settings, long nowNs) {
     this.settings = settings;
-    settledAtNs = nowNs + settings.expiryNs();
+    priorSessionsExpireAtNs = nowNs + settings.expiryNs();
   }
 
   /**
-   * Takes a hello.
+   * Opens or renews the session of the VM that sent a hello.
    *
    * @param hello the hello
    * @param accepted the accepted revision
    * @param nowNs monotonic time
-   * @return how to answer it
+   * @return the result, which determines the reply
    */
   public HelloResult handleHello(Hello hello, Revision accepted, long nowNs) {
     Session present = sessions.get(hello.vm());
-    SessionChange life = life(present, hello);
-    if (life == SessionChange.STALE) {
-      return new HelloResult(life, false, false);
+    SessionChange change = classify(present, hello);
+    if (change == SessionChange.STALE) {
+      return new HelloResult(change, false, false);
     }
-    Session session = life == SessionChange.KEPT ? present : opened(hello, nowNs);
+    Session session = change == SessionChange.KEPT ? present : openSession(hello, nowNs);
     session.heard(nowNs);
     session.apply(hello.appliedRevision());
-    boolean welcome = session.lagNs(accepted, nowNs) <= settings.maxLagMs() * NS_PER_MS;
-    boolean push = push(session, accepted, nowNs);
-    if (welcome) {
+    boolean renewed = session.lagNs(accepted, nowNs) <= settings.maxLagMs() * NS_PER_MS;
+    boolean needsConfiguration = markPushedIfDue(session, accepted, nowNs);
+    if (renewed) {
       session.renew(nowNs + settings.expiryNs());
-    } else if (life == SessionChange.OPENED) {
-      heldOff.put(hello.vm(), session);
-      return new HelloResult(SessionChange.HELD_OFF, false, push);
+    } else if (change == SessionChange.OPENED) {
+      expiredLagging.put(hello.vm(), session);
+      return new HelloResult(SessionChange.HELD_OFF, false, needsConfiguration);
     }
     sessions.put(hello.vm(), session);
-    return new HelloResult(life, welcome, push);
+    return new HelloResult(change, renewed, needsConfiguration);
   }
 
   /**
-   * Tells which sessions need a configuration that has just been accepted.
+   * Selects the VMs to which a configuration that has just been accepted must be sent, and records
+   * it as sent.
    *
-   * @param accepted its revision
+   * @param accepted the revision of the configuration
    * @param nowNs monotonic time
    * @return the VMs to send it to
    */
@@ -80,7 +83,7 @@
     List<VmId> targets = new ArrayList<>();
     for (Session session : sessions.values()) {
       session.lagNs(accepted, nowNs);
-      if (push(session, accepted, nowNs)) {
+      if (markPushedIfDue(session, accepted, nowNs)) {
         targets.add(session.vm());
       }
     }
@@ -88,32 +91,32 @@
   }
 
   /**
-   * Removes the sessions that have lapsed.
+   * Removes the sessions that have expired.
    *
    * @param nowNs monotonic time
-   * @return their VMs
+   * @return the VMs whose sessions were removed
    */
   public List<VmId> removeExpired(long nowNs) {
-    List<VmId> lapsed = new ArrayList<>();
+    List<VmId> expired = new ArrayList<>();
     Iterator<Session> all = sessions.values().iterator();
     while (all.hasNext()) {
       Session session = all.next();
       if (session.expiresAtNs() <= nowNs) {
-        lapsed.add(session.vm());
+        expired.add(session.vm());
         all.remove();
         if (session.isLagging()) {
-          heldOff.put(session.vm(), session);
+          expiredLagging.put(session.vm(), session);
         }
       }
     }
-    return lapsed;
+    return expired;
   }
 
   /**
-   * Tells which VMs may still serve under an older configuration.
+   * Returns the VMs that may still serve under an older configuration.
    *
-   * @param revision the configuration
-   * @return the VMs with a session that haven't applied it
+   * @param revision the revision of the newer configuration
+   * @return the VMs that have a session and have not applied the revision
    */
   public List<VmId> findLagging(Revision revision) {
     return sessions.values().stream()
@@ -123,13 +126,13 @@
   }
 
   /**
-   * Returns whether all sessions of older leaderships have lapsed, unless they came here.
+   * Returns whether all sessions that earlier leaders granted have expired or been renewed here.
    *
    * @param nowNs monotonic time
-   * @return whether this leadership knows each VM that serves
+   * @return whether every VM that serves has a session in this registry
    */
   public boolean havePriorSessionsExpired(long nowNs) {
-    return nowNs >= settledAtNs;
+    return nowNs >= priorSessionsExpireAtNs;
   }
 
   /** Returns the session of a VM, if it has one. */
@@ -137,40 +140,45 @@
     return Optional.ofNullable(sessions.get(vm));
   }
 
-  /** Returns all sessions in the order of their VMs. */
+  /** Returns all sessions, sorted by VM id. */
   public Collection<Session> all() {
     return List.copyOf(sessions.values());
   }
 
   /**
-   * Returns when something next changes by itself.
+   * Returns the time of the next change that no message triggers.
    *
    * @param nowNs monotonic time
-   * @return the next lapse or the settling, or empty if there is none
+   * @return when the next session expires or those of earlier leaders have expired; empty if there
+   *     is nothing to wait for
    */
   public OptionalLong nextWakeupNs(long nowNs) {
-    OptionalLong lapse = sessions.values().stream().mapToLong(Session::expiresAtNs).min();
+    OptionalLong expiry = sessions.values().stream().mapToLong(Session::expiresAtNs).min();
     if (havePriorSessionsExpired(nowNs)) {
-      return lapse;
+      return expiry;
     }
-    return OptionalLong.of(Math.min(lapse.orElse(settledAtNs), settledAtNs));
+    return OptionalLong.of(
+        Math.min(expiry.orElse(priorSessionsExpireAtNs), priorSessionsExpireAtNs));
   }
 
   /**
-   * Guards against a VM that says hello but hangs over a new configuration: with each lapse it
-   * would be given time anew, and so admit requests under the old one again and again. The time
-   * counts on over the lapse, until it applies the accepted one or its process starts again.
+   * Opens a session that inherits the configuration lag of the VM's expired session.
+   *
+   * <p>Without this, a VM that keeps sending hellos but hangs while applying a new configuration
+   * would get a fresh grace period after every expiry and would admit requests under the old
+   * configuration again and again. The lag is therefore counted across expiries until the VM
+   * applies the accepted configuration or its process restarts.
    */
-  private Session opened(Hello hello, long nowNs) {
+  private Session openSession(Hello hello, long nowNs) {
     Session session = new Session(hello, nowNs + settings.expiryNs());
-    Session before = heldOff.remove(hello.vm());
+    Session before = expiredLagging.remove(hello.vm());
     if (before != null && before.incarnation().equals(hello.incarnation())) {
       session.inheritLag(before);
     }
     return session;
   }
 
-  private boolean push(Session session, Revision accepted, long nowNs) {
+  private boolean markPushedIfDue(Session session, Revision accepted, long nowNs) {
     if (!session.needsPush(accepted, nowNs, settings.pushRetryMs() * NS_PER_MS)) {
       return false;
     }
@@ -178,7 +186,7 @@
     return true;
   }
 
-  private static SessionChange life(Session present, Hello hello) {
+  private static SessionChange classify(Session present, Hello hello) {
     if (present == null) {
       return SessionChange.OPENED;
     }
--- a/core/src/main/java/org/teaseltrail/core/session/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/session/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Sessions of entry VMs in the leader's memory: who is alive and which configuration it applies.
+ * In-memory sessions of entry VMs on the leader: which VMs are alive and which configuration
+ * revision each of them applies.
  */
 package org.teaseltrail.core.session;
