--- a/core/src/main/java/org/teaseltrail/core/plan/InstalledPlan.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/InstalledPlan.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.core.plan;
 
 /**
- * Is an accepted plan together with the text that it was read from, for reading it back unchanged.
+ * Accepted plan with the document it was parsed from, so that readers get the document unchanged.
  *
  * @param plan the plan
- * @param document the sender's text
+ * @param document the document as it was sent
  */
 public record InstalledPlan(ServingPlan plan, String document) {}
--- a/core/src/main/java/org/teaseltrail/core/plan/PlanCustomer.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanCustomer.java
@@ -5,15 +5,16 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /**
- * Is a customer: its keys, its rank and its quota over all entry VMs together.
+ * Customer with its API keys, its priority and its quota, which applies to all entry VMs together.
  *
  * @param id the customer
- * @param keys keys that its requests carry
- * @param rank rank that goes before the routes' own, 0 the highest; empty if routes decide
+ * @param keys API keys that authenticate its requests
+ * @param rank priority that overrides that of the route, 0 being the highest; empty if the route's
+ *     priority applies
  * @param quotaInTokens whether the quota counts tokens instead of requests
- * @param plainTokens tokens that a request without a token count stands for
- * @param quotaPerSecond requests or tokens a second; 0 means no quota
- * @param quotaBurst requests or tokens that may come at once besides
+ * @param plainTokens tokens charged for a request that carries no token count
+ * @param quotaPerSecond requests or tokens per second; 0 means no quota
+ * @param quotaBurst burst in requests or tokens that is allowed in addition to the rate
  */
 public record PlanCustomer(
     CustomerId id,
@@ -24,15 +25,15 @@
     double quotaPerSecond,
     double quotaBurst) {
 
-  /** Copies the list. */
+  /** Copies the list of keys. */
   public PlanCustomer {
     keys = List.copyOf(keys);
   }
 
   /**
-   * Tells whether there is a quota.
+   * Returns whether the customer has a quota.
    *
-   * @return false if the customer may send as much as it likes
+   * @return false if its requests are not limited
    */
   public boolean hasQuota() {
     return quotaPerSecond > 0;
--- a/core/src/main/java/org/teaseltrail/core/plan/PlanFailure.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanFailure.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.core.plan;
 
-/** Says why a plan is refused. */
+/** Reason why a plan is rejected. */
 public enum PlanFailure {
-  /** It can't be read in full. */
+  /** The document can't be parsed completely. */
   UNREADABLE,
-  /** A route names a service that the plan doesn't hold. */
+  /** A route refers to a service that the plan does not define. */
   UNKNOWN_SERVICE,
   /** Two routes have the same host and path prefix. */
   SAME_PLACE,
-  /** The weights of a route add up to nothing. */
+  /** A weight of a route is negative, or the weights add up to zero. */
   NO_WEIGHT,
-  /** A route has no time for an answer. */
+  /** The timeout of a route is not positive. */
   NO_TIMEOUT,
   /** Two customers have the same key. */
   SHARED_KEY
--- a/core/src/main/java/org/teaseltrail/core/plan/PlanIndex.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanIndex.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.teaseltrail.core.id.ServiceId;
 
-/** Finds a plan's routes, customers and services quickly. */
+/** Index of a plan for lookups of routes by host, customers by API key and services by id. */
 public final class PlanIndex {
 
   private final ServingPlan plan;
@@ -18,7 +18,7 @@
   private final Map<ServiceId, PlanService> services = new HashMap<>();
 
   /**
-   * Builds the index.
+   * Builds the index of a plan.
    *
    * @param plan the plan
    */
@@ -46,10 +46,10 @@
   }
 
   /**
-   * Finds the route with the longest prefix that begins a path.
+   * Finds the route with the longest path prefix that matches.
    *
-   * @param host the request's host, a port behind it left out of account
-   * @param path the request's path without its query
+   * @param host the host of the request; a port is ignored
+   * @param path the path of the request without the query
    * @return the route, if one matches
    */
   public Optional<PlanRoute> route(String host, String path) {
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Finds the customer that holds a key.
+   * Finds the customer to which an API key belongs.
    *
    * @param key the key
    * @return the customer, if the key is known
@@ -72,16 +72,16 @@
    * Finds a service.
    *
    * @param id the service
-   * @return the service, if the plan holds it
+   * @return the service, if the plan defines it
    */
   public Optional<PlanService> service(ServiceId id) {
     return Optional.ofNullable(services.get(id));
   }
 
   /**
-   * Tells whether requests need keys at all.
+   * Returns whether requests need API keys at all.
    *
-   * @return false if the plan holds no customers
+   * @return false if the plan defines no customers
    */
   public boolean hasCustomers() {
     return !plan.customers().isEmpty();
--- a/core/src/main/java/org/teaseltrail/core/plan/PlanRoute.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanRoute.java
@@ -4,22 +4,22 @@
 import org.teaseltrail.core.id.RouteId;
 
 /**
- * Is a route: which requests it takes, where they go and what is owed to them.
+ * Route: match conditions of its requests, the target services, timeouts and latency objectives.
  *
- * @param id the route's name
- * @param host the host that requests name
- * @param pathPrefix how their paths begin; begins and ends with a slash
- * @param kind what its requests are
- * @param resumable whether a stream may go on at another upstream after its last event
- * @param targets services with weights, at least one of them positive
- * @param timeoutMs longest time until the final answer, in milliseconds
- * @param objectiveMs time to the answer, or to a stream's first event, that counts as on time, in
+ * @param id name of the route
+ * @param host host that a request must name to match
+ * @param pathPrefix prefix that its path must have to match; starts and ends with a slash
+ * @param kind kind of its requests, which determines whether they can be retried
+ * @param resumable whether a stream can be resumed at another upstream after its last event
+ * @param targets services with weights, at least one of which is positive
+ * @param timeoutMs maximum time until the final answer, in milliseconds
+ * @param objectiveMs latency objective for the answer, or for the first event of a stream, in
  *     milliseconds
- * @param eventGapMs longest pause between a stream's events that counts as on time, in
- *     milliseconds; 0 on routes without streams
- * @param priority rank, 0 the highest
- * @param maxAttempts most upstreams that one request may be sent to
- * @param needsKey whether a request must carry a customer's key
+ * @param eventGapMs latency objective for the gap between two events of a stream, in milliseconds;
+ *     0 on routes without streams
+ * @param priority priority, 0 being the highest
+ * @param maxAttempts maximum number of upstreams that one request may be sent to
+ * @param needsKey whether a request must carry the API key of a customer
  */
 public record PlanRoute(
     RouteId id,
@@ -35,33 +35,34 @@
     int maxAttempts,
     boolean needsKey) {
 
-  private static final long LEAST_PATIENCE_MS = 2_000;
+  private static final long MIN_CALLER_TIMEOUT_MS = 2_000;
 
-  /** Copies the list. */
+  /** Copies the list of targets. */
   public PlanRoute {
     targets = List.copyOf(targets);
   }
 
   /**
-   * Tells whether a request that may have run may be sent again.
+   * Returns whether a request that may have been executed can be sent again.
    *
-   * @return true if a second run harms nobody
+   * @return true if a second execution is harmless
    */
   public boolean canRetry() {
     return kind.canRetry(resumable);
   }
 
   /**
-   * Returns how long callers wait for a stream's first event before they leave, by the contract
-   * with the users: 2 s, four objectives or eight pauses, whichever is longest.
+   * Returns how long callers wait for the first event of a stream before they disconnect. The
+   * contract with the users sets it to 2 s, four times the objective or eight times the event gap,
+   * whichever is longest, and no longer than the timeout of the route.
    *
-   * @return milliseconds
+   * @return milliseconds; the timeout of the route if its answers are not streams
    */
   public long callerTimeoutMs() {
     if (kind != RouteKind.STREAMING) {
       return timeoutMs;
     }
-    long longest = Math.max(LEAST_PATIENCE_MS, Math.max(4 * objectiveMs, 8 * eventGapMs));
+    long longest = Math.max(MIN_CALLER_TIMEOUT_MS, Math.max(4 * objectiveMs, 8 * eventGapMs));
     return Math.min(timeoutMs, longest);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/plan/PlanValidator.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanValidator.java
@@ -10,37 +10,37 @@
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.id.ServiceId;
 
-/** Checks that a plan fits together before it is taken. */
+/** Validates the consistency of a plan before it is accepted. */
 public final class PlanValidator {
 
-  private record Place(String host, String pathPrefix) {}
+  private record RouteMatch(String host, String pathPrefix) {}
 
   private PlanValidator() {}
 
   /**
-   * Checks a plan.
+   * Validates a plan.
    *
    * @param plan the plan
-   * @return what is wrong, or empty if it may be taken
+   * @return the first failure, or empty if the plan is valid
    */
   public static Optional<PlanFailure> validate(ServingPlan plan) {
-    Set<ServiceId> known =
+    Set<ServiceId> serviceIds =
         plan.services().stream().map(PlanService::id).collect(Collectors.toSet());
-    Set<Place> places = new HashSet<>();
+    Set<RouteMatch> matches = new HashSet<>();
     for (PlanRoute route : plan.routes()) {
-      Optional<PlanFailure> failure = validate(route, known);
+      Optional<PlanFailure> failure = validate(route, serviceIds);
       if (failure.isPresent()) {
         return failure;
       }
-      if (!places.add(new Place(route.host(), route.pathPrefix()))) {
+      if (!matches.add(new RouteMatch(route.host(), route.pathPrefix()))) {
         return Optional.of(PlanFailure.SAME_PLACE);
       }
     }
-    return sharesKey(plan.customers()) ? Optional.of(PlanFailure.SHARED_KEY) : Optional.empty();
+    return hasSharedKey(plan.customers()) ? Optional.of(PlanFailure.SHARED_KEY) : Optional.empty();
   }
 
-  private static Optional<PlanFailure> validate(PlanRoute route, Set<ServiceId> known) {
-    if (!route.targets().stream().map(WeightedService::service).allMatch(known::contains)) {
+  private static Optional<PlanFailure> validate(PlanRoute route, Set<ServiceId> serviceIds) {
+    if (!route.targets().stream().map(WeightedService::service).allMatch(serviceIds::contains)) {
       return Optional.of(PlanFailure.UNKNOWN_SERVICE);
     }
     boolean negative = route.targets().stream().anyMatch(target -> target.weight() < 0);
@@ -51,12 +51,12 @@
     return route.timeoutMs() <= 0 ? Optional.of(PlanFailure.NO_TIMEOUT) : Optional.empty();
   }
 
-  private static boolean sharesKey(List<PlanCustomer> customers) {
-    Map<String, CustomerId> holders = new HashMap<>();
+  private static boolean hasSharedKey(List<PlanCustomer> customers) {
+    Map<String, CustomerId> owners = new HashMap<>();
     for (PlanCustomer customer : customers) {
       for (String key : customer.keys()) {
-        CustomerId holder = holders.putIfAbsent(key, customer.id());
-        if (holder != null && !holder.equals(customer.id())) {
+        CustomerId owner = owners.putIfAbsent(key, customer.id());
+        if (owner != null && !owner.equals(customer.id())) {
           return true;
         }
       }
--- a/core/src/main/java/org/teaseltrail/core/plan/RouteKind.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/RouteKind.java
@@ -1,22 +1,22 @@
 package org.teaseltrail.core.plan;
 
-/** Says what a route's requests are and so whether one may run more than once. */
+/** Kind of the requests of a route; determines whether one may be executed more than once. */
 public enum RouteKind {
-  /** Running it again changes nothing: the request is idempotent. */
+  /** Idempotent requests: executing one again has no further effect. */
   SAFE {
     @Override
     public boolean canRetry(boolean resumable) {
       return true;
     }
   },
-  /** Running it again changes something: it is sent to an upstream at most once. */
+  /** Non-idempotent requests: each is sent to an upstream at most once. */
   UNSAFE {
     @Override
     public boolean canRetry(boolean resumable) {
       return false;
     }
   },
-  /** The answer is a row of numbered events. */
+  /** Requests that are answered with a stream of numbered events. */
   STREAMING {
     @Override
     public boolean canRetry(boolean resumable) {
@@ -25,10 +25,10 @@
   };
 
   /**
-   * Tells whether a request that may have run may be sent again.
+   * Returns whether a request that may have been executed can be sent again.
    *
-   * @param resumable whether the route's streams may be resumed at another upstream
-   * @return true if a second run harms nobody
+   * @param resumable whether the streams of the route can be resumed at another upstream
+   * @return true if a second execution is harmless
    */
   public abstract boolean canRetry(boolean resumable);
 }
--- a/core/src/main/java/org/teaseltrail/core/plan/ServingPlan.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/ServingPlan.java
@@ -4,12 +4,13 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /**
- * Is a whole configuration with the version that its sender gave it. The highest version counts.
+ * Complete serving configuration with the version assigned by its sender. The plan with the highest
+ * version is in force.
  *
- * @param version the sender's number; grows in uneven steps
+ * @param version version assigned by the sender; increases, not necessarily by one
  * @param routes the routes
  * @param services the services
- * @param limits bounds of callers' connections
+ * @param limits limits of callers' connections
  * @param customers the customers
  */
 public record ServingPlan(
@@ -27,10 +28,10 @@
   }
 
   /**
-   * Tells whether it has a service.
+   * Returns whether the plan defines a service.
    *
    * @param service the service
-   * @return true if it has
+   * @return true if it does
    */
   public boolean hasService(ServiceId service) {
     return services.stream().anyMatch(each -> each.id().equals(service));
--- a/core/src/main/java/org/teaseltrail/core/plan/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/package-info.java
@@ -1,2 +1,4 @@
-/** The whole configuration that an outside platform sends: routes, services, customers, limits. */
+/**
+ * Complete configuration that an external platform installs: routes, services, customers, limits.
+ */
 package org.teaseltrail.core.plan;
--- a/core/src/test/java/org/teaseltrail/core/plan/PlanValidatorTest.java
+++ b/core/src/test/java/org/teaseltrail/core/plan/PlanValidatorTest.java
@@ -10,13 +10,13 @@
 import org.teaseltrail.core.id.RouteId;
 import org.teaseltrail.core.id.ServiceId;
 
-/** Refuses each kind of plan that doesn't fit together. */
+/** Tests that each kind of inconsistent plan is rejected, and the lookup of routes. */
 class PlanValidatorTest {
 
   private final ServingPlan good = TestPlans.plan(1);
 
   @Test
-  void takesPlanThatFits() {
+  void acceptsConsistentPlan() {
     assertThat(PlanValidator.validate(good)).isEmpty();
   }
 
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void refusesTwoRoutesAtOnePlace() {
+  void refusesRoutesWithSameHostAndPrefix() {
     PlanRoute twin = TestPlans.route("safe", RouteKind.UNSAFE, false, TestPlans.PLAIN, 1);
     assertThat(PlanValidator.validate(with(twin))).contains(PlanFailure.SAME_PLACE);
   }
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void refusesRouteWithoutTime() {
+  void refusesRouteWithoutTimeout() {
     assertThat(PlanValidator.validate(with(changed(1, 0)))).contains(PlanFailure.NO_TIMEOUT);
   }
 
--- a/core/src/test/java/org/teaseltrail/core/plan/TestPlans.java
+++ b/core/src/test/java/org/teaseltrail/core/plan/TestPlans.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.RouteId;
 import org.teaseltrail.core.id.ServiceId;
 
-/** Makes plans for tests: a service of engines and a plain one, a route of each kind. */
+/** Creates plans for tests, with an engine service, a plain service and a route of each kind. */
 public final class TestPlans {
 
   public static final ServiceId ENGINES = new ServiceId("engines");
@@ -17,12 +17,12 @@
 
   private TestPlans() {}
 
-  /** Makes a plan without a quota. */
+  /** Creates a plan without a quota. */
   public static ServingPlan plan(long version) {
     return plan(version, customer(KEY, 0));
   }
 
-  /** Makes a plan with the given customers. */
+  /** Creates a plan with the given customers. */
   public static ServingPlan plan(long version, PlanCustomer... customers) {
     return new ServingPlan(
         version,
@@ -36,13 +36,13 @@
         List.of(customers));
   }
 
-  /** Makes a customer with a quota in tokens a second, 0 for none. */
+  /** Creates a customer with a quota in tokens per second, 0 for none. */
   public static PlanCustomer customer(String key, double tokensPerSecond) {
     return new PlanCustomer(
         CUSTOMER, List.of(key), OptionalInt.of(1), true, 200, tokensPerSecond, tokensPerSecond);
   }
 
-  /** Makes a route whose paths begin with its name. */
+  /** Creates a route whose path prefix is its name. */
   public static PlanRoute route(
       String name, RouteKind kind, boolean resumable, ServiceId service, int maxAttempts) {
     return new PlanRoute(
