--- a/core/src/main/java/org/teaseltrail/core/registry/HeartbeatFailure.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/HeartbeatFailure.java
@@ -1,13 +1,16 @@
 package org.teaseltrail.core.registry;
 
-/** Says why a heartbeat can't be taken in. It names no upstream, and those that stand stay. */
+/**
+ * Reason why a heartbeat is rejected. The rejection is attributed to no upstream and leaves the
+ * existing registrations unchanged.
+ */
 public enum HeartbeatFailure {
-  /** Its bytes can't be read. */
+  /** The document can't be parsed. */
   UNREADABLE,
-  /** A field is missing or of another type. */
+  /** A field is missing or has the wrong type. */
   BAD_FIELD,
-  /** Its address is none. */
+  /** The address is not valid. */
   BAD_ADDRESS,
-  /** It names a phase that isn't known. */
+  /** The phase is not one of the defined ones. */
   UNKNOWN_PHASE
 }
--- a/core/src/main/java/org/teaseltrail/core/registry/Registration.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/Registration.java
@@ -8,19 +8,19 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /**
- * Is what an upstream has told of itself. An upstream may start again under the id that it had; the
- * time of its start tells its lives apart.
+ * Registration of an upstream, as reported in its heartbeats. An upstream may restart under the
+ * same id; its start time distinguishes its incarnations.
  *
  * @param id the upstream
- * @param bornMs its start in Unix milliseconds by its own clock, 0 if it doesn't tell
+ * @param bornMs its start time in Unix milliseconds by its own clock, 0 if not reported
  * @param service the service that it belongs to
- * @param address where it takes requests
- * @param dataCenter where it stands
- * @param slots requests that it works on at once
- * @param phase how far its registration has come
- * @param sequence grows with each heartbeat of one life
- * @param version the version of its software, if it tells one
- * @param coldMs how much longer it says that it is slow after its start, in milliseconds
+ * @param address the address at which it accepts requests
+ * @param dataCenter its data centre
+ * @param slots number of requests that it processes concurrently
+ * @param phase phase of the registration
+ * @param sequence increases with each heartbeat of one incarnation
+ * @param version the version of its software, if reported
+ * @param coldMs remaining warm-up time that it reports, in milliseconds; it is slow until then
  */
 public record Registration(
     UpstreamId id,
@@ -35,19 +35,19 @@
     long coldMs) {
 
   /**
-   * Returns which life of the upstream this is.
+   * Returns the incarnation of the upstream that sent the registration.
    *
-   * @return the life
+   * @return the incarnation
    */
   public UpstreamIncarnation upstreamIncarnation() {
     return new UpstreamIncarnation(id, bornMs);
   }
 
   /**
-   * Returns the registration in a later phase.
+   * Returns a copy in a later phase.
    *
    * @param later the phase
-   * @return the changed registration
+   * @return the copy
    */
   public Registration withPhase(RegistrationPhase later) {
     return new Registration(
@@ -55,17 +55,18 @@
   }
 
   /**
-   * Tells whether two heartbeats say the same but for their number and how cold it is.
+   * Returns whether two registrations are equal except for the sequence number and the remaining
+   * warm-up time.
    *
-   * @param other the other
-   * @return true if nothing that decides has changed
+   * @param other the other registration
+   * @return true if no field that decisions depend on differs
    */
   public boolean hasSameContentAs(Registration other) {
-    return lasting().equals(other.lasting());
+    return withoutVolatileFields().equals(other.withoutVolatileFields());
   }
 
-  /** Leaves out what each heartbeat tells anew. */
-  private Registration lasting() {
+  /** Clears the fields that change with every heartbeat. */
+  private Registration withoutVolatileFields() {
     return new Registration(id, bornMs, service, address, dataCenter, slots, phase, 0, version, 0);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/registry/RegistrationPhase.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/RegistrationPhase.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.core.registry;
 
-/** Says how far an upstream's registration has come. It only ever moves on. */
+/** Phase of an upstream's registration; within one incarnation it only moves forward. */
 public enum RegistrationPhase {
-  /** It takes new requests. */
+  /** The upstream accepts new requests. */
   READY,
-  /** It finishes what it has and takes no new requests. */
+  /** The upstream finishes its running requests and accepts no new ones. */
   DRAINING,
-  /** It has taken leave; kept so that a late heartbeat can't bring it back. */
+  /** The upstream has deregistered; kept so that a delayed heartbeat can't register it again. */
   GONE
 }
--- a/core/src/main/java/org/teaseltrail/core/registry/UpstreamIncarnation.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/UpstreamIncarnation.java
@@ -3,16 +3,17 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Names one life of an upstream. A later one holds and knows nothing of those before.
+ * Identifies one incarnation of an upstream. A later incarnation has none of the state, and runs
+ * none of the requests, of earlier ones.
  *
  * @param id the upstream
- * @param bornMs its start in Unix milliseconds by its own clock, 0 if it doesn't tell
+ * @param bornMs its start time in Unix milliseconds by its own clock, 0 if not reported
  */
 public record UpstreamIncarnation(UpstreamId id, long bornMs) {
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof UpstreamIncarnation life && bornMs == life.bornMs && id.equals(life.id);
+    return other instanceof UpstreamIncarnation that && bornMs == that.bornMs && id.equals(that.id);
   }
 
   @Override
--- a/core/src/main/java/org/teaseltrail/core/registry/UpstreamRegistry.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/UpstreamRegistry.java
@@ -9,26 +9,33 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Holds the registrations of all upstreams; part of the replicated state.
+ * Registry of the registrations of all upstreams; part of the replicated state.
  *
- * <p>Guards against work for an upstream that has left: a heartbeat that was delayed on its way
- * arrives after the upstream's leave was acknowledged, maybe at another leader. The guard: within
- * one life phases only move on and an older sequence changes nothing, those that have left are
- * remembered, and an earlier life changes nothing of a later one.
+ * <p>No request may be sent to an upstream that has deregistered, although a delayed heartbeat of
+ * it may arrive after the deregistration was acknowledged, possibly at another leader. Therefore,
+ * within one incarnation phases only move forward and a heartbeat with an older sequence number is
+ * ignored, deregistered upstreams are remembered, and an earlier incarnation can't change the
+ * registration of a later one.
  */
 public final class UpstreamRegistry {
 
-  /** Upstreams that have left and are remembered; bounds the state's size over many releases. */
-  private static final int MAX_GONE = 2_000;
+  /**
+   * Maximum number of deregistered upstreams that are remembered; bounds the size of the replicated
+   * state over many releases of the upstreams.
+   */
+  private static final int MAX_DEREGISTERED = 2_000;
 
   private final Map<UpstreamId, Registration> registrations = new LinkedHashMap<>();
   private long revision;
 
-  /** Those that haven't left, as long as nothing changes; one list, so that it is told once. */
+  /**
+   * Cached list of the registered upstreams, empty after a change. Unchanged content is always the
+   * same list object, so that it is sent only once.
+   */
   private Optional<List<Registration>> present = Optional.empty();
 
   /**
-   * Builds the book that a snapshot holds.
+   * Restores the registry from a snapshot.
    *
    * @param revision number of changes so far
    * @param content the registrations, oldest first
@@ -39,22 +46,23 @@
   }
 
   /**
-   * Tells whether a heartbeat would change anything but the sequence.
+   * Returns whether a heartbeat changes more than the sequence number and the remaining warm-up
+   * time, so that it must be committed to the log.
    *
    * @param heard the heartbeat
    * @return true if it must be committed
    */
   public boolean needsCommit(Registration heard) {
     Registration held = registrations.get(heard.id());
-    if (isNewLife(held, heard)) {
+    if (isNewIncarnation(held, heard)) {
       return true;
     }
     boolean outdated = heard.bornMs() < held.bornMs() || heard.sequence() < held.sequence();
-    return !outdated && !merged(held, heard).hasSameContentAs(held);
+    return !outdated && !merge(held, heard).hasSameContentAs(held);
   }
 
   /**
-   * Takes a heartbeat in.
+   * Applies a heartbeat.
    *
    * @param heard the heartbeat
    */
@@ -63,32 +71,32 @@
       return;
     }
     Registration held = registrations.get(heard.id());
-    registrations.put(heard.id(), isNewLife(held, heard) ? heard : merged(held, heard));
-    changed();
+    registrations.put(heard.id(), isNewIncarnation(held, heard) ? heard : merge(held, heard));
+    markChanged();
   }
 
   /**
-   * Takes the leave of one life of an upstream in. One that is not known is remembered all the
-   * same; one before the life that is known changes nothing.
+   * Deregisters one incarnation of an upstream. An unknown incarnation is remembered as
+   * deregistered, too; one that is older than the known incarnation is ignored.
    *
-   * @param leaving what is known of it
+   * @param leaving the registration of the incarnation, as far as it is known
    */
   public void deregister(Registration leaving) {
     Registration held = registrations.get(leaving.id());
-    boolean sameLife = held != null && held.bornMs() == leaving.bornMs();
+    boolean sameIncarnation = held != null && held.bornMs() == leaving.bornMs();
     boolean outdated = held != null && leaving.bornMs() < held.bornMs();
-    if (outdated || (sameLife && held.phase() == RegistrationPhase.GONE)) {
+    if (outdated || (sameIncarnation && held.phase() == RegistrationPhase.GONE)) {
       return;
     }
-    Registration known = sameLife ? held : leaving;
+    Registration known = sameIncarnation ? held : leaving;
     registrations.remove(leaving.id());
     registrations.put(leaving.id(), known.withPhase(RegistrationPhase.GONE));
-    forgetOldest();
-    changed();
+    removeOldestDeregistered();
+    markChanged();
   }
 
   /**
-   * Drops an upstream that has fallen silent; its next heartbeat brings it back.
+   * Removes an upstream that no longer sends heartbeats; its next heartbeat registers it again.
    *
    * @param id the upstream
    */
@@ -96,7 +104,7 @@
     Registration held = registrations.get(id);
     if (held != null && held.phase() != RegistrationPhase.GONE) {
       registrations.remove(id);
-      changed();
+      markChanged();
     }
   }
 
@@ -104,20 +112,20 @@
    * Finds a registration.
    *
    * @param id the upstream
-   * @return the registration, of one that has left too
+   * @return the registration, also of a deregistered upstream
    */
   public Optional<Registration> find(UpstreamId id) {
     return Optional.ofNullable(registrations.get(id));
   }
 
   /**
-   * Returns those that haven't left.
+   * Returns the registrations of upstreams that have not deregistered.
    *
    * @return registrations, oldest first
    */
   public List<Registration> present() {
     if (present.isEmpty()) {
-      present = Optional.of(List.copyOf(filtered()));
+      present = Optional.of(List.copyOf(filterPresent()));
     }
     return present.get();
   }
@@ -125,7 +133,7 @@
   /**
    * Returns all registrations.
    *
-   * @return those that have left too, oldest first
+   * @return all of them, including deregistered upstreams, oldest first
    */
   public Collection<Registration> all() {
     return List.copyOf(registrations.values());
@@ -140,35 +148,36 @@
     return revision;
   }
 
-  private void changed() {
+  private void markChanged() {
     revision++;
     present = Optional.empty();
   }
 
-  private List<Registration> filtered() {
+  private List<Registration> filterPresent() {
     return registrations.values().stream()
         .filter(registration -> registration.phase() != RegistrationPhase.GONE)
         .toList();
   }
 
-  private static boolean isNewLife(Registration held, Registration heard) {
+  private static boolean isNewIncarnation(Registration held, Registration heard) {
     return held == null || heard.bornMs() > held.bornMs();
   }
 
-  private static Registration merged(Registration held, Registration heard) {
-    boolean later = held.phase().compareTo(heard.phase()) > 0;
-    return later ? heard.withPhase(held.phase()) : heard;
+  /** Returns the heartbeat with the later one of both phases. */
+  private static Registration merge(Registration held, Registration heard) {
+    boolean keepPhase = held.phase().compareTo(heard.phase()) > 0;
+    return keepPhase ? heard.withPhase(held.phase()) : heard;
   }
 
-  private void forgetOldest() {
-    List<UpstreamId> gone = new ArrayList<>();
+  private void removeOldestDeregistered() {
+    List<UpstreamId> deregistered = new ArrayList<>();
     registrations.forEach(
         (id, registration) -> {
           if (registration.phase() == RegistrationPhase.GONE) {
-            gone.add(id);
+            deregistered.add(id);
           }
         });
-    int excess = Math.max(0, gone.size() - MAX_GONE);
-    gone.subList(0, excess).forEach(registrations::remove);
+    int excess = Math.max(0, deregistered.size() - MAX_DEREGISTERED);
+    deregistered.subList(0, excess).forEach(registrations::remove);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/registry/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/registry/package-info.java
@@ -1,2 +1,2 @@
-/** Upstreams that register themselves with the control members and take leave of them. */
+/** Self-registration of upstreams with the control members, and their deregistration. */
 package org.teaseltrail.core.registry;
--- a/core/src/test/java/org/teaseltrail/core/registry/UpstreamRegistryTest.java
+++ b/core/src/test/java/org/teaseltrail/core/registry/UpstreamRegistryTest.java
@@ -10,12 +10,12 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Keeps upstreams that have left from coming back. */
+/** Tests that delayed heartbeats do not bring back deregistered or draining upstreams. */
 class UpstreamRegistryTest {
 
-  private final UpstreamRegistry book = new UpstreamRegistry(0, List.of());
+  private final UpstreamRegistry registry = new UpstreamRegistry(0, List.of());
 
-  private static Registration beat(RegistrationPhase phase, long sequence) {
+  private static Registration heartbeat(RegistrationPhase phase, long sequence) {
     return new Registration(
         new UpstreamId("i-1"),
         0,
@@ -30,82 +30,82 @@
   }
 
   /**
-   * An upstream says that it drains and is acknowledged; requests still reach it seconds later. A
-   * heartbeat that it had sent before was late and made it ready again.
+   * A delayed heartbeat that an upstream sent before it started draining must not set it back to
+   * ready. Otherwise the upstream gets requests after its draining was acknowledged.
    */
   @Test
   void lateHeartbeatDoesNotUndoDraining() {
-    book.register(beat(RegistrationPhase.READY, 1));
-    book.register(beat(RegistrationPhase.DRAINING, 5));
-    book.register(beat(RegistrationPhase.READY, 4));
-    assertThat(book.present()).containsExactly(beat(RegistrationPhase.DRAINING, 5));
+    registry.register(heartbeat(RegistrationPhase.READY, 1));
+    registry.register(heartbeat(RegistrationPhase.DRAINING, 5));
+    registry.register(heartbeat(RegistrationPhase.READY, 4));
+    assertThat(registry.present()).containsExactly(heartbeat(RegistrationPhase.DRAINING, 5));
   }
 
-  /** A newer heartbeat may say ready by mistake; draining stays, as it was acknowledged. */
+  /** Draining that was acknowledged stays, even if a newer heartbeat reports ready by mistake. */
   @Test
   void drainingIsNeverTakenBack() {
-    book.register(beat(RegistrationPhase.DRAINING, 5));
-    book.register(beat(RegistrationPhase.READY, 6));
-    assertThat(book.present().get(0).phase()).isEqualTo(RegistrationPhase.DRAINING);
+    registry.register(heartbeat(RegistrationPhase.DRAINING, 5));
+    registry.register(heartbeat(RegistrationPhase.READY, 6));
+    assertThat(registry.present().get(0).phase()).isEqualTo(RegistrationPhase.DRAINING);
   }
 
   /**
-   * An upstream takes leave and is acknowledged; its address goes to another service. Its last
-   * heartbeat, held up by a cut, arrives afterwards and would bring it back.
+   * A heartbeat that a network partition delayed until after the acknowledged deregistration must
+   * not register the upstream again, since its address may belong to another service by then.
    */
   @Test
-  void heartbeatAfterLeaveChangesNothing() {
-    book.register(beat(RegistrationPhase.READY, 1));
-    book.deregister(beat(RegistrationPhase.READY, 1));
-    final long revision = book.revision();
-    assertThat(book.needsCommit(beat(RegistrationPhase.READY, 9))).isFalse();
-    book.register(beat(RegistrationPhase.READY, 9));
-    assertThat(book.present()).isEmpty();
-    assertThat(book.revision()).isEqualTo(revision);
+  void heartbeatAfterDeregistrationChangesNothing() {
+    registry.register(heartbeat(RegistrationPhase.READY, 1));
+    registry.deregister(heartbeat(RegistrationPhase.READY, 1));
+    final long revision = registry.revision();
+    assertThat(registry.needsCommit(heartbeat(RegistrationPhase.READY, 9))).isFalse();
+    registry.register(heartbeat(RegistrationPhase.READY, 9));
+    assertThat(registry.present()).isEmpty();
+    assertThat(registry.revision()).isEqualTo(revision);
   }
 
-  /** The leave comes first, as the upstream's first heartbeat was lost on its way. */
+  /** The deregistration arrives before any heartbeat, because the first heartbeat was lost. */
   @Test
-  void leaveOfUnknownUpstreamIsRemembered() {
-    book.deregister(beat(RegistrationPhase.GONE, Long.MAX_VALUE));
-    book.register(beat(RegistrationPhase.READY, 1));
-    assertThat(book.present()).isEmpty();
+  void deregistrationOfUnknownUpstreamIsRemembered() {
+    registry.deregister(heartbeat(RegistrationPhase.GONE, Long.MAX_VALUE));
+    registry.register(heartbeat(RegistrationPhase.READY, 1));
+    assertThat(registry.present()).isEmpty();
   }
 
   @Test
   void heartbeatWithNothingNewNeedsNoCommit() {
-    book.register(beat(RegistrationPhase.READY, 1));
-    assertThat(book.needsCommit(beat(RegistrationPhase.READY, 2))).isFalse();
-    assertThat(book.needsCommit(beat(RegistrationPhase.DRAINING, 2))).isTrue();
+    registry.register(heartbeat(RegistrationPhase.READY, 1));
+    assertThat(registry.needsCommit(heartbeat(RegistrationPhase.READY, 2))).isFalse();
+    assertThat(registry.needsCommit(heartbeat(RegistrationPhase.DRAINING, 2))).isTrue();
   }
 
   @Test
   void droppedUpstreamComesBackWithItsNextHeartbeat() {
-    book.register(beat(RegistrationPhase.READY, 1));
-    book.removeSilent(new UpstreamId("i-1"));
-    assertThat(book.present()).isEmpty();
-    book.register(beat(RegistrationPhase.READY, 2));
-    assertThat(book.present()).hasSize(1);
+    registry.register(heartbeat(RegistrationPhase.READY, 1));
+    registry.removeSilent(new UpstreamId("i-1"));
+    assertThat(registry.present()).isEmpty();
+    registry.register(heartbeat(RegistrationPhase.READY, 2));
+    assertThat(registry.present()).hasSize(1);
   }
 
   @Test
   void copyFromItsContentIsEqual() {
-    book.register(beat(RegistrationPhase.READY, 1));
-    book.deregister(beat(RegistrationPhase.READY, 1));
-    UpstreamRegistry copy = new UpstreamRegistry(book.revision(), List.copyOf(book.all()));
-    copy.register(beat(RegistrationPhase.READY, 2));
+    registry.register(heartbeat(RegistrationPhase.READY, 1));
+    registry.deregister(heartbeat(RegistrationPhase.READY, 1));
+    UpstreamRegistry copy = new UpstreamRegistry(registry.revision(), List.copyOf(registry.all()));
+    copy.register(heartbeat(RegistrationPhase.READY, 2));
     assertThat(copy.present()).isEmpty();
   }
 
-  private static Registration life(long bornMs, RegistrationPhase phase, long sequence) {
-    Registration beat = beat(phase, sequence);
+  private static Registration incarnation(long bornMs, RegistrationPhase phase, long sequence) {
+    Registration heartbeat = heartbeat(phase, sequence);
     return new Registration(
-        beat.id(),
+        heartbeat.id(),
         bornMs,
-        beat.service(),
-        beat.address(),
-        beat.dataCenter(),
-        beat.slots(),
+        heartbeat.service(),
+        heartbeat.address(),
+        heartbeat.dataCenter(),
+        heartbeat.slots(),
         phase,
         sequence,
         Optional.empty(),
@@ -113,49 +113,49 @@
   }
 
   /**
-   * An upstream crashes and starts again under its id; its sequence begins anew. Its heartbeats
-   * were taken for older than those of the life before, so that a changed address never came in.
+   * An upstream that restarts under its id counts its sequence from the beginning. Its heartbeats
+   * must not be taken for older ones of the previous incarnation, or a new address is ignored.
    */
   @Test
-  void laterLifeReplacesEarlierOneThoughItsSequenceIsSmaller() {
-    book.register(life(100, RegistrationPhase.DRAINING, 50));
-    book.register(life(200, RegistrationPhase.READY, 1));
-    assertThat(book.present()).containsExactly(life(200, RegistrationPhase.READY, 1));
+  void laterIncarnationReplacesEarlierOneThoughItsSequenceIsSmaller() {
+    registry.register(incarnation(100, RegistrationPhase.DRAINING, 50));
+    registry.register(incarnation(200, RegistrationPhase.READY, 1));
+    assertThat(registry.present()).containsExactly(incarnation(200, RegistrationPhase.READY, 1));
   }
 
-  /** A heartbeat of the life before, held up by a cut, comes behind those of the next life. */
+  /** A delayed heartbeat of the previous incarnation arrives after those of the next one. */
   @Test
-  void lateHeartbeatOfEarlierLifeChangesNothing() {
-    book.register(life(200, RegistrationPhase.READY, 1));
-    assertThat(book.needsCommit(life(100, RegistrationPhase.DRAINING, 90))).isFalse();
-    book.register(life(100, RegistrationPhase.DRAINING, 90));
-    assertThat(book.present()).containsExactly(life(200, RegistrationPhase.READY, 1));
+  void lateHeartbeatOfEarlierIncarnationChangesNothing() {
+    registry.register(incarnation(200, RegistrationPhase.READY, 1));
+    assertThat(registry.needsCommit(incarnation(100, RegistrationPhase.DRAINING, 90))).isFalse();
+    registry.register(incarnation(100, RegistrationPhase.DRAINING, 90));
+    assertThat(registry.present()).containsExactly(incarnation(200, RegistrationPhase.READY, 1));
   }
 
   /**
-   * An upstream takes leave, is acknowledged and starts again under its id. The leave binds its own
-   * life for good and no other; the next life was never used.
+   * An upstream deregisters and restarts under its id. The deregistration is final for its own
+   * incarnation and must not keep the next incarnation from being used.
    */
   @Test
-  void leaveBindsItsOwnLifeOnly() {
-    book.register(life(100, RegistrationPhase.READY, 5));
-    book.deregister(life(100, RegistrationPhase.READY, 5));
-    book.register(life(100, RegistrationPhase.READY, 6));
-    assertThat(book.present()).isEmpty();
-    book.register(life(200, RegistrationPhase.READY, 1));
-    assertThat(book.present()).containsExactly(life(200, RegistrationPhase.READY, 1));
-    book.deregister(life(100, RegistrationPhase.GONE, 7));
-    assertThat(book.present()).hasSize(1);
+  void deregistrationAppliesToItsOwnIncarnationOnly() {
+    registry.register(incarnation(100, RegistrationPhase.READY, 5));
+    registry.deregister(incarnation(100, RegistrationPhase.READY, 5));
+    registry.register(incarnation(100, RegistrationPhase.READY, 6));
+    assertThat(registry.present()).isEmpty();
+    registry.register(incarnation(200, RegistrationPhase.READY, 1));
+    assertThat(registry.present()).containsExactly(incarnation(200, RegistrationPhase.READY, 1));
+    registry.deregister(incarnation(100, RegistrationPhase.GONE, 7));
+    assertThat(registry.present()).hasSize(1);
   }
 
-  /** The same after a snapshot was taken and another member has become leader. */
+  /** The same holds after a snapshot was restored at another leader. */
   @Test
-  void leaveOfOneLifeHoldsInSnapshot() {
-    book.register(life(200, RegistrationPhase.READY, 1));
-    book.deregister(life(200, RegistrationPhase.READY, 1));
-    UpstreamRegistry copy = new UpstreamRegistry(book.revision(), List.copyOf(book.all()));
-    copy.register(life(200, RegistrationPhase.READY, 9));
-    copy.register(life(100, RegistrationPhase.READY, 99));
+  void deregistrationOfOneIncarnationIsKeptInSnapshot() {
+    registry.register(incarnation(200, RegistrationPhase.READY, 1));
+    registry.deregister(incarnation(200, RegistrationPhase.READY, 1));
+    UpstreamRegistry copy = new UpstreamRegistry(registry.revision(), List.copyOf(registry.all()));
+    copy.register(incarnation(200, RegistrationPhase.READY, 9));
+    copy.register(incarnation(100, RegistrationPhase.READY, 99));
     assertThat(copy.present()).isEmpty();
   }
 }
