--- a/core/src/main/java/org/teaseltrail/core/request/ExecutionStatus.java
+++ b/core/src/main/java/org/teaseltrail/core/request/ExecutionStatus.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.core.request;
 
-/** Says whether a request ran. */
+/** Whether a request was executed by an upstream. */
 public enum ExecutionStatus {
-  /** It ran to its end. */
+  /** It was executed completely. */
   YES("yes"),
-  /** No part of it ran. */
+  /** No part of it was executed. */
   NO("no"),
-  /** It may have run, wholly or in part. */
+  /** It may have been executed completely, partially or not at all. */
   MAYBE("maybe");
 
   private final String text;
@@ -15,7 +15,7 @@
     this.text = text;
   }
 
-  /** Returns the word that callers are told. */
+  /** Returns the value used in responses to callers. */
   public String text() {
     return text;
   }
--- a/core/src/main/java/org/teaseltrail/core/request/FrameDisposition.java
+++ b/core/src/main/java/org/teaseltrail/core/request/FrameDisposition.java
@@ -1,17 +1,17 @@
 package org.teaseltrail.core.request;
 
-/** Says what becomes of a frame. */
+/** How a received frame is handled. */
 public enum FrameDisposition {
-  /** It is the next one. */
+  /** It is the next frame of the stream and is delivered. */
   NEXT,
-  /** It was seen before, or comes after the end; dropped. */
+  /** It was received before or follows the end frame; it is dropped. */
   DUPLICATE,
-  /** Frames before it are missing; the connection isn't to be trusted. */
+  /** Frames before it are missing, so the connection is no longer trusted. */
   GAP,
-  /** It belongs to another request; the connection isn't to be trusted. */
+  /** It belongs to another request, so the connection is no longer trusted. */
   FOREIGN;
 
-  /** Returns whether the connection must be given up and the stream resumed. */
+  /** Returns whether the connection must be closed and the stream resumed on a new one. */
   public boolean requiresReconnect() {
     return this == GAP || this == FOREIGN;
   }
--- a/core/src/main/java/org/teaseltrail/core/request/FrameSequenceValidator.java
+++ b/core/src/main/java/org/teaseltrail/core/request/FrameSequenceValidator.java
@@ -5,11 +5,12 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /**
- * Checks the frames of one answer: own request only, numbered without gaps, up to an end mark.
+ * Validates the frames of one answer: they must belong to the expected stream and be numbered
+ * without gaps up to an end frame.
  *
- * <p>Guards against late, doubled, reordered and mixed-up frames, which show as a caller's text
- * with parts missing, doubled or another's. Only the one expected number of the one expected stream
- * passes, whatever connection it comes over.
+ * <p>Late, duplicated, reordered or misdelivered frames would give the caller a text with parts
+ * missing, repeated or taken from another answer. Only the next sequence number of the expected
+ * stream is accepted, whichever connection it arrives on.
  */
 final class FrameSequenceValidator {
 
@@ -24,9 +25,9 @@
     this.lastDelivered = firstSequence - 1;
   }
 
-  /** Judges a frame and moves on if it is the next one. */
+  /** Classifies a frame and advances the expected sequence number if it is the next one. */
   FrameDisposition accept(StreamFrame frame) {
-    FrameDisposition verdict = judge(frame);
+    FrameDisposition verdict = classify(frame);
     if (verdict == FrameDisposition.NEXT) {
       Invariant.check(frame.sequence() == lastDelivered + 1, InvariantName.FRAMES_IN_ORDER);
       Invariant.check(frame.stream().equals(stream), InvariantName.FRAMES_IN_ORDER);
@@ -37,7 +38,7 @@
     return verdict;
   }
 
-  private FrameDisposition judge(StreamFrame frame) {
+  private FrameDisposition classify(StreamFrame frame) {
     if (!frame.stream().equals(stream)) {
       return FrameDisposition.FOREIGN;
     }
--- a/core/src/main/java/org/teaseltrail/core/request/Millis.java
+++ b/core/src/main/java/org/teaseltrail/core/request/Millis.java
@@ -7,12 +7,12 @@
 
   private Millis() {}
 
-  /** Returns the nanoseconds of a duration in milliseconds. */
+  /** Converts a duration in milliseconds to nanoseconds. */
   public static long toNanos(long durationMs) {
     return durationMs * NANOS_PER_MILLI;
   }
 
-  /** Returns the whole milliseconds of a duration in nanoseconds. */
+  /** Converts a duration in nanoseconds to milliseconds, rounded toward zero. */
   public static long ofNanos(long durationNs) {
     return durationNs / NANOS_PER_MILLI;
   }
--- a/core/src/main/java/org/teaseltrail/core/request/Outcome.java
+++ b/core/src/main/java/org/teaseltrail/core/request/Outcome.java
@@ -4,16 +4,16 @@
 import org.teaseltrail.core.message.ClaimState;
 import org.teaseltrail.core.message.Usage;
 
-/** Is how a request ended, as its caller is told. */
+/** Final outcome of a request, as reported to the caller. */
 public sealed interface Outcome {
 
-  /** Returns whether the request ran. */
+  /** Returns whether the request was executed. */
   ExecutionStatus ran();
 
   /**
-   * The whole answer has been delivered.
+   * The complete answer was delivered.
    *
-   * @param usage the work done
+   * @param usage tokens processed for the request
    */
   record Completed(Usage usage) implements Outcome {
 
@@ -24,10 +24,10 @@
   }
 
   /**
-   * The request did not run.
+   * The request was not executed.
    *
-   * @param reason why
-   * @param retryAfterMs when the caller may come back; zero if coming back is of no use
+   * @param reason the reason
+   * @param retryAfterMs time after which the caller can retry; zero if a retry is pointless
    */
   record NotRun(NotRunReason reason, long retryAfterMs) implements Outcome {
 
@@ -38,9 +38,9 @@
   }
 
   /**
-   * The request was dispatched and its whole answer did not arrive.
+   * The request was dispatched and its complete answer was not received.
    *
-   * @param reason why
+   * @param reason the reason
    */
   record MayHaveRun(FailureReason reason) implements Outcome {
 
@@ -51,10 +51,10 @@
   }
 
   /**
-   * An earlier request holds the key; this one did not run in its place.
+   * An earlier request has claimed the idempotency key; this one was not executed in addition.
    *
    * @param holder the earlier request
-   * @param state how far the earlier request had come
+   * @param state claim state of the earlier request
    */
   record HeldByEarlier(RequestId holder, ClaimState state) implements Outcome {
 
--- a/core/src/main/java/org/teaseltrail/core/request/OutputLengthEstimator.java
+++ b/core/src/main/java/org/teaseltrail/core/request/OutputLengthEstimator.java
@@ -6,56 +6,57 @@
 import org.teaseltrail.core.id.RouteId;
 
 /**
- * Estimates how long an answer will be, from the answers that the same customer got on the same
- * route: a moving average, never above what the caller allows.
+ * Estimates the length of an answer in tokens by an exponential moving average over the answers to
+ * the same customer on the same route, capped at the maximum that the caller allows.
  */
 public final class OutputLengthEstimator {
 
-  /** Estimate where nothing is known yet; a quick answer's length. */
+  /** Estimate before the first answer is known; the length of a short answer. */
   static final int INITIAL_TOKENS = 128;
 
-  /** Weight of the newest answer in the average. */
+  /** Smoothing factor: weight of the newest answer in the average. */
   static final double NEWEST_WEIGHT = 0.2;
 
-  /** Averages held; the least recently used goes first, so that memory is bounded. */
+  /** Maximum number of averages kept; the least recently used is evicted to bound the memory. */
   static final int MAX_ENTRIES = 10_000;
 
-  private final Map<Source, Double> averages =
+  private final Map<AverageKey, Double> averages =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<Source, Double> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<AverageKey, Double> eldest) {
           return size() > MAX_ENTRIES;
         }
       };
 
   /**
-   * Estimates an answer's length.
+   * Estimates the length of an answer.
    *
-   * @param customer whose request
-   * @param route its route
-   * @param maxTokens the most tokens the caller allows
-   * @return tokens, one or greater
+   * @param customer the customer that sent the request
+   * @param route the route of the request
+   * @param maxTokens maximum number of tokens that the caller allows
+   * @return tokens, at least one
    */
   public int estimateTokens(CustomerId customer, RouteId route, int maxTokens) {
-    double average = averages.getOrDefault(new Source(customer, route), (double) INITIAL_TOKENS);
+    double average =
+        averages.getOrDefault(new AverageKey(customer, route), (double) INITIAL_TOKENS);
     return Math.max(1, Math.min(maxTokens, (int) Math.ceil(average)));
   }
 
   /**
-   * Learns from an answer.
+   * Updates the average with the length of an answer.
    *
-   * @param customer whose request
-   * @param route its route
-   * @param outputTokens the answer's length
+   * @param customer the customer that sent the request
+   * @param route the route of the request
+   * @param outputTokens length of the answer in tokens
    */
   public void recordAnswer(CustomerId customer, RouteId route, int outputTokens) {
     averages.merge(
-        new Source(customer, route),
+        new AverageKey(customer, route),
         (double) outputTokens,
         (old, newest) -> old + NEWEST_WEIGHT * (newest - old));
   }
 
-  private record Source(CustomerId customer, RouteId route) {}
+  private record AverageKey(CustomerId customer, RouteId route) {}
 }
--- a/core/src/main/java/org/teaseltrail/core/request/PrefixBlockHasher.java
+++ b/core/src/main/java/org/teaseltrail/core/request/PrefixBlockHasher.java
@@ -10,41 +10,43 @@
 import org.teaseltrail.core.id.AdapterId;
 
 /**
- * Makes the hash chain of a prompt's blocks, by which a scheduler tells which engine has a prompt's
- * beginning in its cache. The internals page defines the chain.
+ * Computes the hash chain of the blocks of a prompt. The scheduler compares it with the prefix
+ * caches of the engines to find those that have the beginning of the prompt cached. The chain is
+ * defined in docs/INTERNALS.md.
  */
 public final class PrefixBlockHasher {
 
-  /** Size of a block in bytes: 256 tokens of four bytes. */
+  /** Size of a block in bytes, which corresponds to 256 tokens of four bytes each. */
   public static final int BLOCK_BYTES = 1024;
 
   private PrefixBlockHasher() {}
 
   /**
-   * Returns the hashes of the whole blocks of a prompt.
+   * Computes the hashes of the complete blocks of a prompt; a partial last block is left out.
    *
-   * @param target the model, version and adapter, which begin the chain
-   * @param promptUtf8 the prompt
-   * @return one hash a block, first block first
+   * @param target the model, version and adapter, which are the first link of the chain
+   * @param promptUtf8 the prompt in UTF-8
+   * @return one hash per block, in the order of the blocks
    */
   public static List<Long> hashBlocks(ModelTarget target, byte[] promptUtf8) {
     MessageDigest digest = Sha256.create();
-    byte[] origin = origin(target).getBytes(StandardCharsets.UTF_8);
-    long previous = link(digest, 0, origin, 0, origin.length);
+    byte[] root = rootText(target).getBytes(StandardCharsets.UTF_8);
+    long previous = chainHash(digest, 0, root, 0, root.length);
     List<Long> hashes = new ArrayList<>(promptUtf8.length / BLOCK_BYTES);
-    for (int at = 0; at + BLOCK_BYTES <= promptUtf8.length; at += BLOCK_BYTES) {
-      previous = link(digest, previous, promptUtf8, at, BLOCK_BYTES);
+    for (int offset = 0; offset + BLOCK_BYTES <= promptUtf8.length; offset += BLOCK_BYTES) {
+      previous = chainHash(digest, previous, promptUtf8, offset, BLOCK_BYTES);
       hashes.add(previous);
     }
     return hashes;
   }
 
-  private static String origin(ModelTarget target) {
+  private static String rootText(ModelTarget target) {
     String adapter = target.adapter().map(AdapterId::value).orElse("");
     return target.model() + "/" + target.version() + "/" + adapter;
   }
 
-  private static long link(MessageDigest digest, long previous, byte[] data, int from, int length) {
+  private static long chainHash(
+      MessageDigest digest, long previous, byte[] data, int from, int length) {
     digest.update(ByteBuffer.allocate(Long.BYTES).putLong(previous).array());
     digest.update(data, from, length);
     return ByteBuffer.wrap(digest.digest()).getLong();
--- a/core/src/main/java/org/teaseltrail/core/request/Request.java
+++ b/core/src/main/java/org/teaseltrail/core/request/Request.java
@@ -13,15 +13,16 @@
 import org.teaseltrail.core.message.Usage;
 
 /**
- * Is one request of a caller from its arrival to its outcome.
+ * State machine of one request of a caller, from its arrival to its outcome.
  *
- * <p>The root guards what callers rely on: at most one dispatch, a truthful "not run", and an
- * answer that is whole and their own. It asserts each, so that a fault anywhere in the program ends
- * in a typed failure and never in a second dispatch or a false word.
+ * <p>As the root of the aggregate it enforces what callers rely on: the request is dispatched at
+ * most once, "not run" is reported only if it is true, and the answer is complete and belongs to
+ * the request. Each of these is checked as an invariant, so that a bug anywhere in the program
+ * leads to an {@code InvariantViolation} instead of a second dispatch or a wrong report.
  */
 public final class Request {
 
-  /** Times in a row that a broken stream is resumed without a new frame. */
+  /** Maximum number of consecutive resumptions of a broken stream without a new frame. */
   public static final int MAX_RESUMES_WITHOUT_PROGRESS = 5;
 
   private final Ticket ticket;
@@ -47,13 +48,13 @@
   private Outcome outcome;
 
   /**
-   * Creates a request that has just been read.
+   * Creates a request that has just been received.
    *
-   * @param ticket its ticket, as of now
-   * @param asked what its route leads to
+   * @param ticket its ticket, with the times as of now
+   * @param asked the target of its route
    * @param receivedNs monotonic time of its arrival
-   * @param firstSequence the first frame that its caller lacks, if an earlier request's stream is
-   *     taken over
+   * @param firstSequence sequence number of the first frame that the caller has not received, if
+   *     the stream of an earlier request is taken over
    */
   public Request(Ticket ticket, RouteTarget asked, long receivedNs, long firstSequence) {
     this.asked = Objects.requireNonNull(asked, "asked");
@@ -64,45 +65,45 @@
         ticket.deadlineMs() == 0 ? 0 : receivedNs + Millis.toNanos(ticket.deadlineMs());
   }
 
-  /** Notes that the request was offered to its pool's scheduler. */
+  /** Records that the request was offered to the scheduler of its pool. */
   public void markOffered() {
     if (state == RequestState.RECEIVED) {
-      become(RequestState.WAITING);
+      transitionTo(RequestState.WAITING);
     }
   }
 
   /**
-   * Gives the request its upstream.
+   * Assigns the granted upstream to the request.
    *
    * @param upstream the upstream
-   * @param upstreamIncarnation which life of the upstream is meant
+   * @param upstreamIncarnation the incarnation of the upstream that the grant is for
    * @param nowNs monotonic time
-   * @return the number of the connection attempt that may now be made
+   * @return the number of the connection attempt that can now be made
    */
   public int grant(UpstreamTarget upstream, Incarnation upstreamIncarnation, long nowNs) {
-    become(RequestState.GRANTED);
+    transitionTo(RequestState.GRANTED);
     target = upstream;
     grantedIncarnation = upstreamIncarnation;
     grantedNs = nowNs;
     return ++attempt;
   }
 
-  /** Takes the upstream away again; nothing was written to it. */
+  /** Declines the grant, so that the request waits again; nothing was written to the upstream. */
   public void declineGrant() {
     Invariant.check(dispatches == 0, InvariantName.DISPATCHED_AT_MOST_ONCE);
-    become(RequestState.WAITING);
+    transitionTo(RequestState.WAITING);
     target = null;
     attempt++;
   }
 
   /**
-   * Notes that the first byte is about to be written to the upstream.
+   * Records that the first byte is about to be written to the upstream.
    *
    * @param nowNs monotonic time
    */
   public void dispatch(long nowNs) {
     Invariant.check(dispatches == 0, InvariantName.DISPATCHED_AT_MOST_ONCE);
-    become(RequestState.DISPATCHED);
+    transitionTo(RequestState.DISPATCHED);
     dispatches++;
     dispatchedNs = nowNs;
     lastProgressNs = nowNs;
@@ -110,19 +111,19 @@
   }
 
   /**
-   * Takes over the stream of an earlier request under the same key. It is no dispatch: the upstream
-   * only sends again what it made for the holder.
+   * Takes over the stream of an earlier request with the same idempotency key. This is not a
+   * dispatch, since the upstream only replays what it generated for the earlier request.
    *
    * @param holder the earlier request
-   * @param holderStateNow how far the earlier request had come
-   * @param upstream where its stream is
+   * @param holderStateNow claim state of the earlier request
+   * @param upstream the upstream that has the stream
    * @param nowNs monotonic time
-   * @return the number of the connection attempt that may now be made
+   * @return the number of the connection attempt that can now be made
    */
   public int adopt(
       RequestId holder, ClaimState holderStateNow, UpstreamTarget upstream, long nowNs) {
     Invariant.check(dispatches == 0, InvariantName.DISPATCHED_AT_MOST_ONCE);
-    become(RequestState.STREAMING);
+    transitionTo(RequestState.STREAMING);
     holderState = holderStateNow;
     target = upstream;
     dispatchedNs = nowNs;
@@ -131,17 +132,17 @@
     return ++attempt;
   }
 
-  /** Notes the upstream's explicit word that it refused the request before it ran. */
+  /** Records that the upstream explicitly refused the request without executing it. */
   public void markRefusedByUpstream() {
     Invariant.check(state == RequestState.DISPATCHED, InvariantName.NOT_RUN_IS_TRUE);
     refusedByUpstream = true;
   }
 
   /**
-   * Judges a frame.
+   * Validates a received frame.
    *
    * @param frame the frame
-   * @return what becomes of it; only the next frame may reach the caller
+   * @return how to handle it; only {@code NEXT} may be delivered to the caller
    */
   public FrameDisposition accept(StreamFrame frame) {
     Invariant.check(state.isDispatched(), InvariantName.FRAMES_IN_ORDER);
@@ -154,17 +155,17 @@
     return verdict;
   }
 
-  /** Notes that a plain service has begun to answer. */
+  /** Records that the answer has started; called directly for plain services. */
   public void startStreaming() {
     if (state == RequestState.DISPATCHED) {
-      become(RequestState.STREAMING);
+      transitionTo(RequestState.STREAMING);
     }
   }
 
   /**
-   * Tries to go on after a broken connection.
+   * Starts another attempt to resume the stream after its connection broke, if that is allowed.
    *
-   * @return whether the stream may be resumed; not if it has been tried too often
+   * @return whether the stream may be resumed; false once the limit of resumptions is reached
    */
   public boolean tryResume() {
     boolean resumable = ticket.kind() == RequestKind.GENERATION && state.isDispatched();
@@ -176,7 +177,7 @@
     return true;
   }
 
-  /** Notes that no one reads the answer any more. */
+  /** Records that the caller has disconnected and no longer reads the answer. */
   public void markCallerDisconnected() {
     markCallerDisconnected = true;
   }
@@ -184,25 +185,25 @@
   /**
    * Ends the request.
    *
-   * @param end how
+   * @param end the outcome
    */
   public void end(Outcome end) {
     boolean mayHaveRun = isAdopted() || dispatches > 0 && !refusedByUpstream;
     Invariant.check(!(end instanceof Outcome.NotRun) || !mayHaveRun, InvariantName.NOT_RUN_IS_TRUE);
     Invariant.check(
-        !(end instanceof Outcome.Completed) || isWhole(), InvariantName.COMPLETED_ONLY_WHOLE);
-    become(RequestState.ENDED);
+        !(end instanceof Outcome.Completed) || isComplete(), InvariantName.COMPLETED_ONLY_WHOLE);
+    transitionTo(RequestState.ENDED);
     outcome = end;
     attempt++;
   }
 
-  private boolean isWhole() {
+  private boolean isComplete() {
     return ticket.kind() == RequestKind.SERVICE_CALL
         ? state == RequestState.STREAMING
         : frames != null && frames.hasEnded();
   }
 
-  private void become(RequestState next) {
+  private void transitionTo(RequestState next) {
     Invariant.check(state.canTransitionTo(next), InvariantName.REQUEST_STATE_FORWARD);
     state = next;
   }
@@ -212,7 +213,7 @@
     return ticket.request();
   }
 
-  /** Returns what its route led to when it was admitted. */
+  /** Returns the target that its route had when it was admitted. */
   public RouteTarget asked() {
     return asked;
   }
@@ -223,12 +224,12 @@
   }
 
   /**
-   * Returns the ticket with its times as of now.
+   * Returns the ticket with its times updated to the given time.
    *
    * @param nowNs monotonic time
    */
   public Ticket ticketAt(long nowNs) {
-    long leftMs = deadlineNs == 0 ? 0 : Math.max(1, Millis.ofNanos(deadlineNs - nowNs));
+    long remainingMs = deadlineNs == 0 ? 0 : Math.max(1, Millis.ofNanos(deadlineNs - nowNs));
     return new Ticket(
         ticket.request(),
         ticket.customer(),
@@ -240,57 +241,57 @@
         ticket.expectedOutputTokens(),
         ticket.prefixBlocks(),
         Millis.ofNanos(nowNs - receivedNs),
-        leftMs,
+        remainingMs,
         ticket.claim());
   }
 
-  /** Returns how far the request has come. */
+  /** Returns the state of the request. */
   public RequestState state() {
     return state;
   }
 
-  /** Returns the upstream it was given, if any. */
+  /** Returns the upstream that was granted or whose stream was taken over, if any. */
   public Optional<UpstreamTarget> target() {
     return Optional.ofNullable(target);
   }
 
-  /** Returns the life of the upstream that was granted; meaningful after a grant only. */
+  /** Returns the granted incarnation of the upstream; null before the first grant. */
   public Incarnation grantedIncarnation() {
     return grantedIncarnation;
   }
 
-  /** Returns the stream that its frames belong to: its own, or the one that it adopted. */
+  /** Returns the stream that its frames belong to: its own, or the one it has taken over. */
   public RequestId stream() {
     return frames == null ? id() : frames.stream();
   }
 
-  /** Returns the number of the next frame the caller lacks. */
+  /** Returns the sequence number of the next frame that the caller has not received. */
   public long nextSequence() {
     return frames == null ? 0 : frames.nextSequence();
   }
 
-  /** Returns the number of the newest connection attempt; events of older ones are late. */
+  /** Returns the number of the latest connection attempt; events of earlier ones are stale. */
   public int attempt() {
     return attempt;
   }
 
-  /** Returns how often in a row the stream was resumed without a new frame. */
+  /** Returns the number of consecutive resumptions of the stream without a new frame. */
   public int resumesWithoutProgress() {
     return resumesWithoutProgress;
   }
 
-  /** Returns how far the holder had come whose stream was taken over, if one was. */
+  /** Returns the claim state of the request whose stream was taken over, if one was. */
   public Optional<ClaimState> holderState() {
     return Optional.ofNullable(holderState);
   }
 
-  /** Returns whether it was ever dispatched. */
+  /** Returns whether the request was dispatched. */
   public boolean wasDispatched() {
     return dispatches > 0;
   }
 
   /**
-   * Returns the time since its arrival in milliseconds.
+   * Returns the time since the arrival of the request, in milliseconds.
    *
    * @param nowNs monotonic time
    */
@@ -299,10 +300,10 @@
   }
 
   /**
-   * Returns whether the scheduler is to be told of its progress, and notes that it is.
+   * Returns whether a progress report to the scheduler is due, and records it as sent if so.
    *
    * @param nowNs monotonic time
-   * @param intervalNs time between two reports
+   * @param intervalNs minimum time between two reports
    */
   public boolean isProgressDue(long nowNs, long intervalNs) {
     if (nowNs - lastProgressNs < intervalNs) {
@@ -312,15 +313,15 @@
     return true;
   }
 
-  /** Returns whether it took over the stream of an earlier request. */
+  /** Returns whether the stream of an earlier request was taken over. */
   public boolean isAdopted() {
     return holderState != null;
   }
 
   /**
-   * Returns the outcome when the answer can't be had whole any more.
+   * Returns the outcome to report when the complete answer can no longer be obtained.
    *
-   * @param reason why
+   * @param reason the reason
    */
   public Outcome failure(FailureReason reason) {
     return isAdopted()
@@ -328,23 +329,25 @@
         : new Outcome.MayHaveRun(reason);
   }
 
-  /** Returns whether no one reads the answer any more. */
+  /** Returns whether the caller has disconnected and no longer reads the answer. */
   public boolean isCallerDisconnected() {
     return markCallerDisconnected;
   }
 
-  /** Returns whether it carries a key, so that its caller may come back for the answer. */
+  /**
+   * Returns whether it has an idempotency key, with which the caller can fetch the answer later.
+   */
   public boolean hasIdempotencyKey() {
     return ticket.claim().isPresent();
   }
 
-  /** Returns when its deadline passes, in monotonic nanoseconds; zero if it has none. */
+  /** Returns the deadline as monotonic time in nanoseconds; zero if there is none. */
   public long deadlineNs() {
     return deadlineNs;
   }
 
   /**
-   * Returns the time since its dispatch, or since its grant before that.
+   * Returns the time since the dispatch, or since the grant if it is not dispatched yet.
    *
    * @param nowNs monotonic time
    * @return milliseconds
@@ -353,12 +356,12 @@
     return Millis.ofNanos(nowNs - (dispatchedNs == 0 ? grantedNs : dispatchedNs));
   }
 
-  /** Returns the work done so far, as far as frames tell. */
+  /** Returns the tokens processed so far, as far as the received frames show. */
   public Usage usageSoFar() {
     return new Usage(ticket.promptTokens(), 0, outputFrames);
   }
 
-  /** Returns how it ended, once it has. */
+  /** Returns the outcome, or empty if the request has not ended. */
   public Optional<Outcome> outcome() {
     return Optional.ofNullable(outcome);
   }
--- a/core/src/main/java/org/teaseltrail/core/request/RequestState.java
+++ b/core/src/main/java/org/teaseltrail/core/request/RequestState.java
@@ -3,32 +3,32 @@
 import java.util.EnumSet;
 import java.util.Set;
 
-/** Says how far a request has come. */
+/** State of a request. */
 public enum RequestState {
-  /** Read from the caller and not offered yet. */
+  /** Received from the caller and not yet offered to a scheduler. */
   RECEIVED,
-  /** Offered to its pool's scheduler. */
+  /** Offered to the scheduler of its pool. */
   WAITING,
-  /** Given an upstream; no byte of it has been written there. */
+  /** An upstream is granted; no byte of the request has been written to it. */
   GRANTED,
-  /** Its bytes may have reached the upstream. */
+  /** Bytes of the request may have reached the upstream. */
   DISPATCHED,
-  /** Frames of its answer have arrived. */
+  /** The answer has started, or the stream of an earlier request has been taken over. */
   STREAMING,
-  /** It has its outcome. */
+  /** The outcome is final. */
   ENDED;
 
-  /** Returns whether an upstream may know of the request. */
+  /** Returns whether the request may have reached an upstream. */
   public boolean isDispatched() {
     return this == DISPATCHED || this == STREAMING;
   }
 
-  /** Returns whether a scheduler may still give the request an upstream. */
+  /** Returns whether a scheduler can still grant the request an upstream. */
   public boolean isWaiting() {
     return this == RECEIVED || this == WAITING;
   }
 
-  /** Returns whether the state may change to the other. */
+  /** Returns whether the transition to the other state is allowed. */
   boolean canTransitionTo(RequestState next) {
     return successors().contains(next);
   }
--- a/core/src/main/java/org/teaseltrail/core/request/UpstreamTarget.java
+++ b/core/src/main/java/org/teaseltrail/core/request/UpstreamTarget.java
@@ -4,9 +4,9 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /**
- * Is the upstream that a request was given.
+ * Upstream to which a request is sent.
  *
- * @param upstream its name
- * @param address where it takes requests
+ * @param upstream the upstream
+ * @param address the address at which it accepts requests
  */
 public record UpstreamTarget(UpstreamId upstream, SocketAddress address) {}
--- a/core/src/main/java/org/teaseltrail/core/request/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/request/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The request aggregate: its states from arrival to end, its typed outcomes, the check of the
- * frames of its answer, and the estimates its ticket carries.
+ * The request aggregate: the state machine of a request, its typed outcomes, the validation of the
+ * frames of its answer, and the estimates that its ticket carries.
  */
 package org.teaseltrail.core.request;
