--- a/core/src/main/java/org/teaseltrail/core/quarantine/Fingerprint.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/Fingerprint.java
@@ -10,23 +10,23 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /**
- * Names what a request asks for: the same for equal requests of one customer, whatever ids they
- * carry and whichever VM they come to.
+ * Fingerprint of a request's content. Requests of one customer with equal content have the same
+ * fingerprint, whatever request ids they carry and whichever VM receives them.
  *
- * <p>The customer is a part of it, so that nobody brings another customer's requests under
- * suspicion. The scope is cheap to make and tells nearly all requests apart from a few known ones,
- * so that the content of others is never digested.
+ * <p>The customer is included, so that no customer can make the requests of another one suspect.
+ * The scope is cheap to compute and rules out nearly all requests that are not suspect, so that
+ * their content never has to be digested.
  *
  * @param scope hash of customer, host and path
- * @param digest first eight bytes of SHA-256 over customer, host and content
+ * @param digest first eight bytes of the SHA-256 digest of customer, host and content
  */
 public record Fingerprint(int scope, long digest) {
 
   /**
-   * Makes the scope of a request.
+   * Computes the scope of a request.
    *
-   * @param customer whose it is, if that is known
-   * @param host the host it names
+   * @param customer the customer that sent it, if known
+   * @param host the host that it names
    * @param path its path without the query
    * @return the scope
    */
@@ -35,25 +35,25 @@
   }
 
   /**
-   * Makes a request's fingerprint.
+   * Computes the fingerprint of a request.
    *
    * @param scope its scope
-   * @param customer whose it is, if that is known
-   * @param host the host it names
-   * @param content what it asks for
+   * @param customer the customer that sent it, if known
+   * @param host the host that it names
+   * @param content its content
    * @return the fingerprint
    */
   public static Fingerprint of(
       int scope, Optional<CustomerId> customer, String host, RequestContent content) {
     MessageDigest sha256 = Sha256.create();
-    feedText(sha256, customer.map(CustomerId::value).orElse(""));
-    feedText(sha256, host);
+    updateWithText(sha256, customer.map(CustomerId::value).orElse(""));
+    updateWithText(sha256, host);
     content.updateDigest(sha256);
     return new Fingerprint(scope, ByteBuffer.wrap(sha256.digest()).getLong());
   }
 
   /**
-   * Returns the text by which logs name it.
+   * Returns the text representation that is used in logs.
    *
    * @return 24 hexadecimal digits
    */
@@ -64,7 +64,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof Fingerprint print && scope == print.scope && digest == print.digest;
+    return other instanceof Fingerprint that && scope == that.scope && digest == that.digest;
   }
 
   @Override
@@ -72,8 +72,8 @@
     return Long.hashCode(digest);
   }
 
-  /** Feeds a text and its end, so that no two lists of texts feed the same bytes. */
-  private static void feedText(MessageDigest digest, String text) {
+  /** Adds a text and a terminator to a digest, so that no two lists of texts give equal bytes. */
+  private static void updateWithText(MessageDigest digest, String text) {
     digest.update(text.getBytes(StandardCharsets.UTF_8));
     digest.update((byte) 0);
   }
--- a/core/src/main/java/org/teaseltrail/core/quarantine/HeldRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/HeldRequest.java
@@ -5,40 +5,42 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /**
- * Is a request that no upstream gets any longer, as several were lost under it.
+ * Request that is quarantined and no longer sent to upstreams, because several of them were lost
+ * while processing it.
  *
- * @param request what is asked for
- * @param customer whose it is, if that is known
- * @param heldAtMs log time at which it was held, in milliseconds
- * @param trials how often it was let go to one upstream since, to see whether that is lost too
+ * @param request fingerprint of the request
+ * @param customer the customer that sent it, if known
+ * @param heldAtMs log time at which it was quarantined, in milliseconds
+ * @param trials number of times it has since been sent to a single upstream as a trial
  */
 public record HeldRequest(
     Fingerprint request, Optional<CustomerId> customer, long heldAtMs, int trials) {
 
-  /** Time for which a request is held, in milliseconds. */
-  private static final long HELD_MS = 3_600_000;
+  /** Time after which a held request is released, in milliseconds. */
+  private static final long HOLD_DURATION_MS = 3_600_000;
 
-  /** Time for which it is held before each trial, in milliseconds. */
-  private static final List<Long> TRIALS_AFTER_MS = List.of(120_000L, 1_200_000L);
+  /** Time from the start of the quarantine to each trial, in milliseconds. */
+  private static final List<Long> TRIAL_DELAYS_MS = List.of(120_000L, 1_200_000L);
 
   /**
-   * Tells whether it has been held long enough.
+   * Returns whether the quarantine has expired.
    *
    * @param logTimeMs log time, in milliseconds
-   * @return true if it may go to upstreams again
+   * @return true if the request can be sent to upstreams again
    */
   public boolean isExpired(long logTimeMs) {
-    return logTimeMs - heldAtMs > HELD_MS;
+    return logTimeMs - heldAtMs > HOLD_DURATION_MS;
   }
 
   /**
-   * Tells whether it may go to one upstream now, to see whether that is lost too.
+   * Returns whether the request can now be sent to a single upstream as a trial, to find out
+   * whether it crashes that one as well.
    *
    * @param logTimeMs log time, in milliseconds
    * @return true if a trial is due
    */
   public boolean isTrialDue(long logTimeMs) {
-    return trials < TRIALS_AFTER_MS.size() && logTimeMs - heldAtMs >= TRIALS_AFTER_MS.get(trials);
+    return trials < TRIAL_DELAYS_MS.size() && logTimeMs - heldAtMs >= TRIAL_DELAYS_MS.get(trials);
   }
 
   HeldRequest withTrialCounted() {
--- a/core/src/main/java/org/teaseltrail/core/quarantine/HeldRequestStore.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/HeldRequestStore.java
@@ -8,51 +8,57 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /**
- * Holds the requests that no upstream gets; part of the replicated state.
+ * Store of the held requests, which are quarantined and sent to no upstream; part of the replicated
+ * state.
  *
- * <p>Guards against a request that ends upstreams anew each time another member leads or all lose
- * power: whoever begins anew would have to lose some upstreams first to know of it.
+ * <p>It is replicated so that the quarantine survives a leader change and a power failure of all
+ * members. Otherwise a new leader would have to lose several upstreams again before it detects the
+ * request.
  */
 public final class HeldRequestStore {
 
-  /** Held requests of one customer at most; no customer can push another's out of the book. */
-  private static final int MOST_OF_CUSTOMER = 64;
+  /**
+   * Maximum number of held requests per customer. The limit is per customer so that no customer can
+   * evict the held requests of another one.
+   */
+  private static final int MAX_PER_CUSTOMER = 64;
 
   private final Map<Fingerprint, HeldRequest> held = new LinkedHashMap<>();
 
   /**
-   * Builds the book that a snapshot holds.
+   * Restores the store from a snapshot.
    *
    * @param content the held requests, oldest first
    */
   public HeldRequestStore(List<HeldRequest> content) {
-    content.forEach(one -> held.put(one.request(), one));
+    content.forEach(entry -> held.put(entry.request(), entry));
   }
 
   /**
-   * Holds a request; one that is held already stays as it is.
+   * Adds a held request, unless the request is already held. Beyond the limit of its customer the
+   * oldest held request of that customer is removed.
    *
    * @param request the request
    */
   public void hold(HeldRequest request) {
     held.putIfAbsent(request.request(), request);
     List<HeldRequest> ofCustomer = of(request.customer());
-    if (ofCustomer.size() > MOST_OF_CUSTOMER) {
+    if (ofCustomer.size() > MAX_PER_CUSTOMER) {
       held.remove(ofCustomer.get(0).request());
     }
   }
 
   /**
-   * Counts a trial of a request that is held.
+   * Counts a trial of a held request.
    *
    * @param request the request
    */
   public void recordTrial(Fingerprint request) {
-    held.computeIfPresent(request, (key, one) -> one.withTrialCounted());
+    held.computeIfPresent(request, (key, entry) -> entry.withTrialCounted());
   }
 
   /**
-   * Lets a request go again.
+   * Removes a request, so that it can be sent to upstreams again.
    *
    * @param request the request
    */
@@ -61,7 +67,7 @@
   }
 
   /**
-   * Tells whether a request is held.
+   * Returns whether a request is held.
    *
    * @param request the request
    * @return true if it is
@@ -80,6 +86,6 @@
   }
 
   private List<HeldRequest> of(Optional<CustomerId> customer) {
-    return held.values().stream().filter(one -> one.customer().equals(customer)).toList();
+    return held.values().stream().filter(entry -> entry.customer().equals(customer)).toList();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/quarantine/Loss.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/Loss.java
@@ -5,12 +5,12 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
- * Tells that an upstream's connection ended while it had a request.
+ * Loss of an upstream during a request: the connection closed before the answer was complete.
  *
- * @param request what was asked for
- * @param customer whose it was, if that is known
- * @param upstream which life of an upstream had it
- * @param agoMs how long ago the connection ended, in milliseconds
+ * @param request fingerprint of the request
+ * @param customer the customer that sent it, if known
+ * @param upstream the incarnation of the upstream that was processing it
+ * @param agoMs time since the connection closed, in milliseconds
  */
 public record Loss(
     Fingerprint request, Optional<CustomerId> customer, UpstreamIncarnation upstream, long agoMs) {}
--- a/core/src/main/java/org/teaseltrail/core/quarantine/LossTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/LossTracker.java
@@ -12,46 +12,49 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /**
- * Remembers under which requests upstreams were lost, at an entry VM what it saw itself, at the
- * leader what all VMs saw.
+ * Tracks which requests were being processed when upstreams were lost. An entry VM tracks what it
+ * observes itself, the leader what all VMs report.
  *
- * <p>An upstream that ends takes all its requests with it, so all of them are suspects. What tells
- * the one that ends upstreams from the others is that it comes again: no other is there each time.
- * A loss is excused if the upstream is seen alive afterwards (a broken connection only), and all
- * losses of a request are if it gets a whole answer anywhere.
+ * <p>All requests that an upstream was processing when it crashed are suspects. The request that
+ * causes the crashes is found by repetition: it is the only one that is present at each of them. A
+ * loss is excused if the upstream is seen alive afterwards, since then only the connection broke.
+ * All losses of a request are excused once it gets a complete answer from any upstream.
  */
 public final class LossTracker {
 
-  /** Losses from which on a request is held; all that the users allow. */
+  /** Number of losses at which a request is held; the users accept no more than this. */
   public static final int LOSSES_TO_HOLD = 3;
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Suspects of one customer at most; no customer can push another's out of the book. */
-  private static final int MOST_OF_CUSTOMER = 64;
+  /**
+   * Maximum number of suspect requests per customer. The limit is per customer so that no customer
+   * can evict the suspects of another one.
+   */
+  private static final int MAX_PER_CUSTOMER = 64;
 
-  private final long memoryNs;
+  private final long retentionNs;
   private final Map<Optional<CustomerId>, LinkedHashMap<Fingerprint, SuspectRequest>> byCustomer =
       new HashMap<>();
   private final Map<Fingerprint, SuspectRequest> suspects = new HashMap<>();
   private final Map<UpstreamIncarnation, Set<Fingerprint>> byUpstream = new HashMap<>();
 
   /**
-   * Creates an empty book.
+   * Creates a tracker without losses.
    *
-   * @param memoryMs how long a suspect is remembered after its newest loss, in milliseconds
+   * @param retentionMs how long a suspect is kept after its latest loss, in milliseconds
    */
-  public LossTracker(long memoryMs) {
-    memoryNs = memoryMs * NS_PER_MS;
+  public LossTracker(long retentionMs) {
+    retentionNs = retentionMs * NS_PER_MS;
   }
 
   /**
-   * Notes that a request's connection to an upstream ended before the answer did.
+   * Records that the connection to an upstream closed before the answer to a request was complete.
    *
    * @param request the request
-   * @param customer whose it is
+   * @param customer the customer that sent it
    * @param upstream the upstream
-   * @param atNs when
+   * @param atNs monotonic time at which the connection closed
    */
   public void recordLoss(
       Fingerprint request, Optional<CustomerId> customer, UpstreamIncarnation upstream, long atNs) {
@@ -64,14 +67,14 @@
     }
     ofCustomer.put(request, suspect);
     suspect.recordLoss(upstream, atNs);
-    byUpstream.computeIfAbsent(upstream, life -> new HashSet<>()).add(request);
-    if (ofCustomer.size() > MOST_OF_CUSTOMER) {
-      forget(ofCustomer.values().iterator().next());
+    byUpstream.computeIfAbsent(upstream, key -> new HashSet<>()).add(request);
+    if (ofCustomer.size() > MAX_PER_CUSTOMER) {
+      remove(ofCustomer.values().iterator().next());
     }
   }
 
   /**
-   * Excuses all losses of a request that got a whole answer.
+   * Excuses all losses of a request that got a complete answer.
    *
    * @param request the request
    */
@@ -83,11 +86,11 @@
   }
 
   /**
-   * Excuses the losses of an upstream from before a time, as it was seen alive.
+   * Excuses the losses of an upstream before a given time, because it was seen alive after them.
    *
    * @param upstream the upstream
    * @param lostBeforeNs the time
-   * @return whether the book has any loss of it
+   * @return whether any loss of the upstream is tracked
    */
   public boolean alive(UpstreamIncarnation upstream, long lostBeforeNs) {
     Set<Fingerprint> requests = byUpstream.getOrDefault(upstream, Set.of());
@@ -96,10 +99,10 @@
   }
 
   /**
-   * Tells whether a request is in the book and all its losses are excused.
+   * Returns whether a request is tracked and all its losses are excused.
    *
    * @param request the request
-   * @return false also for a request that isn't in the book
+   * @return true if so; false also for a request that is not tracked
    */
   public boolean isCleared(Fingerprint request) {
     SuspectRequest suspect = suspects.get(request);
@@ -107,10 +110,10 @@
   }
 
   /**
-   * Returns how many upstreams were lost under a request.
+   * Returns how many times upstreams were lost while processing a request.
    *
    * @param request the request
-   * @return losses that are not excused
+   * @return number of losses that are not excused
    */
   public int losses(Fingerprint request) {
     SuspectRequest suspect = suspects.get(request);
@@ -118,20 +121,20 @@
   }
 
   /**
-   * Tells whether there is no suspect.
+   * Returns whether no request is suspect.
    *
-   * @return true if there is none
+   * @return true if there is no suspect
    */
   public boolean isEmpty() {
     return suspects.isEmpty();
   }
 
   /**
-   * Tells whether any suspect has a scope, so that the content of most requests needn't be looked
-   * at.
+   * Returns whether any suspect has the given scope. If none has, the content of the request needs
+   * no digest.
    *
    * @param scope the scope
-   * @return true if one has
+   * @return true if there is such a suspect
    */
   public boolean hasScope(int scope) {
     for (Fingerprint request : suspects.keySet()) {
@@ -143,10 +146,10 @@
   }
 
   /**
-   * Tells whether a request must be held.
+   * Returns whether a request must be held.
    *
    * @param request the request
-   * @return true if upstreams were lost under it too often
+   * @return true if it has reached the number of losses at which requests are held
    */
   public boolean mustHold(Fingerprint request) {
     return losses(request) >= LOSSES_TO_HOLD;
@@ -169,10 +172,10 @@
   }
 
   /**
-   * Returns the suspects whose newest loss came later than a time.
+   * Returns the suspects whose latest loss is after a given time.
    *
    * @param sinceNs the time
-   * @return the requests with a loss that counts
+   * @return those of the requests that have at least one loss that is not excused
    */
   public Set<Fingerprint> findLostAfter(long sinceNs) {
     Set<Fingerprint> found = new HashSet<>();
@@ -186,7 +189,7 @@
   }
 
   /**
-   * Returns the suspects whose newest loss came before a time.
+   * Returns the suspects whose latest loss is before a given time.
    *
    * @param beforeNs the time
    * @return the requests
@@ -203,9 +206,9 @@
   }
 
   /**
-   * Returns the time of a request's newest loss.
+   * Returns the time of the latest loss of a request.
    *
-   * @param request a request of the book
+   * @param request a request that is tracked
    * @return monotonic time in nanoseconds
    */
   public long newestLossNs(Fingerprint request) {
@@ -213,9 +216,9 @@
   }
 
   /**
-   * Returns all losses that aren't excused.
+   * Returns all losses that are not excused.
    *
-   * @param nowNs time
+   * @param nowNs monotonic time
    * @return the losses
    */
   public List<Loss> all(long nowNs) {
@@ -224,30 +227,30 @@
       suspect
           .counted()
           .forEach(
-              (life, atNs) ->
+              (upstream, atNs) ->
                   all.add(
                       new Loss(
                           suspect.request(),
                           suspect.customer(),
-                          life,
+                          upstream,
                           Math.max(0, (nowNs - atNs) / NS_PER_MS))));
     }
     return all;
   }
 
   /**
-   * Forgets suspects whose newest loss is long ago.
+   * Removes the suspects whose latest loss is older than the retention time.
    *
-   * @param nowNs time
+   * @param nowNs monotonic time
    */
   public void removeExpired(long nowNs) {
     suspects.values().stream()
-        .filter(suspect -> nowNs - suspect.newestNs() > memoryNs)
+        .filter(suspect -> nowNs - suspect.newestNs() > retentionNs)
         .toList()
-        .forEach(this::forget);
+        .forEach(this::remove);
   }
 
-  private void forget(SuspectRequest suspect) {
+  private void remove(SuspectRequest suspect) {
     suspects.remove(suspect.request());
     byCustomer.computeIfPresent(
         suspect.customer(),
@@ -258,7 +261,7 @@
     for (UpstreamIncarnation upstream : suspect.upstreams()) {
       byUpstream.computeIfPresent(
           upstream,
-          (life, requests) -> {
+          (key, requests) -> {
             requests.remove(suspect.request());
             return requests.isEmpty() ? null : requests;
           });
--- a/core/src/main/java/org/teaseltrail/core/quarantine/RequestContent.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/RequestContent.java
@@ -2,17 +2,17 @@
 
 import java.security.MessageDigest;
 
-/** Is what a request asks for, as far as this process holds it: method, path with query, body. */
+/** Content of a request as far as this process has received it: method, path with query, body. */
 @FunctionalInterface
 public interface RequestContent {
 
-  /** Stands for a request without any content. */
+  /** Content of a request that has none. */
   RequestContent EMPTY = digest -> {};
 
   /**
-   * Feeds the whole content to a digest; equal content feeds equal bytes.
+   * Updates a digest with the complete content; equal content gives equal bytes.
    *
-   * @param digest takes the bytes
+   * @param digest the digest to update
    */
   void updateDigest(MessageDigest digest);
 }
--- a/core/src/main/java/org/teaseltrail/core/quarantine/SuspectRequest.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/SuspectRequest.java
@@ -6,23 +6,27 @@
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
-/** Is a request under which upstreams were lost. */
+/** Request during which upstreams were lost, with these losses. */
 final class SuspectRequest {
 
-  /** Time within which two reports of a loss are one, told twice with some delay. */
-  private static final long SAME_LOSS_NS = 500_000_000L;
+  /**
+   * Interval in which further reports of a loss of the same upstream are taken for duplicates, as
+   * the same loss may be reported twice with some delay.
+   */
+  private static final long DUPLICATE_INTERVAL_NS = 500_000_000L;
 
   /**
-   * Time within which losses of several upstreams are one: a link or a data centre that fails takes
-   * many at the same moment, a request one after the other.
+   * Interval in which losses of several upstreams count as one loss. A failing network link or data
+   * centre takes many upstreams down at the same moment, whereas a request crashes them one after
+   * the other.
    */
-  private static final long SAME_MOMENT_NS = 20_000_000L;
+  private static final long SIMULTANEOUS_INTERVAL_NS = 20_000_000L;
 
-  private record Mark(long atNs, boolean excused) {}
+  private record LossRecord(long atNs, boolean excused) {}
 
   private final Fingerprint request;
   private final Optional<CustomerId> customer;
-  private final Map<UpstreamIncarnation, Mark> marks = new HashMap<>();
+  private final Map<UpstreamIncarnation, LossRecord> records = new HashMap<>();
   private long newestNs;
 
   SuspectRequest(Fingerprint request, Optional<CustomerId> customer) {
@@ -38,59 +42,59 @@
     return customer;
   }
 
-  /** Returns the time of the newest loss. */
+  /** Returns the time of the latest loss. */
   long newestNs() {
     return newestNs;
   }
 
   void recordLoss(UpstreamIncarnation upstream, long atNs) {
     newestNs = Math.max(newestNs, atNs);
-    Mark before = marks.get(upstream);
-    if (before == null || atNs - before.atNs() > SAME_LOSS_NS) {
-      marks.put(upstream, new Mark(atNs, false));
+    LossRecord before = records.get(upstream);
+    if (before == null || atNs - before.atNs() > DUPLICATE_INTERVAL_NS) {
+      records.put(upstream, new LossRecord(atNs, false));
     }
   }
 
-  /** Excuses the loss of an upstream that was seen alive at a time after it. */
+  /** Excuses the loss of an upstream if it is before the given time. */
   void alive(UpstreamIncarnation upstream, long lostBeforeNs) {
-    marks.computeIfPresent(
+    records.computeIfPresent(
         upstream,
-        (life, mark) -> new Mark(mark.atNs(), mark.excused() || mark.atNs() < lostBeforeNs));
+        (key, loss) -> new LossRecord(loss.atNs(), loss.excused() || loss.atNs() < lostBeforeNs));
   }
 
-  /** Excuses all losses so far: the request was seen to harm nobody. */
+  /** Excuses all losses so far, since the request was processed without harm. */
   void excuseAll() {
-    marks.replaceAll((life, mark) -> new Mark(mark.atNs(), true));
+    records.replaceAll((key, loss) -> new LossRecord(loss.atNs(), true));
   }
 
-  /** Returns how often upstreams were lost under it. */
+  /** Returns the number of losses that are not excused, simultaneous ones counted once. */
   int losses() {
     int losses = 0;
-    long momentNs = Long.MIN_VALUE;
+    long lastCountedNs = Long.MIN_VALUE;
     for (long atNs : counted().values().stream().sorted().toList()) {
       boolean first = losses == 0;
-      if (first || atNs - momentNs > SAME_MOMENT_NS) {
+      if (first || atNs - lastCountedNs > SIMULTANEOUS_INTERVAL_NS) {
         losses++;
-        momentNs = atNs;
+        lastCountedNs = atNs;
       }
     }
     return losses;
   }
 
-  /** Returns the losses that count, with their times. */
+  /** Returns the times of the losses that are not excused, by upstream. */
   Map<UpstreamIncarnation, Long> counted() {
     Map<UpstreamIncarnation, Long> counted = new HashMap<>();
-    marks.forEach(
-        (life, mark) -> {
-          if (!mark.excused()) {
-            counted.put(life, mark.atNs());
+    records.forEach(
+        (upstream, loss) -> {
+          if (!loss.excused()) {
+            counted.put(upstream, loss.atNs());
           }
         });
     return counted;
   }
 
-  /** Returns the upstreams whose losses are remembered. */
+  /** Returns all upstreams with a recorded loss, excused or not. */
   Iterable<UpstreamIncarnation> upstreams() {
-    return marks.keySet();
+    return records.keySet();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/quarantine/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/package-info.java
@@ -1,2 +1,2 @@
-/** Remembers requests by their content, to stop those that end the upstreams which run them. */
+/** Detects requests that crash the upstreams processing them, and quarantines them by content. */
 package org.teaseltrail.core.quarantine;
--- a/core/src/test/java/org/teaseltrail/core/quarantine/FingerprintTest.java
+++ b/core/src/test/java/org/teaseltrail/core/quarantine/FingerprintTest.java
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void requestThatComesAgainUnderAnotherIdHasTheSame() {
+  void requestWithAnotherIdHasSameFingerprint() {
     Fingerprint first = request("a", "/x/1", "body").fingerprint(OWNER);
     assertThat(request("b", "/x/1", "body").fingerprint(OWNER)).isEqualTo(first);
     assertThat(first.scope()).isEqualTo(request("b", "/x/1", "other").scope(OWNER));
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void otherCustomersPathsAndBodiesHaveOthers() {
+  void otherCustomersPathsAndBodiesHaveOtherFingerprints() {
     Fingerprint first = request("a", "/x/1", "body").fingerprint(OWNER);
     assertThat(request("a", "/x/1", "other").fingerprint(OWNER)).isNotEqualTo(first);
     assertThat(request("a", "/x/2", "body").fingerprint(OWNER)).isNotEqualTo(first);
--- a/core/src/test/java/org/teaseltrail/core/quarantine/HeldRequestStoreTest.java
+++ b/core/src/test/java/org/teaseltrail/core/quarantine/HeldRequestStoreTest.java
@@ -13,37 +13,37 @@
   private static final Optional<CustomerId> NOISY = Optional.of(new CustomerId("noisy"));
   private static final Optional<CustomerId> QUIET = Optional.of(new CustomerId("quiet"));
 
-  private final HeldRequestStore book = new HeldRequestStore(List.of());
+  private final HeldRequestStore store = new HeldRequestStore(List.of());
 
   private static HeldRequest held(int number, Optional<CustomerId> customer) {
     return new HeldRequest(new Fingerprint(number, number), customer, 0, 0);
   }
 
-  /** One customer's held requests fill the book and push another's out. */
+  /** The held requests of one customer must not evict those of another when there are many. */
   @Test
-  void noCustomerPushesAnothersOut() {
-    book.hold(held(0, QUIET));
+  void customerDoesNotEvictRequestsOfOthers() {
+    store.hold(held(0, QUIET));
     for (int i = 1; i <= 1_000; i++) {
-      book.hold(held(i, NOISY));
+      store.hold(held(i, NOISY));
     }
-    assertThat(book.all()).hasSize(65).contains(held(0, QUIET), held(1_000, NOISY));
+    assertThat(store.all()).hasSize(65).contains(held(0, QUIET), held(1_000, NOISY));
   }
 
   @Test
   void trialsAreCountedAndTheHoldEnds() {
-    book.hold(held(1, QUIET));
-    assertThat(one().isTrialDue(MINUTE_MS)).isFalse();
-    assertThat(one().isTrialDue(2 * MINUTE_MS)).isTrue();
-    book.recordTrial(one().request());
-    assertThat(one().isTrialDue(3 * MINUTE_MS)).isFalse();
-    assertThat(one().isTrialDue(20 * MINUTE_MS)).isTrue();
-    book.recordTrial(one().request());
-    assertThat(one().isTrialDue(59 * MINUTE_MS)).isFalse();
-    assertThat(one().isExpired(59 * MINUTE_MS)).isFalse();
-    assertThat(one().isExpired(61 * MINUTE_MS)).isTrue();
+    store.hold(held(1, QUIET));
+    assertThat(onlyHeld().isTrialDue(MINUTE_MS)).isFalse();
+    assertThat(onlyHeld().isTrialDue(2 * MINUTE_MS)).isTrue();
+    store.recordTrial(onlyHeld().request());
+    assertThat(onlyHeld().isTrialDue(3 * MINUTE_MS)).isFalse();
+    assertThat(onlyHeld().isTrialDue(20 * MINUTE_MS)).isTrue();
+    store.recordTrial(onlyHeld().request());
+    assertThat(onlyHeld().isTrialDue(59 * MINUTE_MS)).isFalse();
+    assertThat(onlyHeld().isExpired(59 * MINUTE_MS)).isFalse();
+    assertThat(onlyHeld().isExpired(61 * MINUTE_MS)).isTrue();
   }
 
-  private HeldRequest one() {
-    return book.all().get(0);
+  private HeldRequest onlyHeld() {
+    return store.all().get(0);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/quarantine/LossTrackerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/quarantine/LossTrackerTest.java
@@ -15,41 +15,41 @@
   private static final Optional<CustomerId> OWNER = Optional.of(new CustomerId("owner"));
   private static final Optional<CustomerId> OTHER = Optional.of(new CustomerId("other"));
 
-  private final LossTracker book = new LossTracker(600_000);
+  private final LossTracker tracker = new LossTracker(600_000);
 
-  private static UpstreamIncarnation life(int number) {
+  private static UpstreamIncarnation incarnation(int number) {
     return new UpstreamIncarnation(new UpstreamId("e" + number), 0);
   }
 
   @Test
-  void wholeAnswerExcusesWhatWasLostBefore() {
-    book.recordLoss(REQUEST, OWNER, life(1), S);
-    book.recordLoss(REQUEST, OWNER, life(2), 2 * S);
-    book.recordSuccess(REQUEST);
-    assertThat(book.isCleared(REQUEST)).isTrue();
-    book.recordLoss(REQUEST, OWNER, life(3), 3 * S);
-    assertThat(book.losses(REQUEST)).isEqualTo(1);
+  void completeAnswerExcusesEarlierLosses() {
+    tracker.recordLoss(REQUEST, OWNER, incarnation(1), S);
+    tracker.recordLoss(REQUEST, OWNER, incarnation(2), 2 * S);
+    tracker.recordSuccess(REQUEST);
+    assertThat(tracker.isCleared(REQUEST)).isTrue();
+    tracker.recordLoss(REQUEST, OWNER, incarnation(3), 3 * S);
+    assertThat(tracker.losses(REQUEST)).isEqualTo(1);
   }
 
-  /** A customer's requests are lost by the hundred and push another's suspect out. */
+  /** Hundreds of suspect requests of one customer must not evict the suspect of another. */
   @Test
-  void noCustomerPushesAnothersOut() {
-    book.recordLoss(REQUEST, OWNER, life(1), S);
+  void customerDoesNotEvictRequestsOfOthers() {
+    tracker.recordLoss(REQUEST, OWNER, incarnation(1), S);
     for (int i = 0; i < 1_000; i++) {
-      book.recordLoss(new Fingerprint(100 + i, i), OTHER, life(2), 2 * S);
+      tracker.recordLoss(new Fingerprint(100 + i, i), OTHER, incarnation(2), 2 * S);
     }
-    assertThat(book.losses(REQUEST)).isEqualTo(1);
-    assertThat(book.findLostAfter(0)).hasSize(65);
+    assertThat(tracker.losses(REQUEST)).isEqualTo(1);
+    assertThat(tracker.findLostAfter(0)).hasSize(65);
   }
 
   @Test
-  void suspectsAreForgottenAfterTheirTime() {
-    book.recordLoss(REQUEST, OWNER, life(1), S);
-    book.removeExpired(600 * S);
-    assertThat(book.hasScope(7)).isTrue();
-    book.removeExpired(602 * S);
-    assertThat(book.hasScope(7)).isFalse();
-    assertThat(book.isEmpty()).isTrue();
-    assertThat(book.alive(life(1), 700 * S)).isFalse();
+  void suspectsAreRemovedAfterRetention() {
+    tracker.recordLoss(REQUEST, OWNER, incarnation(1), S);
+    tracker.removeExpired(600 * S);
+    assertThat(tracker.hasScope(7)).isTrue();
+    tracker.removeExpired(602 * S);
+    assertThat(tracker.hasScope(7)).isFalse();
+    assertThat(tracker.isEmpty()).isTrue();
+    assertThat(tracker.alive(incarnation(1), 700 * S)).isFalse();
   }
 }
