--- a/core/src/main/java/org/teaseltrail/core/rollout/AnswerCounts.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/AnswerCounts.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.core.rollout;
 
 /**
- * Is how many of some answers showed a symptom.
+ * Number of observed answers and of those that show a symptom.
  *
- * @param answers the answers
- * @param bad those that showed it
+ * @param answers number of answers
+ * @param bad number of answers that show the symptom
  */
 public record AnswerCounts(int answers, int bad) {
 
--- a/core/src/main/java/org/teaseltrail/core/rollout/CanaryAnalyzer.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryAnalyzer.java
@@ -7,107 +7,110 @@
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.VmId;
 
-/** Judges an ordered version by what all entry VMs saw, against the versions before. */
+/**
+ * Analyzes the target version of a rollout: compares the observations of all entry VMs with those
+ * of the previous versions.
+ */
 public final class CanaryAnalyzer {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Time after which what has come is weighed. */
-  private static final long SLICE_NS = 500 * NS_PER_MS;
+  /** Time between two evaluations. */
+  private static final long INTERVAL_NS = 500 * NS_PER_MS;
 
-  private record Heard(Incarnation incarnation, long next) {}
+  private record Received(Incarnation incarnation, long next) {}
 
-  private final Map<VmId, Heard> heard = new HashMap<>();
+  private final Map<VmId, Received> heard = new HashMap<>();
   private final FailureMonitor failures;
   private final LatencyMonitor starts;
   private final LatencyMonitor streams;
-  private long sliceEndNs;
-  private int targetAnswerCount;
+  private long intervalEndNs;
+  private int targetAnswers;
   private Optional<Verdict> verdict = Optional.empty();
 
   /**
-   * Begins without evidence.
+   * Creates an analyzer without observations.
    *
-   * @param nowNs time
+   * @param nowNs monotonic time
    */
   public CanaryAnalyzer(long nowNs) {
     failures = new FailureMonitor();
     starts = new LatencyMonitor(Symptom.LATE_START);
     streams = new LatencyMonitor(Symptom.SLOW_STREAM);
-    sliceEndNs = nowNs + SLICE_NS;
+    intervalEndNs = nowNs + INTERVAL_NS;
   }
 
   /**
-   * Takes what a VM saw; what it tells again changes nothing.
+   * Records the observations of a VM; those that were received before are ignored.
    *
    * @param vm the VM
-   * @param incarnation which life of its process
+   * @param incarnation the incarnation of its process
    * @param firstNumber number of the first observation
-   * @param observations what it saw
-   * @return number of the first of the VM's observations that wasn't heard yet
+   * @param observations the observations
+   * @return number of the first of the VM's observations that has not been received yet
    */
   public long recordReport(
       VmId vm, Incarnation incarnation, long firstNumber, List<Observation> observations) {
-    Heard before = heard.get(vm);
-    boolean sameLife = before != null && before.incarnation().equals(incarnation);
-    long next = sameLife ? before.next() : firstNumber;
-    observations.stream().skip(Math.max(0, next - firstNumber)).forEach(this::take);
+    Received before = heard.get(vm);
+    boolean sameIncarnation = before != null && before.incarnation().equals(incarnation);
+    long next = sameIncarnation ? before.next() : firstNumber;
+    observations.stream().skip(Math.max(0, next - firstNumber)).forEach(this::dispatch);
     long after = Math.max(next, firstNumber + observations.size());
-    heard.put(vm, new Heard(incarnation, after));
+    heard.put(vm, new Received(incarnation, after));
     return after;
   }
 
   /**
-   * Weighs what has come, if it is time.
+   * Evaluates the observations if the evaluation interval has elapsed.
    *
-   * @param nowNs time
+   * @param nowNs monotonic time
    */
   public void tick(long nowNs) {
-    if (nowNs < sliceEndNs || verdict.isPresent()) {
+    if (nowNs < intervalEndNs || verdict.isPresent()) {
       return;
     }
-    sliceEndNs = nowNs + SLICE_NS;
+    intervalEndNs = nowNs + INTERVAL_NS;
     Optional<Verdict> failing = failures.evaluate();
-    Optional<Verdict> startingLate = starts.evaluate();
-    Optional<Verdict> running = streams.evaluate();
-    verdict = failing.or(() -> startingLate).or(() -> running);
+    Optional<Verdict> slowStart = starts.evaluate();
+    Optional<Verdict> slowStream = streams.evaluate();
+    verdict = failing.or(() -> slowStart).or(() -> slowStream);
   }
 
   /**
-   * Returns how many answers of the ordered version were looked at.
+   * Returns the number of answers of the target version that were analyzed.
    *
    * @return the number
    */
   public int targetAnswerCount() {
-    return targetAnswerCount;
+    return targetAnswers;
   }
 
   /**
-   * Tells whether so much speaks against the version that it shouldn't get all requests yet.
+   * Returns whether the evidence is strong enough that not all traffic should be shifted yet.
    *
-   * @return true if it isn't found bad, and yet suspected
+   * @return true if a fault is suspected
    */
   public boolean isSuspicious() {
     return failures.isSuspicious() || starts.isSuspicious() || streams.isSuspicious();
   }
 
   /**
-   * Returns the finding that the version is bad.
+   * Returns the verdict that the version is faulty.
    *
-   * @return the finding, or empty as long as there is none
+   * @return the verdict, or empty as long as no fault is found
    */
   public Optional<Verdict> verdict() {
     return verdict;
   }
 
-  private void take(Observation seen) {
-    if (seen.symptom() == Symptom.FAILURE) {
-      failures.observe(seen);
-      targetAnswerCount += seen.ordered() ? 1 : 0;
-    } else if (seen.symptom() == Symptom.LATE_START) {
-      starts.observe(seen);
+  private void dispatch(Observation observation) {
+    if (observation.symptom() == Symptom.FAILURE) {
+      failures.observe(observation);
+      targetAnswers += observation.ordered() ? 1 : 0;
+    } else if (observation.symptom() == Symptom.LATE_START) {
+      starts.observe(observation);
     } else {
-      streams.observe(seen);
+      streams.observe(observation);
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/CanaryBudgetAllocator.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryBudgetAllocator.java
@@ -6,23 +6,25 @@
 import org.teaseltrail.core.id.VmId;
 
 /**
- * Lends, on the leader, requests to an ordered version out of one account for all entry VMs.
+ * Allocates, on the leader, the requests that entry VMs may send to the target version of a rollout
+ * from one budget for all VMs.
  *
- * <p>Guards against a bound that holds at each VM and not over all, and against one that begins
- * anew with each leader: a leader takes all that the log allowed as sent, and lends only what the
- * log allows on top. What a VM has in hand counts as sent until the VM says otherwise.
+ * <p>A limit that each VM enforced alone would not hold for all VMs together, and one that is only
+ * in the leader's memory would start again with every leader. Therefore, a new leader treats
+ * everything that the log permitted as sent, and allocates only what the log permits in addition.
+ * Requests that are allocated to a VM count as sent until the VM reports otherwise.
  */
 public final class CanaryBudgetAllocator {
 
-  /** Requests by which the log's bound grows at a time, so that each needn't be written for. */
-  private static final long LOGGED_AHEAD = 16;
+  /** Requests that are committed to the log in advance, which avoids a log entry per request. */
+  private static final long COMMIT_AHEAD = 16;
 
   private static final class Vm {
     private Incarnation incarnation;
     private long firstReached;
-    private long firstExposed;
+    private long firstAllocated;
     private long reached;
-    private long upper;
+    private long allocated;
     private long exposed;
     private long arrivals;
   }
@@ -30,126 +32,126 @@
   private final CanaryLimit limit;
   private final ExposureCounters base;
   private final Map<VmId, Vm> vms = new HashMap<>();
-  private ExposureCounters updateCommitted;
-  private long spentByGone;
-  private long reachedByGone;
+  private ExposureCounters committed;
+  private long spentByRemoved;
+  private long reachedByRemoved;
 
   /**
-   * Begins with what the log knows.
+   * Creates an allocator that starts from the counters in the log.
    *
-   * @param limit the bound
-   * @param logged the rollout's account
+   * @param limit the limit of the rollout
+   * @param committed the counters of the rollout in the log
    */
-  public CanaryBudgetAllocator(CanaryLimit limit, ExposureCounters logged) {
+  public CanaryBudgetAllocator(CanaryLimit limit, ExposureCounters committed) {
     this.limit = limit;
-    this.base = logged;
-    this.updateCommitted = logged;
+    this.base = committed;
+    this.committed = committed;
   }
 
   /**
-   * Takes what a VM has done.
+   * Records the report of a VM.
    *
    * @param id the VM
-   * @param incarnation which life of its process
-   * @param report what it has done
+   * @param incarnation the incarnation of its process
+   * @param report its report
    */
   public void recordReport(VmId id, Incarnation incarnation, RolloutReport report) {
     Vm vm = vms.get(id);
-    boolean sameLife = vm != null && vm.incarnation.equals(incarnation);
-    long upper = Math.max(report.exposed(), report.ceiling());
-    if (!sameLife) {
+    boolean sameIncarnation = vm != null && vm.incarnation.equals(incarnation);
+    long allocated = Math.max(report.exposed(), report.ceiling());
+    if (!sameIncarnation) {
       removeVm(id);
       vm = new Vm();
       vm.incarnation = incarnation;
       vm.firstReached = report.reached();
-      vm.firstExposed = upper;
+      vm.firstAllocated = allocated;
       vms.put(id, vm);
     }
-    vm.arrivals = report.reached() - (sameLife ? vm.reached : 0);
+    vm.arrivals = report.reached() - (sameIncarnation ? vm.reached : 0);
     vm.reached = report.reached();
-    vm.upper = upper;
+    vm.allocated = allocated;
     vm.exposed = report.exposed();
   }
 
   /**
-   * Takes a VM out that has fallen silent; what it had in hand counts as sent.
+   * Removes a VM that no longer reports; everything allocated to it counts as sent.
    *
    * @param id the VM
    */
   public void removeVm(VmId id) {
-    Vm gone = vms.remove(id);
-    if (gone != null) {
-      spentByGone += gone.upper - gone.firstExposed;
-      reachedByGone += gone.reached - gone.firstReached;
+    Vm removed = vms.remove(id);
+    if (removed != null) {
+      spentByRemoved += removed.allocated - removed.firstAllocated;
+      reachedByRemoved += removed.reached - removed.firstReached;
     }
   }
 
   /**
-   * Lends to a VM that has just told what it did.
+   * Allocates requests to a VM that has just reported, in proportion to the arrivals at the VMs.
    *
    * @param id the VM
-   * @param places free places at the upstreams that it may send to; what was lent and not yet sent
-   *     takes some of them
-   * @return requests that it may have sent in all
+   * @param places free slots at the upstreams of the target version; requests that are allocated
+   *     and not yet sent occupy some of them
+   * @return total number of requests that the VM may send, including those already sent
    */
   public long allocate(VmId id, long places) {
     Vm vm = vms.get(id);
-    long unsent = vms.values().stream().mapToLong(one -> one.upper - one.exposed).sum();
-    long allowed = Math.min(limit.allowedRequests(reached()), updateCommitted.lent()) - spent();
+    long unsent = vms.values().stream().mapToLong(each -> each.allocated - each.exposed).sum();
+    long allowed = Math.min(limit.allowedRequests(reached()), committed.lent()) - spent();
     long free = Math.min(allowed, places - unsent);
     if (vm.arrivals <= 0 || free <= 0) {
-      return vm.upper;
+      return vm.allocated;
     }
-    long allArrivals = vms.values().stream().mapToLong(one -> one.arrivals).sum();
-    long part = Math.max(1, free * vm.arrivals / allArrivals);
-    vm.upper += Math.min(free, part);
-    return vm.upper;
+    long allArrivals = vms.values().stream().mapToLong(each -> each.arrivals).sum();
+    long portion = Math.max(1, free * vm.arrivals / allArrivals);
+    vm.allocated += Math.min(free, portion);
+    return vm.allocated;
   }
 
   /**
-   * Takes over what is in the log by now.
+   * Updates the counters that are committed to the log.
    *
-   * @param account the rollout's account
+   * @param account the counters of the rollout
    */
   public void updateCommitted(ExposureCounters account) {
-    updateCommitted = account;
+    committed = account;
   }
 
   /**
-   * Returns what should be in the log so that there is something to lend.
+   * Returns the counters that must be committed to the log to allow further allocations.
    *
-   * @return the account, the log's own if that is enough
+   * @return the counters; the committed ones if they are sufficient
    */
   public ExposureCounters wanted() {
     long allowed = limit.allowedRequests(reached());
-    boolean enough =
-        updateCommitted.lent() - spent() >= LOGGED_AHEAD / 2 || allowed <= updateCommitted.lent();
-    if (enough) {
-      return updateCommitted;
+    boolean sufficient =
+        committed.lent() - spent() >= COMMIT_AHEAD / 2 || allowed <= committed.lent();
+    if (sufficient) {
+      return committed;
     }
-    long lent = Math.min(allowed, spent() + LOGGED_AHEAD);
-    return updateCommitted.max(new ExposureCounters(lent, reached()));
+    long lent = Math.min(allowed, spent() + COMMIT_AHEAD);
+    return committed.max(new ExposureCounters(lent, reached()));
   }
 
   /**
-   * Returns how many requests the ordered version may have got.
+   * Returns the maximum number of requests that the target version may have received so far.
    *
    * @return the upper bound
    */
   public long spent() {
     return base.lent()
-        + spentByGone
-        + vms.values().stream().mapToLong(vm -> vm.upper - vm.firstExposed).sum();
+        + spentByRemoved
+        + vms.values().stream().mapToLong(vm -> vm.allocated - vm.firstAllocated).sum();
   }
 
   /**
-   * Returns how many requests are known to have reached the service.
+   * Returns the number of requests that are known to have reached the service.
    *
    * @return the lower bound
    */
   public long reached() {
     return base.reached()
-        + reachedByGone
+        + reachedByRemoved
         + vms.values().stream().mapToLong(vm -> vm.reached - vm.firstReached).sum();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/CanaryLimit.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryLimit.java
@@ -1,33 +1,36 @@
 package org.teaseltrail.core.rollout;
 
 /**
- * Is how many requests a version that may be bad gets at most between the order and the deadline.
+ * Limit of the number of requests that a target version receives between the order and the
+ * deadline, since it may be faulty.
  *
- * @param share part of the requests that reach the service
- * @param slack requests besides
+ * @param share fraction of the requests that reach the service
+ * @param slack number of requests allowed in addition
  */
 public record CanaryLimit(double share, double slack) {
 
-  /** The users' bounds. */
+  /** The limit that the users set. */
   public static final CanaryLimit DEFAULT = new CanaryLimit(0.1, 50);
 
-  /** Part of the share that is used; a VM's last count is lost with it. */
+  /** Fraction of the share that is used; the rest covers counts that are lost when a VM crashes. */
   private static final double USED_SHARE = 0.9;
 
-  /** Part of the slack that is used; the rest is for what is on its way when VMs and leader end. */
+  /**
+   * Fraction of the slack that is used; the rest covers requests in flight when processes crash.
+   */
   private static final double USED_SLACK = 0.7;
 
   /**
-   * Returns how many requests the ordered version may get.
+   * Returns the maximum number of requests that the target version may receive.
    *
-   * @param reached requests known to have reached the service since the order
-   * @return the bound
+   * @param reached number of requests known to have reached the service since the order
+   * @return the maximum
    */
   public long allowedRequests(long reached) {
     return (long) (USED_SHARE * share * reached + USED_SLACK * slack);
   }
 
-  /** Returns the part of the requests that goes to the ordered version over a longer time. */
+  /** Returns the long-term fraction of the requests that go to the target version. */
   public double effectiveShare() {
     return USED_SHARE * share;
   }
--- a/core/src/main/java/org/teaseltrail/core/rollout/ChangeDetector.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/ChangeDetector.java
@@ -3,62 +3,67 @@
 import java.util.List;
 
 /**
- * Weighs the evidence that a version shows a symptom more often than is tolerated. It begins anew
- * at each moment, so that it may be looked at at any time and finds what begins late as soon as
- * what was there at once (Shiryaev-Roberts statistic over likelihood ratios; Shin, Ramdas and
- * Rinaldo, E-detectors, 2022).
+ * Sequential change detector for a version that shows a symptom more often than tolerated.
+ *
+ * <p>It uses the Shiryaev-Roberts statistic over likelihood ratios (Shin, Ramdas and Rinaldo,
+ * E-detectors, 2022). The statistic considers every point in time as a possible start of the
+ * change. It can therefore be evaluated at any time, and it detects a fault that appears late as
+ * quickly as one that is present from the start.
  */
 final class ChangeDetector {
 
-  /** Parts of the way from the tolerated share to all that a bad version is thought to be at. */
-  private static final List<Double> BAD_PARTS = List.of(0.15, 0.35, 0.6, 0.9);
+  /**
+   * Alternative hypotheses: the share of bad answers of a faulty version, as positions between the
+   * tolerated share (0) and all answers (1).
+   */
+  private static final List<Double> ALTERNATIVES = List.of(0.15, 0.35, 0.6, 0.9);
 
   /**
-   * Evidence at which it is alarmed. A good version of which a thousand answers are looked at comes
-   * to it in one case of a thousand at most.
+   * Value of the statistic at which a change is detected. A good version with a thousand observed
+   * answers reaches it with a probability of at most one in a thousand.
    */
-  private static final double ALARM = 1e6;
+  private static final double DETECTION_THRESHOLD = 1e6;
 
-  /** Evidence that a good version comes to now and then. */
-  private static final double SUSPICION = 1e4;
+  /** Value of the statistic that a good version reaches occasionally. */
+  private static final double SUSPICION_THRESHOLD = 1e4;
 
-  /** Keeps the evidence within the range of a number once it is overwhelming. */
-  private static final double MOST = 1e100;
+  /** Upper bound of the statistic and the likelihood ratio, which prevents an overflow. */
+  private static final double MAX_STATISTIC = 1e100;
 
-  private final double[] evidence = new double[BAD_PARTS.size()];
+  private final double[] statistics = new double[ALTERNATIVES.size()];
 
   /**
-   * Takes some answers of the version in.
+   * Updates the statistic with answers of the version.
    *
-   * @param trials the answers
-   * @param tolerated share that would be no sign against the version
+   * @param counts counts of the answers
+   * @param tolerated share of bad answers that a good version may show
    */
-  void update(AnswerCounts trials, double tolerated) {
-    int good = trials.answers() - trials.bad();
-    for (int i = 0; i < evidence.length; i++) {
-      double assumed = tolerated + (1 - tolerated) * BAD_PARTS.get(i);
+  void update(AnswerCounts counts, double tolerated) {
+    int good = counts.answers() - counts.bad();
+    for (int i = 0; i < statistics.length; i++) {
+      double assumed = tolerated + (1 - tolerated) * ALTERNATIVES.get(i);
       double ratio =
-          Math.pow(assumed / tolerated, trials.bad())
+          Math.pow(assumed / tolerated, counts.bad())
               * Math.pow((1 - assumed) / (1 - tolerated), good);
-      evidence[i] = Math.min(MOST, (1 + evidence[i]) * Math.min(MOST, ratio));
+      statistics[i] = Math.min(MAX_STATISTIC, (1 + statistics[i]) * Math.min(MAX_STATISTIC, ratio));
     }
   }
 
-  /** Tells whether the version is bad. */
+  /** Returns whether the version is found to be faulty. */
   boolean hasDetectedChange() {
-    return mean() >= ALARM;
+    return mean() >= DETECTION_THRESHOLD;
   }
 
-  /** Tells whether so much speaks against the version that it shouldn't get all requests yet. */
+  /** Returns whether the evidence is strong enough that not all traffic should be shifted yet. */
   boolean isSuspicious() {
-    return mean() >= SUSPICION;
+    return mean() >= SUSPICION_THRESHOLD;
   }
 
   private double mean() {
     double sum = 0;
-    for (double each : evidence) {
-      sum += each;
+    for (double statistic : statistics) {
+      sum += statistic;
     }
-    return sum / evidence.length;
+    return sum / statistics.length;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/ExposureCounters.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/ExposureCounters.java
@@ -1,14 +1,14 @@
 package org.teaseltrail.core.rollout;
 
 /**
- * Is what is known for sure of the requests of a rollout, whichever VMs and leaders have ended.
+ * Bounds on the request counts of a rollout that hold regardless of crashes of VMs and leaders.
  *
- * @param lent requests that the ordered version may have got, at most
- * @param reached requests that have reached the service since the order, at least
+ * @param lent upper bound of the requests that the target version has received
+ * @param reached lower bound of the requests that have reached the service since the order
  */
 public record ExposureCounters(long lent, long reached) {
 
-  /** Nothing yet. */
+  /** The counters at the start of a rollout. */
   public static final ExposureCounters NONE = new ExposureCounters(0, 0);
 
   ExposureCounters max(ExposureCounters other) {
--- a/core/src/main/java/org/teaseltrail/core/rollout/FailureMonitor.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/FailureMonitor.java
@@ -7,37 +7,43 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Tells failed answers from others.
+ * Monitors the failure rate of the target version.
  *
- * <p>Guards against an upstream that ends and takes all with it that it worked on: the connections
- * that end at one upstream within a slice of time count once for each route.
+ * <p>When an upstream crashes, all its requests fail at once, which must not count as many failures
+ * of the version. Broken connections to one upstream within an evaluation interval are therefore
+ * counted once per route.
  */
 final class FailureMonitor {
 
-  private record End(RouteId route, UpstreamId upstream) {}
+  private record BrokenConnection(RouteId route, UpstreamId upstream) {}
 
-  private final SymptomMonitor watch;
-  private final Set<End> ended = new HashSet<>();
+  private final SymptomMonitor monitor;
+  private final Set<BrokenConnection> counted = new HashSet<>();
 
   FailureMonitor() {
-    watch = new SymptomMonitor(Symptom.FAILURE);
+    monitor = new SymptomMonitor(Symptom.FAILURE);
   }
 
-  void observe(Observation seen) {
-    boolean countedAlready =
-        seen.value() == Observation.BROKEN && !ended.add(new End(seen.route(), seen.upstream()));
-    if (!countedAlready) {
-      boolean failed = seen.value() != Observation.GOOD;
-      watch.observe(seen.route(), seen.upstream(), seen.ordered(), AnswerCounts.one(failed));
+  void observe(Observation observation) {
+    boolean alreadyCounted =
+        observation.value() == Observation.BROKEN
+            && !counted.add(new BrokenConnection(observation.route(), observation.upstream()));
+    if (!alreadyCounted) {
+      boolean failed = observation.value() != Observation.GOOD;
+      monitor.observe(
+          observation.route(),
+          observation.upstream(),
+          observation.ordered(),
+          AnswerCounts.one(failed));
     }
   }
 
   Optional<Verdict> evaluate() {
-    ended.clear();
-    return watch.evaluate();
+    counted.clear();
+    return monitor.evaluate();
   }
 
   boolean isSuspicious() {
-    return watch.isSuspicious();
+    return monitor.isSuspicious();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/LatencyMonitor.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/LatencyMonitor.java
@@ -13,119 +13,122 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Tells slow answers from others, by one kind of time.
+ * Monitors one kind of latency and detects a target version that is slow.
  *
- * <p>Long prompts take longer, so a time is taken in relation to the usual one of its route and
- * size at the versions before. Upstreams of one version differ in speed too, so it is slow if it is
- * far beyond the quicker ones of the same upstream: a few of its answers at a time, as many for
- * both versions, so that chance shows alike in both. A version all of whose answers are slow shows
- * by its upstreams' own levels, each of which counts once.
+ * <p>Latency grows with the length of the prompt. It is therefore compared with the median latency
+ * that the previous versions show on the same route for the same size class. Upstreams of one
+ * version differ in speed, too. An answer is therefore slow if it takes much longer than the fast
+ * ones of the same upstream, in blocks of a few answers. The block size is the same for both
+ * versions, so that random variation affects both equally. A version whose answers are all slow is
+ * detected by the baselines of its upstreams, each of which counts once.
  */
 final class LatencyMonitor {
 
-  /** Answers of an upstream that are looked at together. */
-  private static final int BLOCK = 6;
+  /** Number of answers of an upstream that are evaluated together. */
+  private static final int BLOCK_SIZE = 6;
 
-  /** Which of them, from the quickest, stands for the upstream's own speed. */
-  private static final int LEVEL_AT = 1;
+  /** Index of the baseline of the upstream among the sorted answers of a block. */
+  private static final int BASELINE_INDEX = 1;
 
-  /** Buckets above that speed from which on an answer is slow: two and a half times as long. */
-  private static final int SLOW_BUCKETS = 4;
+  /** Buckets above the baseline from which an answer is slow: two and a half times as long. */
+  private static final int SLOW_ANSWER_BUCKETS = 4;
 
   /**
-   * Buckets above the slow ones of the upstreams before at which most upstreams of a version show
-   * that all of its answers are slow: twice as long.
+   * Buckets by which the median baseline of the target version must exceed those of the slow
+   * upstreams of previous versions for all its answers to be considered slow: twice as long.
    */
-  private static final int SLOW_LEVEL_BUCKETS = 3;
+  private static final int SLOW_BASELINE_BUCKETS = 3;
 
-  /** Part of the upstreams before that are quicker than the slow ones. */
-  private static final double SLOW_UPSTREAMS_FROM = 0.9;
+  /** Quantile of the previous versions' baselines above which an upstream is considered slow. */
+  private static final double SLOW_UPSTREAM_QUANTILE = 0.9;
 
-  /** Upstreams whose levels tell something of their version. */
-  private static final int LEAST_LEVELS = 4;
+  /** Minimum number of upstreams with a baseline for a comparison of the versions. */
+  private static final int MIN_BASELINES = 4;
 
-  /** Times of a route and size without which nothing is called slow. */
-  private static final int LEAST_USUAL = 5;
+  /** Minimum number of reference latencies of a route and size class. */
+  private static final int MIN_REFERENCE = 5;
 
-  /** Newest times of a route and size that make the usual one. */
-  private static final int MOST_USUAL = 41;
+  /** Maximum number of reference latencies of a route and size class; the oldest is dropped. */
+  private static final int MAX_REFERENCE = 41;
 
-  private record Kind(RouteId route, int size) {}
+  private record ReferenceKey(RouteId route, int size) {}
 
-  private record Timed(RouteId route, int buckets) {}
+  private record RelativeLatency(RouteId route, int buckets) {}
 
   private final Symptom symptom;
-  private final SymptomMonitor watch;
-  private final Map<Kind, Deque<Integer>> usual = new HashMap<>();
-  private final Map<UpstreamId, List<Timed>> blocks = new HashMap<>();
-  private final Map<UpstreamId, Integer> levelsOrdered = new HashMap<>();
-  private final Map<UpstreamId, Integer> levelsBefore = new HashMap<>();
+  private final SymptomMonitor monitor;
+  private final Map<ReferenceKey, Deque<Integer>> references = new HashMap<>();
+  private final Map<UpstreamId, List<RelativeLatency>> blocks = new HashMap<>();
+  private final Map<UpstreamId, Integer> targetBaselines = new HashMap<>();
+  private final Map<UpstreamId, Integer> previousBaselines = new HashMap<>();
 
   LatencyMonitor(Symptom symptom) {
     this.symptom = symptom;
-    watch = new SymptomMonitor(symptom);
+    monitor = new SymptomMonitor(symptom);
   }
 
-  void observe(Observation seen) {
-    Deque<Integer> known =
-        usual.computeIfAbsent(new Kind(seen.route(), seen.size()), key -> new ArrayDeque<>());
-    if (known.size() >= LEAST_USUAL) {
-      int above = seen.value() - middle(known);
-      List<Timed> block = blocks.computeIfAbsent(seen.upstream(), key -> new ArrayList<>());
-      block.add(new Timed(seen.route(), above));
-      if (block.size() == BLOCK) {
-        weighBlock(seen.upstream(), seen.ordered(), block);
+  void observe(Observation observation) {
+    Deque<Integer> reference =
+        references.computeIfAbsent(
+            new ReferenceKey(observation.route(), observation.size()), key -> new ArrayDeque<>());
+    if (reference.size() >= MIN_REFERENCE) {
+      int relative = observation.value() - median(reference);
+      List<RelativeLatency> block =
+          blocks.computeIfAbsent(observation.upstream(), key -> new ArrayList<>());
+      block.add(new RelativeLatency(observation.route(), relative));
+      if (block.size() == BLOCK_SIZE) {
+        evaluateBlock(observation.upstream(), observation.ordered(), block);
         block.clear();
       }
     }
-    if (!seen.ordered()) {
-      known.addLast(seen.value());
-      if (known.size() > MOST_USUAL) {
-        known.removeFirst();
+    if (!observation.ordered()) {
+      reference.addLast(observation.value());
+      if (reference.size() > MAX_REFERENCE) {
+        reference.removeFirst();
       }
     }
   }
 
   Optional<Verdict> evaluate() {
-    return watch.evaluate().or(this::weighLevels);
+    return monitor.evaluate().or(this::compareBaselines);
   }
 
   boolean isSuspicious() {
-    return watch.isSuspicious();
+    return monitor.isSuspicious();
   }
 
-  private void weighBlock(UpstreamId upstream, boolean ordered, List<Timed> block) {
-    block.sort(Comparator.comparingInt(Timed::buckets));
-    int level = block.get(LEVEL_AT).buckets();
-    (ordered ? levelsOrdered : levelsBefore).put(upstream, level);
-    for (Timed timed : block.subList(LEVEL_AT + 1, BLOCK)) {
-      boolean slow = timed.buckets() - level >= SLOW_BUCKETS;
-      watch.observe(timed.route(), upstream, ordered, AnswerCounts.one(slow));
+  private void evaluateBlock(UpstreamId upstream, boolean ordered, List<RelativeLatency> block) {
+    block.sort(Comparator.comparingInt(RelativeLatency::buckets));
+    int baseline = block.get(BASELINE_INDEX).buckets();
+    (ordered ? targetBaselines : previousBaselines).put(upstream, baseline);
+    for (RelativeLatency latency : block.subList(BASELINE_INDEX + 1, BLOCK_SIZE)) {
+      boolean slow = latency.buckets() - baseline >= SLOW_ANSWER_BUCKETS;
+      monitor.observe(latency.route(), upstream, ordered, AnswerCounts.one(slow));
     }
   }
 
-  private Optional<Verdict> weighLevels() {
-    boolean known = levelsOrdered.size() >= LEAST_LEVELS && levelsBefore.size() >= LEAST_LEVELS;
-    if (!known) {
+  private Optional<Verdict> compareBaselines() {
+    boolean comparable =
+        targetBaselines.size() >= MIN_BASELINES && previousBaselines.size() >= MIN_BASELINES;
+    if (!comparable) {
       return Optional.empty();
     }
-    int slowBefore = at(SLOW_UPSTREAMS_FROM, levelsBefore.values());
-    if (middle(levelsOrdered.values()) < slowBefore + SLOW_LEVEL_BUCKETS) {
+    int slowPrevious = quantile(SLOW_UPSTREAM_QUANTILE, previousBaselines.values());
+    if (median(targetBaselines.values()) < slowPrevious + SLOW_BASELINE_BUCKETS) {
       return Optional.empty();
     }
-    AnswerCounts ordered = new AnswerCounts(levelsOrdered.size(), levelsOrdered.size());
-    AnswerCounts before = new AnswerCounts(levelsBefore.size(), 0);
+    AnswerCounts ordered = new AnswerCounts(targetBaselines.size(), targetBaselines.size());
+    AnswerCounts before = new AnswerCounts(previousBaselines.size(), 0);
     return Optional.of(new Verdict(symptom.reason(), Optional.empty(), ordered, before));
   }
 
-  private static int middle(Collection<Integer> values) {
-    return at(0.5, values);
+  private static int median(Collection<Integer> values) {
+    return quantile(0.5, values);
   }
 
-  /** Returns the value that a part of the others lie below. */
-  private static int at(double part, Collection<Integer> values) {
+  private static int quantile(double fraction, Collection<Integer> values) {
     List<Integer> sorted = new ArrayList<>(values);
     sorted.sort(null);
-    return sorted.get((int) (part * sorted.size()));
+    return sorted.get((int) (fraction * sorted.size()));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/ObservationBuffer.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/ObservationBuffer.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * Keeps, at an entry VM, what it has seen in a rollout until the leader has heard of it, and the
- * newest of it for a leader that begins anew.
+ * Buffers the observations of an entry VM in a rollout until the leader has received them, and
+ * retains the latest ones for a new leader, which starts without any.
  */
 public final class ObservationBuffer {
 
-  /** Observations kept for the next leader. */
-  private static final int KEPT = 64;
+  /** Number of observations retained for the next leader. */
+  private static final int RETAINED = 64;
 
-  /** Observations that wait for a leader at most; older ones are given up. */
-  private static final int MOST = 512;
+  /** Maximum number of observations that wait for a leader; older ones are dropped. */
+  private static final int CAPACITY = 512;
 
-  private final Deque<Observation> kept = new ArrayDeque<>();
+  private final Deque<Observation> buffer = new ArrayDeque<>();
   private long firstNumber;
 
   /**
@@ -25,43 +25,43 @@
    * @param observation the observation
    */
   public void add(Observation observation) {
-    kept.addLast(observation);
-    forgetBeyond(MOST);
+    buffer.addLast(observation);
+    trimTo(CAPACITY);
   }
 
   /**
-   * Notes that the leader has heard of those before a number.
+   * Records that the leader has received all observations before a number.
    *
    * @param number the number
    */
   public void heard(long number) {
-    long unheard = firstNumber + kept.size() - number;
-    forgetBeyond((int) Math.max(KEPT, unheard));
+    long unacknowledged = firstNumber + buffer.size() - number;
+    trimTo((int) Math.max(RETAINED, unacknowledged));
   }
 
   /**
-   * Returns what a leader hasn't heard.
+   * Returns the observations that the leader has not received.
    *
-   * @param number number of the first that it hasn't; lower than all if it has heard nothing
+   * @param number number of the first of them; lower than all numbers for a new leader
    * @return the observations, oldest first
    */
   public List<Observation> from(long number) {
-    return kept.stream().skip(Math.max(0, number - firstNumber)).toList();
+    return buffer.stream().skip(Math.max(0, number - firstNumber)).toList();
   }
 
   /**
-   * Returns the number of the first that {@link #from} returns.
+   * Returns the number of the first observation that {@link #from} returns.
    *
-   * @param number number of the first that the leader hasn't heard
-   * @return that number, or that of the oldest kept
+   * @param number number of the first observation that the leader has not received
+   * @return that number, or the number of the oldest observation in the buffer if that is higher
    */
   public long firstAvailableFrom(long number) {
     return Math.max(number, firstNumber);
   }
 
-  private void forgetBeyond(int most) {
-    while (kept.size() > most) {
-      kept.removeFirst();
+  private void trimTo(int maxSize) {
+    while (buffer.size() > maxSize) {
+      buffer.removeFirst();
       firstNumber++;
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/rollout/Rollout.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/Rollout.java
@@ -5,14 +5,16 @@
 import org.teaseltrail.core.id.UpstreamVersion;
 
 /**
- * Is the record of a service's newest rollout. It alone says which upstreams requests may go to.
+ * State of the latest rollout of a service. It is the only source for which versions of the
+ * service's upstreams may receive requests.
  *
- * @param order what was ordered
- * @param before versions that were in force when it was ordered; empty if there was none
- * @param orderedMs log time of the order, in milliseconds; tells a service's rollouts apart
- * @param phase how far it has come
- * @param reason why it turned to that phase
- * @param account requests that the ordered version may have got, and that reached the service
+ * @param order the order of the operator
+ * @param before versions in force when the rollout was ordered; empty if there were none
+ * @param orderedMs log time of the order, in milliseconds; identifies the rollout among those of
+ *     the service
+ * @param phase current phase
+ * @param reason reason for the transition to that phase
+ * @param account bounds on the requests that the target version and the service have received
  */
 public record Rollout(
     RolloutOrder order,
@@ -22,15 +24,15 @@
     RolloutReason reason,
     ExposureCounters account) {
 
-  /** Time after the order in which the same order again is the same one, resent. */
-  private static final long RESENT_MS = 10_000;
+  /** Time after the order during which an equal order is taken for a retry of it. */
+  private static final long RETRY_WINDOW_MS = 10_000;
 
-  /** Copies the list. */
+  /** Copies the list of versions. */
   public Rollout {
     before = List.copyOf(before);
   }
 
-  /** Begins a rollout. */
+  /** Creates a rollout in its first phase. */
   static Rollout ordered(RolloutOrder order, List<UpstreamVersion> before, long logTimeMs) {
     return new Rollout(
         order,
@@ -42,11 +44,11 @@
   }
 
   /**
-   * Says what requests an upstream of the service may get. One that tells no version is taken for
-   * one of before.
+   * Returns which requests an upstream of the service may receive. An upstream that reports no
+   * version is treated as one of a previous version.
    *
-   * @param version the upstream's version, if it tells one
-   * @return what it may get
+   * @param version the upstream's version, if reported
+   * @return the traffic policy of the upstream
    */
   public TrafficPolicy trafficPolicy(Optional<UpstreamVersion> version) {
     if (isTargetVersion(version)) {
@@ -56,10 +58,10 @@
   }
 
   /**
-   * Tells whether an upstream has a version that was in force when the rollout was ordered.
+   * Returns whether an upstream runs a version that was in force when the rollout was ordered.
    *
-   * @param version the upstream's version, if it tells one
-   * @return true if it has
+   * @param version the upstream's version, if reported
+   * @return true if it does; also if the version or the previous versions are unknown
    */
   public boolean isPreviousVersion(Optional<UpstreamVersion> version) {
     boolean known = version.isEmpty() || before.isEmpty() || before.contains(version.get());
@@ -67,17 +69,17 @@
   }
 
   /**
-   * Tells whether an upstream has the ordered version.
+   * Returns whether an upstream runs the target version.
    *
-   * @param version the upstream's version, if it tells one
-   * @return true if it has
+   * @param version the upstream's version, if reported
+   * @return true if it does
    */
   public boolean isTargetVersion(Optional<UpstreamVersion> version) {
     return version.equals(Optional.of(order.to()));
   }
 
   /**
-   * Returns by when it should be in force.
+   * Returns the time by which the target version should be in force.
    *
    * @return log time in milliseconds
    */
@@ -86,7 +88,7 @@
   }
 
   /**
-   * Returns how much of its time has passed.
+   * Returns the fraction of the rollout's duration that has elapsed.
    *
    * @param logTimeMs log time in milliseconds
    * @return 0 at the order, 1 at the deadline
@@ -95,16 +97,16 @@
     return (double) (logTimeMs - orderedMs) / order.durationMs();
   }
 
-  /** Tells whether an order is this one, sent again since its answer was lost. */
+  /** Returns whether an order is a retry of this one, sent because the reply was lost. */
   boolean isDuplicateOrder(RolloutOrder other, long logTimeMs) {
-    return order.equals(other) && logTimeMs - orderedMs <= RESENT_MS;
+    return order.equals(other) && logTimeMs - orderedMs <= RETRY_WINDOW_MS;
   }
 
-  Rollout withPhase(RolloutPhase next, RolloutReason why) {
-    return new Rollout(order, before, orderedMs, next, why, account);
+  Rollout withPhase(RolloutPhase next, RolloutReason newReason) {
+    return new Rollout(order, before, orderedMs, next, newReason, account);
   }
 
-  Rollout withAccount(ExposureCounters grown) {
-    return new Rollout(order, before, orderedMs, phase, reason, account.max(grown));
+  Rollout withAccount(ExposureCounters newAccount) {
+    return new Rollout(order, before, orderedMs, phase, reason, account.max(newAccount));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutOrder.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutOrder.java
@@ -4,23 +4,23 @@
 import org.teaseltrail.core.id.UpstreamVersion;
 
 /**
- * Is an operator's order to move a service to another version of its upstreams.
+ * Order of an operator to move a service to another version of its upstreams.
  *
  * @param service the service
- * @param to the version to move to
- * @param durationMs time within which it should be in force, in milliseconds
+ * @param to the target version
+ * @param durationMs time within which the target version should be in force, in milliseconds
  */
 public record RolloutOrder(ServiceId service, UpstreamVersion to, long durationMs) {
 
-  /** Longest time of a rollout: a week. */
-  private static final long MOST_DURATION_MS = 7 * 24 * 3_600_000L;
+  /** Maximum duration of a rollout: one week. */
+  private static final long MAX_DURATION_MS = 7 * 24 * 3_600_000L;
 
   /**
-   * Tells whether its time makes sense.
+   * Returns whether the duration is in the allowed range.
    *
-   * @return false if it has none, or an absurd one
+   * @return false if it is not positive or too long
    */
   public boolean hasValidDuration() {
-    return durationMs > 0 && durationMs <= MOST_DURATION_MS;
+    return durationMs > 0 && durationMs <= MAX_DURATION_MS;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutOrderResult.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutOrderResult.java
@@ -1,26 +1,26 @@
 package org.teaseltrail.core.rollout;
 
-/** Says what became of an operator's order. */
+/** Result of a rollout order of an operator. */
 public enum RolloutOrderResult {
-  /** It is in the log. */
+  /** The order is committed to the log. */
   ACCEPTED,
-  /** It was accepted before; nothing has changed. */
+  /** The order is a retry of one that was accepted before; nothing has changed. */
   REPEATED,
-  /** Refused: a rollout of the service is running. */
+  /** Rejected: a rollout of the service is in progress. */
   ALREADY_RUNNING,
-  /** Refused: the plan has no such service. */
+  /** Rejected: the plan does not define the service. */
   UNKNOWN_SERVICE,
-  /** Refused: no time, or an absurd one. */
+  /** Rejected: the duration is missing or out of range. */
   BAD_DURATION,
-  /** Refused: the version is the only one in force. */
+  /** Rejected: the version is already the only one in force. */
   ALREADY_IN_FORCE,
-  /** Refused: there is nothing to break off. */
+  /** Rejected: there is no rollout to abort. */
   NONE_RUNNING;
 
   /**
-   * Tells whether the order is, or was, taken.
+   * Returns whether the order is accepted, now or by an earlier attempt.
    *
-   * @return false for refusals
+   * @return false if it is rejected
    */
   public boolean isAccepted() {
     return this == ACCEPTED || this == REPEATED;
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutPhase.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutPhase.java
@@ -1,14 +1,14 @@
 package org.teaseltrail.core.rollout;
 
-/** Says how far a rollout has come, and with it which versions requests may go to. */
+/** Phase of a rollout; determines which versions may receive requests. */
 public enum RolloutPhase {
-  /** The ordered version gets its canary's part. */
+  /** The target version receives the canary share of the requests. */
   RUNNING(TrafficPolicy.ALL, TrafficPolicy.CANARY),
-  /** The ordered version gets all new requests; the versions before finish what they have. */
+  /** The target version receives all new requests; previous versions finish their running ones. */
   SHIFTING(TrafficPolicy.NONE, TrafficPolicy.ALL),
-  /** The ordered version is in force. */
+  /** The target version is in force. */
   COMPLETED(TrafficPolicy.NONE, TrafficPolicy.ALL),
-  /** The versions before are in force. */
+  /** The previous versions are in force again. */
   ROLLED_BACK(TrafficPolicy.ALL, TrafficPolicy.NONE);
 
   private final TrafficPolicy before;
@@ -19,18 +19,18 @@
     this.ordered = ordered;
   }
 
-  /** Returns what upstreams of the versions before may get. */
+  /** Returns the traffic policy for upstreams of previous versions. */
   TrafficPolicy previousTraffic() {
     return before;
   }
 
-  /** Returns what upstreams of the ordered version may get. */
+  /** Returns the traffic policy for upstreams of the target version. */
   TrafficPolicy targetTraffic() {
     return ordered;
   }
 
   /**
-   * Tells whether there is still something to decide.
+   * Returns whether the rollout is still in progress.
    *
    * @return false once the rollout has ended
    */
@@ -38,7 +38,7 @@
     return this == RUNNING || this == SHIFTING;
   }
 
-  /** Tells whether a phase may follow this one. */
+  /** Returns whether the transition to the other phase is allowed. */
   boolean canTransitionTo(RolloutPhase next) {
     return isOpen() && next.compareTo(this) > 0 && (next != COMPLETED || this == SHIFTING);
   }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutReason.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutReason.java
@@ -1,23 +1,23 @@
 package org.teaseltrail.core.rollout;
 
-/** Says why a rollout turned to its phase. */
+/** Reason for the transition of a rollout to its phase. */
 public enum RolloutReason {
   /** An operator ordered it. */
   ORDERED,
-  /** The ordered version was looked at and is as good as those before. */
+  /** The target version was analyzed and performs as well as the previous ones. */
   PROVEN,
-  /** The ordered version is in force everywhere. */
+  /** The target version is in force on all entry VMs. */
   IN_FORCE,
-  /** The ordered version fails more often than those before. */
+  /** The target version fails more often than the previous ones. */
   FAILURES,
-  /** The ordered version begins its answers later than those before. */
+  /** The target version has a higher time to first event than the previous ones. */
   SLOW_START,
-  /** The ordered version's streams run slower than those before. */
+  /** The target version streams more slowly than the previous ones. */
   SLOW_STREAM,
-  /** Its time ran out before the ordered version had enough warm upstreams. */
+  /** The deadline passed before the target version had enough warmed-up upstreams. */
   TOO_FEW_UPSTREAMS,
-  /** Its time ran out before the ordered version was looked at enough. */
+  /** The deadline passed before enough answers of the target version were analyzed. */
   UNPROVEN,
-  /** An operator broke it off. */
+  /** An operator aborted the rollout. */
   ABORTED
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutReport.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutReport.java
@@ -4,15 +4,15 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /**
- * Is what an entry VM has done since a rollout's order.
+ * Report of an entry VM on a rollout, cumulative since the order.
  *
  * @param service the service
- * @param orderedMs log time of the order; tells a service's rollouts apart
- * @param reached requests that have reached the service from there
- * @param exposed requests sent to the ordered version from there
- * @param ceiling requests that it may have sent there once it has used what it was lent
- * @param firstNumber number of the first of the observations; they count on from there
- * @param observations what it has seen and the leader may not have heard
+ * @param orderedMs log time of the order; identifies the rollout among those of the service
+ * @param reached number of requests for the service that the VM has received
+ * @param exposed number of requests that the VM has sent to the target version
+ * @param ceiling number of requests that the VM will have sent there when its allocation is used up
+ * @param firstNumber number of the first observation; the others are numbered consecutively
+ * @param observations the observations that the leader may not have received
  */
 public record RolloutReport(
     ServiceId service,
@@ -23,7 +23,7 @@
     long firstNumber,
     List<Observation> observations) {
 
-  /** Copies the list. */
+  /** Copies the list of observations. */
   public RolloutReport {
     observations = List.copyOf(observations);
   }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutSettings.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.core.rollout;
 
 /**
- * Says how rollouts are carried out.
+ * Settings of rollouts.
  *
- * @param limit what a version that may be bad gets at most
+ * @param limit limit of the requests that a version under test receives
  */
 public record RolloutSettings(CanaryLimit limit) {
 
-  /** The settings in use unless an operator says otherwise. */
+  /** The default settings. */
   public static final RolloutSettings DEFAULT = new RolloutSettings(CanaryLimit.DEFAULT);
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/RolloutStore.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/RolloutStore.java
@@ -7,16 +7,16 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamVersion;
 
-/** Holds the newest rollout of each service; part of the replicated state. */
+/** Store of the latest rollout of each service; part of the replicated state. */
 public final class RolloutStore {
 
   private final Map<ServiceId, Rollout> rollouts = new LinkedHashMap<>();
   private long revision;
 
   /**
-   * Builds the book that a snapshot holds.
+   * Restores the store from a snapshot.
    *
-   * @param revision number of changes of phase so far
+   * @param revision number of orders and phase changes so far
    * @param content the rollouts
    */
   public RolloutStore(long revision, List<Rollout> content) {
@@ -25,12 +25,12 @@
   }
 
   /**
-   * Takes an order.
+   * Starts a rollout, unless the order is rejected.
    *
    * @param order the order
-   * @param inForce versions of the service's upstreams that are ready
+   * @param inForce versions of the upstreams of the service that are ready
    * @param logTimeMs log time
-   * @return what became of it
+   * @return the result of the order
    */
   public RolloutOrderResult order(
       RolloutOrder order, List<UpstreamVersion> inForce, long logTimeMs) {
@@ -50,48 +50,49 @@
     List<UpstreamVersion> before =
         inForce.stream()
             .filter(version -> !version.equals(order.to()))
-            .filter(version -> isFree(newest, version))
+            .filter(version -> isUnrestricted(newest, version))
             .toList();
     put(Rollout.ordered(order, before, logTimeMs));
     return RolloutOrderResult.ACCEPTED;
   }
 
   /**
-   * Turns a rollout to a later phase; one that is over already, or another one by now, stays.
+   * Moves a rollout to a later phase. Nothing changes if it has ended or if a newer rollout has
+   * replaced it.
    *
-   * @param service its service
-   * @param orderedMs log time of its order
+   * @param service the service
+   * @param orderedMs log time of the order
    * @param next the phase
-   * @param reason why
-   * @return whether it has turned
+   * @param reason reason for the transition
+   * @return whether the phase has changed
    */
   public boolean turn(ServiceId service, long orderedMs, RolloutPhase next, RolloutReason reason) {
-    Optional<Rollout> open = find(service).filter(known -> known.orderedMs() == orderedMs);
-    boolean turns = open.isPresent() && open.get().phase().canTransitionTo(next);
-    if (turns) {
-      put(open.get().withPhase(next, reason));
+    Optional<Rollout> current = find(service).filter(rollout -> rollout.orderedMs() == orderedMs);
+    boolean allowed = current.isPresent() && current.get().phase().canTransitionTo(next);
+    if (allowed) {
+      put(current.get().withPhase(next, reason));
     }
-    return turns;
+    return allowed;
   }
 
   /**
-   * Writes a rollout's account down.
+   * Raises the request counters of a rollout.
    *
-   * @param service its service
-   * @param orderedMs log time of its order
-   * @param account the account
+   * @param service the service
+   * @param orderedMs log time of the order
+   * @param account the counters
    */
   public void account(ServiceId service, long orderedMs, ExposureCounters account) {
     find(service)
-        .filter(known -> known.orderedMs() == orderedMs)
-        .ifPresent(known -> rollouts.put(service, known.withAccount(account)));
+        .filter(rollout -> rollout.orderedMs() == orderedMs)
+        .ifPresent(rollout -> rollouts.put(service, rollout.withAccount(account)));
   }
 
   /**
-   * Finds a service's newest rollout.
+   * Finds the latest rollout of a service.
    *
    * @param service the service
-   * @return the rollout, if there was one
+   * @return the rollout, if the service has had one
    */
   public Optional<Rollout> find(ServiceId service) {
     return Optional.ofNullable(rollouts.get(service));
@@ -100,14 +101,14 @@
   /**
    * Returns all rollouts.
    *
-   * @return the newest of each service
+   * @return the latest rollout of each service
    */
   public List<Rollout> all() {
     return List.copyOf(rollouts.values());
   }
 
   /**
-   * Returns the number of orders and changes of phase so far.
+   * Returns the number of orders and phase changes so far.
    *
    * @return the revision
    */
@@ -126,8 +127,11 @@
         && newest.order().to().equals(version);
   }
 
-  /** Guards against a version that was rolled back and comes into force by the next order. */
-  private static boolean isFree(Rollout newest, UpstreamVersion version) {
+  /**
+   * Returns whether a version may receive all requests. It keeps a version that was rolled back,
+   * but still has registered upstreams, from coming into force with the next order.
+   */
+  private static boolean isUnrestricted(Rollout newest, UpstreamVersion version) {
     return newest == null || newest.trafficPolicy(Optional.of(version)) == TrafficPolicy.ALL;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/Symptom.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/Symptom.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.core.rollout;
 
-/** Says what an answer can show of its upstream's version. */
+/** Symptom of a faulty version that an answer can show. */
 public enum Symptom {
-  /** It failed. */
+  /** The answer failed. */
   FAILURE(RolloutReason.FAILURES, 0.02),
-  /** It began late. */
+  /** The answer started late. */
   LATE_START(RolloutReason.SLOW_START, 0.15),
-  /** Its events came slowly. */
+  /** The events of the answer arrived slowly. */
   SLOW_STREAM(RolloutReason.SLOW_STREAM, 0.05);
 
   private final RolloutReason reason;
@@ -17,12 +17,12 @@
     this.toleratedShare = toleratedShare;
   }
 
-  /** Returns why a version that shows it is rolled back. */
+  /** Returns the reason with which a version that shows the symptom is rolled back. */
   RolloutReason reason() {
     return reason;
   }
 
-  /** Returns the share of answers that may show it beside what the versions before show. */
+  /** Returns the share of answers that may show it in addition to that of previous versions. */
   double toleratedShare() {
     return toleratedShare;
   }
--- a/core/src/main/java/org/teaseltrail/core/rollout/SymptomMonitor.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/SymptomMonitor.java
@@ -11,107 +11,113 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Compares how often both versions show one symptom, for each route and for all together.
+ * Compares how often the target version and the previous versions show one symptom, for each route
+ * and for all routes together.
  *
- * <p>Guards against two mistakes: a version that is bad on one route only drowns in the good
- * answers of the others; and a wave of crashes or a burst, which hits both, looks like a bad
- * version, so what the versions before show in the same seconds is tolerated.
+ * <p>Routes are evaluated separately because a version that is faulty on one route only would be
+ * hidden by the good answers on the others. The share that previous versions show in the same
+ * seconds is tolerated because a wave of crashes or a load burst affects all versions and must not
+ * be attributed to the target version.
  */
 final class SymptomMonitor {
 
-  /** Slices of time in which the versions before are looked at. */
-  private static final int COMPARED_SLICES = 6;
+  /** Number of recent intervals whose answers of previous versions are compared. */
+  private static final int COMPARED_INTERVALS = 6;
 
-  /** How many times the versions before's share of bad answers is tolerated. */
-  private static final double TOLERATED_TIMES = 1.5;
+  /** Factor by which the previous versions' share of bad answers may be exceeded. */
+  private static final double TOLERATED_FACTOR = 1.5;
 
-  /** Tolerated share beyond which nothing could be told any longer. */
-  private static final double MOST_TOLERATED = 0.6;
+  /** Maximum tolerated share; above it no difference could be detected. */
+  private static final double MAX_TOLERATED_SHARE = 0.6;
 
-  /** Upstreams that must show a symptom for it to be the version's, and not that of one of them. */
-  private static final int LEAST_UPSTREAMS = 2;
+  /**
+   * Minimum number of upstreams that must show a symptom for it to be attributed to the version and
+   * not to a single upstream.
+   */
+  private static final int MIN_UPSTREAMS = 2;
 
   /**
-   * Slices after which a symptom counts though one upstream was looked at only: by then the canary
-   * would have gone on to another if there was one.
+   * Number of intervals with a detected change after which the symptom is attributed to the version
+   * although only one upstream was observed. By then the canary traffic would have reached another
+   * upstream if there were one.
    */
-  private static final int ALONE_SLICES = 6;
+  private static final int SINGLE_UPSTREAM_INTERVALS = 6;
 
-  /** Is what came within a slice of time, by route; both versions' apart. */
-  private static final class Slice {
+  /** Answers of one interval by route, separately for the target and the previous versions. */
+  private static final class Interval {
     private final Map<RouteId, AnswerCounts> ordered = new HashMap<>();
     private final Map<RouteId, AnswerCounts> before = new HashMap<>();
   }
 
   private final Symptom symptom;
-  private final Deque<Slice> slices = new ArrayDeque<>();
+  private final Deque<Interval> intervals = new ArrayDeque<>();
   private final Map<RouteId, AnswerCounts> lastBefore = new HashMap<>();
-  private final Map<Optional<RouteId>, ChangeDetector> meters = new HashMap<>();
-  private final Set<UpstreamId> seenAt = new HashSet<>();
-  private final Set<UpstreamId> badAt = new HashSet<>();
-  private Slice newest = new Slice();
-  private int alarmedSlices;
+  private final Map<Optional<RouteId>, ChangeDetector> detectors = new HashMap<>();
+  private final Set<UpstreamId> observedUpstreams = new HashSet<>();
+  private final Set<UpstreamId> badUpstreams = new HashSet<>();
+  private Interval current = new Interval();
+  private int detectedIntervals;
 
   SymptomMonitor(Symptom symptom) {
     this.symptom = symptom;
   }
 
-  /** Takes answers in that tell whether they show the symptom. */
-  void observe(RouteId route, UpstreamId upstream, boolean ordered, AnswerCounts trials) {
-    (ordered ? newest.ordered : newest.before).merge(route, trials, AnswerCounts::plus);
+  /** Records answers with the information whether they show the symptom. */
+  void observe(RouteId route, UpstreamId upstream, boolean ordered, AnswerCounts counts) {
+    (ordered ? current.ordered : current.before).merge(route, counts, AnswerCounts::plus);
     if (ordered) {
-      seenAt.add(upstream);
-      if (trials.bad() > 0) {
-        badAt.add(upstream);
+      observedUpstreams.add(upstream);
+      if (counts.bad() > 0) {
+        badUpstreams.add(upstream);
       }
     }
   }
 
-  /** Weighs what has come since the last time. */
+  /** Evaluates the answers recorded since the last evaluation. */
   Optional<Verdict> evaluate() {
-    slices.addLast(newest);
-    if (slices.size() > COMPARED_SLICES) {
-      slices.removeFirst();
+    intervals.addLast(current);
+    if (intervals.size() > COMPARED_INTERVALS) {
+      intervals.removeFirst();
     }
     Optional<Verdict> found = Optional.empty();
     AnswerCounts ordered = AnswerCounts.NONE;
     AnswerCounts before = AnswerCounts.NONE;
-    for (Map.Entry<RouteId, AnswerCounts> entry : newest.ordered.entrySet()) {
-      AnswerCounts compared = before(entry.getKey());
-      found = found.or(() -> weighed(Optional.of(entry.getKey()), entry.getValue(), compared));
+    for (Map.Entry<RouteId, AnswerCounts> entry : current.ordered.entrySet()) {
+      AnswerCounts compared = countPrevious(entry.getKey());
+      found = found.or(() -> detect(Optional.of(entry.getKey()), entry.getValue(), compared));
       ordered = ordered.plus(entry.getValue());
       before = before.plus(compared);
     }
     AnswerCounts allOrdered = ordered;
     AnswerCounts allBefore = before;
-    found = found.or(() -> weighed(Optional.empty(), allOrdered, allBefore));
-    newest = new Slice();
-    return found.filter(verdict -> isOfVersion());
+    found = found.or(() -> detect(Optional.empty(), allOrdered, allBefore));
+    current = new Interval();
+    return found.filter(verdict -> isCausedByVersion());
   }
 
-  /** Tells whether so much speaks against the version that it shouldn't get all requests yet. */
+  /** Returns whether the evidence is strong enough that not all traffic should be shifted yet. */
   boolean isSuspicious() {
-    return meters.values().stream().anyMatch(ChangeDetector::isSuspicious);
+    return detectors.values().stream().anyMatch(ChangeDetector::isSuspicious);
   }
 
-  private Optional<Verdict> weighed(
+  private Optional<Verdict> detect(
       Optional<RouteId> route, AnswerCounts ordered, AnswerCounts before) {
-    ChangeDetector meter = meters.computeIfAbsent(route, key -> new ChangeDetector());
-    double tolerated = TOLERATED_TIMES * before.share() + symptom.toleratedShare();
-    meter.update(ordered, Math.min(MOST_TOLERATED, tolerated));
-    return meter.hasDetectedChange()
+    ChangeDetector detector = detectors.computeIfAbsent(route, key -> new ChangeDetector());
+    double tolerated = TOLERATED_FACTOR * before.share() + symptom.toleratedShare();
+    detector.update(ordered, Math.min(MAX_TOLERATED_SHARE, tolerated));
+    return detector.hasDetectedChange()
         ? Optional.of(new Verdict(symptom.reason(), route, ordered, before))
         : Optional.empty();
   }
 
   /**
-   * Returns what the versions before showed lately; once they get no requests any longer, what they
-   * showed last.
+   * Returns the recent counts of the previous versions on a route, or the last known counts once
+   * these versions no longer receive requests.
    */
-  private AnswerCounts before(RouteId route) {
+  private AnswerCounts countPrevious(RouteId route) {
     AnswerCounts sum = AnswerCounts.NONE;
-    for (Slice slice : slices) {
-      sum = sum.plus(slice.before.getOrDefault(route, AnswerCounts.NONE));
+    for (Interval interval : intervals) {
+      sum = sum.plus(interval.before.getOrDefault(route, AnswerCounts.NONE));
     }
     if (sum.answers() > 0) {
       lastBefore.put(route, sum);
@@ -119,9 +125,10 @@
     return lastBefore.getOrDefault(route, AnswerCounts.NONE);
   }
 
-  private boolean isOfVersion() {
-    alarmedSlices++;
-    boolean alone = seenAt.size() < LEAST_UPSTREAMS && alarmedSlices >= ALONE_SLICES;
-    return alone || badAt.size() >= LEAST_UPSTREAMS;
+  private boolean isCausedByVersion() {
+    detectedIntervals++;
+    boolean singleUpstream =
+        observedUpstreams.size() < MIN_UPSTREAMS && detectedIntervals >= SINGLE_UPSTREAM_INTERVALS;
+    return singleUpstream || badUpstreams.size() >= MIN_UPSTREAMS;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/TimeBuckets.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/TimeBuckets.java
@@ -1,23 +1,23 @@
 package org.teaseltrail.core.rollout;
 
-/** Sorts times into buckets, each a quarter longer than the one before. */
+/** Maps durations to logarithmic buckets; each is about a quarter longer than the one below. */
 public final class TimeBuckets {
 
-  /** Buckets in which a time doubles. */
-  private static final double PER_DOUBLING = 3;
+  /** Number of buckets per doubling of the duration. */
+  private static final double BUCKETS_PER_DOUBLING = 3;
 
   private static final double LOG_2 = Math.log(2);
 
   private TimeBuckets() {}
 
   /**
-   * Returns a time's bucket.
+   * Returns the bucket of a duration.
    *
-   * @param elapsedMs the time, in milliseconds
-   * @return its number, from 0 for a millisecond and less
+   * @param elapsedMs the duration, in milliseconds
+   * @return the index of the bucket, 0 for one millisecond and less
    */
   public static int of(double elapsedMs) {
     double doublings = Math.log(Math.max(1, elapsedMs)) / LOG_2;
-    return (int) Math.round(doublings * PER_DOUBLING);
+    return (int) Math.round(doublings * BUCKETS_PER_DOUBLING);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/TrafficPolicy.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/TrafficPolicy.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.core.rollout;
 
-/** Says what requests an upstream may get, by its version. */
+/** Traffic policy of an upstream during a rollout, which depends on its version. */
 public enum TrafficPolicy {
-  /** All. */
+  /** The upstream may receive all requests. */
   ALL,
-  /** Only those that the leader has lent out for it. */
+  /** The upstream may receive only requests that the leader has allocated for the canary. */
   CANARY,
-  /** None. */
+  /** The upstream may receive no requests. */
   NONE
 }
--- a/core/src/main/java/org/teaseltrail/core/rollout/Verdict.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/Verdict.java
@@ -4,12 +4,12 @@
 import org.teaseltrail.core.id.RouteId;
 
 /**
- * Is the finding that an ordered version is bad, and what decided it.
+ * Result of the canary analysis that the target version is faulty, with the evidence.
  *
- * @param reason what it shows
- * @param route on which route; empty if on all together
- * @param ordered what its answers of the newest seconds showed
- * @param before what those of the versions before showed in the same seconds
+ * @param reason the symptom that was detected
+ * @param route the route on which it was detected; empty if on all routes together
+ * @param ordered counts of the target version's latest answers
+ * @param before counts of the previous versions' answers in the same seconds
  */
 public record Verdict(
     RolloutReason reason, Optional<RouteId> route, AnswerCounts ordered, AnswerCounts before) {}
--- a/core/src/main/java/org/teaseltrail/core/rollout/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/package-info.java
@@ -1,2 +1,2 @@
-/** Moves a service from one version of its upstreams to another: order, evidence, verdict. */
+/** Canary rollouts, which move a service to another version of its upstreams or roll it back. */
 package org.teaseltrail.core.rollout;
--- a/core/src/test/java/org/teaseltrail/core/rollout/CanaryAnalyzerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/CanaryAnalyzerTest.java
@@ -14,182 +14,183 @@
 class CanaryAnalyzerTest {
 
   private static final VmId VM = new VmId("vm");
-  private static final Incarnation LIFE = new Incarnation(1);
+  private static final Incarnation INCARNATION = new Incarnation(1);
   private static final RouteId LONG = new RouteId("long");
   private static final RouteId SHORT = new RouteId("short");
-  private static final long SLICE_NS = 500_000_000L;
-  private static final int PAUSE_BUCKET = 10;
+  private static final long INTERVAL_NS = 500_000_000L;
+  private static final int MEDIAN_GAP_BUCKET = 10;
   private static final int FOUR_TIMES_BUCKETS = 6;
 
-  private final CanaryAnalyzer judge = new CanaryAnalyzer(0);
+  private final CanaryAnalyzer analyzer = new CanaryAnalyzer(0);
   private final SplittableRandom random = new SplittableRandom(5);
-  private final List<Observation> seen = new ArrayList<>();
-  private long told;
+  private final List<Observation> observations = new ArrayList<>();
+  private long nextNumber;
   private long nowNs;
 
-  private void see(RouteId route, String upstream, boolean ordered, Symptom symptom, int value) {
-    seen.add(new Observation(route, new UpstreamId(upstream), ordered, symptom, 1, value));
+  private void observe(
+      RouteId route, String upstream, boolean ordered, Symptom symptom, int value) {
+    observations.add(new Observation(route, new UpstreamId(upstream), ordered, symptom, 1, value));
   }
 
-  private void fail(RouteId route, String upstream, boolean ordered, double share) {
+  private void observeFailure(RouteId route, String upstream, boolean ordered, double share) {
     int value = random.nextDouble() < share ? Observation.FAILED : Observation.GOOD;
-    see(route, upstream, ordered, Symptom.FAILURE, value);
+    observe(route, upstream, ordered, Symptom.FAILURE, value);
   }
 
-  private void endSlice() {
-    told = judge.recordReport(VM, LIFE, told, seen);
-    seen.clear();
-    nowNs += SLICE_NS;
-    judge.tick(nowNs);
+  private void endInterval() {
+    nextNumber = analyzer.recordReport(VM, INCARNATION, nextNumber, observations);
+    observations.clear();
+    nowNs += INTERVAL_NS;
+    analyzer.tick(nowNs);
   }
 
   @Test
   void versionThatFailsIsBad() {
-    for (int slice = 0; slice < 12 && judge.verdict().isEmpty(); slice++) {
+    for (int interval = 0; interval < 12 && analyzer.verdict().isEmpty(); interval++) {
       for (int i = 0; i < 10; i++) {
-        fail(LONG, "old-" + i, false, 0.01);
-        fail(LONG, "new-" + i % 3, true, 0.4);
+        observeFailure(LONG, "old-" + i, false, 0.01);
+        observeFailure(LONG, "new-" + i % 3, true, 0.4);
       }
-      endSlice();
+      endInterval();
     }
-    assertThat(judge.verdict().orElseThrow().reason()).isEqualTo(RolloutReason.FAILURES);
+    assertThat(analyzer.verdict().orElseThrow().reason()).isEqualTo(RolloutReason.FAILURES);
   }
 
-  /** Upstreams of both versions crash in a wave, and the good version is rolled back for it. */
+  /** A wave of crashes at upstreams of both versions must not roll back a good version. */
   @Test
   void waveOfFailuresThatHitsBothVersionsIsNoEvidence() {
-    for (int slice = 0; slice < 40; slice++) {
+    for (int interval = 0; interval < 40; interval++) {
       for (int i = 0; i < 30; i++) {
-        fail(LONG, "old-" + i, false, 0.4);
+        observeFailure(LONG, "old-" + i, false, 0.4);
       }
       for (int i = 0; i < 3; i++) {
-        fail(LONG, "new-" + i, true, 0.4);
+        observeFailure(LONG, "new-" + i, true, 0.4);
       }
-      endSlice();
+      endInterval();
     }
-    assertThat(judge.verdict()).isEmpty();
+    assertThat(analyzer.verdict()).isEmpty();
   }
 
-  /** One upstream ends with all that it worked on, and its version is rolled back for it. */
+  /** A crash of one upstream, which fails all its requests, must not roll back its version. */
   @Test
   void endOfOneUpstreamIsNoEvidence() {
-    for (int slice = 0; slice < 10; slice++) {
+    for (int interval = 0; interval < 10; interval++) {
       for (int i = 0; i < 10; i++) {
-        fail(LONG, "old-" + i, false, 0);
-        fail(LONG, "new-" + i % 3, true, 0);
+        observeFailure(LONG, "old-" + i, false, 0);
+        observeFailure(LONG, "new-" + i % 3, true, 0);
       }
-      endSlice();
+      endInterval();
     }
-    see(LONG, "new-0", true, Symptom.FAILURE, Observation.FAILED);
+    observe(LONG, "new-0", true, Symptom.FAILURE, Observation.FAILED);
     for (int i = 0; i < 9; i++) {
-      see(LONG, "new-1", true, Symptom.FAILURE, Observation.BROKEN);
+      observe(LONG, "new-1", true, Symptom.FAILURE, Observation.BROKEN);
     }
-    endSlice();
-    assertThat(judge.verdict()).isEmpty();
+    endInterval();
+    assertThat(analyzer.verdict()).isEmpty();
   }
 
-  /** One upstream of a good version is sick by itself. */
+  /** A single faulty upstream must not roll back a good version. */
   @Test
   void failuresOfOneUpstreamAloneAreNoEvidence() {
-    for (int slice = 0; slice < 20; slice++) {
+    for (int interval = 0; interval < 20; interval++) {
       for (int i = 0; i < 4; i++) {
-        fail(LONG, "old-" + i, false, 0);
-        fail(LONG, "new-" + i, true, i == 0 ? 0.8 : 0);
+        observeFailure(LONG, "old-" + i, false, 0);
+        observeFailure(LONG, "new-" + i, true, i == 0 ? 0.8 : 0);
       }
-      endSlice();
+      endInterval();
     }
-    assertThat(judge.verdict()).isEmpty();
+    assertThat(analyzer.verdict()).isEmpty();
   }
 
-  /** The failures of a small route drown in the good answers of a large one. */
+  /** The failures on a route with little traffic are hidden by the good answers on a busy one. */
   @Test
   void versionThatFailsOnSmallRouteOnlyIsBad() {
-    for (int slice = 0; slice < 24 && judge.verdict().isEmpty(); slice++) {
+    for (int interval = 0; interval < 24 && analyzer.verdict().isEmpty(); interval++) {
       for (int i = 0; i < 20; i++) {
-        fail(LONG, "old-" + i, false, 0.02);
-        fail(LONG, "new-" + i % 4, true, 0.02);
+        observeFailure(LONG, "old-" + i, false, 0.02);
+        observeFailure(LONG, "new-" + i % 4, true, 0.02);
       }
       for (int i = 0; i < 2; i++) {
-        fail(SHORT, "old-" + i, false, 0.02);
-        fail(SHORT, "new-" + i, true, 0.5);
+        observeFailure(SHORT, "old-" + i, false, 0.02);
+        observeFailure(SHORT, "new-" + i, true, 0.5);
       }
-      endSlice();
+      endInterval();
     }
-    assertThat(judge.verdict().orElseThrow().route()).contains(SHORT);
+    assertThat(analyzer.verdict().orElseThrow().route()).contains(SHORT);
   }
 
-  /** A version that was good for long turns bad; its good answers would outweigh the bad ones. */
+  /** Good answers from before a version turns faulty must not delay the detection of the fault. */
   @Test
   void versionThatTurnsBadLateIsFoundAsSoon() {
-    for (int slice = 0; slice < 40; slice++) {
+    for (int interval = 0; interval < 40; interval++) {
       for (int i = 0; i < 10; i++) {
-        fail(LONG, "old-" + i, false, 0);
-        fail(LONG, "new-" + i % 3, true, 0);
+        observeFailure(LONG, "old-" + i, false, 0);
+        observeFailure(LONG, "new-" + i % 3, true, 0);
       }
-      endSlice();
+      endInterval();
     }
-    int slices = 0;
-    while (judge.verdict().isEmpty() && slices < 12) {
+    int intervals = 0;
+    while (analyzer.verdict().isEmpty() && intervals < 12) {
       for (int i = 0; i < 10; i++) {
-        fail(LONG, "old-" + i, false, 0);
-        fail(LONG, "new-" + i % 3, true, 0.4);
+        observeFailure(LONG, "old-" + i, false, 0);
+        observeFailure(LONG, "new-" + i % 3, true, 0.4);
       }
-      endSlice();
-      slices++;
+      endInterval();
+      intervals++;
     }
-    assertThat(judge.verdict()).isPresent();
+    assertThat(analyzer.verdict()).isPresent();
   }
 
   @Test
   void versionWhoseAnswersAreSlowAtTimesIsBad() {
-    playPauses(0.4, FOUR_TIMES_BUCKETS, 0);
-    assertThat(judge.verdict().orElseThrow().reason()).isEqualTo(RolloutReason.SLOW_STREAM);
+    observeGaps(0.4, FOUR_TIMES_BUCKETS, 0);
+    assertThat(analyzer.verdict().orElseThrow().reason()).isEqualTo(RolloutReason.SLOW_STREAM);
   }
 
   @Test
   void versionWhoseAnswersAreAllSlowIsBad() {
-    playPauses(0, 0, 2 * FOUR_TIMES_BUCKETS);
-    assertThat(judge.verdict().orElseThrow().reason()).isEqualTo(RolloutReason.SLOW_STREAM);
+    observeGaps(0, 0, 2 * FOUR_TIMES_BUCKETS);
+    assertThat(analyzer.verdict().orElseThrow().reason()).isEqualTo(RolloutReason.SLOW_STREAM);
   }
 
-  /** Upstreams differ in speed, and the canary's few ones may be slow ones. */
+  /** Upstreams differ in speed, and the few canary upstreams may happen to be slow ones. */
   @Test
   void versionWithSlowUpstreamsAmongItsOwnIsGood() {
-    playPauses(0, 0, 3);
-    assertThat(judge.verdict()).isEmpty();
+    observeGaps(0, 0, 3);
+    assertThat(analyzer.verdict()).isEmpty();
   }
 
-  private void playPauses(double slowShare, int slowBuckets, int allBuckets) {
-    for (int slice = 0; slice < 24 && judge.verdict().isEmpty(); slice++) {
+  private void observeGaps(double slowShare, int slowBuckets, int allBuckets) {
+    for (int interval = 0; interval < 24 && analyzer.verdict().isEmpty(); interval++) {
       for (int upstream = 0; upstream < 8; upstream++) {
-        int own = upstream - 4;
-        see(LONG, "old-" + upstream, false, Symptom.SLOW_STREAM, pause(own, 0, 0));
-        see(LONG, "old-" + upstream, false, Symptom.SLOW_STREAM, pause(own, 0, 0));
+        int offset = upstream - 4;
+        observe(LONG, "old-" + upstream, false, Symptom.SLOW_STREAM, gapBucket(offset, 0, 0));
+        observe(LONG, "old-" + upstream, false, Symptom.SLOW_STREAM, gapBucket(offset, 0, 0));
         if (upstream < 5) {
-          int value = pause(own + allBuckets, slowShare, slowBuckets);
-          see(LONG, "new-" + upstream, true, Symptom.SLOW_STREAM, value);
+          int value = gapBucket(offset + allBuckets, slowShare, slowBuckets);
+          observe(LONG, "new-" + upstream, true, Symptom.SLOW_STREAM, value);
         }
       }
-      endSlice();
+      endInterval();
     }
   }
 
-  private int pause(int own, double slowShare, int slowBuckets) {
+  private int gapBucket(int offset, double slowShare, int slowBuckets) {
     int slow = random.nextDouble() < slowShare ? slowBuckets : 0;
-    return PAUSE_BUCKET + own + slow + random.nextInt(3);
+    return MEDIAN_GAP_BUCKET + offset + slow + random.nextInt(3);
   }
 
-  /** A report is sent again as its answer was lost; its failures must not count twice. */
+  /** The failures in a report that is resent, because its reply was lost, must count only once. */
   @Test
-  void whatIsToldAgainCountsOnce() {
+  void resentReportCountsOnce() {
     List<Observation> three = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       three.add(
           new Observation(
               LONG, new UpstreamId("new"), true, Symptom.FAILURE, 1, Observation.FAILED));
     }
-    assertThat(judge.recordReport(VM, LIFE, 0, three)).isEqualTo(3);
-    assertThat(judge.recordReport(VM, LIFE, 0, three)).isEqualTo(3);
-    assertThat(judge.targetAnswerCount()).isEqualTo(3);
+    assertThat(analyzer.recordReport(VM, INCARNATION, 0, three)).isEqualTo(3);
+    assertThat(analyzer.recordReport(VM, INCARNATION, 0, three)).isEqualTo(3);
+    assertThat(analyzer.targetAnswerCount()).isEqualTo(3);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/rollout/CanaryBudgetAllocatorTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/CanaryBudgetAllocatorTest.java
@@ -11,92 +11,93 @@
 class CanaryBudgetAllocatorTest {
 
   private static final CanaryLimit LIMIT = new CanaryLimit(0.1, 0);
-  private static final Incarnation LIFE = new Incarnation(1);
-  private static final Incarnation NEXT_LIFE = new Incarnation(2);
+  private static final Incarnation FIRST = new Incarnation(1);
+  private static final Incarnation SECOND = new Incarnation(2);
   private static final VmId ONE = new VmId("one");
   private static final VmId OTHER = new VmId("other");
-  private static final long PLENTY = 1_000;
+  private static final long MANY_SLOTS = 1_000;
 
-  private final CanaryBudgetAllocator ledger =
+  private final CanaryBudgetAllocator allocator =
       new CanaryBudgetAllocator(LIMIT, ExposureCounters.NONE);
 
-  private static RolloutReport use(long reached, long exposed, long ceiling) {
+  private static RolloutReport report(long reached, long exposed, long ceiling) {
     return new RolloutReport(new ServiceId("s"), 1, reached, exposed, ceiling, 0, List.of());
   }
 
-  /** Lends as the leader does, with a log that writes at once. */
-  private long lend(CanaryBudgetAllocator from, VmId vm, Incarnation life, RolloutReport use) {
-    from.recordReport(vm, life, use);
-    from.updateCommitted(from.wanted());
-    return from.allocate(vm, PLENTY);
+  /** Allocates as the leader does, with a log that commits immediately. */
+  private long allocate(
+      CanaryBudgetAllocator target, VmId vm, Incarnation incarnation, RolloutReport report) {
+    target.recordReport(vm, incarnation, report);
+    target.updateCommitted(target.wanted());
+    return target.allocate(vm, MANY_SLOTS);
   }
 
   @Test
-  void lendsNoMoreThanTheShareOfWhatReachedTheService() {
-    lend(ledger, ONE, LIFE, use(0, 0, 0));
-    assertThat(lend(ledger, ONE, LIFE, use(100, 0, 0))).isEqualTo(9);
-    assertThat(lend(ledger, ONE, LIFE, use(200, 9, 9))).isEqualTo(18);
+  void allocatesNoMoreThanTheShareOfWhatReachedTheService() {
+    allocate(allocator, ONE, FIRST, report(0, 0, 0));
+    assertThat(allocate(allocator, ONE, FIRST, report(100, 0, 0))).isEqualTo(9);
+    assertThat(allocate(allocator, ONE, FIRST, report(200, 9, 9))).isEqualTo(18);
   }
 
-  /** Many VMs that each get their part of the bound would pass it by rounding up. */
+  /** Rounding up the share of each of many VMs must not exceed the limit in total. */
   @Test
-  void lendsOutOfOneAccountForAllVms() {
+  void allocatesFromOneBudgetForAllVms() {
     long lent = 0;
     for (int vm = 0; vm < 64; vm++) {
       VmId id = new VmId("vm-" + vm);
-      lend(ledger, id, LIFE, use(0, 0, 0));
+      allocate(allocator, id, FIRST, report(0, 0, 0));
     }
     for (int vm = 0; vm < 64; vm++) {
-      lent += lend(ledger, new VmId("vm-" + vm), LIFE, use(1, 0, 0));
+      lent += allocate(allocator, new VmId("vm-" + vm), FIRST, report(1, 0, 0));
     }
     assertThat(lent).isLessThanOrEqualTo(LIMIT.allowedRequests(64));
   }
 
-  /** A VM is lent requests and falls silent; another one would get the same ones again. */
+  /** Requests allocated to a VM that stops reporting must not be allocated to another VM again. */
   @Test
-  void whatSilentVmHadInHandStaysSpent() {
-    lend(ledger, ONE, LIFE, use(0, 0, 0));
-    lend(ledger, ONE, LIFE, use(100, 0, 0));
-    ledger.removeVm(ONE);
-    lend(ledger, OTHER, LIFE, use(0, 0, 0));
-    assertThat(lend(ledger, OTHER, LIFE, use(1, 0, 0))).isZero();
+  void allocationOfSilentVmStaysSpent() {
+    allocate(allocator, ONE, FIRST, report(0, 0, 0));
+    allocate(allocator, ONE, FIRST, report(100, 0, 0));
+    allocator.removeVm(ONE);
+    allocate(allocator, OTHER, FIRST, report(0, 0, 0));
+    assertThat(allocate(allocator, OTHER, FIRST, report(1, 0, 0))).isZero();
   }
 
-  /** A VM's process starts anew and counts from nothing. */
+  /** The process of a VM restarts and its counts start at zero; nothing returns to the budget. */
   @Test
-  void nextLifeOfVmGivesNothingBack() {
-    lend(ledger, ONE, LIFE, use(0, 0, 0));
-    lend(ledger, ONE, LIFE, use(100, 0, 0));
-    lend(ledger, ONE, NEXT_LIFE, use(0, 0, 0));
-    assertThat(ledger.spent()).isEqualTo(9);
-    assertThat(lend(ledger, ONE, NEXT_LIFE, use(1, 0, 0))).isZero();
+  void restartOfVmReturnsNothingToBudget() {
+    allocate(allocator, ONE, FIRST, report(0, 0, 0));
+    allocate(allocator, ONE, FIRST, report(100, 0, 0));
+    allocate(allocator, ONE, SECOND, report(0, 0, 0));
+    assertThat(allocator.spent()).isEqualTo(9);
+    assertThat(allocate(allocator, ONE, SECOND, report(1, 0, 0))).isZero();
   }
 
   @Test
-  void whatVmDidNotUseInTimeIsLentAgain() {
-    lend(ledger, ONE, LIFE, use(0, 0, 0));
-    lend(ledger, ONE, LIFE, use(100, 0, 0));
-    ledger.recordReport(ONE, LIFE, use(100, 2, 2));
-    assertThat(ledger.spent()).isEqualTo(2);
+  void unusedAllocationIsAllocatedAgain() {
+    allocate(allocator, ONE, FIRST, report(0, 0, 0));
+    allocate(allocator, ONE, FIRST, report(100, 0, 0));
+    allocator.recordReport(ONE, FIRST, report(100, 2, 2));
+    assertThat(allocator.spent()).isEqualTo(2);
   }
 
-  /** A leader is lost with what it knew; the next one would lend the whole share again. */
+  /** A new leader without the state of the crashed one must not allocate the whole share again. */
   @Test
-  void nextLeaderTakesAllThatTheLogAllowedAsSpent() {
-    lend(ledger, ONE, LIFE, use(0, 0, 0));
-    lend(ledger, ONE, LIFE, use(100, 0, 0));
-    CanaryBudgetAllocator next = new CanaryBudgetAllocator(LIMIT, ledger.wanted());
-    assertThat(lend(next, ONE, LIFE, use(110, 3, 9))).isEqualTo(9);
+  void nextLeaderCountsAllThatTheLogAllowedAsSpent() {
+    allocate(allocator, ONE, FIRST, report(0, 0, 0));
+    allocate(allocator, ONE, FIRST, report(100, 0, 0));
+    CanaryBudgetAllocator next = new CanaryBudgetAllocator(LIMIT, allocator.wanted());
+    assertThat(allocate(next, ONE, FIRST, report(110, 3, 9))).isEqualTo(9);
     assertThat(next.spent()).isGreaterThanOrEqualTo(9);
   }
 
-  /** A canary's few upstreams are filled far beyond their places and look slow. */
+  /** The few canary upstreams must not be loaded beyond their slots, or they would appear slow. */
   @Test
-  void lendsNoMoreThanThereArePlaces() {
-    lend(ledger, ONE, LIFE, use(0, 0, 0));
-    ledger.recordReport(ONE, LIFE, use(1_000, 0, 0));
-    ledger.updateCommitted(ledger.wanted());
-    assertThat(ledger.allocate(ONE, 4)).isEqualTo(4);
-    assertThat(ledger.allocate(ONE, 4)).isEqualTo(4);
+  void allocatesNoMoreThanFreeSlots() {
+    allocate(allocator, ONE, FIRST, report(0, 0, 0));
+    allocator.recordReport(ONE, FIRST, report(1_000, 0, 0));
+    allocator.updateCommitted(allocator.wanted());
+    assertThat(allocator.allocate(ONE, 4)).isEqualTo(4);
+    assertThat(allocator.allocate(ONE, 4)).isEqualTo(4);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/rollout/RolloutStoreTest.java
+++ b/core/src/test/java/org/teaseltrail/core/rollout/RolloutStoreTest.java
@@ -18,69 +18,69 @@
   private static final long DURATION_MS = 12_000;
   private static final long LATER_MS = 60_000;
 
-  private final RolloutStore book = new RolloutStore(0, List.of());
+  private final RolloutStore store = new RolloutStore(0, List.of());
 
   private RolloutOrderResult order(UpstreamVersion to, long logTimeMs, UpstreamVersion... inForce) {
-    return book.order(new RolloutOrder(SERVICE, to, DURATION_MS), List.of(inForce), logTimeMs);
+    return store.order(new RolloutOrder(SERVICE, to, DURATION_MS), List.of(inForce), logTimeMs);
   }
 
-  private TrafficPolicy use(UpstreamVersion version) {
-    return book.find(SERVICE).orElseThrow().trafficPolicy(Optional.of(version));
+  private TrafficPolicy policyOf(UpstreamVersion version) {
+    return store.find(SERVICE).orElseThrow().trafficPolicy(Optional.of(version));
   }
 
-  private void turn(RolloutPhase phase) {
-    assertThat(book.turn(SERVICE, ORDERED_MS, phase, RolloutReason.PROVEN)).isTrue();
+  private void transitionTo(RolloutPhase phase) {
+    assertThat(store.turn(SERVICE, ORDERED_MS, phase, RolloutReason.PROVEN)).isTrue();
   }
 
   @Test
-  void orderedVersionIsCanaryAndOthersAreBarred() {
+  void targetVersionIsCanaryAndUnknownVersionGetsNoTraffic() {
     assertThat(order(V2, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ACCEPTED);
-    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
-    assertThat(use(V2)).isEqualTo(TrafficPolicy.CANARY);
-    assertThat(use(V3)).isEqualTo(TrafficPolicy.NONE);
+    assertThat(policyOf(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(policyOf(V2)).isEqualTo(TrafficPolicy.CANARY);
+    assertThat(policyOf(V3)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
-  void upstreamWithoutVersionCountsAsOneOfBefore() {
+  void upstreamWithoutVersionCountsAsPreviousVersion() {
     order(V2, ORDERED_MS, V1);
-    Rollout rollout = book.find(SERVICE).orElseThrow();
+    Rollout rollout = store.find(SERVICE).orElseThrow();
     assertThat(rollout.trafficPolicy(Optional.empty())).isEqualTo(TrafficPolicy.ALL);
   }
 
   @Test
-  void completedVersionAloneIsFree() {
+  void onlyCompletedVersionGetsTraffic() {
     order(V2, ORDERED_MS, V1);
-    turn(RolloutPhase.SHIFTING);
-    assertThat(use(V1)).isEqualTo(TrafficPolicy.NONE);
-    assertThat(use(V2)).isEqualTo(TrafficPolicy.ALL);
-    turn(RolloutPhase.COMPLETED);
-    assertThat(use(V1)).isEqualTo(TrafficPolicy.NONE);
-    assertThat(use(V2)).isEqualTo(TrafficPolicy.ALL);
+    transitionTo(RolloutPhase.SHIFTING);
+    assertThat(policyOf(V1)).isEqualTo(TrafficPolicy.NONE);
+    assertThat(policyOf(V2)).isEqualTo(TrafficPolicy.ALL);
+    transitionTo(RolloutPhase.COMPLETED);
+    assertThat(policyOf(V1)).isEqualTo(TrafficPolicy.NONE);
+    assertThat(policyOf(V2)).isEqualTo(TrafficPolicy.ALL);
   }
 
   @Test
-  void rolledBackVersionIsBarred() {
+  void rolledBackVersionGetsNoTraffic() {
     order(V2, ORDERED_MS, V1);
-    turn(RolloutPhase.ROLLED_BACK);
-    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
-    assertThat(use(V2)).isEqualTo(TrafficPolicy.NONE);
+    transitionTo(RolloutPhase.ROLLED_BACK);
+    assertThat(policyOf(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(policyOf(V2)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
-  void endedRolloutTurnsNoMore() {
+  void endedRolloutChangesPhaseNoMore() {
     order(V2, ORDERED_MS, V1);
-    turn(RolloutPhase.ROLLED_BACK);
-    assertThat(book.turn(SERVICE, ORDERED_MS, RolloutPhase.SHIFTING, RolloutReason.PROVEN))
+    transitionTo(RolloutPhase.ROLLED_BACK);
+    assertThat(store.turn(SERVICE, ORDERED_MS, RolloutPhase.SHIFTING, RolloutReason.PROVEN))
         .isFalse();
-    assertThat(book.turn(SERVICE, ORDERED_MS, RolloutPhase.COMPLETED, RolloutReason.IN_FORCE))
+    assertThat(store.turn(SERVICE, ORDERED_MS, RolloutPhase.COMPLETED, RolloutReason.IN_FORCE))
         .isFalse();
   }
 
-  /** A leader that was overtaken completes a version that was never shifted to. */
+  /** A deposed leader must not complete a rollout whose traffic was never shifted. */
   @Test
   void runningRolloutIsNotCompletedAtOnce() {
     order(V2, ORDERED_MS, V1);
-    assertThat(book.turn(SERVICE, ORDERED_MS, RolloutPhase.COMPLETED, RolloutReason.IN_FORCE))
+    assertThat(store.turn(SERVICE, ORDERED_MS, RolloutPhase.COMPLETED, RolloutReason.IN_FORCE))
         .isFalse();
   }
 
@@ -89,61 +89,62 @@
     order(V2, ORDERED_MS, V1);
     assertThat(order(V2, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ALREADY_RUNNING);
     assertThat(order(V3, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ALREADY_RUNNING);
-    assertThat(book.find(SERVICE).orElseThrow().order().to()).isEqualTo(V2);
+    assertThat(store.find(SERVICE).orElseThrow().order().to()).isEqualTo(V2);
   }
 
-  /** The answer to an order is lost, its version is rolled back, and the order comes again. */
+  /** The reply to an order is lost, its version is rolled back, and the order is sent again. */
   @Test
   void resentOrderBeginsNothingAnew() {
     order(V2, ORDERED_MS, V1);
-    turn(RolloutPhase.ROLLED_BACK);
+    transitionTo(RolloutPhase.ROLLED_BACK);
     assertThat(order(V2, ORDERED_MS + 4_000, V1)).isEqualTo(RolloutOrderResult.REPEATED);
-    assertThat(use(V2)).isEqualTo(TrafficPolicy.NONE);
+    assertThat(policyOf(V2)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
   void versionThatWasRolledBackMayBeOrderedAnew() {
     order(V2, ORDERED_MS, V1);
-    turn(RolloutPhase.ROLLED_BACK);
+    transitionTo(RolloutPhase.ROLLED_BACK);
     assertThat(order(V2, LATER_MS, V1, V2)).isEqualTo(RolloutOrderResult.ACCEPTED);
-    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
-    assertThat(use(V2)).isEqualTo(TrafficPolicy.CANARY);
+    assertThat(policyOf(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(policyOf(V2)).isEqualTo(TrafficPolicy.CANARY);
   }
 
-  /** Upstreams of a version that was rolled back are still registered at the next order. */
+  /** Upstreams of a rolled-back version are still registered when the next order is issued. */
   @Test
   void versionThatWasRolledBackDoesNotComeIntoForceByTheNextOrder() {
     order(V2, ORDERED_MS, V1);
-    turn(RolloutPhase.ROLLED_BACK);
+    transitionTo(RolloutPhase.ROLLED_BACK);
     order(V3, LATER_MS, V1, V2);
-    assertThat(use(V1)).isEqualTo(TrafficPolicy.ALL);
-    assertThat(use(V2)).isEqualTo(TrafficPolicy.NONE);
+    assertThat(policyOf(V1)).isEqualTo(TrafficPolicy.ALL);
+    assertThat(policyOf(V2)).isEqualTo(TrafficPolicy.NONE);
   }
 
   @Test
   void versionInForceIsNotOrdered() {
     assertThat(order(V1, ORDERED_MS, V1)).isEqualTo(RolloutOrderResult.ALREADY_IN_FORCE);
     order(V2, ORDERED_MS, V1);
-    turn(RolloutPhase.SHIFTING);
-    turn(RolloutPhase.COMPLETED);
+    transitionTo(RolloutPhase.SHIFTING);
+    transitionTo(RolloutPhase.COMPLETED);
     assertThat(order(V2, LATER_MS, V1, V2)).isEqualTo(RolloutOrderResult.ALREADY_IN_FORCE);
   }
 
   @Test
-  void absurdDurationsAreRefused() {
+  void invalidDurationsAreRefused() {
     for (long durationMs : new long[] {-1, 0, Long.MAX_VALUE}) {
       RolloutOrder order = new RolloutOrder(SERVICE, V2, durationMs);
-      assertThat(book.order(order, List.of(V1), ORDERED_MS))
+      assertThat(store.order(order, List.of(V1), ORDERED_MS))
           .isEqualTo(RolloutOrderResult.BAD_DURATION);
     }
-    assertThat(book.all()).isEmpty();
+    assertThat(store.all()).isEmpty();
   }
 
   @Test
   void accountNeverShrinks() {
     order(V2, ORDERED_MS, V1);
-    book.account(SERVICE, ORDERED_MS, new ExposureCounters(20, 100));
-    book.account(SERVICE, ORDERED_MS, new ExposureCounters(10, 120));
-    assertThat(book.find(SERVICE).orElseThrow().account()).isEqualTo(new ExposureCounters(20, 120));
+    store.account(SERVICE, ORDERED_MS, new ExposureCounters(20, 100));
+    store.account(SERVICE, ORDERED_MS, new ExposureCounters(10, 120));
+    assertThat(store.find(SERVICE).orElseThrow().account())
+        .isEqualTo(new ExposureCounters(20, 120));
   }
 }
