--- a/core/src/main/java/org/teaseltrail/core/upstream/Announcement.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/Announcement.java
@@ -8,22 +8,22 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Is what an upstream says of itself, again every second or so; its silence past the lifetime
- * counts as leaving.
+ * Announcement that an upstream sends about itself about once a second. An upstream whose last
+ * announcement has expired is treated as leaving.
  *
- * @param upstream who it is
- * @param incarnation which of its lives
- * @param sequence grows with each announcement of one life
- * @param address where it takes requests
- * @param dataCenter where it stands
- * @param role what it does
- * @param phase whether it wants work
- * @param models what it has loaded
- * @param service the plain service it answers for
- * @param maxBatch requests it runs at once
- * @param cacheTokens tokens its prefix cache holds
+ * @param upstream the upstream
+ * @param incarnation its incarnation
+ * @param sequence increases with each announcement of one incarnation
+ * @param address the address at which it accepts requests
+ * @param dataCenter its data centre
+ * @param role its role
+ * @param phase whether it accepts new requests
+ * @param models the models it has loaded
+ * @param service the plain service that it provides, if any
+ * @param maxBatch maximum number of requests that it runs concurrently
+ * @param cacheTokens capacity of its prefix cache, in tokens
  * @param load its load
- * @param lifetimeMs how long the announcement is good for
+ * @param lifetimeMs time until the announcement expires, in milliseconds
  */
 public record Announcement(
     UpstreamId upstream,
--- a/core/src/main/java/org/teaseltrail/core/upstream/CacheEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/CacheEvent.java
@@ -5,14 +5,14 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Tells that an engine has stored or dropped prefix blocks. Events come late, and gaps in the
- * sequence mean that some were lost.
+ * Event by which an engine reports that it stored or evicted blocks of its prefix cache. Events
+ * arrive with a delay, and gaps in the sequence show that events were lost.
  *
  * @param upstream the engine
- * @param incarnation which of its lives
- * @param sequence one more than the event before
- * @param storedBlocks hashes of blocks it now holds
- * @param removedBlocks hashes of blocks it no longer holds
+ * @param incarnation its incarnation
+ * @param sequence sequence number, one higher than that of the previous event
+ * @param storedBlocks hashes of the blocks that are now cached
+ * @param removedBlocks hashes of the blocks that are no longer cached
  */
 public record CacheEvent(
     UpstreamId upstream,
--- a/core/src/main/java/org/teaseltrail/core/upstream/LoadReport.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/LoadReport.java
@@ -1,14 +1,15 @@
 package org.teaseltrail.core.upstream;
 
 /**
- * Is an upstream's word on its load. It is stale when it arrives; its age says by how much.
+ * Load that an upstream reports. The values are outdated when the report arrives; its age states by
+ * how much.
  *
- * @param runningRequests requests in its batch
- * @param queuedRequests requests it has taken and not begun
- * @param queuedPrefillTokens prompt tokens it has yet to process
- * @param stepMs mean time of its last steps, in milliseconds
- * @param cacheUsedFraction part of its prefix cache in use
- * @param ageMs age of the report when it was sent
+ * @param runningRequests number of requests in its batch
+ * @param queuedRequests number of requests that it has accepted and not started
+ * @param queuedPrefillTokens number of prompt tokens that it has yet to process
+ * @param stepMs mean duration of its latest steps, in milliseconds
+ * @param cacheUsedFraction fraction of its prefix cache in use
+ * @param ageMs age of the report when it was sent, in milliseconds
  */
 public record LoadReport(
     int runningRequests,
--- a/core/src/main/java/org/teaseltrail/core/upstream/ServedModel.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/ServedModel.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.ModelVersion;
 
 /**
- * Is a model that an engine has loaded.
+ * Model that an engine has loaded.
  *
  * @param model the model
  * @param version its version
--- a/core/src/main/java/org/teaseltrail/core/upstream/SocketAddress.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/SocketAddress.java
@@ -1,19 +1,19 @@
 package org.teaseltrail.core.upstream;
 
 /**
- * Is where a process listens.
+ * Address at which a process listens.
  *
- * @param host an IP number
+ * @param host the IP address
  * @param port the TCP port
  */
 public record SocketAddress(String host, int port) {
 
   /**
-   * Reads {@code ip:port}.
+   * Parses an address of the form {@code ip:port}.
    *
    * @param text the text
    * @return the address
-   * @throws IllegalArgumentException if it has another form
+   * @throws IllegalArgumentException if the text does not have this form
    */
   public static SocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
--- a/core/src/main/java/org/teaseltrail/core/upstream/UpstreamPhase.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/UpstreamPhase.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.core.upstream;
 
-/** Says whether an upstream wants work. */
+/** Whether an upstream accepts new requests. */
 public enum UpstreamPhase {
-  /** Takes new work. */
+  /** It accepts new requests. */
   SERVING,
-  /** Finishes what it has and takes nothing new. */
+  /** It finishes its running requests and accepts no new ones. */
   LEAVING
 }
--- a/core/src/main/java/org/teaseltrail/core/upstream/UpstreamRole.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/UpstreamRole.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.core.upstream;
 
-/** Says what part of the work an upstream takes. */
+/** Role of an upstream, which determines the kind of requests it can process. */
 public enum UpstreamRole {
-  /** Processes prompts and generates. */
+  /** Model engine that processes prompts and generates output. */
   GENERATE,
-  /** Answers plain calls. */
+  /** Plain service that answers calls. */
   SERVICE
 }
--- a/core/src/main/java/org/teaseltrail/core/upstream/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/upstream/package-info.java
@@ -1,2 +1,2 @@
-/** What upstreams say of themselves. */
+/** Information that upstreams report about themselves. */
 package org.teaseltrail.core.upstream;
