--- a/core/src/main/java/org/teaseltrail/core/decision/Decision.java
+++ b/core/src/main/java/org/teaseltrail/core/decision/Decision.java
@@ -7,14 +7,14 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Is one decision with its reason, for one log line. It holds no prompt and no secret.
+ * Decision with its reason, written as one log line. It contains no prompts and no secrets.
  *
- * @param kind what was decided
- * @param request the request it is about
- * @param customer whose request
- * @param tier its tier
- * @param upstream the upstream it is about
- * @param reason a short reason in words and figures, in the form key=value
+ * @param kind the kind of decision
+ * @param request the request that it concerns
+ * @param customer the customer that sent the request
+ * @param tier the tier of the customer
+ * @param upstream the upstream that it concerns
+ * @param reason the reason as short {@code key=value} pairs
  */
 public record Decision(
     DecisionKind kind,
--- a/core/src/main/java/org/teaseltrail/core/decision/DecisionKind.java
+++ b/core/src/main/java/org/teaseltrail/core/decision/DecisionKind.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.core.decision;
 
-/** Says what was decided. */
+/** Kind of a decision. */
 public enum DecisionKind {
-  /** A request was given an upstream. */
+  /** A request was granted an upstream. */
   GRANT,
-  /** A grant was undone before anything ran. */
+  /** A grant was revoked before the request was executed. */
   REGRANT,
-  /** A request was refused for its customer's or pool's limits. */
+  /** A request was rejected because of a limit of its customer or pool. */
   REFUSE,
-  /** A request was shed. */
+  /** A request was shed under overload. */
   SHED,
-  /** An upstream's share of work was changed for its speed or phase. */
+  /** The share of requests of an upstream was changed because of its speed or phase. */
   UPSTREAM,
   /** A model, adapter or version was placed on an engine. */
   PLACE
--- a/core/src/main/java/org/teaseltrail/core/decision/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/decision/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions of routing, refusal and placement, as the log tells them. */
+/** Routing, rejection and placement decisions, as they are written to the log. */
 package org.teaseltrail.core.decision;
