--- a/core/src/main/java/org/teaseltrail/core/message/ClaimState.java
+++ b/core/src/main/java/org/teaseltrail/core/message/ClaimState.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.message;
 
-/** Says how far the first request under a key has come. */
+/** State of the request that holds an idempotency key. */
 public enum ClaimState {
-  /** It waits for an upstream. */
+  /** It is waiting for an upstream. */
   WAITING,
-  /** It was granted an upstream and may be running. */
+  /** An upstream is granted and may be executing it. */
   RUNNING,
-  /** It has completed. */
+  /** It has been completed. */
   COMPLETED,
-  /** It ended without a whole answer and may have run. */
+  /** It ended without a complete answer and may have been executed. */
   MAY_HAVE_RUN
 }
--- a/core/src/main/java/org/teaseltrail/core/message/ControlMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/message/ControlMessage.java
@@ -10,29 +10,29 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Is a message from a control member to an entry VM. */
+/** Message from a control member to an entry VM. */
 public sealed interface ControlMessage {
 
   /**
-   * Answers a hello: the member is not the leader.
+   * Reply to a hello from a member that is not the leader.
    *
-   * @param member who answers
-   * @param leader the leader it knows
-   * @param sequence the hello's
+   * @param member the member that replies
+   * @param leader the leader, if the member knows it
+   * @param sequence sequence number of the hello
    */
   record NotLeader(MemberId member, Optional<MemberId> leader, long sequence)
       implements ControlMessage {}
 
   /**
-   * Answers a hello: the member leads and its lease holds.
+   * Reply to a hello from the leader while its lease is valid; renews the session of the VM.
    *
-   * @param member who answers
-   * @param fencing its leadership
-   * @param revision the accepted configuration
-   * @param sessionLifetimeMs how long the session lasts from the hello's sending
-   * @param reportsWanted whether the VM must tell of its waiting and running requests and end with
-   *     reports complete
-   * @param sequence the hello's
+   * @param member the member that replies
+   * @param fencing fencing number of its leadership
+   * @param revision revision of the accepted configuration
+   * @param sessionLifetimeMs lifetime of the session from the time the hello was sent
+   * @param reportsWanted whether the VM must report its waiting and running requests, followed by
+   *     {@link EntryMessage.ReportsComplete}
+   * @param sequence sequence number of the hello
    */
   record Welcome(
       MemberId member,
@@ -44,22 +44,22 @@
       implements ControlMessage {}
 
   /**
-   * Carries the accepted configuration, confirmed by a quorum.
+   * Accepted configuration, confirmed by a quorum.
    *
-   * @param fencing the leadership that confirmed it
-   * @param configuration the whole configuration
+   * @param fencing fencing number of the leadership that confirmed it
+   * @param configuration the complete configuration
    */
   record ConfigurationUpdate(FencingNumber fencing, Configuration configuration)
       implements ControlMessage {}
 
   /**
-   * Gives a request its upstream. The VM dispatches at once or declines.
+   * Grants a request an upstream. The VM dispatches the request immediately or declines the grant.
    *
    * @param request the request
    * @param upstream the upstream
-   * @param upstreamIncarnation the upstream's life that is meant
-   * @param address where it takes requests
-   * @param fencing the leadership that grants
+   * @param upstreamIncarnation the incarnation of the upstream that the grant is for
+   * @param address the address at which the upstream accepts requests
+   * @param fencing fencing number of the leadership that issues the grant
    */
   record Grant(
       RequestId request,
@@ -70,34 +70,36 @@
       implements ControlMessage {}
 
   /**
-   * Takes a grant back that may have been lost on its way. The VM declines it unless it has
+   * Recalls a grant that may not have reached the VM. The VM declines the grant unless it has
    * dispatched the request.
    *
    * @param request the request
-   * @param upstream the upstream of the grant, which serves no longer
-   * @param fencing the leadership that granted
+   * @param upstream the upstream of the grant, which no longer accepts requests
+   * @param fencing fencing number of the leadership that issued the grant
    */
   record Recall(RequestId request, UpstreamId upstream, FencingNumber fencing)
       implements ControlMessage {}
 
   /**
-   * Tells that a waiting request is given up; it did not run.
+   * Refuses a waiting request, which was not executed.
    *
    * @param request the request
-   * @param kind why
-   * @param retryAfterMs when the caller may come back
+   * @param kind the reason
+   * @param retryAfterMs time after which the caller can retry
    */
   record Refused(RequestId request, RefusalKind kind, long retryAfterMs)
       implements ControlMessage {}
 
   /**
-   * Tells that an earlier request holds the key of this one, which did not run and no longer waits.
+   * Reports that an earlier request holds the idempotency key of a request, which was not executed
+   * and is no longer waiting.
    *
    * @param request the request
    * @param holder the earlier request
-   * @param state how far it has come
-   * @param upstream where it runs or ran
-   * @param address where that upstream takes requests, if it still announces itself
+   * @param state the claim state of the earlier request
+   * @param upstream the upstream that executes or executed it
+   * @param address the address at which that upstream accepts requests, if it still sends
+   *     announcements
    */
   record ClaimExists(
       RequestId request,
--- a/core/src/main/java/org/teaseltrail/core/message/DeclineReason.java
+++ b/core/src/main/java/org/teaseltrail/core/message/DeclineReason.java
@@ -1,17 +1,17 @@
 package org.teaseltrail.core.message;
 
-/** Says why an entry VM did not dispatch a granted request. Nothing ran in any of these cases. */
+/** Reason why an entry VM declines a grant. In each of these cases the request was not executed. */
 public enum DeclineReason {
-  /** No connection to the upstream came about. */
+  /** The connection to the upstream could not be established. */
   CONNECT_FAILED,
-  /** The VM knows the upstream as leaving. */
+  /** The VM knows that the upstream is leaving. */
   LEAVING,
-  /** The upstream refused the request before it ran. */
+  /** The upstream refused the request without executing it. */
   REFUSED_BY_UPSTREAM,
-  /** The VM no longer holds the request. */
+  /** The VM does not know the request, or no longer knows it. */
   UNKNOWN_REQUEST,
-  /** The grant is from an older leadership than one the VM has seen. */
+  /** The grant is from an earlier leadership than the latest one known to the VM. */
   STALE_GRANT,
-  /** The grant is from the newest leadership, but the VM has no valid session at the moment. */
+  /** The grant is from the latest leadership, but the VM currently has no valid session. */
   NO_SESSION
 }
--- a/core/src/main/java/org/teaseltrail/core/message/EndKind.java
+++ b/core/src/main/java/org/teaseltrail/core/message/EndKind.java
@@ -1,11 +1,14 @@
 package org.teaseltrail.core.message;
 
-/** Says how a dispatched request ended. */
+/** How a dispatched request ended. */
 public enum EndKind {
-  /** The whole answer has reached the entry VM. */
+  /** The entry VM received the complete answer. */
   COMPLETED,
-  /** The upstream said that it failed, or its stream broke for good; the request may have run. */
+  /**
+   * The upstream reported a failure, or its stream broke and could not be resumed. The request may
+   * have been executed.
+   */
   FAILED,
-  /** The caller hung up and the upstream was told to stop. */
+  /** The caller disconnected and the request was cancelled at the upstream. */
   CANCELLED
 }
--- a/core/src/main/java/org/teaseltrail/core/message/EntryMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/message/EntryMessage.java
@@ -10,18 +10,17 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.CacheEvent;
 
-/** Is a message from an entry VM to a control member. */
+/** Message from an entry VM to a control member. */
 public sealed interface EntryMessage {
 
   /**
-   * Opens or renews the VM's session; sent to every member several times within a session's
-   * lifetime.
+   * Opens or renews the session of the VM; sent to every member several times per session lifetime.
    *
    * @param vm the entry VM
-   * @param incarnation which life of its process
-   * @param dataCenter where the VM stands
-   * @param appliedRevision the configuration in force there
-   * @param sequence grows with each hello; the answer carries it back
+   * @param incarnation the incarnation of its process
+   * @param dataCenter the data centre of the VM
+   * @param appliedRevision the configuration revision that the VM applies
+   * @param sequence increases with each hello and is returned in the reply
    */
   record Hello(
       VmId vm,
@@ -32,66 +31,67 @@
       implements EntryMessage {}
 
   /**
-   * Offers a waiting request to its pool's scheduler. Idempotent: an offer of a known ticket
-   * changes nothing.
+   * Offers a waiting request to the scheduler of its pool. Idempotent: the offer of a known ticket
+   * is ignored.
    *
-   * @param ticket the request's ticket
+   * @param ticket the ticket of the request
    */
   record Offer(Ticket ticket) implements EntryMessage {}
 
   /**
-   * Takes a ticket back.
+   * Withdraws the ticket of a waiting request.
    *
    * @param request the request
-   * @param reason why
+   * @param reason the reason
    */
   record Withdraw(RequestId request, WithdrawReason reason) implements EntryMessage {}
 
   /**
-   * Gives a grant back; the request did not run and still waits unless it is unknown.
+   * Declines a grant. The request was not executed and is still waiting, unless the VM does not
+   * know it.
    *
    * @param request the request
    * @param upstream the upstream
-   * @param reason why
+   * @param reason the reason
    */
   record Declined(RequestId request, UpstreamId upstream, DeclineReason reason)
       implements EntryMessage {}
 
   /**
-   * Tells that the upstream's first token has arrived.
+   * Reports that the first token from the upstream has arrived.
    *
    * @param request the request
    * @param upstream the upstream
-   * @param sinceDispatchMs time since the dispatch
+   * @param sinceDispatchMs time since the dispatch, in milliseconds
    */
   record FirstToken(RequestId request, UpstreamId upstream, long sinceDispatchMs)
       implements EntryMessage {}
 
   /**
-   * Tells how many tokens have arrived so far.
+   * Reports how many tokens have arrived so far.
    *
    * @param request the request
    * @param upstream the upstream
-   * @param outputTokens tokens so far
+   * @param outputTokens number of tokens so far
    */
   record Progress(RequestId request, UpstreamId upstream, int outputTokens)
       implements EntryMessage {}
 
   /**
-   * Tells that a dispatched request has ended. Sent again until the leader that answers has seen
+   * Reports that a dispatched request has ended. Resent until the leader that replies has received
    * it.
    *
    * @param request the request
    * @param upstream the upstream
-   * @param kind how
-   * @param usage the work done, as far as known
-   * @param sinceDispatchMs time since the dispatch; zero if it is no longer known
+   * @param kind how the request ended
+   * @param usage tokens processed for the request, as far as known
+   * @param sinceDispatchMs time since the dispatch, in milliseconds; zero if it is no longer known
    */
   record Ended(
       RequestId request, UpstreamId upstream, EndKind kind, Usage usage, long sinceDispatchMs)
       implements EntryMessage {
 
-    /** Stands for a time since the dispatch that is no longer known. */
+    /** Value of {@link #sinceDispatchMs} if the time since the dispatch is no longer known. */
     public static final long UNKNOWN_DURATION_MS = 0;
 
     /** Returns whether the time since the dispatch is known. */
@@ -101,34 +101,34 @@
   }
 
   /**
-   * Tells a new leader of a request that was dispatched under an older one.
+   * Reports to a new leader a request that was dispatched under an earlier one.
    *
-   * @param ticket its ticket
+   * @param ticket the ticket of the request
    * @param upstream the upstream
-   * @param outputTokens tokens so far
-   * @param sinceDispatchMs time since the dispatch
+   * @param outputTokens number of tokens so far
+   * @param sinceDispatchMs time since the dispatch, in milliseconds
    */
   record StillRunning(Ticket ticket, UpstreamId upstream, int outputTokens, long sinceDispatchMs)
       implements EntryMessage {}
 
   /**
-   * Tells that the VM has told a new leader of all that waits and runs there.
+   * Reports that the VM has sent all its waiting and running requests to a new leader.
    *
    * @param vm the entry VM
-   * @param fencing the leadership it was told to
+   * @param fencing fencing number of the leadership that the reports were sent to
    */
   record ReportsComplete(VmId vm, FencingNumber fencing) implements EntryMessage {}
 
   /**
-   * Passes on an upstream's announcement, its secret checked.
+   * Forwards an announcement of an upstream whose secret the VM has verified.
    *
    * @param announcement the announcement
-   * @param heardMs how long ago the VM heard it
+   * @param heardMs time since the VM received it, in milliseconds
    */
   record UpstreamSeen(Announcement announcement, long heardMs) implements EntryMessage {}
 
   /**
-   * Passes on an engine's cache event.
+   * Forwards a cache event of an engine.
    *
    * @param event the event
    */
--- a/core/src/main/java/org/teaseltrail/core/message/GroupMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/message/GroupMessage.java
@@ -3,11 +3,11 @@
 import org.teaseltrail.core.replication.GroupId;
 import org.teaseltrail.core.replication.Member;
 
-/** Is a message from a process whose member wants to belong to a group of control members. */
+/** Message from a process whose member requests to join a group of control members. */
 public sealed interface GroupMessage {
 
   /**
-   * Asks to be taken in. Sent again and again until the member belongs to the group.
+   * Requests to join the group. Resent until the member belongs to it.
    *
    * @param group the group
    * @param member the member
--- a/core/src/main/java/org/teaseltrail/core/message/GroupReply.java
+++ b/core/src/main/java/org/teaseltrail/core/message/GroupReply.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import org.teaseltrail.core.id.VmId;
 
-/** Is an answer to a process whose member wants to belong to a group of control members. */
+/** Reply to a process whose member requests to join a group of control members. */
 public sealed interface GroupReply {
 
   /**
-   * Tells which VMs hold members, so that the asker finds the leader among them.
+   * Lists the VMs of the members, so that the joining process can find the leader among them.
    *
-   * @param vms the VMs that the answering member knows
+   * @param vms the VMs known to the member that replies
    */
   record KnownMembers(List<VmId> vms) implements GroupReply {
     /** Copies the list. */
--- a/core/src/main/java/org/teaseltrail/core/message/RefusalKind.java
+++ b/core/src/main/java/org/teaseltrail/core/message/RefusalKind.java
@@ -1,21 +1,21 @@
 package org.teaseltrail.core.message;
 
-/** Says why a request is given up before it was dispatched. In every case it did not run. */
+/** Reason why the scheduler refuses a waiting request; the request was not executed. */
 public enum RefusalKind {
-  /** Load was shed, lowest tier first. */
+  /** The request was shed under overload; the lowest tier is shed first. */
   SHED,
-  /** The customer is over its rate. */
+  /** The customer exceeds its rate limit. */
   RATE_LIMIT,
-  /** The customer has more waiting work than its share. */
+  /** The queued requests of the customer exceed its share of the queue. */
   SHARE_LIMIT,
-  /** The deadline passed before an upstream was free. */
+  /** The deadline expired before an upstream had capacity. */
   DEADLINE,
-  /** No upstream of the pool is serving. */
+  /** No upstream of the pool accepts requests. */
   NO_UPSTREAM,
-  /** The pool isn't configured. */
+  /** The pool is not configured. */
   UNKNOWN_POOL,
-  /** The key is held by a request with another body. */
+  /** The idempotency key is in use by a request with a different body. */
   KEY_CONFLICT,
-  /** There is no room for another claim, so the request can't be kept from running twice. */
+  /** The limit of claims is reached, so that a second execution could not be prevented. */
   CLAIMS_FULL
 }
--- a/core/src/main/java/org/teaseltrail/core/message/RequestKind.java
+++ b/core/src/main/java/org/teaseltrail/core/message/RequestKind.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.core.message;
 
-/** Says what a ticket asks an upstream for. */
+/** Kind of a request. */
 public enum RequestKind {
-  /** A generation by a model engine. */
+  /** Generation by a model engine. */
   GENERATION,
-  /** A call to a plain service. */
+  /** Call to a plain service. */
   SERVICE_CALL
 }
--- a/core/src/main/java/org/teaseltrail/core/message/Ticket.java
+++ b/core/src/main/java/org/teaseltrail/core/message/Ticket.java
@@ -9,21 +9,22 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Stands for a waiting request at its pool's scheduler. The body stays on the entry VM.
+ * Metadata of a waiting request that is queued at the scheduler of its pool. The body of the
+ * request stays on the entry VM.
  *
  * @param request the request
- * @param customer who pays
- * @param tier the tier paid for
- * @param route what the caller asks for, found in the configuration
- * @param pool where it is to run
- * @param kind what it asks for
- * @param promptTokens length of the prompt; for a service call, one
- * @param expectedOutputTokens estimate of the answer's length; for a service call, one
+ * @param customer the customer that sent it
+ * @param tier the tier of the customer
+ * @param route the route that matches the request
+ * @param pool the pool that executes it
+ * @param kind the kind of request
+ * @param promptTokens length of the prompt in tokens; one for a service call
+ * @param expectedOutputTokens estimated length of the answer in tokens; one for a service call
  * @param prefixBlocks hash chain of the prompt's blocks, first block first
- * @param waitedMs how long the request has waited when the ticket is sent
- * @param deadlineMs time left until the caller's deadline when the ticket is sent; zero if it has
- *     none
- * @param claim present if the request carries a key
+ * @param waitedMs time that the request had waited when the ticket was sent, in milliseconds
+ * @param deadlineMs time that was left until the caller's deadline when the ticket was sent, in
+ *     milliseconds; zero if there is no deadline
+ * @param claim idempotency claim, present if the request has an idempotency key
  */
 public record Ticket(
     RequestId request,
--- a/core/src/main/java/org/teaseltrail/core/message/Usage.java
+++ b/core/src/main/java/org/teaseltrail/core/message/Usage.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.core.message;
 
 /**
- * Counts the work done for a request.
+ * Tokens processed for a request.
  *
- * @param promptTokens prompt tokens
- * @param cachedTokens prompt tokens that the prefix cache saved
- * @param outputTokens tokens generated
+ * @param promptTokens number of prompt tokens
+ * @param cachedTokens number of prompt tokens that were found in the prefix cache
+ * @param outputTokens number of generated tokens
  */
 public record Usage(int promptTokens, int cachedTokens, int outputTokens) {}
--- a/core/src/main/java/org/teaseltrail/core/message/WithdrawReason.java
+++ b/core/src/main/java/org/teaseltrail/core/message/WithdrawReason.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.core.message;
 
-/** Says why an entry VM takes a waiting ticket back. */
+/** Reason why an entry VM withdraws the ticket of a waiting request. */
 public enum WithdrawReason {
-  /** The caller has hung up. */
+  /** The caller disconnected. */
   CALLER_GONE,
-  /** The caller's own deadline has passed. */
+  /** The deadline of the caller has expired. */
   DEADLINE,
-  /** The VM has given the request up while no scheduler was in reach. */
+  /** The VM shed the request while no scheduler was reachable. */
   GIVEN_UP
 }
--- a/core/src/main/java/org/teaseltrail/core/message/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/message/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between entry VMs and control members; who sends each is said by its interface. */
+/** Messages between entry VMs and control members, with one interface per direction. */
 package org.teaseltrail.core.message;
