--- a/core/src/main/java/org/teaseltrail/core/configuration/AllowedUpstream.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/AllowedUpstream.java
@@ -4,18 +4,18 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Is an upstream that operators allow to take work.
+ * Upstream that operators allow to serve requests.
  *
- * @param id its name
- * @param pool the one pool it serves, so that pools share nothing
- * @param secretHash SHA-256 of the secret its announcements carry, in lower-case hexadecimal
- * @param draining whether operators want it to take no new work
- * @param honoursFencing whether it refuses an order with an old fencing number
+ * @param id the upstream
+ * @param pool the only pool that it belongs to, so that pools share no upstreams
+ * @param secretHash SHA-256 of the secret in its announcements, in lower-case hexadecimal
+ * @param draining whether operators drain it, so that it gets no new requests
+ * @param honoursFencing whether it rejects orders with an outdated fencing number
  */
 public record AllowedUpstream(
     UpstreamId id, PoolId pool, String secretHash, boolean draining, boolean honoursFencing) {
 
-  /** Returns the same upstream with its draining set. */
+  /** Returns a copy with the draining flag set to the given value. */
   public AllowedUpstream withDraining(boolean nowDraining) {
     return new AllowedUpstream(id, pool, secretHash, nowDraining, honoursFencing);
   }
--- a/core/src/main/java/org/teaseltrail/core/configuration/Configuration.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/Configuration.java
@@ -9,9 +9,9 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Is all that operators have set, at one revision. Immutable; a change makes a new one.
+ * Configuration set by operators, at one revision. Immutable; a change creates a new instance.
  *
- * @param revision counts the accepted changes
+ * @param revision number of accepted changes
  * @param tiers the tiers by rank
  * @param customers the customers
  * @param pools the pools
@@ -25,7 +25,7 @@
     Map<PoolId, Pool> pools,
     Map<RouteId, Route> routes,
     Map<UpstreamId, AllowedUpstream> upstreams) {
-  /** Copies the maps, so that no one can change them. */
+  /** Copies the maps, so that the configuration is immutable. */
   public Configuration {
     tiers = Map.copyOf(tiers);
     customers = Map.copyOf(customers);
@@ -34,7 +34,7 @@
     upstreams = Map.copyOf(upstreams);
   }
 
-  /** Returns the configuration of a new group: nothing at revision zero. */
+  /** Returns the empty configuration at revision zero, with which a new group starts. */
   public static Configuration empty() {
     return new Configuration(new Revision(0), Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
   }
--- a/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationChange.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationChange.java
@@ -6,25 +6,25 @@
 import org.teaseltrail.core.id.Tier;
 import org.teaseltrail.core.id.UpstreamId;
 
-/** Is one item of a change. A put creates what is missing and replaces what exists. */
+/** One item of a configuration change. A put creates an entity or replaces an existing one. */
 public sealed interface ConfigurationChange {
 
   /**
-   * Puts a tier.
+   * Creates or replaces a tier.
    *
    * @param tier the tier
    */
   record PutTier(TierDefinition tier) implements ConfigurationChange {}
 
   /**
-   * Removes a tier that no customer pays for.
+   * Removes a tier that no customer has.
    *
    * @param tier the tier
    */
   record RemoveTier(Tier tier) implements ConfigurationChange {}
 
   /**
-   * Puts a customer.
+   * Creates or replaces a customer.
    *
    * @param customer the customer
    */
@@ -38,21 +38,21 @@
   record RemoveCustomer(CustomerId customer) implements ConfigurationChange {}
 
   /**
-   * Puts a pool.
+   * Creates or replaces a pool.
    *
    * @param pool the pool
    */
   record PutPool(Pool pool) implements ConfigurationChange {}
 
   /**
-   * Removes a pool that no route leads to and no upstream serves.
+   * Removes a pool that is referenced by no route and has no upstream.
    *
    * @param pool the pool
    */
   record RemovePool(PoolId pool) implements ConfigurationChange {}
 
   /**
-   * Puts a route.
+   * Creates or replaces a route.
    *
    * @param route the route
    */
@@ -66,24 +66,24 @@
   record RemoveRoute(RouteId route) implements ConfigurationChange {}
 
   /**
-   * Allows an upstream.
+   * Allows an upstream, or replaces its settings.
    *
    * @param upstream the upstream
    */
   record PutUpstream(AllowedUpstream upstream) implements ConfigurationChange {}
 
   /**
-   * Takes the allowance of an upstream away.
+   * Removes an upstream, which is no longer allowed to serve requests.
    *
    * @param upstream the upstream
    */
   record RemoveUpstream(UpstreamId upstream) implements ConfigurationChange {}
 
   /**
-   * Drains an upstream or ends its draining.
+   * Starts or ends the draining of an upstream.
    *
    * @param upstream the upstream
-   * @param draining whether it is to take no new work
+   * @param draining whether it is drained, so that it gets no new requests
    */
   record SetDraining(UpstreamId upstream, boolean draining) implements ConfigurationChange {}
 }
--- a/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationEditor.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationEditor.java
@@ -27,8 +27,8 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Applies a change to a configuration, whole or not at all. References are checked after the last
- * item, so items may come in any order.
+ * Applies a change to a configuration atomically. References are validated after the last item, so
+ * that the order of the items does not matter.
  */
 public final class ConfigurationEditor {
 
@@ -51,9 +51,9 @@
   /**
    * Applies the items of a change.
    *
-   * @param before the configuration to change; it stays as it is
-   * @param items what to change
-   * @return the configuration one revision on, or the first rule that the change breaks
+   * @param before the configuration to change, which is not modified
+   * @param items the items of the change
+   * @return the configuration at the next revision, or the first rule that the change violates
    */
   public static ConfigurationResult apply(Configuration before, List<ConfigurationChange> items) {
     if (items.isEmpty()) {
@@ -61,15 +61,15 @@
     }
     ConfigurationEditor editor = new ConfigurationEditor(before);
     for (ConfigurationChange item : items) {
-      Optional<ConfigurationFailure> failure = editor.edit(item);
+      Optional<ConfigurationFailure> failure = editor.applyItem(item);
       if (failure.isPresent()) {
         return new ConfigurationResult.Refused(failure.get());
       }
     }
-    return editor.finish();
+    return editor.build();
   }
 
-  private ConfigurationResult finish() {
+  private ConfigurationResult build() {
     Configuration after =
         new Configuration(
             new Revision(before.revision().value() + 1),
@@ -85,7 +85,7 @@
     return new ConfigurationResult.Changed(after);
   }
 
-  private Optional<ConfigurationFailure> edit(ConfigurationChange item) {
+  private Optional<ConfigurationFailure> applyItem(ConfigurationChange item) {
     if (item instanceof PutTier put) {
       tiers.put(put.tier().tier(), put.tier());
       return invalid(EntityRef.of(put.tier().tier()), ValueValidator.validate(put.tier()));
@@ -106,10 +106,10 @@
       upstreams.put(put.upstream().id(), put.upstream());
       return invalid(EntityRef.of(put.upstream().id()), ValueValidator.validate(put.upstream()));
     }
-    return take(item);
+    return removeOrDrain(item);
   }
 
-  private Optional<ConfigurationFailure> take(ConfigurationChange item) {
+  private Optional<ConfigurationFailure> removeOrDrain(ConfigurationChange item) {
     if (item instanceof RemoveTier remove) {
       return missing(EntityRef.of(remove.tier()), tiers.remove(remove.tier()));
     }
@@ -133,8 +133,8 @@
   }
 
   private static Optional<ConfigurationFailure> invalid(
-      EntityRef entity, Optional<ValueRule> broken) {
-    return broken.map(rule -> new InvalidValue(entity, rule));
+      EntityRef entity, Optional<ValueRule> violated) {
+    return violated.map(rule -> new InvalidValue(entity, rule));
   }
 
   private static Optional<ConfigurationFailure> missing(EntityRef entity, Object found) {
--- a/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationFailure.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationFailure.java
@@ -1,36 +1,36 @@
 package org.teaseltrail.core.configuration;
 
-/** Says why a change is against the rules of the configuration. Nothing of it was applied. */
+/** Reason why a configuration change is rejected. No part of the change is applied. */
 public sealed interface ConfigurationFailure {
 
   /** The change has no item. */
   record EmptyChange() implements ConfigurationFailure {}
 
   /**
-   * An item removes or drains what does not exist.
+   * An item removes or drains an entity that does not exist.
    *
-   * @param entity what is missing
+   * @param entity the missing entity
    */
   record NotFound(EntityRef entity) implements ConfigurationFailure {}
 
   /**
-   * An item refers to what does not exist.
+   * An item refers to an entity that does not exist.
    *
-   * @param from what refers
-   * @param missing what is missing
+   * @param from the entity with the reference
+   * @param missing the missing entity
    */
   record MissingReference(EntityRef from, EntityRef missing) implements ConfigurationFailure {}
 
   /**
-   * An item removes what another part still needs.
+   * An item removes an entity that another one still refers to.
    *
-   * @param entity what was to be removed
-   * @param usedBy what needs it
+   * @param entity the entity to be removed
+   * @param usedBy the entity that refers to it
    */
   record InUse(EntityRef entity, EntityRef usedBy) implements ConfigurationFailure {}
 
   /**
-   * Two routes lead the same target, or two customers hold the same API key.
+   * Two routes have the same target, or two customers have the same API key.
    *
    * @param entity one of the two
    * @param other the other
@@ -38,10 +38,10 @@
   record Duplicate(EntityRef entity, EntityRef other) implements ConfigurationFailure {}
 
   /**
-   * A value is out of range.
+   * A value is invalid.
    *
-   * @param entity what holds the value
-   * @param rule the rule it breaks
+   * @param entity the entity that contains the value
+   * @param rule the rule that the value violates
    */
   record InvalidValue(EntityRef entity, ValueRule rule) implements ConfigurationFailure {}
 }
--- a/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationResult.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ConfigurationResult.java
@@ -1,19 +1,19 @@
 package org.teaseltrail.core.configuration;
 
-/** Is what becomes of a change that is applied to a configuration. */
+/** Result of applying a change to a configuration. */
 public sealed interface ConfigurationResult {
 
   /**
-   * The change keeps all rules.
+   * The change is valid.
    *
-   * @param configuration the new configuration, one revision on
+   * @param configuration the new configuration, at the next revision
    */
   record Changed(Configuration configuration) implements ConfigurationResult {}
 
   /**
-   * The change breaks a rule.
+   * The change violates a rule and is rejected.
    *
-   * @param failure the rule
+   * @param failure the violated rule
    */
   record Refused(ConfigurationFailure failure) implements ConfigurationResult {}
 }
--- a/core/src/main/java/org/teaseltrail/core/configuration/Customer.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/Customer.java
@@ -5,14 +5,15 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Is a customer with its tier and limits.
+ * Customer with its tier and limits.
  *
- * @param id who it is
- * @param tier the tier it pays for
+ * @param id the customer
+ * @param tier the tier that it pays for
  * @param keyHashes SHA-256 of each API key, in lower-case hexadecimal
- * @param rateRequestsPerSecond requests it may send a second; zero for no limit
- * @param burstRequests requests it may send at once above the rate
- * @param weight share of engine time against the other customers of its tier; one or greater
+ * @param rateRequestsPerSecond rate limit in requests per second; zero for no limit
+ * @param burstRequests number of requests that it may send at once above the rate
+ * @param weight weight in the fair sharing of engine time among the customers of its tier; at least
+ *     one
  */
 public record Customer(
     CustomerId id,
--- a/core/src/main/java/org/teaseltrail/core/configuration/EntityKind.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/EntityKind.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.configuration;
 
-/** Says what a part of the configuration is. */
+/** Kind of an entity of the configuration. */
 public enum EntityKind {
   /** A tier. */
   TIER,
--- a/core/src/main/java/org/teaseltrail/core/configuration/EntityRef.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/EntityRef.java
@@ -7,34 +7,34 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Points at one part of the configuration, for the message of a failure.
+ * Reference to an entity of the configuration, for error reports.
  *
- * @param kind what it is
+ * @param kind the kind of the entity
  * @param name its id as text
  */
 public record EntityRef(EntityKind kind, String name) {
 
-  /** Points at a tier. */
+  /** Returns a reference to a tier. */
   public static EntityRef of(Tier tier) {
     return new EntityRef(EntityKind.TIER, Integer.toString(tier.rank()));
   }
 
-  /** Points at a customer. */
+  /** Returns a reference to a customer. */
   public static EntityRef of(CustomerId customer) {
     return new EntityRef(EntityKind.CUSTOMER, customer.value());
   }
 
-  /** Points at a pool. */
+  /** Returns a reference to a pool. */
   public static EntityRef of(PoolId pool) {
     return new EntityRef(EntityKind.POOL, pool.value());
   }
 
-  /** Points at a route. */
+  /** Returns a reference to a route. */
   public static EntityRef of(RouteId route) {
     return new EntityRef(EntityKind.ROUTE, route.value());
   }
 
-  /** Points at an allowed upstream. */
+  /** Returns a reference to an allowed upstream. */
   public static EntityRef of(UpstreamId upstream) {
     return new EntityRef(EntityKind.UPSTREAM, upstream.value());
   }
--- a/core/src/main/java/org/teaseltrail/core/configuration/Pool.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/Pool.java
@@ -3,11 +3,12 @@
 import org.teaseltrail.core.id.PoolId;
 
 /**
- * Is a pool with its limits.
+ * Pool of upstreams with its limits.
  *
- * @param id its name
- * @param maxWaitingMs work that may wait, in milliseconds of the whole pool's time; above it,
- *     shedding starts
- * @param targetCopies upstreams that are to hold the pool's model; zero leaves placement alone
+ * @param id the pool
+ * @param maxWaitingMs limit of the queued work, in milliseconds of processing time of the whole
+ *     pool; load is shed above it
+ * @param targetCopies number of upstreams that should have the pool's model loaded; zero disables
+ *     automatic placement
  */
 public record Pool(PoolId id, long maxWaitingMs, int targetCopies) {}
--- a/core/src/main/java/org/teaseltrail/core/configuration/ReferenceValidator.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ReferenceValidator.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.configuration.ConfigurationFailure.MissingReference;
 import org.teaseltrail.core.id.PoolId;
 
-/** Checks that all parts of a configuration fit each other. */
+/** Validates the references between the entities of a configuration. */
 final class ReferenceValidator {
 
   private final Configuration before;
@@ -19,18 +19,22 @@
     this.after = after;
   }
 
-  /** Returns the first rule that the configuration breaks, the same on every member. */
+  /** Returns the first rule that the configuration violates, which is the same on every member. */
   static Optional<ConfigurationFailure> firstFailure(Configuration before, Configuration after) {
-    ReferenceValidator check = new ReferenceValidator(before, after);
-    return check.customers().or(check::routes).or(check::upstreams);
+    ReferenceValidator validator = new ReferenceValidator(before, after);
+    return validator
+        .validateCustomers()
+        .or(validator::validateRoutes)
+        .or(validator::validateUpstreams);
   }
 
-  private Optional<ConfigurationFailure> customers() {
+  private Optional<ConfigurationFailure> validateCustomers() {
     Map<String, Customer> byKey = new HashMap<>();
     for (Customer customer : IdSorter.sorted(after.customers()).values()) {
       if (!after.tiers().containsKey(customer.tier())) {
         boolean existed = before.tiers().containsKey(customer.tier());
-        return unmet(EntityRef.of(customer.id()), EntityRef.of(customer.tier()), existed);
+        return missingReference(
+            EntityRef.of(customer.id()), EntityRef.of(customer.tier()), existed);
       }
       for (String hash : customer.keyHashes()) {
         Customer other = byKey.putIfAbsent(hash, customer);
@@ -42,10 +46,10 @@
     return Optional.empty();
   }
 
-  private Optional<ConfigurationFailure> routes() {
+  private Optional<ConfigurationFailure> validateRoutes() {
     Map<Object, Route> byTarget = new HashMap<>();
     for (Route route : IdSorter.sorted(after.routes()).values()) {
-      Optional<ConfigurationFailure> failure = pool(EntityRef.of(route.id()), route.pool());
+      Optional<ConfigurationFailure> failure = validatePool(EntityRef.of(route.id()), route.pool());
       if (failure.isPresent()) {
         return failure;
       }
@@ -57,9 +61,10 @@
     return Optional.empty();
   }
 
-  private Optional<ConfigurationFailure> upstreams() {
+  private Optional<ConfigurationFailure> validateUpstreams() {
     for (AllowedUpstream upstream : IdSorter.sorted(after.upstreams()).values()) {
-      Optional<ConfigurationFailure> failure = pool(EntityRef.of(upstream.id()), upstream.pool());
+      Optional<ConfigurationFailure> failure =
+          validatePool(EntityRef.of(upstream.id()), upstream.pool());
       if (failure.isPresent()) {
         return failure;
       }
@@ -67,11 +72,11 @@
     return Optional.empty();
   }
 
-  private Optional<ConfigurationFailure> pool(EntityRef from, PoolId pool) {
+  private Optional<ConfigurationFailure> validatePool(EntityRef from, PoolId pool) {
     if (after.pools().containsKey(pool)) {
       return Optional.empty();
     }
-    return unmet(from, EntityRef.of(pool), before.pools().containsKey(pool));
+    return missingReference(from, EntityRef.of(pool), before.pools().containsKey(pool));
   }
 
   private static Object identity(RouteTarget target) {
@@ -81,7 +86,7 @@
     return target;
   }
 
-  private static Optional<ConfigurationFailure> unmet(
+  private static Optional<ConfigurationFailure> missingReference(
       EntityRef from, EntityRef missing, boolean existed) {
     return Optional.of(existed ? new InUse(missing, from) : new MissingReference(from, missing));
   }
--- a/core/src/main/java/org/teaseltrail/core/configuration/Route.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/Route.java
@@ -4,10 +4,10 @@
 import org.teaseltrail.core.id.RouteId;
 
 /**
- * Leads what callers ask for to a pool.
+ * Route from the model or service that callers request to the pool that serves it.
  *
- * @param id its name
- * @param target what callers ask for
- * @param pool where it is served
+ * @param id the route
+ * @param target the requested model or service
+ * @param pool the pool that serves it
  */
 public record Route(RouteId id, RouteTarget target, PoolId pool) {}
--- a/core/src/main/java/org/teaseltrail/core/configuration/RouteTarget.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/RouteTarget.java
@@ -9,27 +9,27 @@
 import org.teaseltrail.core.id.ModelVersion;
 import org.teaseltrail.core.id.ServiceId;
 
-/** Says what callers ask for: a model to generate with or a plain service to call. */
+/** Target that callers request: a model for generation or a plain service to call. */
 public sealed interface RouteTarget {
 
   /**
-   * Is a model, perhaps with an adapter.
+   * Model, optionally with an adapter.
    *
    * @param model the model
-   * @param version the version that is served
+   * @param version the version of the model
    * @param adapter the adapter, if any
    */
   record ModelTarget(ModelId model, ModelVersion version, Optional<AdapterId> adapter)
       implements RouteTarget {}
 
   /**
-   * Is a plain service.
+   * Plain service.
    *
    * @param service the service
-   * @param nonIdempotentMethods HTTP methods whose calls may run at most once, in upper case
+   * @param nonIdempotentMethods HTTP methods, in upper case, whose calls are executed at most once
    */
   record ServiceTarget(ServiceId service, Set<String> nonIdempotentMethods) implements RouteTarget {
-    /** Keeps the methods in order, so that equal targets have equal texts in every process. */
+    /** Sorts the methods, so that equal targets have the same text form in every process. */
     public ServiceTarget {
       nonIdempotentMethods = Collections.unmodifiableSet(new TreeSet<>(nonIdempotentMethods));
     }
--- a/core/src/main/java/org/teaseltrail/core/configuration/TierDefinition.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/TierDefinition.java
@@ -3,9 +3,9 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Defines a tier that customers can buy.
+ * Definition of a tier that customers can buy.
  *
- * @param tier its rank
- * @param name the name operators and bills use
+ * @param tier the rank of the tier
+ * @param name the name that is used by operators and on bills
  */
 public record TierDefinition(Tier tier, String name) {}
--- a/core/src/main/java/org/teaseltrail/core/configuration/ValueValidator.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/ValueValidator.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Checks the values of one part of the configuration, whatever the other parts hold. */
+/** Validates the values of a single entity, independently of other entities. */
 final class ValueValidator {
 
   private static final int MAX_NAME_LENGTH = 200;
@@ -16,45 +16,49 @@
 
   private ValueValidator() {}
 
-  /** Returns the rule that a tier breaks, if any. */
+  /** Returns the rule that a tier violates, if any. */
   static Optional<ValueRule> validate(TierDefinition tier) {
-    boolean named = !tier.name().isBlank() && tier.name().length() <= MAX_NAME_LENGTH;
-    return broken(named, ValueRule.TIER_NAME);
+    boolean validName = !tier.name().isBlank() && tier.name().length() <= MAX_NAME_LENGTH;
+    return violationUnless(validName, ValueRule.TIER_NAME);
   }
 
-  /** Returns the rule that a customer breaks, if any. */
+  /** Returns the rule that a customer violates, if any. */
   static Optional<ValueRule> validate(Customer customer) {
     double rate = customer.rateRequestsPerSecond();
     double burst = customer.burstRequests();
-    boolean burstFits = Double.isFinite(burst) && burst >= (rate > 0 ? 1 : 0);
-    return broken(customer.keyHashes().size() <= MAX_KEYS, ValueRule.KEY_COUNT)
+    boolean validBurst = Double.isFinite(burst) && burst >= (rate > 0 ? 1 : 0);
+    return violationUnless(customer.keyHashes().size() <= MAX_KEYS, ValueRule.KEY_COUNT)
         .or(
             () ->
-                broken(customer.keyHashes().stream().allMatch(ValueValidator::isHash), hashRule()))
-        .or(() -> broken(Double.isFinite(rate) && rate >= 0, ValueRule.RATE))
-        .or(() -> broken(burstFits, ValueRule.BURST))
-        .or(() -> broken(isBetween(customer.weight(), 1, MAX_WEIGHT), ValueRule.WEIGHT));
+                violationUnless(
+                    customer.keyHashes().stream().allMatch(ValueValidator::isHash), hashRule()))
+        .or(() -> violationUnless(Double.isFinite(rate) && rate >= 0, ValueRule.RATE))
+        .or(() -> violationUnless(validBurst, ValueRule.BURST))
+        .or(() -> violationUnless(isBetween(customer.weight(), 1, MAX_WEIGHT), ValueRule.WEIGHT));
   }
 
-  /** Returns the rule that a pool breaks, if any. */
+  /** Returns the rule that a pool violates, if any. */
   static Optional<ValueRule> validate(Pool pool) {
-    return broken(isBetween(pool.maxWaitingMs(), 1, MAX_WAITING_MS), ValueRule.MAX_WAITING)
-        .or(() -> broken(isBetween(pool.targetCopies(), 0, MAX_COPIES), ValueRule.TARGET_COPIES));
+    return violationUnless(isBetween(pool.maxWaitingMs(), 1, MAX_WAITING_MS), ValueRule.MAX_WAITING)
+        .or(
+            () ->
+                violationUnless(
+                    isBetween(pool.targetCopies(), 0, MAX_COPIES), ValueRule.TARGET_COPIES));
   }
 
-  /** Returns the rule that a route breaks, if any. */
+  /** Returns the rule that a route violates, if any. */
   static Optional<ValueRule> validate(Route route) {
     if (route.target() instanceof RouteTarget.ServiceTarget service) {
-      boolean methods =
+      boolean validMethods =
           service.nonIdempotentMethods().stream().allMatch(m -> METHOD.matcher(m).matches());
-      return broken(methods, ValueRule.HTTP_METHOD);
+      return violationUnless(validMethods, ValueRule.HTTP_METHOD);
     }
     return Optional.empty();
   }
 
-  /** Returns the rule that an allowed upstream breaks, if any. */
+  /** Returns the rule that an allowed upstream violates, if any. */
   static Optional<ValueRule> validate(AllowedUpstream upstream) {
-    return broken(isHash(upstream.secretHash()), hashRule());
+    return violationUnless(isHash(upstream.secretHash()), hashRule());
   }
 
   private static ValueRule hashRule() {
@@ -65,11 +69,11 @@
     return SHA256.matcher(text).matches();
   }
 
-  private static boolean isBetween(long value, long least, long most) {
-    return value >= least && value <= most;
+  private static boolean isBetween(long value, long min, long max) {
+    return value >= min && value <= max;
   }
 
-  private static Optional<ValueRule> broken(boolean holds, ValueRule rule) {
-    return holds ? Optional.empty() : Optional.of(rule);
+  private static Optional<ValueRule> violationUnless(boolean valid, ValueRule rule) {
+    return valid ? Optional.empty() : Optional.of(rule);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/configuration/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration that operators change, as one value with a revision, and the rules that each
- * change must keep.
+ * The configuration that operators change, as one immutable value with a revision, and its
+ * validation rules.
  */
 package org.teaseltrail.core.configuration;
