--- a/core/src/main/java/org/teaseltrail/core/id/ChangeId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/ChangeId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a change an operator sends; a resend carries the same one.
+ * Identifies a change sent by an operator; a retry has the same id.
  *
  * @param value the text of the id
  */
 public record ChangeId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public ChangeId {
     StringId.checked(value, "change id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/CustomerId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/CustomerId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a customer, who pays for a tier.
+ * Identifies a customer, who pays for a tier.
  *
  * @param value the text of the id
  */
 public record CustomerId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public CustomerId {
     StringId.checked(value, "customer id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/DataCenterId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/DataCenterId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a data centre.
+ * Identifies a data centre.
  *
  * @param value the text of the id
  */
 public record DataCenterId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public DataCenterId {
     StringId.checked(value, "data centre id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/FencingNumber.java
+++ b/core/src/main/java/org/teaseltrail/core/id/FencingNumber.java
@@ -1,13 +1,14 @@
 package org.teaseltrail.core.id;
 
 /**
- * Grows with each leadership, so that a receiver can refuse what an older leader sent.
+ * Fencing token that increases with each leadership, so that receivers can reject messages of an
+ * earlier leader.
  *
  * @param value the number, zero or greater
  */
 public record FencingNumber(long value) implements Comparable<FencingNumber> {
 
-  /** Checks the number. */
+  /** Validates the number. */
   public FencingNumber {
     if (value < 0) {
       throw new InvalidIdException("fencing number", "is negative");
--- a/core/src/main/java/org/teaseltrail/core/id/IdempotencyKey.java
+++ b/core/src/main/java/org/teaseltrail/core/id/IdempotencyKey.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Is the key under which a customer lets a request run at most once.
+ * Idempotency key under which at most one request of a customer is executed.
  *
  * @param value the text of the id
  */
 public record IdempotencyKey(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public IdempotencyKey {
     StringId.checked(value, "idempotency key");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/Incarnation.java
+++ b/core/src/main/java/org/teaseltrail/core/id/Incarnation.java
@@ -1,13 +1,14 @@
 package org.teaseltrail.core.id;
 
 /**
- * Numbers the lives of a process under one id; a later life has the greater number.
+ * Incarnation number of a process: each start of the process under the same id gets a greater
+ * number.
  *
  * @param value the number, zero or greater
  */
 public record Incarnation(long value) implements Comparable<Incarnation> {
 
-  /** Checks the number. */
+  /** Validates the number. */
   public Incarnation {
     if (value < 0) {
       throw new InvalidIdException("incarnation", "is negative");
--- a/core/src/main/java/org/teaseltrail/core/id/MemberId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/MemberId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a control member; a member with a lost disk comes back under a new one.
+ * Identifies a control member; a member that has lost its disk rejoins under a new id.
  *
  * @param value the text of the id
  */
 public record MemberId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public MemberId {
     StringId.checked(value, "member id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/ModelId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/ModelId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a model.
+ * Identifies a model.
  *
  * @param value the text of the id
  */
 public record ModelId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public ModelId {
     StringId.checked(value, "model id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/ModelVersion.java
+++ b/core/src/main/java/org/teaseltrail/core/id/ModelVersion.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a version of a model.
+ * Identifies a version of a model.
  *
  * @param value the text of the id
  */
 public record ModelVersion(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public ModelVersion {
     StringId.checked(value, "model version");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/Revision.java
+++ b/core/src/main/java/org/teaseltrail/core/id/Revision.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Numbers the accepted configurations; each change adds one.
+ * Revision number of the accepted configuration; each change increments it by one.
  *
  * @param value the number, zero or greater
  */
 public record Revision(long value) implements Comparable<Revision> {
 
-  /** Checks the number. */
+  /** Validates the number. */
   public Revision {
     if (value < 0) {
       throw new InvalidIdException("revision", "is negative");
--- a/core/src/main/java/org/teaseltrail/core/id/RouteId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/RouteId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a route, from what callers ask for to a pool.
+ * Identifies a route, which maps a requested model or service to a pool.
  *
  * @param value the text of the id
  */
 public record RouteId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public RouteId {
     StringId.checked(value, "route id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/ServiceId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/ServiceId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a plain service.
+ * Identifies a plain service.
  *
  * @param value the text of the id
  */
 public record ServiceId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public ServiceId {
     StringId.checked(value, "service id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/StringId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/StringId.java
@@ -1,15 +1,15 @@
 package org.teaseltrail.core.id;
 
 /**
- * Is an id whose whole content is one printable text. Codecs write it as that text.
+ * Identifier that consists of a single printable string. Codecs encode it as that string.
  *
- * <p>Those that are keys of maps on the way of a request write {@code equals} and {@code hashCode}
- * out. A record's own are made when they are first called, at each start of the process anew, and
- * run as method handles, which a lightly compiled program pays for with each look-up.
+ * <p>Ids that are map keys on the request path implement {@code equals} and {@code hashCode}
+ * explicitly. The implicit ones of a record are linked at their first call after each process start
+ * and run as method handles, which makes every lookup slower until the JIT has compiled the code.
  */
 public interface StringId {
 
-  /** Longest text of an id, in characters. */
+  /** Maximum length of an id, in characters. */
   int MAX_LENGTH = 200;
 
   /**
@@ -20,10 +20,10 @@
   String value();
 
   /**
-   * Checks the text of an id.
+   * Validates the text of an id.
    *
    * @param value the text
-   * @param kind what the id names, for the failure's message
+   * @param kind kind of the id, for the error message
    * @return the same text
    * @throws InvalidIdException if the text is missing, blank, too long or not printable ASCII
    */
--- a/core/src/main/java/org/teaseltrail/core/id/Tier.java
+++ b/core/src/main/java/org/teaseltrail/core/id/Tier.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.core.id;
 
 /**
- * Is the rank of a tier that customers pay for.
+ * Rank of a service tier that customers pay for.
  *
- * @param rank one for the tier that is served first, growing from there
+ * @param rank one for the tier that is served first; lower tiers have greater numbers
  */
 public record Tier(int rank) implements Comparable<Tier> {
 
-  /** The greatest rank a deployment may use; the two-year size has five tiers. */
+  /** Maximum rank; the size planned for in two years needs five tiers. */
   public static final int MAX_RANK = 16;
 
-  /** Checks the rank. */
+  /** Validates the rank. */
   public Tier {
     if (rank < 1 || rank > MAX_RANK) {
       throw new InvalidIdException("tier", "is not between 1 and " + MAX_RANK);
--- a/core/src/main/java/org/teaseltrail/core/id/UpstreamId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/UpstreamId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names an upstream: an engine or a plain service that does the work.
+ * Identifies an upstream: a model engine or a plain service that executes requests.
  *
  * @param value the text of the id
  */
 public record UpstreamId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public UpstreamId {
     StringId.checked(value, "upstream id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/UpstreamVersion.java
+++ b/core/src/main/java/org/teaseltrail/core/id/UpstreamVersion.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a version of the software that an upstream runs.
+ * Identifies a version of the software that an upstream runs.
  *
  * @param value the text of the id
  */
 public record UpstreamVersion(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public UpstreamVersion {
     StringId.checked(value, "upstream version");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/VmId.java
+++ b/core/src/main/java/org/teaseltrail/core/id/VmId.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.core.id;
 
 /**
- * Names a VM of the system for as long as its settings name it so.
+ * Identifies a VM of the system by the name in its settings.
  *
  * @param value the text of the id
  */
 public record VmId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text. */
   public VmId {
     StringId.checked(value, "VM id");
   }
--- a/core/src/main/java/org/teaseltrail/core/id/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/id/package-info.java
@@ -1,2 +1,2 @@
-/** Value types that identify the things the system speaks of. */
+/** Value types for identifiers and for numbers that order incarnations, leaders and revisions. */
 package org.teaseltrail.core.id;
