--- a/core/src/main/java/org/teaseltrail/core/invariant/Invariant.java
+++ b/core/src/main/java/org/teaseltrail/core/invariant/Invariant.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.invariant;
 
-/** Asserts invariants in the running program, whether or not the JVM's assertions are on. */
+/** Checks invariants at run time, regardless of whether Java assertions are enabled. */
 public final class Invariant {
 
   private Invariant() {}
@@ -9,7 +9,7 @@
    * Checks that an invariant holds.
    *
    * @param holds whether it holds
-   * @param name which invariant it is
+   * @param name the invariant
    * @throws InvariantViolation if it does not hold
    */
   public static void check(boolean holds, InvariantName name) {
--- a/core/src/main/java/org/teaseltrail/core/invariant/InvariantViolation.java
+++ b/core/src/main/java/org/teaseltrail/core/invariant/InvariantViolation.java
@@ -1,20 +1,20 @@
 package org.teaseltrail.core.invariant;
 
-/** Tells that an invariant does not hold: a fault of the program, never of its input. */
+/** Thrown when an invariant does not hold, which is always a bug and never caused by the input. */
 public final class InvariantViolation extends IllegalStateException {
 
   private static final long serialVersionUID = 1L;
 
   private final InvariantName name;
 
-  /** Creates the failure for the invariant. */
+  /** Creates the exception for an invariant. */
   public InvariantViolation(InvariantName name) {
     super(name.toString());
     this.name = name;
   }
 
   /**
-   * Returns which invariant does not hold.
+   * Returns the invariant that does not hold.
    *
    * @return the invariant
    */
--- a/core/src/main/java/org/teaseltrail/core/invariant/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/invariant/package-info.java
@@ -1,2 +1,2 @@
-/** Checks, inside the running program, of what its users rely on. */
+/** Runtime checks of the invariants that users rely on. */
 package org.teaseltrail.core.invariant;
