--- a/core/src/main/java/org/teaseltrail/core/digest/Sha256.java
+++ b/core/src/main/java/org/teaseltrail/core/digest/Sha256.java
@@ -3,15 +3,15 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** Makes the JDK's SHA-256 digests (FIPS 180-4). */
+/** Factory for SHA-256 message digests (FIPS 180-4) of the JDK. */
 public final class Sha256 {
 
   private Sha256() {}
 
   /**
-   * Makes a digest that has taken nothing yet.
+   * Creates a digest.
    *
-   * @return the digest
+   * @return a digest without any input
    */
   public static MessageDigest create() {
     try {
--- a/core/src/main/java/org/teaseltrail/core/digest/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/digest/package-info.java
@@ -1,2 +1,2 @@
-/** Digests of the JDK that every Java platform has. */
+/** Message digests that every Java platform provides. */
 package org.teaseltrail.core.digest;
