--- a/core/src/test/java/org/teaseltrail/core/example/EmbeddedSchedulerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/example/EmbeddedSchedulerTest.java
@@ -51,7 +51,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Is the example of docs/EMBEDDING.md: a scheduler and a request driven from plain Java. */
+/** Example of docs/EMBEDDING.md: drives a scheduler and a request from plain Java code. */
 class EmbeddedSchedulerTest {
 
   private static final long SEED = 1;
@@ -72,11 +72,11 @@
   @Test
   void schedulesOneRequestToItsEnd() {
     handle(new SchedulerEvent.ConfigurationChanged(configuration()));
-    tell(new EntryMessage.UpstreamSeen(announcement(), 0));
+    send(new EntryMessage.UpstreamSeen(announcement(), 0));
 
     Request request = new Request(ticket(), MODEL, nowNs, 0);
     request.markOffered();
-    List<SchedulerAction> actions = tell(new EntryMessage.Offer(request.ticket()));
+    List<SchedulerAction> actions = send(new EntryMessage.Offer(request.ticket()));
     Grant grant = grantsIn(actions).get(0);
 
     request.grant(
@@ -88,14 +88,14 @@
     Usage usage = new Usage(12, 0, 1);
     assertThat(request.accept(new StreamFrame.End(id, 1, usage))).isEqualTo(FrameDisposition.NEXT);
     request.end(new Outcome.Completed(usage));
-    tell(new EntryMessage.Ended(id, grant.upstream(), EndKind.COMPLETED, usage, 30));
+    send(new EntryMessage.Ended(id, grant.upstream(), EndKind.COMPLETED, usage, 30));
 
     assertThat(grant.upstream()).isEqualTo(ENGINE);
     assertThat(request.outcome()).contains(new Outcome.Completed(usage));
-    assertThat(grantsIn(tell(new EntryMessage.Offer(request.ticket())))).isEmpty();
+    assertThat(grantsIn(send(new EntryMessage.Offer(request.ticket())))).isEmpty();
   }
 
-  private List<SchedulerAction> tell(EntryMessage message) {
+  private List<SchedulerAction> send(EntryMessage message) {
     return handle(new SchedulerEvent.FromEntry(VM, message));
   }
 
