--- a/core/src/test/java/org/teaseltrail/core/control/AskingEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/AskingEngine.java
@@ -9,44 +9,47 @@
 import org.teaseltrail.core.registry.Registration;
 
 /**
- * Is an engine that may ask in its answers for less work, and that counts what it gets all the same
- * from VMs which know.
+ * Simulated engine that signals backpressure in its answers and counts the requests that it
+ * receives from informed VMs nevertheless.
  */
 final class AskingEngine {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Time after its first naming from which on a limit binds. */
-  private static final long CONTACT_NS = 3_000 * NS_PER_MS;
+  /** Time after an engine first reports a limit from which the limit must be obeyed. */
+  private static final long LIMIT_EFFECTIVE_AFTER_NS = 3_000 * NS_PER_MS;
 
-  /** Time after a VM was told from which on its requests count. */
+  /** Time after a VM received the limit from which its requests count. */
   private static final long KNOWN_AFTER_NS = 500 * NS_PER_MS;
 
-  /** Time after a VM was told of a leaving in which callers may still come. */
+  /**
+   * Time after a VM learned that the engine is leaving in which requests of new callers may still
+   * arrive.
+   */
   private static final long DRAIN_NS = 2_000 * NS_PER_MS;
 
-  /** Any span of this length counts. */
+  /** Length of the sliding window in which requests are counted. */
   private static final long WINDOW_NS = 4_000 * NS_PER_MS;
 
   private static final double WINDOW_S = 4;
-  private static final double LIMIT_TIMES = 1.5;
+  private static final double LIMIT_FACTOR = 1.5;
   private static final int LIMIT_SLACK = 5;
 
   private final BatchEngine places;
-  private final Map<Integer, Long> toldNs = new HashMap<>();
+  private final Map<Integer, Long> informedNs = new HashMap<>();
   private final List<Long> arrivalsNs = new ArrayList<>();
-  private final List<Long> countedNs = new ArrayList<>();
+  private final List<Long> countedArrivalsNs = new ArrayList<>();
   private final Map<Integer, List<Long>> arrivalsOfVmNs = new HashMap<>();
   private final Map<Integer, List<Backoff>> backoffs = new HashMap<>();
   private RateLimit limit = RateLimit.UNLIMITED;
-  private double excessBefore;
+  private double previousExcess;
   private int backoffMs;
   private boolean leaving;
-  private final Map<Integer, Long> toldLeavingNs = new HashMap<>();
+  private final Map<Integer, Long> informedOfLeavingNs = new HashMap<>();
   private int takenAfterLeaving;
-  private long namedNs = Long.MAX_VALUE;
+  private long limitReportedNs = Long.MAX_VALUE;
 
-  /** Is a time for which the engine has asked a VM to send nothing. */
+  /** Period in which the engine has asked a VM to send no requests. */
   private record Backoff(long fromNs, long untilNs) {}
 
   AskingEngine(int site) {
@@ -65,27 +68,29 @@
     return limit;
   }
 
-  /** Names a limit in all answers from now on, or none any longer. */
-  void name(RateLimit named) {
-    excessBefore = excess();
-    limit = named;
-    namedNs = Long.MAX_VALUE;
-    toldNs.clear();
-    countedNs.clear();
+  /** Reports a rate limit in all answers from now on, or none if it is unlimited. */
+  void name(RateLimit newLimit) {
+    previousExcess = excess();
+    limit = newLimit;
+    limitReportedNs = Long.MAX_VALUE;
+    informedNs.clear();
+    countedArrivalsNs.clear();
   }
 
-  /** Notes that a VM has got an answer. */
+  /** Records that a VM has received an answer. */
   void told(int vm, long nowNs) {
     if (leaving) {
-      toldLeavingNs.putIfAbsent(vm, nowNs);
+      informedOfLeavingNs.putIfAbsent(vm, nowNs);
     }
     if (limit.isLimited()) {
-      namedNs = Math.min(namedNs, nowNs);
-      toldNs.putIfAbsent(vm, nowNs);
+      limitReportedNs = Math.min(limitReportedNs, nowNs);
+      informedNs.putIfAbsent(vm, nowNs);
     }
   }
 
-  /** Turns all requests away from now on and asks each time for a backoff, or for none if 0. */
+  /**
+   * Rejects all requests from now on, each with a backoff time, or accepts them again if it is 0.
+   */
   void turnAway(int askedBackoffMs) {
     backoffMs = askedBackoffMs;
   }
@@ -94,27 +99,27 @@
     return backoffMs;
   }
 
-  /** Notes that it has turned a VM away. */
+  /** Records that a request of a VM was rejected. */
   void turnedAway(int vm, long nowNs) {
     Backoff backoff = new Backoff(nowNs + KNOWN_AFTER_NS, nowNs + backoffMs * NS_PER_MS);
     backoffs.computeIfAbsent(vm, key -> new ArrayList<>()).add(backoff);
   }
 
-  /** Returns the most requests that it got from one VM in one backoff. */
+  /** Returns the maximum number of requests that one VM sent during one backoff. */
   long mostInBackoff() {
-    long most = 0;
+    long max = 0;
     for (Map.Entry<Integer, List<Backoff>> ofVm : backoffs.entrySet()) {
       List<Long> arrivals = arrivalsOfVmNs.getOrDefault(ofVm.getKey(), List.of());
       for (Backoff backoff : ofVm.getValue()) {
         long count =
             arrivals.stream().filter(at -> at > backoff.fromNs() && at < backoff.untilNs()).count();
-        most = Math.max(most, count);
+        max = Math.max(max, count);
       }
     }
-    return most;
+    return max;
   }
 
-  /** Says from now on in all answers that it is about to leave. */
+  /** Announces in all answers from now on that it is about to leave. */
   void leave() {
     leaving = true;
   }
@@ -123,64 +128,75 @@
     return leaving;
   }
 
-  /** Returns requests of callers who came long after their VM had been told of the leaving. */
+  /**
+   * Returns the number of requests whose callers arrived long after their VM learned that the
+   * engine is leaving.
+   */
   int takenAfterLeaving() {
     return takenAfterLeaving;
   }
 
-  /** Takes a VM as one that knows nothing. */
+  /** Treats a VM as uninformed again. */
   void excuse(int vm) {
-    toldNs.remove(vm);
-    toldLeavingNs.remove(vm);
+    informedNs.remove(vm);
+    informedOfLeavingNs.remove(vm);
     backoffs.remove(vm);
   }
 
   void arrived(int vm, long calledNs, long nowNs) {
     arrivalsNs.add(nowNs);
     arrivalsOfVmNs.computeIfAbsent(vm, key -> new ArrayList<>()).add(nowNs);
-    long leftNs = toldLeavingNs.getOrDefault(vm, Long.MAX_VALUE);
-    takenAfterLeaving += leftNs < calledNs - DRAIN_NS ? 1 : 0;
-    boolean binds = namedNs != Long.MAX_VALUE && nowNs - namedNs >= CONTACT_NS;
-    boolean knows = toldNs.containsKey(vm) && nowNs - toldNs.get(vm) >= KNOWN_AFTER_NS;
-    if (binds && knows) {
-      countedNs.add(nowNs);
+    long learnedNs = informedOfLeavingNs.getOrDefault(vm, Long.MAX_VALUE);
+    takenAfterLeaving += learnedNs < calledNs - DRAIN_NS ? 1 : 0;
+    boolean isLimitEffective =
+        limitReportedNs != Long.MAX_VALUE && nowNs - limitReportedNs >= LIMIT_EFFECTIVE_AFTER_NS;
+    boolean isInformed = informedNs.containsKey(vm) && nowNs - informedNs.get(vm) >= KNOWN_AFTER_NS;
+    if (isLimitEffective && isInformed) {
+      countedArrivalsNs.add(nowNs);
     }
   }
 
-  /** Returns the most requests that it got in any span from VMs that knew of its limit. */
+  /** Returns the maximum number of requests in any window from VMs that knew the limit. */
   int mostInWindow() {
-    return most(countedNs);
+    return maxCountInWindow(countedArrivalsNs);
   }
 
-  /** Returns the same for the last seconds and for all VMs, whether they knew or not. */
+  /**
+   * Returns the maximum number of requests in any window within the last milliseconds, from all VMs
+   * whether informed or not.
+   */
   int mostOfAllInWindow(long lengthMs, long nowNs) {
-    return most(arrivalsNs.stream().filter(atNs -> nowNs - atNs <= lengthMs * NS_PER_MS).toList());
+    return maxCountInWindow(
+        arrivalsNs.stream().filter(atNs -> nowNs - atNs <= lengthMs * NS_PER_MS).toList());
   }
 
-  private static int most(List<Long> timesNs) {
-    int most = 0;
+  private static int maxCountInWindow(List<Long> timesNs) {
+    int max = 0;
     int from = 0;
     for (int to = 0; to < timesNs.size(); to++) {
       while (timesNs.get(to) - timesNs.get(from) > WINDOW_NS) {
         from++;
       }
-      most = Math.max(most, to - from + 1);
+      max = Math.max(max, to - from + 1);
     }
-    return most;
+    return max;
   }
 
-  /** Returns by how many it got more than may be, over all limits that it has named; 0 or less. */
+  /**
+   * Returns by how many requests the allowed number was exceeded at most, over all limits that the
+   * engine has reported; 0 or less if it was not.
+   */
   double excess() {
     double now = limit.isLimited() ? mostInWindow() - allowedInWindow() : 0;
-    return Math.max(excessBefore, now);
+    return Math.max(previousExcess, now);
   }
 
-  /** Returns how many that may be. */
+  /** Returns the number of requests that are allowed in a window. */
   double allowedInWindow() {
-    return LIMIT_TIMES * limit.perSecond() * WINDOW_S + LIMIT_SLACK;
+    return LIMIT_FACTOR * limit.perSecond() * WINDOW_S + LIMIT_SLACK;
   }
 
-  /** Returns what it got in the time before now, a second. */
+  /** Returns the mean rate of requests over the last milliseconds, per second. */
   double perSecond(long lengthMs, long nowNs) {
     long count = arrivalsNs.stream().filter(atNs -> nowNs - atNs <= lengthMs * NS_PER_MS).count();
     return count * 1_000.0 / lengthMs;
--- a/core/src/test/java/org/teaseltrail/core/control/BackpressureProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureProperties.java
@@ -10,9 +10,9 @@
 import org.teaseltrail.core.backpressure.RateLimit;
 
 /**
- * Engines ask for less work, to back off, or say that they leave, while leaders and VMs fail at
- * random and load swings. The promises: what they ask for is kept by all who know, and once it is
- * over they have their part again.
+ * Engines signal rate limits, backoffs and their leaving at random while leaders and VMs fail and
+ * the load varies. All informed VMs must obey these signals, and once the signals end, each engine
+ * must receive its share of the requests again.
  */
 class BackpressureProperties {
 
@@ -23,37 +23,37 @@
   private static final int ALLOWED_IN_BACKOFF = 2;
   private static final double PER_SECOND = 55;
 
-  /** Is something that an engine may begin to ask for, or cease to. */
+  /** Backpressure signal that an engine starts or ends. */
   private enum Signal {
     LIMIT {
       @Override
-      void come(AskingEngine engine, SplittableRandom random) {
+      void applyTo(AskingEngine engine, SplittableRandom random) {
         engine.name(new RateLimit(random.nextDouble(6)));
       }
     },
     BACKOFF {
       @Override
-      void come(AskingEngine engine, SplittableRandom random) {
+      void applyTo(AskingEngine engine, SplittableRandom random) {
         engine.turnAway(500 + random.nextInt(4_000));
       }
     },
-    NOTHING {
+    NONE {
       @Override
-      void come(AskingEngine engine, SplittableRandom random) {
+      void applyTo(AskingEngine engine, SplittableRandom random) {
         engine.name(RateLimit.UNLIMITED);
         engine.turnAway(0);
       }
     };
 
-    abstract void come(AskingEngine engine, SplittableRandom random);
+    abstract void applyTo(AskingEngine engine, SplittableRandom random);
   }
 
-  /** Is a fault that may come at a step. */
+  /** Fault that may be injected in a step. */
   private enum Fault {
     LEADER_KILLED {
       @Override
-      void strike(BackpressureRun run, SplittableRandom random) {
-        leader(
+      void inject(BackpressureRun run, SplittableRandom random) {
+        onLeader(
             run,
             leader -> {
               leader.kill();
@@ -61,10 +61,10 @@
             });
       }
     },
-    LEADER_FROZEN {
+    LEADER_PAUSED {
       @Override
-      void strike(BackpressureRun run, SplittableRandom random) {
-        leader(
+      void inject(BackpressureRun run, SplittableRandom random) {
+        onLeader(
             run,
             leader -> {
               leader.freeze();
@@ -74,31 +74,31 @@
     },
     VM_RESTARTED {
       @Override
-      void strike(BackpressureRun run, SplittableRandom random) {
+      void inject(BackpressureRun run, SplittableRandom random) {
         run.restartVm(random.nextInt(run.vms().count()));
       }
     },
-    VM_CUT {
+    VM_PARTITIONED {
       @Override
-      void strike(BackpressureRun run, SplittableRandom random) {
+      void inject(BackpressureRun run, SplittableRandom random) {
         int vm = random.nextInt(run.vms().count());
         run.cutVm(vm, true);
         run.group().after(2_000_000_000L, () -> run.cutVm(vm, false));
       }
     },
-    REGISTRATION_LAPSES {
+    REGISTRATION_EXPIRED {
       @Override
-      void strike(BackpressureRun run, SplittableRandom random) {
+      void inject(BackpressureRun run, SplittableRandom random) {
         AskingEngine engine = run.engine(random.nextInt(ENGINES));
         run.loseHeartbeatsOf(engine, true);
         run.group().after(17_000_000_000L, () -> run.loseHeartbeatsOf(engine, false));
       }
     };
 
-    abstract void strike(BackpressureRun run, SplittableRandom random);
+    abstract void inject(BackpressureRun run, SplittableRandom random);
 
-    private static void leader(BackpressureRun run, Consumer<FakeControl> struck) {
-      run.group().members().stream().filter(FakeControl::isServing).findFirst().ifPresent(struck);
+    private static void onLeader(BackpressureRun run, Consumer<FakeControl> action) {
+      run.group().members().stream().filter(FakeControl::isServing).findFirst().ifPresent(action);
     }
   }
 
@@ -107,7 +107,7 @@
     run(new SplittableRandom(seed));
   }
 
-  /** Takes a fresh seed each time; jqwik prints the one that failed. */
+  /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 500)
   void whatEnginesAskForIsKeptWhateverFailsForLong(@ForAll long seed) {
@@ -121,10 +121,10 @@
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(3) == 0) {
         AskingEngine engine = run.engine(random.nextInt(ENGINES));
-        Signal.values()[random.nextInt(Signal.values().length)].come(engine, random);
+        Signal.values()[random.nextInt(Signal.values().length)].applyTo(engine, random);
       }
       if (random.nextInt(8) == 0) {
-        Fault.values()[random.nextInt(Fault.values().length)].strike(run, random);
+        Fault.values()[random.nextInt(Fault.values().length)].inject(run, random);
       }
       if (step == STEPS / 2) {
         run.engine(0).leave();
@@ -136,11 +136,11 @@
       assertThat(engine.mostInBackoff()).isLessThanOrEqualTo(ALLOWED_IN_BACKOFF);
       assertThat(engine.takenAfterLeaving()).isZero();
     }
-    assertThatAllAreBack(run, random);
+    assertAllReceiveTheirShare(run, random);
   }
 
-  private static void assertThatAllAreBack(BackpressureRun run, SplittableRandom random) {
-    run.engines().forEach(engine -> Signal.NOTHING.come(engine, random));
+  private static void assertAllReceiveTheirShare(BackpressureRun run, SplittableRandom random) {
+    run.engines().forEach(engine -> Signal.NONE.applyTo(engine, random));
     run.play(20_000, PER_SECOND);
     double equalShare = PER_SECOND / (ENGINES - 1);
     for (int i = 1; i < ENGINES; i++) {
--- a/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
@@ -20,29 +20,30 @@
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /**
- * Runs the parts that serve, under virtual time, before engines that ask for less work in their
- * answers: three control members, entry VMs of which the first has three times the callers of any
- * other, and engines whose requests last 0.3 s.
+ * Simulates the serving components, in virtual time, with engines that signal backpressure in their
+ * answers: three control members, entry VMs of which the first has three times as many callers as
+ * any other, and engines whose requests take 0.3 s.
  */
 final class BackpressureRun {
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int HEARTBEAT_EVERY_MS = 1_200;
-  private static final int HEAD_AFTER_MS = 60;
-  private static final int RUN_MS = 300;
-  private static final int TURN_AWAY_AFTER_MS = 3;
+  private static final int RESPONSE_START_AFTER_MS = 60;
+  private static final int SERVICE_TIME_MS = 300;
+  private static final int REJECTION_AFTER_MS = 3;
   private static final int DEADLINE_MS = 4_000;
   private static final int BUSY_VM_WEIGHT = 3;
   private static final int OBJECTIVE_MS = 500;
-  private static final int CALM_MS = 3_000;
+  private static final int WARM_UP_MS = 3_000;
 
-  /** Is one attempt of a VM's life at an engine. */
-  private record Attempt(int vm, long life, long request, AskingEngine engine, long dispatchedNs) {}
+  /** Attempt of one incarnation of a VM at an engine. */
+  private record Attempt(
+      int vm, long incarnation, long request, AskingEngine engine, long dispatchedNs) {}
 
-  /** Says when a caller came first, and whether it comes back if it is refused. */
-  private record FirstCall(long atNs, boolean mayComeBack) {}
+  /** Time of a caller's first try, and whether the caller retries after a refusal. */
+  private record FirstCall(long atNs, boolean canRetry) {}
 
-  /** Is a refusal that a caller got, and how long after it had come. */
+  /** Refusal that a caller received, and the time since the caller's request. */
   record Refused(RefusalReason refusal, long afterMs, long retryAfterMs) {}
 
   private final FakeControlGroup group = new FakeControlGroup(3);
@@ -51,14 +52,14 @@
   private final List<AskingEngine> engines = new ArrayList<>();
   private final Map<Long, Attempt> attempts = new HashMap<>();
   private final Map<Long, FirstCall> firstCalls = new HashMap<>();
-  private final Set<AskingEngine> unheard = new HashSet<>();
-  private final Map<Long, Long> calledNs = new HashMap<>();
+  private final Set<AskingEngine> enginesWithoutHeartbeats = new HashSet<>();
+  private final Map<Long, Long> callTimesNs = new HashMap<>();
   private final List<Refused> refused = new ArrayList<>();
   private long lastRequest;
   private int asked;
   private int served;
   private int onTime;
-  private boolean comeBack;
+  private boolean retryEnabled;
 
   BackpressureRun(SplittableRandom random, int vmCount, int engineCount) {
     this.random = random;
@@ -69,15 +70,17 @@
     for (int site = 0; site < engineCount; site++) {
       engines.add(new AskingEngine(site));
     }
-    vms = new FakeEntryVms(group, vmCount, random, this::carryOut);
+    vms = new FakeEntryVms(group, vmCount, random, this::execute);
     vms.start();
-    heartbeats();
+    sendHeartbeats();
   }
 
-  /** Makes a run that has been going for a while in calm, and counts from now on. */
+  /**
+   * Creates a simulation that has already run without faults for a while, with its counters reset.
+   */
   static BackpressureRun inCalm(long seed, int vms, int engines, double perSecond) {
     BackpressureRun run = new BackpressureRun(new SplittableRandom(seed), vms, engines);
-    run.play(CALM_MS, perSecond);
+    run.play(WARM_UP_MS, perSecond);
     run.countAnew();
     return run;
   }
@@ -98,7 +101,7 @@
     return engines;
   }
 
-  /** Lets time pass with callers at a rate. */
+  /** Advances the time while callers send requests at a rate. */
   void play(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
@@ -109,17 +112,20 @@
     }
   }
 
-  /** Lets callers come back once, when they are told to, if they were refused. */
+  /** Makes refused callers retry once, after the time that the refusal names. */
   void comeBackOnce() {
-    comeBack = true;
+    retryEnabled = true;
   }
 
-  /** Returns the part of the callers whose answer began within the objective of their first try. */
+  /**
+   * Returns the fraction of callers whose response started within the objective, counted from their
+   * first try.
+   */
   double onTimeShare() {
     return asked == 0 ? 1 : (double) onTime / asked;
   }
 
-  /** Counts from now on what becomes of callers. */
+  /** Resets the counters of callers and their outcomes. */
   void countAnew() {
     asked = 0;
     served = 0;
@@ -127,12 +133,12 @@
     refused.clear();
   }
 
-  /** Returns the part of the callers that got a whole answer. */
+  /** Returns the fraction of callers that received a complete answer. */
   double servedShare() {
     return asked == 0 ? 1 : (double) served / asked;
   }
 
-  /** Returns the refusals since counting began. */
+  /** Returns the refusals since the counters were reset. */
   List<Refused> refused() {
     return refused;
   }
@@ -141,41 +147,41 @@
     return served;
   }
 
-  /** Starts a VM with nothing remembered; what it had at engines is broken off. */
+  /** Restarts a VM without its state; its attempts at engines are aborted. */
   void restartVm(int vm) {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (attempt.vm() == vm) {
-        forget(attempt);
+        removeAttempt(attempt);
       }
     }
     engines.forEach(engine -> engine.excuse(vm));
     vms.restart(vm);
   }
 
-  /** Cuts a VM off from all members, or joins it again. */
+  /** Partitions a VM from all members, or reconnects it. */
   void cutVm(int vm, boolean isCut) {
     engines.forEach(engine -> engine.excuse(vm));
     vms.cut(vm, isCut);
   }
 
-  /** Loses an engine's heartbeats from now on, or lets them through again. */
+  /** Drops an engine's heartbeats from now on, or delivers them again. */
   void loseHeartbeatsOf(AskingEngine engine, boolean lost) {
     if (lost) {
-      unheard.add(engine);
+      enginesWithoutHeartbeats.add(engine);
     } else {
-      unheard.remove(engine);
+      enginesWithoutHeartbeats.remove(engine);
     }
   }
 
   private void send() {
     asked++;
-    send(group.nowNs(), comeBack);
+    send(group.nowNs(), retryEnabled);
   }
 
-  private void send(long firstCalledNs, boolean mayComeBack) {
+  private void send(long firstCalledNs, boolean canRetry) {
     long number = ++lastRequest;
-    calledNs.put(number, group.nowNs());
-    firstCalls.put(number, new FirstCall(firstCalledNs, mayComeBack));
+    callTimesNs.put(number, group.nowNs());
+    firstCalls.put(number, new FirstCall(firstCalledNs, canRetry));
     ForwardRequest request =
         new ForwardRequest(
             number,
@@ -193,18 +199,18 @@
     vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
-  private void carryOut(int vm, ForwardAction action) {
+  private void execute(int vm, ForwardAction action) {
     if (action instanceof ForwardAction.Dispatch dispatch) {
       dispatch(vm, dispatch);
     } else if (action instanceof ForwardAction.Cancel cancel) {
-      Optional.ofNullable(attempts.get(cancel.request())).ifPresent(this::forget);
+      Optional.ofNullable(attempts.get(cancel.request())).ifPresent(this::removeAttempt);
     } else if (action instanceof ForwardAction.Deliver) {
       served++;
     } else if (action instanceof ForwardAction.Refuse refuse) {
-      long afterMs = (group.nowNs() - calledNs.get(refuse.request())) / NS_PER_MS;
+      long afterMs = (group.nowNs() - callTimesNs.get(refuse.request())) / NS_PER_MS;
       refused.add(new Refused(refuse.refusalReason(), afterMs, refuse.retryAfterMs()));
       FirstCall first = firstCalls.get(refuse.request());
-      if (first.mayComeBack()) {
+      if (first.canRetry()) {
         later((int) refuse.retryAfterMs(), () -> send(first.atNs(), false));
       }
     }
@@ -218,35 +224,35 @@
             .orElseThrow();
     Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine, group.nowNs());
     attempts.put(dispatch.request(), attempt);
-    engine.arrived(vm, calledNs.get(dispatch.request()), group.nowNs());
+    engine.arrived(vm, callTimesNs.get(dispatch.request()), group.nowNs());
     if (engine.backoffMs() > 0) {
-      later(TURN_AWAY_AFTER_MS, () -> turnAway(attempt));
+      later(REJECTION_AFTER_MS, () -> reject(attempt));
       return;
     }
     engine.places().take(dispatch.request());
-    begin(engine);
+    startQueued(engine);
   }
 
-  private void begin(AskingEngine engine) {
+  private void startQueued(AskingEngine engine) {
     for (long request : engine.places().begin()) {
       Attempt attempt = attempts.get(request);
-      later(HEAD_AFTER_MS, () -> head(attempt));
-      later(RUN_MS, () -> end(attempt, AttemptOutcome.ANSWERED));
+      later(RESPONSE_START_AFTER_MS, () -> startResponse(attempt));
+      later(SERVICE_TIME_MS, () -> end(attempt, AttemptOutcome.ANSWERED));
     }
   }
 
-  private void head(Attempt attempt) {
-    if (isUnderWay(attempt)) {
+  private void startResponse(Attempt attempt) {
+    if (isInFlight(attempt)) {
       ForwardNode node = vms.node(attempt.vm());
-      tell(attempt);
-      long beganMs = (group.nowNs() - firstCalls.get(attempt.request()).atNs()) / NS_PER_MS;
-      onTime += beganMs <= OBJECTIVE_MS ? 1 : 0;
+      applyBackpressure(attempt);
+      long responseStartMs = (group.nowNs() - firstCalls.get(attempt.request()).atNs()) / NS_PER_MS;
+      onTime += responseStartMs <= OBJECTIVE_MS ? 1 : 0;
       vms.carryOut(attempt.vm(), node.onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
-  private void turnAway(Attempt attempt) {
-    if (isUnderWay(attempt)) {
+  private void reject(Attempt attempt) {
+    if (isInFlight(attempt)) {
       AskingEngine engine = attempt.engine();
       engine.turnedAway(attempt.vm(), group.nowNs());
       vms.node(attempt.vm())
@@ -257,8 +263,8 @@
     }
   }
 
-  /** Tells the VM what the head of an answer says. */
-  private void tell(Attempt attempt) {
+  /** Passes the backpressure signals in the head of an answer to the VM. */
+  private void applyBackpressure(Attempt attempt) {
     AskingEngine engine = attempt.engine();
     ForwardNode node = vms.node(attempt.vm());
     node.backpressure()
@@ -274,34 +280,35 @@
   }
 
   private void end(Attempt attempt, AttemptOutcome end) {
-    if (isUnderWay(attempt)) {
-      forget(attempt);
+    if (isInFlight(attempt)) {
+      removeAttempt(attempt);
       int vm = attempt.vm();
       vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
     }
   }
 
-  private void forget(Attempt attempt) {
+  private void removeAttempt(Attempt attempt) {
     attempts.remove(attempt.request());
     attempt.engine().places().forget(attempt.request());
-    begin(attempt.engine());
+    startQueued(attempt.engine());
   }
 
-  private boolean isUnderWay(Attempt attempt) {
-    return attempts.get(attempt.request()) == attempt && attempt.life() == vms.life(attempt.vm());
+  private boolean isInFlight(Attempt attempt) {
+    return attempts.get(attempt.request()) == attempt
+        && attempt.incarnation() == vms.life(attempt.vm());
   }
 
-  private void heartbeats() {
+  private void sendHeartbeats() {
     for (FakeControl member : group.members()) {
       if (member.isServing()) {
         for (AskingEngine engine : engines) {
-          if (!unheard.contains(engine)) {
+          if (!enginesWithoutHeartbeats.contains(engine)) {
             group.ask(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
           }
         }
       }
     }
-    later(HEARTBEAT_EVERY_MS, this::heartbeats);
+    later(HEARTBEAT_EVERY_MS, this::sendHeartbeats);
   }
 
   private void later(int ms, Runnable step) {
--- a/core/src/test/java/org/teaseltrail/core/control/BadVersion.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BadVersion.java
@@ -1,20 +1,20 @@
 package org.teaseltrail.core.control;
 
-/** Says what is wrong with an ordered version. */
+/** Behavior of the target version of a rollout. */
 enum BadVersion {
-  /** Nothing. */
+  /** Answers correctly and in the usual time. */
   GOOD(0, 1, 0, false, false),
-  /** Two fifths of its answers fail. */
+  /** 40 % of its answers fail. */
   FAILS(0.4, 1, 0, false, false),
-  /** A fifth of its answers fail. */
+  /** 20 % of its answers fail. */
   FAILS_SOMETIMES(0.2, 1, 0, false, false),
-  /** Two fifths of its answers take four times as long. */
+  /** 40 % of its answers take four times as long. */
   SLOW(0.4, 4, 0, false, false),
-  /** Two fifths of its answers fail, from two fifths of the rollout's time on. */
+  /** 40 % of its answers fail after 40 % of the rollout's duration. */
   FAILS_LATE(0.4, 1, 0.4, false, false),
-  /** Half of its answers take four times as long, from two fifths of the rollout's time on. */
+  /** Half of its answers take four times as long after 40 % of the rollout's duration. */
   SLOW_LATE(0.5, 4, 0.4, false, false),
-  /** Half of its answers fail while its engine is nearly full. */
+  /** Half of its answers fail while their engine is almost fully loaded. */
   FAILS_UNDER_LOAD(0.5, 1, 0, true, false),
   /** Half of its answers fail on one route. */
   FAILS_ON_ONE_ROUTE(0.5, 1, 0, false, true),
@@ -23,24 +23,25 @@
 
   private final double share;
   private final double times;
-  private final double fromPart;
+  private final double startFraction;
   private final boolean underLoad;
   private final boolean oneRoute;
 
-  BadVersion(double share, double times, double fromPart, boolean underLoad, boolean oneRoute) {
+  BadVersion(
+      double share, double times, double startFraction, boolean underLoad, boolean oneRoute) {
     this.share = share;
     this.times = times;
-    this.fromPart = fromPart;
+    this.startFraction = startFraction;
     this.underLoad = underLoad;
     this.oneRoute = oneRoute;
   }
 
-  /** Tells whether it is bad at all. */
+  /** Returns whether some of its answers are bad. */
   boolean isBad() {
     return share > 0;
   }
 
-  /** Tells whether bad answers are slow ones, and not failures. */
+  /** Returns whether bad answers are slow instead of failing. */
   boolean isSlow() {
     return times > 1;
   }
@@ -50,9 +51,10 @@
     return times;
   }
 
-  /** Returns the share of bad answers, in some moment of the rollout. */
+  /** Returns the fraction of bad answers at a given time of the rollout. */
   double shareAt(double passedPart, boolean loaded, boolean onThatRoute) {
-    boolean shows = passedPart >= fromPart && (loaded || !underLoad) && (onThatRoute || !oneRoute);
-    return shows ? share : 0;
+    boolean isAffected =
+        passedPart >= startFraction && (loaded || !underLoad) && (onThatRoute || !oneRoute);
+    return isAffected ? share : 0;
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/BatchEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BatchEngine.java
@@ -8,8 +8,8 @@
 import org.teaseltrail.core.registry.Registration;
 
 /**
- * Is one life of an engine that runs as many requests at once as it has places and lets others
- * queue. Whatever ends it ends all that it holds.
+ * One incarnation of a simulated engine that runs as many requests concurrently as it has slots and
+ * queues the others. When it crashes, all its requests are lost.
  */
 final class BatchEngine {
 
@@ -25,7 +25,7 @@
     registration = ForwardSamples.upstream("e" + site + "-" + life, service, PLACES);
   }
 
-  /** Returns which engine this is, whatever its life. */
+  /** Returns the number of the engine, which is the same for all its incarnations. */
   int site() {
     return site;
   }
@@ -38,27 +38,27 @@
     return registration.id();
   }
 
-  /** Takes a request; it begins to run once there is a place. */
+  /** Accepts a request, which starts as soon as a slot is free. */
   void take(long request) {
     queued.add(request);
   }
 
-  /** Forgets a request that is over or was broken off. */
+  /** Removes a request that has ended or was aborted. */
   void forget(long request) {
     running.remove(request);
     queued.remove(request);
   }
 
-  /** Moves requests from the queue into free places; returns those that begin to run now. */
+  /** Moves requests from the queue into free slots; returns those that start now. */
   List<Long> begin() {
     int free = Math.max(0, PLACES - running.size());
-    List<Long> begun = List.copyOf(queued.subList(0, Math.min(free, queued.size())));
-    queued.removeAll(begun);
-    running.addAll(begun);
-    return begun;
+    List<Long> started = List.copyOf(queued.subList(0, Math.min(free, queued.size())));
+    queued.removeAll(started);
+    running.addAll(started);
+    return started;
   }
 
-  /** Ends it; returns all that it held. */
+  /** Stops the engine; returns the requests that it was running or had queued. */
   List<Long> end() {
     List<Long> held = new ArrayList<>(running);
     held.addAll(queued);
--- a/core/src/test/java/org/teaseltrail/core/control/CalmAfterTroubleProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/CalmAfterTroubleProperties.java
@@ -8,38 +8,42 @@
 import net.jqwik.api.Tag;
 
 /**
- * A day stays refused: engines, VMs and members fail under more load than fits, then all is calm,
- * and callers are still refused though the engines have room, since somebody believes in less than
- * there is (places, trust, pace, quotas, sessions, registrations) and nothing corrects it. The
- * promise: in calm, within 3 s, refusals of what fits end and every sound engine is used, whatever
- * went before. Where few engines are left, whose answers take two seconds, what waits from before
- * fills all places for some seconds more; nothing is refused any longer once it is worked off.
+ * Callers could still be refused after all faults have ended, although the engines have spare
+ * capacity, if some component keeps an estimate that is too low (slots, confidence, latency,
+ * quotas, sessions, registrations) and nothing corrects it. Engines, VMs and members fail under
+ * overload and recover. Within 3 s afterwards, requests that fit the capacity must no longer be
+ * refused and each healthy engine must be used, whatever happened before. If only a few engines are
+ * left and their answers take two seconds, the backlog occupies all slots for some more seconds;
+ * nothing may be refused once it is processed.
  */
 class CalmAfterTroubleProperties {
 
-  private static final int TROUBLE_STEPS = 24;
+  private static final int FAULT_STEPS = 24;
   private static final int STEP_MS = 500;
   private static final int SETTLE_MS = 3_000;
 
-  /** Twice the time that a caller waits at most, so that whoever is refused is seen. */
-  private static final int CALM_MS = 8_000;
+  /** Twice the maximum time that a caller waits, so that each refused caller is counted. */
+  private static final int OBSERVATION_MS = 8_000;
 
-  private static final double HEAVY = 1.6;
+  private static final double OVERLOAD = 1.6;
 
-  /** Load in relation to what the engines can answer: uses each of them, and fits. */
-  private static final double FITS = 0.6;
+  /** Load as a fraction of the engines' capacity; it uses each engine and fits. */
+  private static final double NORMAL_LOAD = 0.6;
 
-  /** Load that doesn't fill all places by chance, as a dozen arrivals at once do with the other. */
-  private static final double LIGHT = 0.3;
+  /**
+   * Load that does not fill all slots by chance. At {@link #NORMAL_LOAD}, a dozen simultaneous
+   * arrivals do.
+   */
+  private static final double LIGHT_LOAD = 0.3;
 
-  private static final int LEAST_ENGINES = 3;
+  private static final int MIN_ENGINES = 3;
 
   @Property(seed = "73", tries = 25)
   void calmEndsRefusals(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
-  /** Takes a fresh seed each time; jqwik prints the one that failed. */
+  /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 1_000)
   void calmEndsRefusalsForLong(@ForAll long seed) {
@@ -48,32 +52,32 @@
 
   private static void run(SplittableRandom random) {
     ServingRun run = trouble(random);
-    double fits = FITS * run.perSecond();
-    run.play(SETTLE_MS, fits);
+    double normalRate = NORMAL_LOAD * run.perSecond();
+    run.play(SETTLE_MS, normalRate);
     run.countAnew();
-    run.play(CALM_MS, fits);
-    assertThat(run.refusedWithRoom()).as("refusals while engines have room").isEmpty();
+    run.play(OBSERVATION_MS, normalRate);
+    assertThat(run.refusedWithRoom()).as("refusals while engines have spare capacity").isEmpty();
     assertThat(run.engines())
-        .as("every sound engine is used")
+        .as("every healthy engine is used")
         .allMatch(engine -> engine.dispatched() > 0);
     run.countAnew();
-    run.play(CALM_MS, LIGHT * run.perSecond());
-    assertThat(run.refused()).as("refusals once what came before is worked off").isEmpty();
+    run.play(OBSERVATION_MS, LIGHT_LOAD * run.perSecond());
+    assertThat(run.refused()).as("refusals once the backlog is processed").isEmpty();
   }
 
-  /** Lets everything fail at random, and ends it. */
+  /** Injects random faults and then repairs all of them. */
   static ServingRun trouble(SplittableRandom random) {
     ServingRun run = new ServingRun(random.split());
-    run.play(1_000, FITS * run.perSecond());
-    for (int step = 0; step < TROUBLE_STEPS; step++) {
-      fail(run, random);
-      run.play(STEP_MS, (random.nextBoolean() ? HEAVY : FITS) * run.perSecond());
+    run.play(1_000, NORMAL_LOAD * run.perSecond());
+    for (int step = 0; step < FAULT_STEPS; step++) {
+      injectFault(run, random);
+      run.play(STEP_MS, (random.nextBoolean() ? OVERLOAD : NORMAL_LOAD) * run.perSecond());
     }
     recover(run);
     return run;
   }
 
-  private static void fail(ServingRun run, SplittableRandom random) {
+  private static void injectFault(ServingRun run, SplittableRandom random) {
     FakeControl member = run.group().members().get(random.nextInt(3));
     switch (random.nextInt(8)) {
       case 0 -> run.restartVm(random.nextInt(run.vms()));
@@ -81,7 +85,7 @@
       case 2 -> member.freeze();
       case 3 -> recoverMembers(run);
       case 4 -> {
-        if (run.engines().size() > LEAST_ENGINES) {
+        if (run.engines().size() > MIN_ENGINES) {
           run.leave(run.engines().get(random.nextInt(run.engines().size())));
         }
       }
--- a/core/src/test/java/org/teaseltrail/core/control/ClaimServiceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ClaimServiceTest.java
@@ -18,28 +18,30 @@
 import org.teaseltrail.core.message.Usage;
 import org.teaseltrail.core.message.WithdrawReason;
 
-/** Proves that a request with a key runs at most once while members and entry VMs fail. */
+/**
+ * Tests that a request with an idempotency key runs at most once while members and entry VMs fail.
+ */
 class ClaimServiceTest {
 
   private static final UpstreamId UPSTREAM = new UpstreamId("u1");
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
   private FakeControl leader;
-  private FakeEntry one;
-  private FakeEntry two;
+  private FakeEntry vm1;
+  private FakeEntry vm2;
 
   @BeforeEach
   void configure() {
     leader = group.leader();
-    one = group.entry("e1");
-    two = group.entry("e2");
+    vm1 = group.entry("e1");
+    vm2 = group.entry("e2");
     group.change(leader, "fleet", 0, Samples.fleet(0, "u1"));
     group.run(4_000);
     announce(leader);
   }
 
   private void announce(FakeControl member) {
-    one.say(member, Samples.seen("u1", "regina-a", 1));
+    vm1.say(member, Samples.seen("u1", "regina-a", 1));
     group.run(10);
   }
 
@@ -48,151 +50,154 @@
         new RequestId(request), UPSTREAM, kind, new Usage(100, 0, 20), 400);
   }
 
-  private void assertHeld(FakeEntry vm, String asker, String holder, ClaimState state) {
+  private void assertClaimExists(FakeEntry vm, String requester, String holder, ClaimState state) {
     assertThat(vm.heard(ClaimExists.class))
         .anyMatch(
-            told ->
-                told.request().value().equals(asker)
-                    && told.holder().value().equals(holder)
-                    && told.state() == state);
+            message ->
+                message.request().value().equals(requester)
+                    && message.holder().value().equals(holder)
+                    && message.state() == state);
   }
 
-  /** The grant of a request with a key may only follow a claim that a quorum has synced. */
+  /** A request with a key may be granted only after a quorum has synced its claim. */
   @Test
   void grantFollowsTheCommittedClaim() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(3);
-    assertThat(one.heard(Grant.class)).isEmpty();
+    assertThat(vm1.heard(Grant.class)).isEmpty();
     group.run(20);
-    assertThat(one.heard(Grant.class)).hasSize(1);
+    assertThat(vm1.heard(Grant.class)).hasSize(1);
     assertThat(group.members()).allMatch(member -> member.control().claimCount() <= 1);
     assertThat(leader.control().claimCount()).isEqualTo(1);
   }
 
   /**
-   * A volunteer presses twice and the balancer sends both to different VMs. The quiz would be
-   * submitted twice; the second must be told of the first, waiting, running and completed.
+   * A caller submits a form twice and the load balancer sends the two requests to different VMs.
+   * Without the claim it would be processed twice; the second request must receive the state of the
+   * first one while that is waiting, running and completed.
    */
   @Test
   void doubledRequestIsToldOfTheFirst() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
-    two.say(leader, Samples.offer("r2", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
+    vm2.say(leader, Samples.offer("r2", "k", "d"));
     group.run(30);
-    assertThat(one.heard(Grant.class)).hasSize(1);
-    assertThat(two.heard(Grant.class)).isEmpty();
-    assertHeld(two, "r2", "r1", ClaimState.WAITING);
+    assertThat(vm1.heard(Grant.class)).hasSize(1);
+    assertThat(vm2.heard(Grant.class)).isEmpty();
+    assertClaimExists(vm2, "r2", "r1", ClaimState.WAITING);
 
-    two.say(leader, Samples.offer("r3", "k", "d"));
+    vm2.say(leader, Samples.offer("r3", "k", "d"));
     group.run(30);
-    assertHeld(two, "r3", "r1", ClaimState.RUNNING);
+    assertClaimExists(vm2, "r3", "r1", ClaimState.RUNNING);
 
-    one.say(leader, ended("r1", EndKind.COMPLETED));
+    vm1.say(leader, ended("r1", EndKind.COMPLETED));
     group.run(30);
-    two.say(leader, Samples.offer("r4", "k", "d"));
+    vm2.say(leader, Samples.offer("r4", "k", "d"));
     group.run(30);
-    assertHeld(two, "r4", "r1", ClaimState.COMPLETED);
-    assertThat(two.heard(Grant.class)).isEmpty();
+    assertClaimExists(vm2, "r4", "r1", ClaimState.COMPLETED);
+    assertThat(vm2.heard(Grant.class)).isEmpty();
   }
 
-  /** A key used again for another body is a fault of the caller, who must learn of it. */
+  /** A caller that reuses a key for another body made a mistake and must receive a conflict. */
   @Test
   void anotherBodyUnderTheKeyIsConflict() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(30);
-    two.say(leader, Samples.offer("r2", "k", "other"));
+    vm2.say(leader, Samples.offer("r2", "k", "other"));
     group.run(30);
-    assertThat(two.heard(Refused.class))
+    assertThat(vm2.heard(Refused.class))
         .containsExactly(new Refused(new RequestId("r2"), RefusalKind.KEY_CONFLICT, 0));
   }
 
   /**
    * The leader commits a claim and dies before its grant arrives. The waiting VM offers the same
-   * request to the next leader, where its own claim must not stand in its way; a second request
-   * under the key must still find the first.
+   * request to the next leader, where its own claim must not block it; a second request with the
+   * key must still find the first one.
    */
   @Test
   void claimOfLostGrantIsGrantedAgainToItsHolder() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(2);
-    one.silence(true);
+    vm1.silence(true);
     group.run(20);
     leader.kill();
-    one.silence(false);
-    assertThat(one.heard(Grant.class)).isEmpty();
+    vm1.silence(false);
+    assertThat(vm1.heard(Grant.class)).isEmpty();
 
     FakeControl next = group.leader();
     group.run(1_000);
     announce(next);
-    one.say(next, Samples.offer("r1", "k", "d"));
-    two.say(next, Samples.offer("r2", "k", "d"));
+    vm1.say(next, Samples.offer("r1", "k", "d"));
+    vm2.say(next, Samples.offer("r2", "k", "d"));
     group.run(50);
-    assertThat(one.heard(Grant.class)).hasSize(1);
-    assertThat(two.heard(Grant.class)).isEmpty();
-    assertThat(two.heard(ClaimExists.class)).hasSize(1);
+    assertThat(vm1.heard(Grant.class)).hasSize(1);
+    assertThat(vm2.heard(Grant.class)).isEmpty();
+    assertThat(vm2.heard(ClaimExists.class)).hasSize(1);
   }
 
   /**
-   * A request is granted, then declined since nothing connects, and granted again. If the decline
-   * freed its key, a second request under it would run beside the first.
+   * A request is granted, declined because the connection fails, and granted again. If the decline
+   * released the key, a second request with it would run concurrently with the first one.
    */
   @Test
   void declinedRequestKeepsItsKeyOverTheNextGrant() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(30);
-    one.say(
+    vm1.say(
         leader,
         new EntryMessage.Declined(new RequestId("r1"), UPSTREAM, DeclineReason.CONNECT_FAILED));
     group.run(10_000);
-    assertThat(one.heard(Grant.class)).hasSize(2);
-    two.say(leader, Samples.offer("r2", "k", "d"));
+    assertThat(vm1.heard(Grant.class)).hasSize(2);
+    vm2.say(leader, Samples.offer("r2", "k", "d"));
     group.run(30);
-    assertHeld(two, "r2", "r1", ClaimState.RUNNING);
+    assertClaimExists(vm2, "r2", "r1", ClaimState.RUNNING);
   }
 
   /**
-   * The caller hangs up while the claim is being committed. The request never ran, so its key must
-   * be free, or the next try would be told of a run that never was.
+   * The caller disconnects while the claim is being committed. The request never ran, so its key
+   * must be released; otherwise the next try would be told that a request with the key has run.
    */
   @Test
   void requestWithdrawnDuringItsClaimFreesTheKey() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(2);
-    one.say(leader, new EntryMessage.Withdraw(new RequestId("r1"), WithdrawReason.CALLER_GONE));
+    vm1.say(leader, new EntryMessage.Withdraw(new RequestId("r1"), WithdrawReason.CALLER_GONE));
     group.run(50);
-    assertThat(one.heard(Grant.class)).isEmpty();
-    two.say(leader, Samples.offer("r2", "k", "d"));
+    assertThat(vm1.heard(Grant.class)).isEmpty();
+    vm2.say(leader, Samples.offer("r2", "k", "d"));
     group.run(50);
-    assertThat(two.heard(Grant.class)).hasSize(1);
+    assertThat(vm2.heard(Grant.class)).hasSize(1);
   }
 
   /**
-   * The VM that reads a long report dies. The caller comes back with the key over another VM, which
-   * takes the running answer over and tells its end: the report ran once and counts as completed.
+   * The VM that reads a long answer dies. The caller retries with the key at another VM, which
+   * takes over the running answer and reports its end: the request ran once and counts as
+   * completed.
    */
   @Test
   void anotherVmAdoptsTheRunningAnswer() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(30);
-    one.silence(true);
+    vm1.silence(true);
     group.run(4_000);
-    two.say(leader, Samples.offer("r2", "k", "d"));
+    vm2.say(leader, Samples.offer("r2", "k", "d"));
     group.run(30);
-    assertHeld(two, "r2", "r1", ClaimState.RUNNING);
-    assertThat(two.last(ClaimExists.class).orElseThrow().address()).isPresent();
-    two.say(leader, ended("r1", EndKind.COMPLETED));
+    assertClaimExists(vm2, "r2", "r1", ClaimState.RUNNING);
+    assertThat(vm2.last(ClaimExists.class).orElseThrow().address()).isPresent();
+    vm2.say(leader, ended("r1", EndKind.COMPLETED));
     group.run(30);
-    two.say(leader, Samples.offer("r3", "k", "d"));
+    vm2.say(leader, Samples.offer("r3", "k", "d"));
     group.run(30);
-    assertHeld(two, "r3", "r1", ClaimState.COMPLETED);
+    assertClaimExists(vm2, "r3", "r1", ClaimState.COMPLETED);
   }
 
   /**
-   * The leader is frozen right after it has appended a claim, long enough for another to lead. When
-   * it thaws it finds the quorum's answers in its sockets; its grant must not go out any more.
+   * The leader is paused right after it has appended a claim, long enough for another member to
+   * become leader. When it resumes, it reads the quorum's replies from its sockets; it must no
+   * longer send the grant.
    */
   @Test
   void thawedLeaderGrantsNothingForAnOldClaim() {
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(2);
     leader.freeze();
     group.run(5_000);
@@ -206,15 +211,15 @@
   }
 
   /**
-   * The same freeze, with an offer waiting in the socket. Two leaders would fill the same upstream;
-   * the thawed one must send neither a grant nor a welcome.
+   * The leader is paused while an offer waits in its socket, and another member becomes leader. Two
+   * leaders would fill the same upstream; the resumed one must send neither a grant nor a welcome.
    */
   @Test
   void thawedLeaderTakesNoOfferAndWelcomesNobody() {
     leader.freeze();
-    one.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.say(leader, Samples.offer("r1", "k", "d"));
     group.run(5_000);
-    one.forget();
+    vm1.forget();
     int before = leader.actions().size();
     leader.thaw();
     group.run(500);
--- a/core/src/test/java/org/teaseltrail/core/control/ConfigurationServiceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ConfigurationServiceTest.java
@@ -17,7 +17,9 @@
 import org.teaseltrail.core.replication.ReplicaSettings;
 import org.teaseltrail.core.state.ChangeResult;
 
-/** Proves what operators and entry VMs see of configuration changes while members fail. */
+/**
+ * Tests which results operators and entry VMs receive for configuration changes while members fail.
+ */
 class ConfigurationServiceTest {
 
   private static OperatorResult accepted(long revision) {
@@ -30,8 +32,9 @@
   }
 
   /**
-   * Two operators read revision 1 and each sends a change that expects it. The second would
-   * overwrite the first unseen; it must learn of revision 2 and nothing of it may be applied.
+   * Two operators read revision 1 and each sends a change that expects it. The second change would
+   * overwrite the first one unnoticed; it must receive a conflict with revision 2, and no part of
+   * it may be applied.
    */
   @Test
   void ofTwoChangesWithEqualRevisionsOneWins() {
@@ -46,8 +49,8 @@
   }
 
   /**
-   * The answer to a change is lost and the operator sends it again, while another operator has
-   * changed the same tier. Applied twice, the resend would undo the other's change.
+   * The reply to a change is lost and the operator sends the change again after another operator
+   * has changed the same tier. If it were applied twice, the resend would undo the other change.
    */
   @Test
   void resendToTheSameLeaderReturnsTheFirstResult() {
@@ -63,9 +66,9 @@
   }
 
   /**
-   * The leader commits a change and is killed before it answers. The operator sends the change to
+   * The leader commits a change and is killed before it replies. The operator sends the change to
    * the new leader, which knows it from the log, and again after all members were killed, when the
-   * log's beginning is gone and only a snapshot can tell.
+   * start of the log is discarded and only a snapshot contains the result.
    */
   @Test
   void resendToNewLeaderAndAfterSnapshotReturnsTheFirstResult() {
@@ -93,8 +96,8 @@
   }
 
   /**
-   * All members are killed after 1,000 changes and start again. Whoever leads must serve the last
-   * accepted configuration, though the log's beginning is gone.
+   * All members are killed after 1,000 changes and restarted. The new leader must serve the last
+   * accepted configuration although the start of the log is discarded.
    */
   @Test
   void restartAfterThousandChangesServesTheLastConfiguration() {
@@ -121,31 +124,33 @@
   }
 
   /**
-   * One of two entry VMs falls silent. A change is in force everywhere only once the silent VM's
-   * session has run out, for until then it may admit requests under the old configuration.
+   * One of two entry VMs stops communicating. A change is in force everywhere only after the
+   * session of that VM has expired, because it may admit requests under the old configuration until
+   * then.
    */
   @Test
   void isInForceOnlyOnceEachSessionAppliesItOrHasLapsed() {
     FakeControlGroup group = new FakeControlGroup(3).start();
     FakeControl leader = group.leader();
-    final FakeEntry one = group.entry("e1");
-    FakeEntry two = group.entry("e2");
+    final FakeEntry vm1 = group.entry("e1");
+    FakeEntry vm2 = group.entry("e2");
     group.run(4_000);
-    two.silence(true);
+    vm2.silence(true);
     assertThat(group.change(leader, "a", 0, Samples.tier(1))).isEqualTo(accepted(1));
-    assertThat(one.applied()).isEqualTo(new Revision(1));
+    assertThat(vm1.applied()).isEqualTo(new Revision(1));
     group.run(600);
 
     long call = group.ask(leader, new OperatorRequest.AwaitInForce(new Revision(1), 10_000), 2_000);
     assertThat(group.reply(call)).isNull();
     group.run(1_500);
     assertThat(group.reply(call))
-        .isEqualTo(new OperatorResult.InForce(new Revision(1), List.of(two.vm())));
+        .isEqualTo(new OperatorResult.InForce(new Revision(1), List.of(vm2.vm())));
   }
 
   /**
-   * An entry VM says hello all the time but hangs over a new configuration. If it stayed welcome it
-   * would admit requests under the old one for ever; its session must run out within 4 s.
+   * An entry VM keeps sending Hello messages but hangs while applying a new configuration. If its
+   * session were renewed, it would admit requests under the old configuration forever; the session
+   * must expire within 4 s.
    */
   @Test
   void vmThatNeverAppliesIsNotWelcomedForEver() {
@@ -164,30 +169,31 @@
   }
 
   /**
-   * An entry VM restarts with nothing while the leader is cut off from the others. The cut leader
-   * may have missed accepted changes, so the VM must get its configuration from the new one alone.
+   * An entry VM restarts without state while the leader is partitioned from the other members. The
+   * partitioned leader may have missed accepted changes, so the VM must accept a configuration only
+   * from the new leader.
    */
   @Test
   void restartedVmTakesNoConfigurationFromCutLeader() {
     FakeControlGroup group = new FakeControlGroup(3).start();
-    FakeControl old = group.leader();
+    FakeControl oldLeader = group.leader();
     final FakeEntry entry = group.entry("e1");
-    group.change(old, "a", 0, Samples.tier(1));
-    old.cut(true);
+    group.change(oldLeader, "a", 0, Samples.tier(1));
+    oldLeader.cut(true);
     group.run(1_000);
-    FakeControl fresh = group.leader();
-    assertThat(fresh).isNotSameAs(old);
-    assertThat(group.change(fresh, "b", 1, Samples.tier(2))).isEqualTo(accepted(2));
+    FakeControl newLeader = group.leader();
+    assertThat(newLeader).isNotSameAs(oldLeader);
+    assertThat(group.change(newLeader, "b", 1, Samples.tier(2))).isEqualTo(accepted(2));
     entry.restart();
     group.run(1_000);
     assertThat(entry.heard(ControlMessage.ConfigurationUpdate.class))
         .isNotEmpty()
         .allMatch(update -> update.configuration().revision().equals(new Revision(2)));
-    assertThat(group.change(old, "c", 1, Samples.tier(3)))
+    assertThat(group.change(oldLeader, "c", 1, Samples.tier(3)))
         .isInstanceOf(OperatorResult.NotLeader.class);
   }
 
-  /** A tier that a customer still pays for must not vanish under it. */
+  /** A tier that a customer still uses must not be removed. */
   @Test
   void refusesToRemoveTierInUse() {
     FakeControlGroup group = new FakeControlGroup(1).start();
--- a/core/src/test/java/org/teaseltrail/core/control/ControlFaultProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ControlFaultProperties.java
@@ -10,9 +10,9 @@
 import net.jqwik.api.Tag;
 
 /**
- * Runs calls with keys over three members and three VMs while all of them fail at random: kills,
- * freezes, cuts and VMs that lose their memory. No key may run twice, and afterwards the group must
- * serve again. The members' own invariants are asserted all along.
+ * Sends requests with idempotency keys to three VMs and three members that fail at random: kills,
+ * pauses, partitions and VMs that lose their state. No key may run twice, and the group must serve
+ * again after the faults. The members check their own invariants throughout.
  */
 class ControlFaultProperties {
 
@@ -26,7 +26,7 @@
     run(new SplittableRandom(seed));
   }
 
-  /** Takes a fresh seed each time; jqwik prints the one that failed. */
+  /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 2_000)
   void noKeyRunsTwiceForLong(@ForAll long seed) {
@@ -46,19 +46,19 @@
       int key = random.nextInt(KEYS);
       vms.get(random.nextInt(3)).call("r" + step, "k" + key);
       if (random.nextInt(4) == 0) {
-        fail(group, random);
+        injectFault(group, random);
       }
       group.run(random.nextInt(400));
     }
     recover(group);
     int before = history.count();
     vms.get(0).call("last", "k-last");
-    // Work of VMs that lost their memory fills the engine's account until it is given up for lost.
+    // Requests of VMs that lost their state occupy the engine's slots until they count as lost.
     group.run(45_000);
-    assertThat(history.count()).as("a new key is served after all").isGreaterThan(before);
+    assertThat(history.count()).as("a new key is served after the faults").isGreaterThan(before);
   }
 
-  private void fail(FakeControlGroup group, SplittableRandom random) {
+  private void injectFault(FakeControlGroup group, SplittableRandom random) {
     FakeControl member = group.members().get(random.nextInt(3));
     switch (random.nextInt(6)) {
       case 0 -> {
--- a/core/src/test/java/org/teaseltrail/core/control/CutOffLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/CutOffLeaderTest.java
@@ -6,13 +6,14 @@
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.message.EntryMessage;
 
-/** Proves what a leader does between the end of its lease and its stepping down. */
+/** Tests what a leader does between the end of its lease and its stepping down. */
 class CutOffLeaderTest {
 
   /**
-   * The leader is cut off while a request waits. Its lease ends, but it steps down only later. Its
-   * scheduler's wake-up has passed and can't be followed without the lease; asked for again and
-   * again it would keep a processor busy, and each tick that is kept would take memory.
+   * The leader is partitioned while a request waits. Its lease ends, but it steps down only later.
+   * Its scheduler's wake-up time has passed, and the scheduler can't run without the lease. If the
+   * wake-up were requested again and again, it would occupy a processor, and each buffered tick
+   * would take memory.
    */
   @Test
   void withoutTheLeaseNoWakeUpLiesInThePast() {
--- a/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
@@ -18,20 +18,20 @@
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /**
- * Runs the parts that serve, under virtual time, before engines that a deadly request ends: three
- * control members, entry VMs, engines that are back under another id some seconds after their end,
- * callers with requests of their own, a content that is asked for often, and callers whose deadly
- * requests come again and again under new ids, at any VM.
+ * Simulates the serving components, in virtual time, with engines that crash when they run a poison
+ * request: three control members, entry VMs, engines that restart under another id some seconds
+ * after a crash, callers with different requests, one popular content that is requested often, and
+ * callers that retry poison requests under new ids at any VM.
  */
 final class DeadlyRequestRun {
 
-  /** Says which kind of route a request takes. */
+  /** Kind of route that a request takes. */
   enum Kind {
-    /** A stream that may run once. */
+    /** Stream that may run only once. */
     STREAM("/stream/"),
-    /** A stream that may go on at another engine. */
+    /** Stream that may be resumed at another engine. */
     RESUMABLE("/resumable/"),
-    /** A plain request that may be repeated. */
+    /** Request without a stream that may be retried. */
     SAFE("/safe/");
 
     private final String path;
@@ -41,54 +41,60 @@
     }
   }
 
-  /** The time after which all VMs in touch must know of what has happened, in milliseconds. */
+  /** Time after which all connected VMs must know of an event, in milliseconds. */
   static final int CONTACT_MS = 3_000;
 
-  /** Ends of upstreams under one request after which the time to know of it runs. */
+  /**
+   * Number of upstreams crashed by one request after which it must become known as a poison
+   * request.
+   */
   static final int ENDS_UNTIL_KNOWN = 3;
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int HEARTBEAT_EVERY_MS = 1_200;
-  private static final int BACK_AFTER_MS = 2_500;
-  private static final int RUN_MS = 400;
+  private static final int RESTART_DELAY_MS = 2_500;
+  private static final int SERVICE_TIME_MS = 400;
   private static final int FIRST_EVENT_MS = 60;
-  private static final int SOON_MS = 1;
-  private static final int DEADLY_EVERY_MS = 1_000;
-  private static final int DEADLY_TRIES = 3;
+  private static final int FAILURE_DELAY_MS = 1;
+  private static final int POISON_INTERVAL_MS = 1_000;
+  private static final int POISON_TRIES = 3;
   private static final int DEADLINE_MS = 4_000;
-  private static final int LONGEST_HEEDED_PAUSE_MS = DEADLINE_MS / 3;
+  private static final int MAX_RETRY_DELAY_MS = DEADLINE_MS / 3;
   private static final String POPULAR = "popular";
 
-  /** Is one try of a caller. */
-  private record Call(String content, Kind kind, boolean deadly, int triesLeft) {}
+  /** One try of a caller. */
+  private record Call(String content, Kind kind, boolean poisonous, int triesLeft) {}
 
-  /** Is one attempt of a VM's life at an engine, or where none answers any longer. */
-  private record Attempt(int vm, long life, long request, Optional<BatchEngine> engine) {
-    void leaveEngine() {
-      engine.ifPresent(there -> there.forget(request));
+  /**
+   * Attempt of one incarnation of a VM at an engine, or at an address where no engine runs any
+   * more.
+   */
+  private record Attempt(int vm, long incarnation, long request, Optional<BatchEngine> engine) {
+    void removeFromEngine() {
+      engine.ifPresent(current -> current.forget(request));
     }
   }
 
-  /** Counts what one deadly content has done. */
+  /** Counts the crashes that one poison content has caused. */
   static final class Harm {
-    private final List<Long> endsNs = new ArrayList<>();
+    private final List<Long> crashTimesNs = new ArrayList<>();
     private int sendsOnceKnown;
 
     int ends() {
-      return endsNs.size();
+      return crashTimesNs.size();
     }
 
-    /** Returns the sends later than the time to know after the third end. */
+    /** Returns the number of dispatches later than the propagation time after the third crash. */
     int sendsOnceKnown() {
       return sendsOnceKnown;
     }
 
-    private void sent(long nowNs, long disturbedNs) {
-      boolean known =
-          endsNs.size() >= ENDS_UNTIL_KNOWN
-              && nowNs - endsNs.get(ENDS_UNTIL_KNOWN - 1) > CONTACT_MS * NS_PER_MS
+    private void recordDispatch(long nowNs, long disturbedNs) {
+      boolean isKnown =
+          crashTimesNs.size() >= ENDS_UNTIL_KNOWN
+              && nowNs - crashTimesNs.get(ENDS_UNTIL_KNOWN - 1) > CONTACT_MS * NS_PER_MS
               && nowNs - disturbedNs > CONTACT_MS * NS_PER_MS;
-      sendsOnceKnown += known ? 1 : 0;
+      sendsOnceKnown += isKnown ? 1 : 0;
     }
   }
 
@@ -101,11 +107,11 @@
   private final Map<String, Harm> harm = new HashMap<>();
   private final Map<RefusalReason, Integer> innocentRefused = new HashMap<>();
   private final Map<RefusalReason, Integer> popularRefused = new HashMap<>();
-  private Optional<Kind> deadlyKind = Optional.empty();
-  private int deadlyContents;
-  private int popularEveryMs;
-  private boolean popularIsDeadly;
-  private int endAtRandomEveryMs;
+  private Optional<Kind> poisonKind = Optional.empty();
+  private int poisonContents;
+  private int popularIntervalMs;
+  private boolean popularIsPoisonous;
+  private int crashIntervalMs;
   private boolean heartbeatsLost;
   private long lastRequest;
   private long disturbedNs = Long.MIN_VALUE / 2;
@@ -122,9 +128,9 @@
       engines.add(new BatchEngine(site, 1, TestPlans.ENGINES));
       engines.add(new BatchEngine(engineCount + site, 1, TestPlans.PLAIN));
     }
-    vms = new FakeEntryVms(group, vmCount, random, this::carryOut);
+    vms = new FakeEntryVms(group, vmCount, random, this::execute);
     vms.start();
-    heartbeats();
+    sendHeartbeats();
   }
 
   FakeControlGroup group() {
@@ -135,37 +141,45 @@
     return vms;
   }
 
-  /** Lets callers ask for deadly contents of a kind, each once a second with two more tries. */
+  /**
+   * Makes callers request poison contents of a kind, each content once a second with two retries.
+   */
   void askForDeadly(Kind kind, int contents) {
-    deadlyKind = Optional.of(kind);
-    deadlyContents = contents;
+    poisonKind = Optional.of(kind);
+    poisonContents = contents;
   }
 
   void stopAskingForDeadly() {
-    deadlyKind = Optional.empty();
+    poisonKind = Optional.empty();
   }
 
-  /** Lets one content, which harms nobody, be asked for this often. */
+  /** Makes callers request one harmless content at this interval; 0 for never. */
   void askForPopular(int everyMs) {
-    popularEveryMs = everyMs;
+    popularIntervalMs = everyMs;
   }
 
-  /** Makes the popular content deadly, as with a fault of engines that is mended later. */
-  void askForDeadlyPopular(boolean deadly) {
-    popularIsDeadly = deadly;
+  /**
+   * Makes the popular content a poison content or a harmless one, as if engines had a defect that
+   * is fixed later.
+   */
+  void askForDeadlyPopular(boolean poisonous) {
+    popularIsPoisonous = poisonous;
   }
 
-  /** Ends an engine at random this often, 0 for never. */
+  /** Crashes a random engine at this interval; 0 for never. */
   void endAtRandom(int everyMs) {
-    endAtRandomEveryMs = everyMs;
+    crashIntervalMs = everyMs;
   }
 
-  /** Loses all heartbeats, as in a cut between the engines and the members. */
+  /** Drops all heartbeats, as in a partition between the engines and the members. */
   void loseHeartbeats(boolean lost) {
     heartbeatsLost = lost;
   }
 
-  /** Breaks a share of what runs off without ending any engine, as lost links do. */
+  /**
+   * Breaks the connections of a fraction of the running requests without stopping any engine, as a
+   * network failure does.
+   */
   void breakOff(double share) {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (random.nextDouble() < share) {
@@ -174,7 +188,10 @@
     }
   }
 
-  /** All lose power at once; only what is on the members' disks is left. */
+  /**
+   * Restarts all components at once, as in a power loss; only the members' disks keep their
+   * content.
+   */
   void losePower() {
     group.members().forEach(FakeControl::kill);
     for (int vm = 0; vm < vms.count(); vm++) {
@@ -186,19 +203,19 @@
   void restartVm(int vm) {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (attempt.vm() == vm) {
-        attempt.leaveEngine();
+        attempt.removeFromEngine();
         attempts.remove(attempt.request());
       }
     }
     vms.restart(vm);
   }
 
-  /** Notes that members or VMs are disturbed now, so that they need time to know of anything. */
+  /** Records that members or VMs are disturbed now, which restarts the propagation time. */
   void disturbed() {
     disturbedNs = group.nowNs();
   }
 
-  /** Counts from now on what becomes of those who harm nobody. */
+  /** Resets the counters of harmless requests. */
   void countAnew() {
     asked = 0;
     served = 0;
@@ -206,7 +223,7 @@
     popularRefused.clear();
   }
 
-  /** Returns the part of requests that harm nobody which got a whole answer. */
+  /** Returns the fraction of harmless requests that received a complete answer. */
   double servedShare() {
     return asked == 0 ? 1 : (double) served / asked;
   }
@@ -215,17 +232,17 @@
     return asked;
   }
 
-  /** Returns how often requests that harm nobody were refused, by reason. */
+  /** Returns the number of refused harmless requests by reason. */
   Map<RefusalReason, Integer> innocentRefused() {
     return innocentRefused;
   }
 
-  /** Returns the same for the popular content alone. */
+  /** Returns the number of refused requests for the popular content by reason. */
   Map<RefusalReason, Integer> popularRefused() {
     return popularRefused;
   }
 
-  /** Returns what each deadly content has done. */
+  /** Returns the crash counts by poison content. */
   Map<String, Harm> harm() {
     return harm;
   }
@@ -238,7 +255,7 @@
     return harm.values().stream().mapToInt(Harm::sendsOnceKnown).sum();
   }
 
-  /** Lets time pass, with callers of requests of their own at a rate. */
+  /** Advances the time while callers send requests with different contents at a rate. */
   void play(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
@@ -246,27 +263,27 @@
       long nowMs = group.nowNs() / NS_PER_MS;
       if (random.nextDouble() < perSecond / 1_000) {
         Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-        ask(new Call("own-" + lastRequest, kind, false, 2));
+        submit(new Call("own-" + lastRequest, kind, false, 2));
       }
-      if (popularEveryMs > 0 && nowMs % popularEveryMs == 0) {
-        ask(new Call(POPULAR, Kind.STREAM, popularIsDeadly, 2));
+      if (popularIntervalMs > 0 && nowMs % popularIntervalMs == 0) {
+        submit(new Call(POPULAR, Kind.STREAM, popularIsPoisonous, 2));
       }
-      if (endAtRandomEveryMs > 0 && nowMs % endAtRandomEveryMs == 0) {
-        endEngine(engines.get(random.nextInt(engines.size())));
+      if (crashIntervalMs > 0 && nowMs % crashIntervalMs == 0) {
+        crashEngine(engines.get(random.nextInt(engines.size())));
       }
-      deadlyKind
-          .filter(kind -> nowMs % DEADLY_EVERY_MS == 0)
+      poisonKind
+          .filter(kind -> nowMs % POISON_INTERVAL_MS == 0)
           .ifPresent(
               kind -> {
-                for (int i = 0; i < deadlyContents; i++) {
-                  ask(new Call("deadly-" + i, kind, true, DEADLY_TRIES));
+                for (int i = 0; i < poisonContents; i++) {
+                  submit(new Call("deadly-" + i, kind, true, POISON_TRIES));
                 }
               });
     }
   }
 
-  private void ask(Call call) {
-    if (!call.deadly()) {
+  private void submit(Call call) {
+    if (!call.poisonous()) {
       asked++;
     }
     send(call);
@@ -293,39 +310,39 @@
     vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
-  private void carryOut(int vm, ForwardAction action) {
+  private void execute(int vm, ForwardAction action) {
     if (action instanceof ForwardAction.Dispatch dispatch) {
       dispatch(vm, dispatch);
     } else if (action instanceof ForwardAction.Cancel cancel) {
       cancel(cancel.request());
     } else if (action instanceof ForwardAction.Deliver deliver) {
       Call call = calls.remove(deliver.request());
-      served += call.deadly() ? 0 : 1;
+      served += call.poisonous() ? 0 : 1;
     } else if (action instanceof ForwardAction.Refuse refuse) {
-      refused(refuse);
+      onRefused(refuse);
     }
   }
 
   private void cancel(long request) {
     Attempt attempt = attempts.remove(request);
     if (attempt != null) {
-      attempt.leaveEngine();
+      attempt.removeFromEngine();
     }
   }
 
-  private void refused(ForwardAction.Refuse refuse) {
+  private void onRefused(ForwardAction.Refuse refuse) {
     Call call = calls.remove(refuse.request());
-    if (!call.deadly()) {
+    if (!call.poisonous()) {
       innocentRefused.merge(refuse.refusalReason(), 1, Integer::sum);
     }
     if (call.content().equals(POPULAR)) {
       popularRefused.merge(refuse.refusalReason(), 1, Integer::sum);
     }
-    boolean mayRepeat = !refuse.refusalReason().maybeRan() || call.kind() != Kind.STREAM;
-    if (call.triesLeft() > 1 && (mayRepeat || call.deadly())) {
-      Call next = new Call(call.content(), call.kind(), call.deadly(), call.triesLeft() - 1);
-      long pauseMs = Math.min(LONGEST_HEEDED_PAUSE_MS, refuse.retryAfterMs());
-      later((int) Math.max(50, pauseMs), () -> send(next));
+    boolean canRetry = !refuse.refusalReason().maybeRan() || call.kind() != Kind.STREAM;
+    if (call.triesLeft() > 1 && (canRetry || call.poisonous())) {
+      Call next = new Call(call.content(), call.kind(), call.poisonous(), call.triesLeft() - 1);
+      long delayMs = Math.min(MAX_RETRY_DELAY_MS, refuse.retryAfterMs());
+      later((int) Math.max(50, delayMs), () -> send(next));
     }
   }
 
@@ -336,87 +353,88 @@
     Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     if (engine.isEmpty()) {
-      later(SOON_MS, () -> end(attempt, AttemptOutcome.NOT_CONNECTED));
+      later(FAILURE_DELAY_MS, () -> end(attempt, AttemptOutcome.NOT_CONNECTED));
       return;
     }
-    if (call.deadly()) {
-      harmOf(call).sent(group.nowNs(), disturbedNs);
+    if (call.poisonous()) {
+      crashStatsOf(call).recordDispatch(group.nowNs(), disturbedNs);
     }
     engine.get().take(dispatch.request());
-    begin(engine.get());
+    startQueued(engine.get());
   }
 
-  private void begin(BatchEngine engine) {
+  private void startQueued(BatchEngine engine) {
     for (long request : engine.begin()) {
       Attempt attempt = attempts.get(request);
-      boolean tellsFirst = !calls.get(request).deadly() || random.nextInt(3) == 0;
-      if (tellsFirst && calls.get(request).kind() != Kind.SAFE) {
+      boolean sendsFirstEvent = !calls.get(request).poisonous() || random.nextInt(3) == 0;
+      if (sendsFirstEvent && calls.get(request).kind() != Kind.SAFE) {
         later(FIRST_EVENT_MS, () -> firstEvent(attempt));
       }
-      if (calls.get(request).deadly()) {
-        later(30 + random.nextInt(120), () -> kill(attempt, calls.get(request)));
+      if (calls.get(request).poisonous()) {
+        later(30 + random.nextInt(120), () -> crash(attempt, calls.get(request)));
       } else {
-        later(RUN_MS, () -> end(attempt, AttemptOutcome.ANSWERED));
+        later(SERVICE_TIME_MS, () -> end(attempt, AttemptOutcome.ANSWERED));
       }
     }
   }
 
   private void firstEvent(Attempt attempt) {
-    if (isUnderWay(attempt)) {
+    if (isInFlight(attempt)) {
       int vm = attempt.vm();
       vms.carryOut(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
-  private void kill(Attempt attempt, Call call) {
-    if (isUnderWay(attempt)) {
-      harmOf(call).endsNs.add(group.nowNs());
-      attempt.engine().ifPresent(this::endEngine);
+  private void crash(Attempt attempt, Call call) {
+    if (isInFlight(attempt)) {
+      crashStatsOf(call).crashTimesNs.add(group.nowNs());
+      attempt.engine().ifPresent(this::crashEngine);
     }
   }
 
-  /** Ends an engine with all that it holds; its next life has another id. */
-  private void endEngine(BatchEngine engine) {
+  /** Crashes an engine with all its requests; its next incarnation has another id. */
+  private void crashEngine(BatchEngine engine) {
     for (long request : engine.end()) {
       Attempt attempt = attempts.get(request);
-      later(SOON_MS, () -> end(attempt, AttemptOutcome.BROKEN));
+      later(FAILURE_DELAY_MS, () -> end(attempt, AttemptOutcome.BROKEN));
     }
     engines.remove(engine);
-    int life = Math.toIntExact(group.nowNs() / NS_PER_MS);
-    BatchEngine next = new BatchEngine(engine.site(), life, engine.registration().service());
+    int incarnation = Math.toIntExact(group.nowNs() / NS_PER_MS);
+    BatchEngine next = new BatchEngine(engine.site(), incarnation, engine.registration().service());
     later(
-        BACK_AFTER_MS,
+        RESTART_DELAY_MS,
         () -> {
           engines.add(next);
-          beat(next);
+          sendHeartbeat(next);
         });
   }
 
   private void end(Attempt attempt, AttemptOutcome end) {
-    if (!isUnderWay(attempt)) {
+    if (!isInFlight(attempt)) {
       return;
     }
     attempts.remove(attempt.request());
-    attempt.leaveEngine();
-    attempt.engine().ifPresent(this::begin);
+    attempt.removeFromEngine();
+    attempt.engine().ifPresent(this::startQueued);
     int vm = attempt.vm();
     vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
   }
 
-  private boolean isUnderWay(Attempt attempt) {
-    return attempts.get(attempt.request()) == attempt && attempt.life() == vms.life(attempt.vm());
+  private boolean isInFlight(Attempt attempt) {
+    return attempts.get(attempt.request()) == attempt
+        && attempt.incarnation() == vms.life(attempt.vm());
   }
 
-  private Harm harmOf(Call call) {
+  private Harm crashStatsOf(Call call) {
     return harm.computeIfAbsent(call.content(), content -> new Harm());
   }
 
-  private void heartbeats() {
-    List.copyOf(engines).forEach(this::beat);
-    later(HEARTBEAT_EVERY_MS, this::heartbeats);
+  private void sendHeartbeats() {
+    List.copyOf(engines).forEach(this::sendHeartbeat);
+    later(HEARTBEAT_EVERY_MS, this::sendHeartbeats);
   }
 
-  private void beat(BatchEngine engine) {
+  private void sendHeartbeat(BatchEngine engine) {
     if (heartbeatsLost) {
       return;
     }
--- a/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestTest.java
@@ -8,19 +8,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Seen: engines ended one after the other, 14 within seconds, and callers of all kinds lost their
- * streams with each. How: a request came again and again under new ids, at any entry VM, and each
- * engine that began to run it ended. Cause: how an attempt ended spoke against the upstream alone;
- * nothing remembered what was asked for, beyond one attempt or at another VM. Proof: with a
- * fingerprint of customer, path and body remembered and shared, three engines end and nothing is
- * sent afterwards; without one of the two this test fails.
+ * A poison request that is retried under new ids at any entry VM crashes one engine after the
+ * other, 14 within seconds, and callers of all kinds lose their streams with each engine. This
+ * happens if the end of an attempt counts only against the upstream and no state is kept about the
+ * request beyond one attempt or one VM. With a fingerprint of customer, path and body that is
+ * remembered and shared between VMs, three engines crash and nothing is sent afterwards; without
+ * either the memory or the sharing, this test fails.
  */
 class DeadlyRequestTest {
 
-  /** Sends that the users allow once three upstreams have ended and all VMs had time to know. */
+  /**
+   * Dispatches that the requirements allow after three upstreams have crashed and all VMs had time
+   * to know of it.
+   */
   private static final int ALLOWED_SENDS = 3;
 
-  private static final int SMALL = 6;
+  private static final int FEW_VMS = 6;
   private static final double LOAD_PER_SECOND = 20;
 
   private static DeadlyRequestRun run(long seed, int vms) {
@@ -29,7 +32,10 @@
     return run;
   }
 
-  /** A request that ends upstreams is sent on and on, since each VM judges each try alone. */
+  /**
+   * A request that crashes upstreams would be sent again and again if each VM judged each try
+   * alone.
+   */
   @ParameterizedTest
   @CsvSource({
     "STREAM, 6, 1",
@@ -46,17 +52,20 @@
     assertThat(run.sendsOnceKnown()).isLessThanOrEqualTo(ALLOWED_SENDS);
   }
 
-  /** The leader that knew of the ends is gone, or a VM that saw them, and it begins anew. */
+  /**
+   * The leader that recorded the crashes is killed, and VMs that observed them are restarted
+   * without their state.
+   */
   @Test
   void itStaysStoppedWhenLeaderAndVmsStartAnew() {
-    DeadlyRequestRun run = run(7, SMALL);
+    DeadlyRequestRun run = run(7, FEW_VMS);
     run.askForDeadly(DeadlyRequestRun.Kind.STREAM, 1);
     run.play(6_000, LOAD_PER_SECOND);
     FakeControl first = run.group().leader();
     first.kill();
     run.play(6_000, LOAD_PER_SECOND);
     run.group().restart(first);
-    for (int vm = 0; vm < SMALL; vm++) {
+    for (int vm = 0; vm < FEW_VMS; vm++) {
       run.restartVm(vm);
       run.play(1_000, LOAD_PER_SECOND);
     }
@@ -64,10 +73,10 @@
     assertThat(run.sendsOnceKnown()).isLessThanOrEqualTo(ALLOWED_SENDS);
   }
 
-  /** All lose power at once, and what was known of the request with them. */
+  /** A power loss restarts all components, which removes the observations held in memory. */
   @Test
   void itStaysStoppedWhenAllLosePower() {
-    DeadlyRequestRun run = run(8, SMALL);
+    DeadlyRequestRun run = run(8, FEW_VMS);
     run.askForDeadly(DeadlyRequestRun.Kind.STREAM, 1);
     run.play(8_000, LOAD_PER_SECOND);
     run.losePower();
--- a/core/src/test/java/org/teaseltrail/core/control/FakeControl.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeControl.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.schedule.PoolScheduler;
 import org.teaseltrail.core.schedule.SchedulerSettings;
 
-/** Runs one control member on a fake disk; can be killed, frozen and cut off. */
+/** Runs one control member on a fake disk; the member can be killed, paused and partitioned. */
 final class FakeControl {
 
   private static final long SYNC_NS = 1_000_000L;
@@ -25,10 +25,10 @@
   private final List<ControlAction> actions = new ArrayList<>();
   private ControlMember control;
   private boolean serving;
-  private boolean frozen;
-  private boolean cut;
+  private boolean paused;
+  private boolean partitioned;
   private long wakeupNs;
-  private int life;
+  private int incarnation;
 
   FakeControl(FakeControlGroup group, Member member, RecoveredState initial) {
     this.group = group;
@@ -49,14 +49,16 @@
   }
 
   boolean isServing() {
-    return control != null && !frozen && serving && control.isLeaseValid(group.nowNs());
+    return control != null && !paused && serving && control.isLeaseValid(group.nowNs());
   }
 
   boolean isCut() {
-    return cut;
+    return partitioned;
   }
 
-  /** Returns all actions since the start of the test that tell or order something. */
+  /**
+   * Returns all actions since the start of the test except writes, snapshots and messages to peers.
+   */
   List<ControlAction> actions() {
     return actions;
   }
@@ -65,7 +67,7 @@
     if (control != null) {
       return;
     }
-    life++;
+    incarnation++;
     wakeupNs = Long.MAX_VALUE;
     Replica replica =
         new Replica(
@@ -87,20 +89,20 @@
   }
 
   void kill() {
-    frozen = false;
-    life++;
+    paused = false;
+    incarnation++;
     control = null;
     serving = false;
     held.clear();
   }
 
   void freeze() {
-    frozen = true;
+    paused = true;
   }
 
-  /** Goes on at the present time with what has come in meanwhile. */
+  /** Resumes at the current time with the events received during the pause. */
   void thaw() {
-    frozen = false;
+    paused = false;
     while (!held.isEmpty()) {
       handle(held.removeFirst());
     }
@@ -108,31 +110,31 @@
   }
 
   void cut(boolean isCut) {
-    cut = isCut;
+    partitioned = isCut;
   }
 
   void handle(ControlEvent event) {
     if (control == null) {
       return;
     }
-    if (frozen) {
+    if (paused) {
       held.addLast(event);
       return;
     }
-    control.handle(event, group.nowNs()).forEach(this::carryOut);
+    control.handle(event, group.nowNs()).forEach(this::execute);
     scheduleWakeup();
   }
 
-  private void carryOut(ControlAction action) {
+  private void execute(ControlAction action) {
     if (action instanceof ControlAction.Persist persist) {
-      after(
+      completeLater(
           () -> {
             disk.sync(persist.write());
             return new ControlEvent.Persisted(persist.write().writeNumber());
           });
     } else if (action instanceof ControlAction.EncodeSnapshot encode) {
       byte[] state = group.codec().encodeSnapshot(encode.snapshot());
-      after(() -> new ControlEvent.SnapshotEncoded(encode.index(), state));
+      completeLater(() -> new ControlEvent.SnapshotEncoded(encode.index(), state));
     } else if (action instanceof ControlAction.SendToPeer send) {
       group.sendPeer(this, send.envelope());
     } else {
@@ -144,13 +146,16 @@
     }
   }
 
-  /** Does slow work beside the member, and tells it unless it was killed meanwhile. */
-  private void after(Supplier<ControlEvent> work) {
-    int started = life;
+  /**
+   * Completes slow work outside the member and reports the result unless the member was killed in
+   * the meantime.
+   */
+  private void completeLater(Supplier<ControlEvent> work) {
+    int startedIncarnation = incarnation;
     group.after(
         SYNC_NS,
         () -> {
-          if (life == started) {
+          if (incarnation == startedIncarnation) {
             handle(work.get());
           }
         });
@@ -162,11 +167,11 @@
       return;
     }
     wakeupNs = wanted.getAsLong();
-    int started = life;
+    int startedIncarnation = incarnation;
     group.after(
         Math.max(0, wakeupNs - group.nowNs()) + 1_000,
         () -> {
-          if (life == started) {
+          if (incarnation == startedIncarnation) {
             wakeupNs = Long.MAX_VALUE;
             handle(new ControlEvent.Tick());
           }
--- a/core/src/test/java/org/teaseltrail/core/control/FakeControlGroup.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeControlGroup.java
@@ -30,7 +30,10 @@
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Runs a few control members and entry VMs under virtual time, 1 ms from each to each. */
+/**
+ * Runs several control members and entry VMs in virtual time with a latency of 1 ms between each
+ * two.
+ */
 final class FakeControlGroup {
 
   static final GroupId GROUP = new GroupId("test");
@@ -38,20 +41,21 @@
   private static final long LATENCY_NS = 1_000_000L;
   private static final long NS_PER_MS = 1_000_000L;
 
-  private record Due(long atNs, long order, Runnable step) {}
+  private record ScheduledStep(long atNs, long order, Runnable step) {}
 
-  private final PriorityQueue<Due> steps =
-      new PriorityQueue<>(Comparator.comparingLong(Due::atNs).thenComparingLong(Due::order));
+  private final PriorityQueue<ScheduledStep> steps =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledStep::atNs).thenComparingLong(ScheduledStep::order));
   private final SplittableRandom random = new SplittableRandom(11);
   private final MemoryCodec codec = new MemoryCodec();
   private final List<FakeControl> members = new ArrayList<>();
 
-  /** Is an entry VM that hears what members send it. */
+  /** Entry VM that receives the messages of members. */
   interface Listener {
     void received(FakeControl from, ControlMessage message);
   }
 
-  /** Is an entry VM that places requests itself and hears what members send it. */
+  /** Entry VM that places requests by itself and receives the replies of members. */
   interface ServingListener {
     void received(ServingReply reply);
   }
@@ -84,7 +88,7 @@
     }
   }
 
-  /** Starts a member with an empty disk that asks to be taken in, as its process does. */
+  /** Starts a member with an empty disk that requests to join the group, as its process does. */
   FakeControl join(String id, String vm) {
     Member member = new Member(new MemberId(id), new VmId(vm));
     FakeControl joining = new FakeControl(this, member, RecoveredState.empty());
@@ -94,7 +98,10 @@
     return joining;
   }
 
-  /** Asks every 300 ms, whoever may lead, until the member is killed. */
+  /**
+   * Sends a join request to all members every 300 ms, since any of them may lead, until the member
+   * is killed.
+   */
   private void askToJoin(FakeControl joining) {
     if (joining.control() == null) {
       return;
@@ -155,20 +162,20 @@
   }
 
   void after(long delayNs, Runnable step) {
-    steps.add(new Due(nowNs + delayNs, ++order, step));
+    steps.add(new ScheduledStep(nowNs + delayNs, ++order, step));
   }
 
   void run(long ms) {
     long endNs = nowNs + ms * NS_PER_MS;
     while (!steps.isEmpty() && steps.peek().atNs() <= endNs) {
-      Due due = steps.poll();
+      ScheduledStep due = steps.poll();
       nowNs = due.atNs();
       due.step().run();
     }
     nowNs = endNs;
   }
 
-  /** Runs until one member serves, which must come within two seconds. */
+  /** Runs until one member serves, which must happen within two seconds. */
   FakeControl leader() {
     for (int i = 0; i < 200; i++) {
       for (FakeControl member : members) {
@@ -189,12 +196,12 @@
     }
   }
 
-  /** Carries a VM's message to a member, and in its turn what the member answers. */
+  /** Delivers a VM's message to a member. */
   void say(VmId vm, FakeControl member, EntryMessage message) {
     after(LATENCY_NS, () -> member.handle(new ControlEvent.FromEntry(vm, message)));
   }
 
-  /** Carries a message of a VM that places requests itself to a member. */
+  /** Delivers a message of a VM that places requests by itself to a member. */
   void say(VmId member, ServingMessage message) {
     for (FakeControl one : members) {
       if (one.member().vm().equals(member)) {
@@ -224,7 +231,7 @@
     repliesLost = lost;
   }
 
-  /** Asks a member and runs until it has answered or 200 ms have passed; null if it hasn't. */
+  /** Calls a member and runs for 200 ms; returns null if the member has not replied. */
   OperatorResult ask(FakeControl member, OperatorRequest request) {
     long callId = ask(member, request, 200);
     return replies.get(callId);
--- a/core/src/test/java/org/teaseltrail/core/control/FakeDisk.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeDisk.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.replication.Snapshot;
 import org.teaseltrail.core.replication.Vote;
 
-/** Keeps what was synced over a kill of its member. */
+/** Stores synced writes so that they survive a kill of the member. */
 final class FakeDisk {
 
   private Vote vote;
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeEngine.java
@@ -5,20 +5,20 @@
 import org.teaseltrail.core.plan.TestPlans;
 import org.teaseltrail.core.registry.Registration;
 
-/** Is an engine of a given speed that can fail in several ways and be sound again. */
+/** Simulated engine of a given speed that can fail in several ways and recover. */
 final class FakeEngine {
 
-  /** Says what becomes of a request there. */
+  /** Defines how the engine handles a request. */
   enum State {
-    /** Answers in its own time. */
+    /** Answers in its usual time. */
     SOUND,
-    /** Makes no connection. */
+    /** Refuses connections. */
     GONE,
-    /** Takes requests and says nothing. */
+    /** Accepts requests and never answers. */
     SILENT,
-    /** Breaks answers off. */
+    /** Breaks the connection during an answer. */
     BREAKING,
-    /** Answers with failures at once. */
+    /** Returns errors immediately. */
     FAILING,
     /** Takes three times as long. */
     SLOW
@@ -56,17 +56,20 @@
     state = next;
   }
 
-  /** Returns the requests that it answers in a second when all places are in use. */
+  /** Returns the throughput when all slots are in use, in requests per second. */
   double perSecond() {
     return PLACES * 1_000 / (BASE_MS * slowness);
   }
 
-  /** Returns the time of a request among no more than there are places. */
+  /** Returns the service time of a request while there are no more requests than slots. */
   long usualMs() {
     return (long) (BASE_MS * slowness);
   }
 
-  /** Begins a request; the more there are beyond the places, the longer it takes. */
+  /**
+   * Starts a request and returns its service time, which grows with the number of requests beyond
+   * the slots.
+   */
   long begin() {
     running++;
     dispatched++;
@@ -90,7 +93,7 @@
     dispatched = 0;
   }
 
-  /** Returns the requests that came since the count began. */
+  /** Returns the number of requests since the count was reset. */
   int dispatched() {
     return dispatched;
   }
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEntry.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeEntry.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.EntryMessage;
 
-/** Is an entry VM that says hello twice a second and writes down what it hears. */
+/** Entry VM that sends a Hello message twice a second and records the messages that it receives. */
 final class FakeEntry implements FakeControlGroup.Listener {
 
   private static final long HELLO_NS = 500_000_000L;
@@ -22,15 +22,15 @@
   private final VmId vm;
   private final List<ControlMessage> heard = new ArrayList<>();
   private Revision applied = new Revision(0);
-  private boolean silent;
-  private boolean deafToConfiguration;
+  private boolean disconnected;
+  private boolean ignoresConfigurations;
   private long sequence;
   private long incarnation = 1;
 
   FakeEntry(FakeControlGroup group, VmId vm) {
     this.group = group;
     this.vm = vm;
-    hello();
+    sendHello();
   }
 
   VmId vm() {
@@ -42,12 +42,15 @@
   }
 
   void silence(boolean isSilent) {
-    silent = isSilent;
+    disconnected = isSilent;
   }
 
-  /** Lets the VM hear all but configurations, as a VM that hangs while it applies one. */
+  /**
+   * Makes the VM receive all messages without applying configurations, like a VM that hangs while
+   * it applies one.
+   */
   void ignoreConfigurations() {
-    deafToConfiguration = true;
+    ignoresConfigurations = true;
   }
 
   void restart() {
@@ -62,11 +65,11 @@
 
   @Override
   public void received(FakeControl from, ControlMessage message) {
-    if (silent) {
+    if (disconnected) {
       return;
     }
     heard.add(message);
-    if (message instanceof ControlMessage.ConfigurationUpdate update && !deafToConfiguration) {
+    if (message instanceof ControlMessage.ConfigurationUpdate update && !ignoresConfigurations) {
       apply(update.configuration());
     } else if (message instanceof ControlMessage.Welcome welcome && welcome.reportsWanted()) {
       say(from, new EntryMessage.ReportsComplete(vm, welcome.fencing()));
@@ -93,13 +96,13 @@
     assertThat(applied).isGreaterThanOrEqualTo(configuration.revision());
   }
 
-  private void hello() {
-    if (!silent) {
+  private void sendHello() {
+    if (!disconnected) {
       EntryMessage.Hello hello =
           new EntryMessage.Hello(
               vm, new Incarnation(incarnation), new DataCenterId("dc"), applied, ++sequence);
       group.members().forEach(member -> say(member, hello));
     }
-    group.after(HELLO_NS, this::hello);
+    group.after(HELLO_NS, this::sendHello);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEntryVms.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeEntryVms.java
@@ -11,12 +11,12 @@
 import org.teaseltrail.core.replication.Member;
 
 /**
- * Runs entry VMs that place requests themselves beside a control group, under its virtual time.
- * What they want done beside talking to members goes to the test's shell.
+ * Runs entry VMs that place requests by themselves together with a control group, in its virtual
+ * time. Actions other than messages to members go to the test's executor.
  */
 final class FakeEntryVms {
 
-  /** Carries out what a VM wants done at upstreams and callers. */
+  /** Executes a VM's actions towards upstreams and callers. */
   interface Shell {
     void carryOut(int vm, ForwardAction action);
   }
@@ -25,64 +25,64 @@
   private final SplittableRandom random;
   private final Shell shell;
   private final List<ForwardNode> nodes = new ArrayList<>();
-  private final long[] lives;
-  private final boolean[] cut;
+  private final long[] incarnations;
+  private final boolean[] partitioned;
 
   FakeEntryVms(FakeControlGroup group, int count, SplittableRandom random, Shell shell) {
     this.group = group;
     this.random = random;
     this.shell = shell;
-    lives = new long[count];
-    cut = new boolean[count];
+    incarnations = new long[count];
+    partitioned = new boolean[count];
   }
 
-  /** Starts all of them; the shell must be able to act by now. */
+  /** Starts all VMs; the executor must be ready. */
   void start() {
-    for (int vm = 0; vm < lives.length; vm++) {
+    for (int vm = 0; vm < incarnations.length; vm++) {
       nodes.add(null);
       restart(vm);
     }
   }
 
   int count() {
-    return lives.length;
+    return incarnations.length;
   }
 
   ForwardNode node(int vm) {
     return nodes.get(vm);
   }
 
-  /** Returns which life a VM's process is in, from 1. */
+  /** Returns the incarnation of a VM's process, starting with 1. */
   long life(int vm) {
-    return lives[vm];
+    return incarnations[vm];
   }
 
-  /** Starts a VM with nothing remembered. */
+  /** Starts a VM without state. */
   void restart(int vm) {
-    lives[vm]++;
+    incarnations[vm]++;
     List<VmId> members = group.members().stream().map(FakeControl::member).map(Member::vm).toList();
     ForwardSettings settings =
-        ForwardSamples.settings(name(vm), lives[vm], members, random.nextLong());
+        ForwardSamples.settings(name(vm), incarnations[vm], members, random.nextLong());
     nodes.set(vm, new ForwardNode(settings));
-    long life = lives[vm];
+    long incarnation = incarnations[vm];
     group.listenServing(
         name(vm),
         reply -> {
-          if (life == lives[vm] && !cut[vm]) {
+          if (incarnation == incarnations[vm] && !partitioned[vm]) {
             carryOut(vm, nodes.get(vm).onControlMessage(reply, group.nowNs()));
           }
         });
     carryOut(vm, nodes.get(vm).start());
   }
 
-  /** Cuts a VM off from all members, or joins it again. */
+  /** Partitions a VM from all members, or reconnects it. */
   void cut(int vm, boolean isCut) {
-    cut[vm] = isCut;
+    partitioned[vm] = isCut;
   }
 
-  /** Lets the VMs do what is due. */
+  /** Runs the VMs whose wake-up time has come. */
   void tick() {
-    for (int vm = 0; vm < lives.length; vm++) {
+    for (int vm = 0; vm < incarnations.length; vm++) {
       if (group.nowNs() >= nodes.get(vm).nextWakeupNs()) {
         carryOut(vm, nodes.get(vm).tick(group.nowNs()));
       }
@@ -93,7 +93,7 @@
     for (ForwardAction action : actions) {
       if (!(action instanceof ForwardAction.SendControl send)) {
         shell.carryOut(vm, action);
-      } else if (!cut[vm]) {
+      } else if (!partitioned[vm]) {
         group.say(send.member(), send.message());
       }
     }
--- a/core/src/test/java/org/teaseltrail/core/control/LeavingUpstreamTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/LeavingUpstreamTest.java
@@ -7,18 +7,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Upstreams that say in their answers that they are about to leave, while their heartbeats still
- * say nothing of it: a VM that was told goes on sending, and callers are cut off at the end.
+ * Upstreams announce in their answers that they are about to leave while their heartbeats don't say
+ * so yet. If an informed VM kept sending to them, callers would lose their streams when the
+ * upstreams stop.
  */
 class LeavingUpstreamTest {
 
   private static final int LEAVING_MS = 8_000;
 
-  private static int takenAfterLeaving(BackpressureRun run) {
+  private static int requestsAfterLeaving(BackpressureRun run) {
     return run.engines().stream().mapToInt(AskingEngine::takenAfterLeaving).sum();
   }
 
-  /** A VM knows of the leaving from an answer and goes on. */
+  /** A VM learns from an answer that the upstream is leaving; it must not keep sending to it. */
   @ParameterizedTest
   @CsvSource({"1, 9, 8, 50", "2, 62, 98, 500"})
   void othersServeOnceVmKnows(long seed, int vms, int engines, double perSecond) {
@@ -26,22 +27,27 @@
     run.engine(0).leave();
     run.engine(1).leave();
     run.play(LEAVING_MS, perSecond);
-    assertThat(takenAfterLeaving(run)).isZero();
+    assertThat(requestsAfterLeaving(run)).isZero();
     assertThat(run.servedShare()).isGreaterThan(0.97);
   }
 
-  /** The leader, which has not heard of the leaving, hands its places out. */
+  /**
+   * The leader, which does not know that the upstream is leaving, grants its slots; VMs must not
+   * use them.
+   */
   @Test
   void grantsOfLeavingUpstreamAreNotUsed() {
-    double moreThanFits = 1.3 * 8 * BatchEngine.PLACES / 0.3;
-    BackpressureRun run = BackpressureRun.inCalm(3, 9, 8, moreThanFits);
+    double overload = 1.3 * 8 * BatchEngine.PLACES / 0.3;
+    BackpressureRun run = BackpressureRun.inCalm(3, 9, 8, overload);
     run.engine(0).leave();
     run.engine(1).leave();
-    run.play(LEAVING_MS, moreThanFits);
-    assertThat(takenAfterLeaving(run)).isZero();
+    run.play(LEAVING_MS, overload);
+    assertThat(requestsAfterLeaving(run)).isZero();
   }
 
-  /** The registration lapses and comes back, and what was known with it. */
+  /**
+   * The registration expires and is renewed; the VM must still know that the upstream is leaving.
+   */
   @Test
   void leavingOutlivesTheRegistration() {
     BackpressureRun run = BackpressureRun.inCalm(4, 9, 8, 50);
@@ -51,6 +57,6 @@
     run.play(20_000, 50);
     run.loseHeartbeatsOf(run.engine(0), false);
     run.play(8_000, 50);
-    assertThat(takenAfterLeaving(run)).isZero();
+    assertThat(requestsAfterLeaving(run)).isZero();
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/LimitedUpstreamTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/LimitedUpstreamTest.java
@@ -9,17 +9,17 @@
 import org.teaseltrail.core.backpressure.RateLimit;
 
 /**
- * Seen: two engines named 1.6 requests a second as all that they take, and got up to 29 in 4 s.
- * How: the limit came to all entry VMs with answers, and each went on as before. Cause: what an
- * answer asks of the VMs together was not read, and no part held it over all VMs. Proof: with each
- * request to such an engine on a permit of the leader the bound holds at any number of VMs.
+ * Two engines that report a limit of 1.6 requests a second for all VMs together would receive up to
+ * 29 in 4 s if each entry VM that reads the limit kept sending as before and no component enforced
+ * it over all VMs. Each request to a rate-limited engine requires a permit of the leader, so that
+ * the limit holds for any number of VMs.
  */
 class LimitedUpstreamTest {
 
   private static final int VMS = 9;
   private static final int ENGINES = 8;
   private static final double LOAD_PER_SECOND = 50;
-  private static final int NEED_MS = 16_000;
+  private static final int LIMITED_MS = 16_000;
   private static final RateLimit LIMIT = new RateLimit(1.6);
 
   private static BackpressureRun run(long seed) {
@@ -32,7 +32,10 @@
     }
   }
 
-  /** An engine that takes only so much from all VMs gets it from each, or more. */
+  /**
+   * An engine that accepts a limited rate from all VMs together must not receive that rate or more
+   * from each of them.
+   */
   @ParameterizedTest
   @CsvSource({
     "1, 1.6, 9, 8, 50",
@@ -45,12 +48,12 @@
     BackpressureRun run = BackpressureRun.inCalm(seed, vms, engines, perSecond);
     run.engine(0).name(new RateLimit(limit));
     run.engine(1).name(new RateLimit(limit));
-    run.play(NEED_MS, perSecond);
+    run.play(LIMITED_MS, perSecond);
     assertWithinLimits(run);
     assertThat(run.servedShare()).isGreaterThan(0.97);
   }
 
-  /** VMs that start anew, are cut off or hear of another leader each begin a count of their own. */
+  /** VMs that restart, are partitioned or follow a new leader must not each start a new count. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void limitHoldsWhileVmsAndLeaderChange(long seed) {
@@ -73,13 +76,16 @@
     assertWithinLimits(run);
   }
 
-  /** A limit that nobody uses, or a need that nobody sees the end of, costs places for nothing. */
+  /**
+   * A limit that is not used up, or one that is kept after the engine withdrew it, would waste
+   * slots.
+   */
   @Test
   void engineGetsWhatItTakesAndIsBackAfterItsNeed() {
     BackpressureRun run = run(6);
     AskingEngine engine = run.engine(0);
     engine.name(LIMIT);
-    run.play(NEED_MS, LOAD_PER_SECOND);
+    run.play(LIMITED_MS, LOAD_PER_SECOND);
     assertThat(engine.perSecond(10_000, run.group().nowNs()))
         .isBetween(0.5 * LIMIT.perSecond(), 1.2 * LIMIT.perSecond());
     engine.name(RateLimit.UNLIMITED);
@@ -88,7 +94,10 @@
     assertThat(engine.perSecond(2_000, run.group().nowNs())).isGreaterThan(0.5 * equalShare);
   }
 
-  /** Many VMs with few callers get permits that they don't use, and use all of them in a burst. */
+  /**
+   * Many VMs with few callers receive permits that they don't use; they must not spend all of them
+   * in a burst.
+   */
   @Test
   void permitsFromCalmTimesAreNotAllSentInBurst() {
     int vms = 62;
@@ -101,20 +110,23 @@
         .isLessThanOrEqualTo(engine.allowedInWindow());
   }
 
-  /** An engine that takes nothing is never asked again and stays out for good. */
+  /**
+   * An engine that reported a limit of 0 must not be excluded forever because no request is sent to
+   * it.
+   */
   @Test
   void engineThatTookNothingIsBackAfterItsNeed() {
     BackpressureRun run = run(7);
     AskingEngine engine = run.engine(0);
     engine.name(new RateLimit(0));
-    run.play(NEED_MS, LOAD_PER_SECOND);
+    run.play(LIMITED_MS, LOAD_PER_SECOND);
     engine.name(RateLimit.UNLIMITED);
     run.play(8_000, LOAD_PER_SECOND);
     double equalShare = LOAD_PER_SECOND / ENGINES;
     assertThat(engine.perSecond(2_000, run.group().nowNs())).isGreaterThan(0.5 * equalShare);
   }
 
-  /** All engines are in need at once: what they still take goes to callers, not to nobody. */
+  /** All engines are rate-limited at once; the rate that they still accept must be used. */
   @Test
   void whatAllEnginesStillTakeIsUsed() {
     BackpressureRun run = run(8);
@@ -123,7 +135,7 @@
     run.countAnew();
     run.play(10_000, LOAD_PER_SECOND);
     assertWithinLimits(run);
-    double taken = 2.0 * ENGINES;
-    assertThat(run.served() / 10.0).isGreaterThan(0.7 * taken);
+    double accepted = 2.0 * ENGINES;
+    assertThat(run.served() / 10.0).isGreaterThan(0.7 * accepted);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/MembershipKeeperTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/MembershipKeeperTest.java
@@ -12,10 +12,10 @@
 import org.teaseltrail.core.replication.Member;
 import org.teaseltrail.core.replication.Membership;
 
-/** Forms a group by itself and repairs it, with nobody who types a command. */
+/** Tests that a group forms and repairs itself without an operator's command. */
 class MembershipKeeperTest {
 
-  /** Time that the users' deployments give a new member to count. */
+  /** Time that deployments give a new member to become a voter. */
   private static final long CATCH_UP_MS = 4_000;
 
   private final FakeControlGroup group = new FakeControlGroup(3);
@@ -58,7 +58,7 @@
     return ((OperatorResult.PlanRead) result).installed().orElseThrow().plan().version();
   }
 
-  private void fiveMembers() {
+  private void startFiveMembers() {
     start();
     group.join("c4", "control-4");
     group.join("c5", "control-5");
@@ -67,19 +67,20 @@
 
   @Test
   void takesInWhoAsks() {
-    fiveMembers();
+    startFiveMembers();
     assertThat(voters()).containsExactlyInAnyOrder("c1", "c2", "c3", "c4", "c5");
   }
 
   /**
-   * A member is gone for good and an empty one comes at another address. Within the time to catch
-   * up two more are lost: the rest must go on and hold what was accepted.
+   * A member is lost for good and an empty one joins at another address. When the time to catch up
+   * has passed, two more members are lost: the remaining ones must keep serving and still have all
+   * accepted data.
    */
   @Test
   void replacesMemberThatIsGone() {
-    fiveMembers();
+    startFiveMembers();
     install(7);
-    FakeControl gone = other(group.leader());
+    FakeControl gone = anotherMember(group.leader());
     gone.kill();
     group.run(1_000);
     group.join("c6", "control-6");
@@ -87,20 +88,20 @@
     assertThat(voters()).hasSize(5).contains("c6").doesNotContain(gone.member().id().value());
     FakeControl leader = group.leader();
     leader.kill();
-    other(leader).kill();
+    anotherMember(leader).kill();
     group.run(3_000);
     assertThat(readVersion()).isEqualTo(7);
   }
 
   /**
-   * A member comes back at its address with an empty disk. Its old identity would be counted for
-   * what it has forgotten; it must go, and the new one vote in its place.
+   * A member comes back at its address with an empty disk. Its old identity would still count for
+   * entries that it has lost; it must be removed, and the new identity must become a voter instead.
    */
   @Test
   void replacesMemberThatLostItsDisk() {
-    fiveMembers();
+    startFiveMembers();
     install(7);
-    FakeControl wiped = other(group.leader());
+    FakeControl wiped = anotherMember(group.leader());
     wiped.kill();
     group.join("c7", wiped.member().vm().value());
     group.run(CATCH_UP_MS);
@@ -108,34 +109,37 @@
     assertThat(readVersion()).isEqualTo(7);
   }
 
-  /** A member is down for a short time and nobody waits for its place: it keeps it. */
+  /**
+   * A member is down for a short time and no other member waits to replace it; it must remain a
+   * voter.
+   */
   @Test
   void keepsSilentMemberWithoutSuccessor() {
-    fiveMembers();
-    FakeControl down = other(group.leader());
+    startFiveMembers();
+    FakeControl down = anotherMember(group.leader());
     down.kill();
     group.run(CATCH_UP_MS);
     assertThat(voters()).contains(down.member().id().value());
   }
 
   /**
-   * An operator's change of an older version, or other content under the one held, does nothing.
+   * Installing an older version, or other content under the installed version, must have no effect.
    */
   @Test
   void highestVersionCounts() {
-    fiveMembers();
+    startFiveMembers();
     assertThat(install(9)).isInstanceOf(OperatorResult.PlatformRequestCompleted.class);
     assertThat(install(7)).isInstanceOf(OperatorResult.PlatformRequestCompleted.class);
     assertThat(readVersion()).isEqualTo(9);
   }
 
   /**
-   * A leader was cut off and replaced, and doesn't know it. A read that reaches it must not show
-   * the plan from before.
+   * A leader was partitioned and replaced, and does not know it. A read from it must not return the
+   * previous plan.
    */
   @Test
   void cutLeaderAnswersNoRead() {
-    fiveMembers();
+    startFiveMembers();
     install(7);
     FakeControl old = group.leader();
     old.cut(true);
@@ -143,14 +147,14 @@
     assertThat(stale instanceof OperatorResult.PlanRead).isFalse();
   }
 
-  private FakeControl other(FakeControl than) {
+  private FakeControl anotherMember(FakeControl excluded) {
     return group.members().stream()
-        .filter(member -> member != than && member.control() != null)
+        .filter(member -> member != excluded && member.control() != null)
         .findFirst()
         .orElseThrow();
   }
 
-  /** Reads the members out of a status. */
+  /** Extracts the membership from a status. */
   private record StatusOf(OperatorResult result) {
     Membership membership() {
       return ((OperatorResult.StatusRead) result).status().membership();
--- a/core/src/test/java/org/teaseltrail/core/control/MemoryCodec.java
+++ b/core/src/test/java/org/teaseltrail/core/control/MemoryCodec.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.state.Command;
 import org.teaseltrail.core.state.StateCodec;
 
-/** Writes a value as its place in a list that all members of a test share. */
+/** Encodes a value as its index in a list that all members of a test share. */
 final class MemoryCodec implements StateCodec {
 
   private final List<Object> values = new ArrayList<>();
--- a/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
@@ -18,12 +18,12 @@
 import org.teaseltrail.core.serving.UpstreamSlots;
 import org.teaseltrail.core.serving.Urgency;
 
-/** Tells and hands out places only once a new leader knows who holds them. */
+/** Tests that a new leader reports and grants slots only once it knows which of them are in use. */
 class NewLeaderPlacesTest {
 
-  private static final VmId ONE = new VmId("entry-1");
+  private static final VmId VM_1 = new VmId("entry-1");
   private static final UpstreamId ENGINE = new UpstreamId("e1");
-  private static final int SETTLED_MS = 300;
+  private static final int REPORTS_COMPLETE_MS = 300;
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
   private FakeControl leader;
@@ -42,12 +42,12 @@
     leader = group.leader();
   }
 
-  private UpstreamSlots toldPlaces() {
+  private UpstreamSlots reportedSlots() {
     sequence++;
     leader.handle(
         new ControlEvent.FromServingVm(
             new ServingMessage.Sync(
-                ONE, new Incarnation(1), sequence, 1, 1, 0, 0, Map.of(), List.of())));
+                VM_1, new Incarnation(1), sequence, 1, 1, 0, 0, Map.of(), List.of())));
     return replies().stream()
         .filter(ServingReply.Confirmed.class::isInstance)
         .map(ServingReply.Confirmed.class::cast)
@@ -64,8 +64,8 @@
         .toList();
   }
 
-  private long grantsAfterLine() {
-    QueueState line =
+  private long grantsAfterQueueReport() {
+    QueueState queue =
         new QueueState(
             TestPlans.ENGINES,
             List.of(new QueueState.WaitTimes(new Urgency(1, false, 0), List.of(5L))),
@@ -73,27 +73,27 @@
             List.of());
     leader.handle(
         new ControlEvent.FromServingVm(
-            new ServingMessage.Lines(ONE, 0, Map.of(), Map.of(), List.of(), List.of(line))));
+            new ServingMessage.Lines(VM_1, 0, Map.of(), Map.of(), List.of(), List.of(queue))));
     return replies().stream().filter(ServingReply.SlotGrant.class::isInstance).count();
   }
 
   /**
-   * The leader is killed in a burst. The first VM to speak to the next one was told that nobody
-   * else had anything at the engines, and all VMs filled places that were in use: first events came
-   * after a second and more.
+   * The leader is killed during a burst. If the next leader told the first VM that contacts it that
+   * no other VM uses the engines, all VMs would fill slots that are in use, and first events would
+   * be delayed by a second and more.
    */
   @Test
   void newLeaderTellsNothingOfPlacesBeforeAllVmsCanHaveTold() {
-    assertThat(toldPlaces()).isEqualTo(UpstreamSlots.NONE);
-    group.run(SETTLED_MS);
-    assertThat(toldPlaces().ownParts()).containsExactly(4);
+    assertThat(reportedSlots()).isEqualTo(UpstreamSlots.NONE);
+    group.run(REPORTS_COMPLETE_MS);
+    assertThat(reportedSlots().ownParts()).containsExactly(4);
   }
 
   @Test
   void newLeaderHandsOutNoPlaceBeforeAllVmsCanHaveTold() {
-    toldPlaces();
-    assertThat(grantsAfterLine()).isZero();
-    group.run(SETTLED_MS);
-    assertThat(grantsAfterLine()).isEqualTo(1);
+    reportedSlots();
+    assertThat(grantsAfterQueueReport()).isZero();
+    group.run(REPORTS_COMPLETE_MS);
+    assertThat(grantsAfterQueueReport()).isEqualTo(1);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/PlacementTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlacementTest.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.decision.DecisionKind;
 import org.teaseltrail.core.id.FencingNumber;
 
-/** Proves which engines are ordered to load what, when, and by whom. */
+/** Tests which engines receive orders to load which model, when, and from which leader. */
 class PlacementTest {
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
@@ -34,7 +34,10 @@
         .toList();
   }
 
-  /** Loads come one after the other at the weight store's pace, in data centres without a copy. */
+  /**
+   * Models are loaded one after the other, at the rate that the weight store allows, in data
+   * centres without a copy.
+   */
   @Test
   void missingCopiesAreLoadedOneByOneOverDataCentres() {
     FakeControl leader = group.leader();
@@ -52,24 +55,24 @@
   }
 
   /**
-   * The leader is frozen when an order is due and another takes over. Engines that ignore fencing
-   * numbers would load twice; the thawed leader must order nothing, and the new one orders under a
-   * greater number.
+   * The leader is paused when an order is due and another member takes over. Engines that ignore
+   * fencing numbers would load twice; the resumed leader must send no order, and the new one must
+   * use a greater fencing number.
    */
   @Test
   void thawedLeaderOrdersNothing() {
-    FakeControl old = group.leader();
-    final FakeEntry entry = fleetWithOneCopy(old);
+    FakeControl oldLeader = group.leader();
+    final FakeEntry entry = fleetWithOneCopy(oldLeader);
     group.run(1_000);
-    old.freeze();
+    oldLeader.freeze();
     group.run(2_000);
     FakeControl next = group.leader();
     announce(entry, next);
     group.run(10_000);
-    int before = orders(old).size();
-    old.thaw();
+    int before = orders(oldLeader).size();
+    oldLeader.thaw();
     group.run(5_000);
-    assertThat(orders(old)).hasSize(before);
+    assertThat(orders(oldLeader)).hasSize(before);
     assertThat(orders(next)).isNotEmpty();
     assertThat(orders(next)).allMatch(order -> order.fencing().compareTo(new FencingNumber(1)) > 0);
   }
--- a/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
@@ -30,19 +30,19 @@
 import org.teaseltrail.core.serving.UpstreamSlots;
 
 /**
- * Plays a burst on several entry VMs while no member leads. The pattern: many users come at once
- * while the leader is frozen. Figures: nine VMs before thirteen engines of seven places, as the
- * smallest deployment with the shortest streams has them; 0.3 s for a request, the time of its most
- * frequent kind; 500 requests a second, nearly twice what the engines' 91 places can serve, of
- * which the first VM gets as much as three others.
+ * Simulates a burst on several entry VMs while no member leads: many users send requests at once
+ * while the leader is paused. There are nine VMs and thirteen engines of seven slots, as in the
+ * smallest deployment with the shortest streams; a request takes 0.3 s, the service time of its
+ * most frequent kind; and there are 500 requests a second, almost twice what the 91 slots of the
+ * engines can serve, of which the first VM receives as many as three others.
  */
 class PlacesWithoutLeaderTest {
 
   private static final long MS = 1_000_000L;
   private static final int VMS = 9;
   private static final int ENGINES = 13;
-  private static final int PLACES = 7;
-  private static final int HELD_MS = 300;
+  private static final int SLOTS = 7;
+  private static final int SERVICE_TIME_MS = 300;
   private static final FencingNumber TERM = new FencingNumber(1);
 
   private record End(long atMs, int vm, long request, UpstreamId upstream) {}
@@ -52,17 +52,17 @@
   private final SlotShareAllocator shares = new SlotShareAllocator();
   private final PriorityQueue<End> ends =
       new PriorityQueue<>((one, other) -> Long.compare(one.atMs(), other.atMs()));
-  private final Map<UpstreamId, Integer> atEngines = new HashMap<>();
-  private final Map<VmId, Map<UpstreamId, Integer>> atVms = new HashMap<>();
+  private final Map<UpstreamId, Integer> inFlightByEngine = new HashMap<>();
+  private final Map<VmId, Map<UpstreamId, Integer>> inFlightByVm = new HashMap<>();
   private final SplittableRandom random = new SplittableRandom(7);
   private long lastRequest;
-  private int mostAtOne;
+  private int maxAtOneEngine;
   private int served;
 
   @BeforeEach
   void start() {
     for (int i = 0; i < ENGINES; i++) {
-      engines.add(ForwardSamples.upstream("e" + i, TestPlans.ENGINES, PLACES));
+      engines.add(ForwardSamples.upstream("e" + i, TestPlans.ENGINES, SLOTS));
     }
     for (int i = 0; i < VMS; i++) {
       ForwardNode node = new ForwardNode(ForwardSamples.settings(vm(i), 1));
@@ -80,16 +80,16 @@
     return new UpstreamRegistry(1, engines);
   }
 
-  private void play(long fromMs, long untilMs, int perSecond, boolean leads) {
+  private void simulate(long fromMs, long untilMs, int perSecond, boolean hasLeader) {
     for (long ms = fromMs; ms < untilMs; ms++) {
       end(ms);
       for (int i = 0; i < VMS; i++) {
-        tick(i, leads, ms);
+        tick(i, hasLeader, ms);
       }
       if (random.nextInt(1_000) < perSecond) {
         int drawn = random.nextInt(VMS + 2);
         int vm = drawn < VMS ? drawn : 0;
-        carryOut(vm, nodes.get(vm).onRequest(request(), ms * MS), ms);
+        execute(vm, nodes.get(vm).onRequest(request(), ms * MS), ms);
       }
     }
   }
@@ -97,21 +97,21 @@
   private void end(long ms) {
     while (!ends.isEmpty() && ends.peek().atMs() <= ms) {
       End end = ends.poll();
-      atEngines.merge(end.upstream(), -1, Integer::sum);
-      atVms.get(vm(end.vm())).merge(end.upstream(), -1, Integer::sum);
+      inFlightByEngine.merge(end.upstream(), -1, Integer::sum);
+      inFlightByVm.get(vm(end.vm())).merge(end.upstream(), -1, Integer::sum);
       served++;
       ForwardNode node = nodes.get(end.vm());
-      carryOut(end.vm(), node.onAttemptEnded(end.request(), AttemptOutcome.ANSWERED, ms * MS), ms);
+      execute(end.vm(), node.onAttemptEnded(end.request(), AttemptOutcome.ANSWERED, ms * MS), ms);
     }
   }
 
-  private void tick(int vm, boolean leads, long ms) {
+  private void tick(int vm, boolean hasLeader, long ms) {
     for (ForwardAction action : nodes.get(vm).tick(ms * MS)) {
-      carryOut(vm, List.of(action), ms);
-      if (leads
+      execute(vm, List.of(action), ms);
+      if (hasLeader
           && action instanceof ForwardAction.SendControl send
           && send.message() instanceof ServingMessage.Sync sync) {
-        carryOut(vm, nodes.get(vm).onControlMessage(confirmation(sync, ms), ms * MS), ms);
+        execute(vm, nodes.get(vm).onControlMessage(confirmation(sync, ms), ms * MS), ms);
       }
     }
   }
@@ -120,10 +120,10 @@
     int wanted = sync.inFlight().values().stream().mapToInt(Integer::intValue).sum();
     shares.heard(sync.vm(), Map.of(TestPlans.ENGINES, wanted));
     Map<UpstreamId, Integer> elsewhere = new HashMap<>();
-    atVms.forEach(
-        (id, there) -> {
+    inFlightByVm.forEach(
+        (id, counts) -> {
           if (!id.equals(sync.vm())) {
-            there.forEach((upstream, count) -> elsewhere.merge(upstream, count, Integer::sum));
+            counts.forEach((upstream, count) -> elsewhere.merge(upstream, count, Integer::sum));
           }
         });
     return new ServingReply.Confirmed(
@@ -139,13 +139,16 @@
         List.of());
   }
 
-  private void carryOut(int vm, List<ForwardAction> actions, long ms) {
+  private void execute(int vm, List<ForwardAction> actions, long ms) {
     for (ForwardAction action : actions) {
       if (action instanceof ForwardAction.Dispatch dispatch) {
         UpstreamId upstream = dispatch.upstream().id();
-        mostAtOne = Math.max(mostAtOne, atEngines.merge(upstream, 1, Integer::sum));
-        atVms.computeIfAbsent(vm(vm), id -> new HashMap<>()).merge(upstream, 1, Integer::sum);
-        ends.add(new End(ms + HELD_MS, vm, dispatch.request(), upstream));
+        maxAtOneEngine =
+            Math.max(maxAtOneEngine, inFlightByEngine.merge(upstream, 1, Integer::sum));
+        inFlightByVm
+            .computeIfAbsent(vm(vm), id -> new HashMap<>())
+            .merge(upstream, 1, Integer::sum);
+        ends.add(new End(ms + SERVICE_TIME_MS, vm, dispatch.request(), upstream));
       }
     }
   }
@@ -166,31 +169,33 @@
   }
 
   /**
-   * The leader freezes, and half a second later twice as many callers come as the engines have
-   * places for. Each VM knew only its own requests and filled the engines alone: up to three times
-   * their places, and every first event came late.
+   * The leader is paused, and half a second later twice as many requests arrive as the engines can
+   * serve. If each VM knew only its own requests, each would fill the engines alone, with up to
+   * three times their slots, and each first event would be late.
    */
   @Test
   void vmsNeverFillAnEngineBeyondItsPlaces() {
-    play(0, 2_000, 100, true);
-    play(2_000, 2_500, 100, false);
-    mostAtOne = 0;
+    simulate(0, 2_000, 100, true);
+    simulate(2_000, 2_500, 100, false);
+    maxAtOneEngine = 0;
     int servedBefore = served;
-    play(2_500, 4_500, 500, false);
-    assertThat(mostAtOne).isLessThanOrEqualTo(PLACES);
+    simulate(2_500, 4_500, 500, false);
+    assertThat(maxAtOneEngine).isLessThanOrEqualTo(SLOTS);
     double servedPerSecond = (served - servedBefore) / 2.0;
-    double mostPerSecond = ENGINES * PLACES * 1_000.0 / HELD_MS;
-    assertThat(servedPerSecond).isGreaterThan(0.7 * mostPerSecond);
+    double maxPerSecond = ENGINES * SLOTS * 1_000.0 / SERVICE_TIME_MS;
+    assertThat(servedPerSecond).isGreaterThan(0.7 * maxPerSecond);
   }
 
-  /** While the load is usual the parts must cost nothing: each VM's own has room enough. */
+  /**
+   * Under the usual load the shares must not reduce throughput: each VM's own share is sufficient.
+   */
   @Test
   void usualLoadIsServedWithoutLeaderToo() {
-    play(0, 2_000, 100, true);
-    int askedBefore = (int) lastRequest;
+    simulate(0, 2_000, 100, true);
+    int requestsBefore = (int) lastRequest;
     int servedBefore = served;
-    play(2_000, 4_500, 100, false);
-    assertThat(served - servedBefore).isGreaterThan((int) (0.95 * (lastRequest - askedBefore)));
+    simulate(2_000, 4_500, 100, false);
+    assertThat(served - servedBefore).isGreaterThan((int) (0.95 * (lastRequest - requestsBefore)));
   }
 
   @Test
@@ -200,16 +205,16 @@
       shares.heard(vm(1), Map.of(TestPlans.ENGINES, 20));
       shares.heard(vm(2), Map.of());
     }
-    Map<VmId, Integer> dealt = new HashMap<>();
+    Map<VmId, Integer> slotsByVm = new HashMap<>();
     Map<UpstreamId, Integer> byEngine = new HashMap<>();
     for (int i = 0; i < 3; i++) {
       Map<UpstreamId, Integer> part = shares.sharesOf(vm(i), registry(), MS);
-      dealt.put(vm(i), part.values().stream().mapToInt(Integer::intValue).sum());
+      slotsByVm.put(vm(i), part.values().stream().mapToInt(Integer::intValue).sum());
       part.forEach((engine, places) -> byEngine.merge(engine, places, Integer::sum));
     }
-    assertThat(dealt.get(vm(0))).isBetween(55, 65);
-    assertThat(dealt.get(vm(1))).isBetween(18, 28);
-    assertThat(dealt.get(vm(2))).isBetween(1, 8);
-    assertThat(byEngine.values()).allMatch(places -> places <= PLACES);
+    assertThat(slotsByVm.get(vm(0))).isBetween(55, 65);
+    assertThat(slotsByVm.get(vm(1))).isBetween(18, 28);
+    assertThat(slotsByVm.get(vm(2))).isBetween(1, 8);
+    assertThat(byEngine.values()).allMatch(places -> places <= SLOTS);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/PlanAnswerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlanAnswerTest.java
@@ -13,9 +13,10 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * An operator sends a valid plan while nothing fails, and has no answer within the second that it
- * waits; it sends it again and again. The plan was committed within milliseconds, but the leader
- * brought it to all entry VMs first, one after the other, and answered then.
+ * An operator installs a valid plan without any failure and receives no reply within the one second
+ * that it waits, so it sends the plan again and again. This happens if the leader, after the plan
+ * is committed within milliseconds, pushes it to all entry VMs one after the other before it
+ * replies.
  */
 class PlanAnswerTest {
 
@@ -44,18 +45,18 @@
     leader.actions().clear();
     group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     List<ControlAction> actions = leader.actions();
-    int answered = index(actions, ControlAction.Reply.class);
-    int pushed =
+    int replyIndex = index(actions, ControlAction.Reply.class);
+    int pushIndex =
         actions.indexOf(
-            actions.stream().filter(PlanAnswerTest::bringsPlan).findFirst().orElseThrow());
-    assertThat(answered).isLessThan(pushed);
+            actions.stream().filter(PlanAnswerTest::pushesPlan).findFirst().orElseThrow());
+    assertThat(replyIndex).isLessThan(pushIndex);
   }
 
   private static int index(List<ControlAction> actions, Class<? extends ControlAction> type) {
     return actions.indexOf(actions.stream().filter(type::isInstance).findFirst().orElseThrow());
   }
 
-  private static boolean bringsPlan(ControlAction action) {
+  private static boolean pushesPlan(ControlAction action) {
     return action instanceof ControlAction.SendToServingVm send
         && send.reply() instanceof ServingReply.PlanUpdate;
   }
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
@@ -18,14 +18,17 @@
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Decides on the leader what is held, from what VMs tell and from upstreams' heartbeats. */
+/**
+ * Tests which requests the leader quarantines, from the reports of VMs and the heartbeats of
+ * upstreams.
+ */
 class QuarantineDeskTest {
 
-  private static final VmId ONE = new VmId("entry-1");
-  private static final VmId TWO = new VmId("entry-2");
-  private static final Fingerprint DEADLY = new Fingerprint(1, 1);
-  private static final int BEAT_EVERY_MS = 1_200;
-  private static final int MOMENTS_APART_MS = 50;
+  private static final VmId VM_1 = new VmId("entry-1");
+  private static final VmId VM_2 = new VmId("entry-2");
+  private static final Fingerprint POISON = new Fingerprint(1, 1);
+  private static final int HEARTBEAT_INTERVAL_MS = 1_200;
+  private static final int LOSS_INTERVAL_MS = 50;
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
   private final List<Registration> engines = new ArrayList<>();
@@ -33,47 +36,47 @@
   private long sequence;
 
   @BeforeEach
-  void begin() {
+  void setUp() {
     leader = group.leader();
     group.run(1_000);
     for (int i = 0; i < 3; i++) {
       engines.add(ForwardSamples.upstream("e" + i, TestPlans.ENGINES, 4));
     }
-    beat();
+    sendHeartbeats();
   }
 
-  private void beat() {
+  private void sendHeartbeats() {
     engines.forEach(engine -> group.ask(leader, new OperatorRequest.Heartbeat(engine), 0));
   }
 
-  private void lose(VmId vm, int... which) {
-    loseAgo(0, vm, which);
+  private void reportLosses(VmId vm, int... engineIndexes) {
+    reportPastLosses(0, vm, engineIndexes);
   }
 
-  private void loseAgo(long agoMs, VmId vm, int... which) {
+  private void reportPastLosses(long agoMs, VmId vm, int... engineIndexes) {
     List<Loss> losses = new ArrayList<>();
-    for (int engine : which) {
-      long apartMs = (long) MOMENTS_APART_MS * engine;
+    for (int engine : engineIndexes) {
+      long offsetMs = (long) LOSS_INTERVAL_MS * engine;
       losses.add(
           new Loss(
-              DEADLY,
+              POISON,
               Optional.empty(),
               engines.get(engine).upstreamIncarnation(),
-              agoMs + apartMs));
+              agoMs + offsetMs));
     }
-    tell(new ServingMessage.Losses(vm, losses, List.of()));
+    deliver(new ServingMessage.Losses(vm, losses, List.of()));
   }
 
-  private void tell(ServingMessage message) {
+  private void deliver(ServingMessage message) {
     leader.handle(new ControlEvent.FromServingVm(message));
   }
 
-  /** Returns what a VM that begins anew is told is held. */
+  /** Returns the quarantine list that a newly started VM receives. */
   private List<Fingerprint> held() {
     sequence++;
     leader.actions().clear();
     VmId vm = new VmId("entry-new-" + sequence);
-    tell(
+    deliver(
         new ServingMessage.Sync(vm, new Incarnation(1), sequence, 1, 1, 0, 0, Map.of(), List.of()));
     return leader.actions().stream()
         .filter(ControlAction.SendToServingVm.class::isInstance)
@@ -83,65 +86,70 @@
         .toList();
   }
 
-  /** No VM alone saw three upstreams end. */
+  /** No single VM observed the loss of three upstreams. */
   @Test
   void lossesOfAllVmsCountTogether() {
-    lose(ONE, 0, 1);
+    reportLosses(VM_1, 0, 1);
     assertThat(held()).isEmpty();
-    lose(TWO, 2);
-    assertThat(held()).containsExactly(DEADLY);
+    reportLosses(VM_2, 2);
+    assertThat(held()).containsExactly(POISON);
   }
 
-  /** A data centre fails: three upstreams are lost in one moment under a content. */
+  /**
+   * A data centre fails: three upstreams are lost simultaneously while they run the same content.
+   */
   @Test
   void upstreamsLostAtOneMomentCountOnce() {
     List<Loss> losses =
         engines.stream()
-            .map(engine -> new Loss(DEADLY, Optional.empty(), engine.upstreamIncarnation(), 0))
+            .map(engine -> new Loss(POISON, Optional.empty(), engine.upstreamIncarnation(), 0))
             .toList();
-    tell(new ServingMessage.Losses(ONE, losses, List.of()));
+    deliver(new ServingMessage.Losses(VM_1, losses, List.of()));
     assertThat(held()).isEmpty();
   }
 
-  /** Two VMs, or one VM twice, tell of the end of one upstream. */
+  /** Two VMs, or one VM twice, report the loss of the same upstream. */
   @Test
   void oneUpstreamCountsOnce() {
-    lose(ONE, 0, 1);
-    lose(TWO, 0, 1);
-    lose(ONE, 0, 1);
+    reportLosses(VM_1, 0, 1);
+    reportLosses(VM_2, 0, 1);
+    reportLosses(VM_1, 0, 1);
     assertThat(held()).isEmpty();
   }
 
-  /** Links break, and all three upstreams go on to live and to tell so. */
+  /** Connections break, but all three upstreams keep running and sending heartbeats. */
   @Test
   void heartbeatsTakeLossesBack() {
-    lose(ONE, 0, 1, 2);
-    assertThat(held()).containsExactly(DEADLY);
+    reportLosses(VM_1, 0, 1, 2);
+    assertThat(held()).containsExactly(POISON);
     for (int i = 0; i < 2; i++) {
-      group.run(BEAT_EVERY_MS);
-      beat();
+      group.run(HEARTBEAT_INTERVAL_MS);
+      sendHeartbeats();
     }
     assertThat(held()).isEmpty();
-    loseAgo(2 * BEAT_EVERY_MS, ONE, 0, 1, 2);
-    assertThat(held()).as("told again").isEmpty();
-    lose(ONE, 0, 1, 2);
-    assertThat(held()).as("lost later").containsExactly(DEADLY);
+    reportPastLosses(2 * HEARTBEAT_INTERVAL_MS, VM_1, 0, 1, 2);
+    assertThat(held()).as("same losses reported again").isEmpty();
+    reportLosses(VM_1, 0, 1, 2);
+    assertThat(held()).as("new losses reported").containsExactly(POISON);
   }
 
-  /** A heartbeat that was on its way when its upstream ended says nothing. */
+  /**
+   * A heartbeat that was in flight when its upstream ended does not show that the upstream is
+   * alive.
+   */
   @Test
   void heartbeatOnItsWayTakesNothingBack() {
-    lose(ONE, 0, 1, 2);
+    reportLosses(VM_1, 0, 1, 2);
     group.run(500);
-    beat();
-    assertThat(held()).containsExactly(DEADLY);
+    sendHeartbeats();
+    assertThat(held()).containsExactly(POISON);
   }
 
-  /** Another life beats under the id of the one that ended. */
+  /** Another incarnation sends heartbeats under the id of the one that ended. */
   @Test
   void heartbeatOfTheNextLifeTakesNothingBack() {
-    lose(ONE, 0, 1, 2);
-    group.run(2 * BEAT_EVERY_MS);
+    reportLosses(VM_1, 0, 1, 2);
+    group.run(2 * HEARTBEAT_INTERVAL_MS);
     for (Registration ended : engines) {
       Registration next =
           new Registration(
@@ -157,16 +165,16 @@
               0);
       group.ask(leader, new OperatorRequest.Heartbeat(next), 0);
     }
-    assertThat(held()).containsExactly(DEADLY);
+    assertThat(held()).containsExactly(POISON);
   }
 
-  /** The leader that knew is gone with all VMs; the next one has only the log. */
+  /** The leader and all VMs that knew of the losses are gone; the next leader has only the log. */
   @Test
   void nextLeaderHoldsWhatHasStood() {
-    lose(ONE, 0, 1, 2);
+    reportLosses(VM_1, 0, 1, 2);
     group.run(5_000);
     leader.kill();
     leader = group.leader();
-    assertThat(held()).containsExactly(DEADLY);
+    assertThat(held()).containsExactly(POISON);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineInnocentsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineInnocentsTest.java
@@ -8,9 +8,9 @@
 import org.teaseltrail.core.forward.RefusalReason;
 
 /**
- * Requests that harm nobody are there when upstreams end or connections break, and must not be held
- * for it. Figures: eight engines of four places each; one ends every 0.7 s, as many as are back
- * meanwhile.
+ * Harmless requests that run while upstreams crash or connections break must not be quarantined for
+ * it. There are eight engines of four slots each; one crashes every 0.7 s, as often as one
+ * restarts.
  */
 class QuarantineInnocentsTest {
 
@@ -25,7 +25,7 @@
     return run;
   }
 
-  /** A content that is asked for ten times a second is in many batches that end. */
+  /** A content that is requested ten times a second is part of many batches that crash. */
   @Test
   void popularContentIsNotHeldWhenEnginesEndByThemselves() {
     DeadlyRequestRun run = run(1);
@@ -35,7 +35,7 @@
     assertThat(run.innocentRefused()).doesNotContainKey(RefusalReason.QUARANTINED);
   }
 
-  /** The batches of a deadly request end with it, among them a content that is asked for often. */
+  /** The batches of a poison request crash with it, among them a popular content. */
   @Test
   void batchesOfDeadlyRequestsAreNotHeldWithThem() {
     DeadlyRequestRun run = run(2);
@@ -47,8 +47,8 @@
   }
 
   /**
-   * Three deadly requests at once end nearly all engines within a second, and with them all copies
-   * of a content that is asked for often: it is held too, until its trial.
+   * Three simultaneous poison requests crash almost all engines within a second, and with them all
+   * attempts of a popular content, which is quarantined too until its trial.
    */
   @Test
   @Tag("known-red")
@@ -64,7 +64,10 @@
     }
   }
 
-  /** Whole batches end so fast that a content asked for often is held with the deadly ones. */
+  /**
+   * Whole batches crash so fast that a popular content is quarantined together with the poison
+   * requests.
+   */
   @Test
   void whatIsHeldByMistakeIsTriedAndLetGo() {
     DeadlyRequestRun run = run(5);
@@ -80,7 +83,9 @@
     assertThat(run.innocentRefused()).isEmpty();
   }
 
-  /** Links lose answers: nothing ends, though half of all that runs breaks over and over. */
+  /**
+   * Connections lose answers: no engine crashes, but half of the running requests break repeatedly.
+   */
   @Test
   void brokenConnectionsAloneHoldNothingForLong() {
     DeadlyRequestRun run = run(3);
@@ -95,7 +100,10 @@
     assertThat(run.innocentRefused()).isEmpty();
   }
 
-  /** Nothing is heard of the engines, as in a cut, while what runs breaks over and over. */
+  /**
+   * No heartbeats of the engines arrive, as in a partition, while running requests break
+   * repeatedly.
+   */
   @Test
   void cutFromTheEnginesHoldsNothingOnceItIsOver() {
     DeadlyRequestRun run = run(4);
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
@@ -13,7 +13,10 @@
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Is several entry VMs with one customer and their leader, for tests of its quota. */
+/**
+ * Base class for tests of a customer's quota: several entry VMs with one customer, and their
+ * leader.
+ */
 abstract class QuotaCase {
 
   static final long MS = 1_000_000L;
@@ -43,8 +46,11 @@
     return sync(node, true, nowNs);
   }
 
-  /** Lets a VM sync if it wants to; returns what runs by the answer. */
-  double sync(ForwardNode node, boolean answerArrives, long nowNs) {
+  /**
+   * Syncs a VM if a sync is due; returns the tokens of the requests that start because of the
+   * reply.
+   */
+  double sync(ForwardNode node, boolean replyArrives, long nowNs) {
     double runs = 0;
     for (ForwardAction action : node.tick(nowNs)) {
       if (action instanceof ForwardAction.SendControl send) {
@@ -66,7 +72,7 @@
                 QuotaSamples.PLACES,
                 List.of(),
                 grants);
-        runs += answerArrives ? running(node.onControlMessage(reply, nowNs)) : 0;
+        runs += replyArrives ? running(node.onControlMessage(reply, nowNs)) : 0;
       }
     }
     return runs;
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaInCutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaInCutTest.java
@@ -4,14 +4,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Holds a customer's quota over all entry VMs while some of them are cut off. */
+/**
+ * Tests that a customer's quota holds over all entry VMs while some of them are partitioned or
+ * restarted.
+ */
 class QuotaInCutTest extends QuotaCase {
 
   /**
-   * Two of six entry VMs are cut off from the control members, and a customer sends many times its
-   * usual at all of them. It ran half as much again as its quota allows: the VMs cut off used their
-   * part of the whole, and the others meanwhile got what these had not used when they were last
-   * heard of.
+   * Two of six entry VMs are partitioned from the control members, and a customer sends many times
+   * its usual load to all of them. It would get one and a half times its quota if the partitioned
+   * VMs used their part of the whole quota while the others received what these had not used at
+   * their last report.
    */
   @Test
   void vmsCutOffAndTheOthersKeepToOneQuota() {
@@ -20,13 +23,13 @@
     }
     double used = 0;
     for (long ms = 0; ms < 4_000; ms += 10) {
-      boolean cut = ms >= 1_000;
+      boolean partitioned = ms >= 1_000;
       for (int i = 0; i < VMS; i++) {
-        if (!(cut && i < CUT_OFF)) {
+        if (!(partitioned && i < CUT_OFF)) {
           used += sync(nodes.get(i), ms * MS);
         }
-        boolean asks = cut || ms % 500 == 0;
-        used += asks ? ask(nodes.get(i), ms * MS) : 0;
+        boolean isSending = partitioned || ms % 500 == 0;
+        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(used).isBetween(0.8 * LIMIT, 1.1 * LIMIT);
@@ -34,7 +37,8 @@
 
   /**
    * Two of six entry VMs are killed after a customer has used its quota there, and another member
-   * leads. It knows nothing of what the dead VMs had used and allows the others the whole quota.
+   * becomes leader. It does not know what the dead VMs had used and must not allocate the whole
+   * quota to the others.
    */
   @Test
   void newLeaderSetsAsideWhatDeadVmsHeld() {
@@ -49,17 +53,17 @@
       }
       for (int i = dead ? CUT_OFF : 0; i < VMS; i++) {
         used += sync(nodes.get(i), ms * MS);
-        boolean asks = ms >= 500;
-        used += asks ? ask(nodes.get(i), ms * MS) : 0;
+        boolean isSending = ms >= 500;
+        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(used).isBetween(0.8 * LIMIT, 1.1 * LIMIT);
   }
 
   /**
-   * The leader's answers to two of six VMs get lost, while their own messages arrive. The leader
-   * takes the smaller part it has allowed them for theirs and gives the rest to the others; they go
-   * on with the greater one they know of.
+   * The leader's replies to two of six VMs are lost while their own messages arrive. If the leader
+   * counted the smaller allowance that it has granted last, it would allocate the rest to the
+   * others while the two VMs still use the greater allowance that they know of.
    */
   @Test
   void lostAnswersCountWithTheGreaterAllowance() {
@@ -70,18 +74,18 @@
     for (long ms = 0; ms < 4_000; ms += 10) {
       boolean lost = ms >= 500;
       for (int i = 0; i < VMS; i++) {
-        boolean deaf = lost && i < CUT_OFF;
-        used += sync(nodes.get(i), !deaf, ms * MS);
-        boolean asks = deaf ? ms >= 2_000 : lost;
-        used += asks ? ask(nodes.get(i), ms * MS) : 0;
+        boolean losesReplies = lost && i < CUT_OFF;
+        used += sync(nodes.get(i), !losesReplies, ms * MS);
+        boolean isSending = losesReplies ? ms >= 2_000 : lost;
+        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(used).isBetween(0.8 * LIMIT, 1.1 * LIMIT);
   }
 
   /**
-   * One VM is started anew again and again, and a customer uses what the VM may take each time.
-   * Each life began with an account of nothing, and the customer ran its quota several times over.
+   * One VM is restarted repeatedly, and a customer uses the VM's allowance each time. If each
+   * incarnation started with an empty account, the customer would get several times its quota.
    */
   @Test
   void restartsGiveNoQuotaAnew() {
@@ -102,9 +106,10 @@
   }
 
   /**
-   * Callers use half of their quota all the time. All control members go, and come back after
-   * almost a session's lifetime. One second after they went all callers were refused as over their
-   * quota, as what the VMs were allowed was used up and nobody handed out the next.
+   * Callers use half of their quota continuously. All control members fail and come back after
+   * almost a session's lifetime. If VMs had only the allowance granted by a leader, all callers
+   * would be refused as over their quota one second after the failure, when that allowance is used
+   * up.
    */
   @Test
   void callersWithinTheirQuotaAreServedWhileNobodyLeads() {
@@ -114,15 +119,15 @@
     double asked = 0;
     double used = 0;
     for (long ms = 0; ms < 12_900; ms += 10) {
-      boolean leads = ms < 10_000;
+      boolean hasLeader = ms < 10_000;
       for (int i = 0; i < VMS; i++) {
-        if (leads) {
+        if (hasLeader) {
           sync(nodes.get(i), ms * MS);
         }
-        boolean asks = (ms / 10 + i) % 26 == 0;
-        double ran = asks ? ask(nodes.get(i), ms * MS) : 0;
-        asked += asks && !leads ? TOKENS : 0;
-        used += leads ? 0 : ran;
+        boolean isSending = (ms / 10 + i) % 26 == 0;
+        double ran = isSending ? ask(nodes.get(i), ms * MS) : 0;
+        asked += isSending && !hasLeader ? TOKENS : 0;
+        used += hasLeader ? 0 : ran;
       }
     }
     assertThat(asked / 2.9).isBetween(0.45 * RATE, 0.55 * RATE);
@@ -130,9 +135,9 @@
   }
 
   /**
-   * Power is lost everywhere. All VMs and the members start anew, and callers come at once. For as
-   * long as the leader waited for VMs to tell, all were refused as over their quota, though nobody
-   * had used any of it.
+   * All VMs and members restart after a power loss, and callers arrive immediately. If nothing were
+   * allocated while the leader waits for the VMs' reports, all callers would be refused as over
+   * their quota although none of it is used.
    */
   @Test
   void callersAreServedAtOnceAfterAllWereRestarted() {
@@ -145,16 +150,19 @@
     for (long ms = 0; ms < 400; ms += 10) {
       for (int i = 0; i < VMS; i++) {
         used += sync(nodes.get(i), ms * MS);
-        boolean asks = ms >= 100 && (ms / 10 + i) % 26 == 0;
-        asked += asks ? TOKENS : 0;
-        used += asks ? ask(nodes.get(i), ms * MS) : 0;
+        boolean isSending = ms >= 100 && (ms / 10 + i) % 26 == 0;
+        asked += isSending ? TOKENS : 0;
+        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(asked).isBetween(0.4 * kept, kept);
     assertThat(used).isGreaterThanOrEqualTo(0.8 * asked);
   }
 
-  /** While a VM is there that remembers, a new one gets nothing before all have told. */
+  /**
+   * While there is a VM that kept its state, a new VM must receive no quota before all VMs have
+   * reported.
+   */
   @Test
   void whatIsKeptIsNotHandedOutWhileSomeoneRemembers() {
     kept = LIMIT / 30;
@@ -167,8 +175,8 @@
     double used = 0;
     for (long ms = 1_000; ms < 1_400; ms += 10) {
       sync(nodes.get(0), ms * MS);
-      boolean otherHasTold = ms >= 1_250;
-      used += otherHasTold ? sync(nodes.get(1), ms * MS) + ask(nodes.get(1), ms * MS) : 0;
+      boolean otherReports = ms >= 1_250;
+      used += otherReports ? sync(nodes.get(1), ms * MS) + ask(nodes.get(1), ms * MS) : 0;
     }
     assertThat(used).isZero();
   }
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
@@ -21,10 +21,10 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Plays one customer whose few large requests come to many VMs. The pattern: half of its quota for
- * twenty seconds, spread over all VMs at random, so that each VM sees a request every few seconds,
- * of up to half a second of the quota's rate. Figures: the users' sixty VMs, their least quota and
- * the sizes of their prompts.
+ * Simulates one customer whose few large requests are spread over many VMs: half of its quota for
+ * twenty seconds, distributed over all VMs at random, so that each VM receives a request every few
+ * seconds, of up to half a second of the quota's rate. The sixty VMs, the smallest quota and the
+ * prompt sizes are those of the users.
  */
 class QuotaOverManyVmsTest {
 
@@ -32,7 +32,7 @@
   private static final int VMS = 60;
   private static final double RATE = 36_000;
   private static final double LIMIT = RATE * 9;
-  private static final double HANDED_OUT_TOLERANCE = 120_000;
+  private static final double ALLOCATION_TOLERANCE = 120_000;
   private static final double LOAD = 0.5;
   private static final int STEP_MS = 5;
   private static final int LENGTH_MS = 20_000;
@@ -41,37 +41,39 @@
   private static final int[] LARGE = {700, 700, 700, 1_900, 1_900, 1_900, 6_700, 6_700, 45_000};
   private static final FencingNumber TERM = new FencingNumber(1);
 
-  private QuotaAllocator ledger;
+  private QuotaAllocator allocator;
   private final List<ForwardNode> nodes = new ArrayList<>();
   private long asked;
   private long refused;
 
   /**
-   * A customer within its quota is refused as over it, with a wait that means its VM was allowed
-   * too little. It happens with many VMs only, each of which sees few of its requests: the leader
-   * bounds how much each VM's allowance may grow, and with sixty VMs those bounds add up.
+   * A customer within its quota is refused as over it, with a retry time that shows that its VM was
+   * allowed too little. This happens only with many VMs, each of which receives few of the
+   * requests: the leader bounds how much each VM's allowance may grow, and with sixty VMs these
+   * bounds add up.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
   void customerWithinItsQuotaIsNotRefused(long seed) {
-    play(USUAL, seed);
+    simulate(USUAL, seed);
     assertThat(refused).isLessThanOrEqualTo(asked / 100);
   }
 
   /**
-   * The same customer sends a prompt of more than a second of its quota's rate now and then. Its VM
-   * has to be allowed far more than it holds, and is, within the time that the request can wait.
+   * The same customer occasionally sends a prompt of more than a second of its quota's rate. Its VM
+   * needs far more than its current allowance and must receive it within the time that the request
+   * can wait.
    */
   @Test
   void largePromptsAreRarelyRefused() {
     for (long seed = 1; seed <= 5; seed++) {
-      play(LARGE, seed);
+      simulate(LARGE, seed);
     }
     assertThat(refused).isLessThanOrEqualTo(asked / 50);
   }
 
-  private void play(int[] sizes, long seed) {
-    ledger = new QuotaAllocator(8_000, 3_000, 0);
+  private void simulate(int[] sizes, long seed) {
+    allocator = new QuotaAllocator(8_000, 3_000, 0);
     nodes.clear();
     for (int i = 0; i < VMS; i++) {
       nodes.add(QuotaSamples.node(new VmId("entry-" + i), 1, RATE));
@@ -83,19 +85,19 @@
       long nowNs = ms * MS;
       nodes.forEach(node -> sync(node, nowNs));
       if (random.nextDouble() < perStep) {
-        ask(random, sizes, ms);
+        sendRequest(random, sizes, ms);
       }
     }
   }
 
-  private void ask(SplittableRandom random, int[] sizes, long ms) {
+  private void sendRequest(SplittableRandom random, int[] sizes, long ms) {
     ForwardNode node = nodes.get(random.nextInt(VMS));
     int tokens = sizes[random.nextInt(sizes.length)];
     asked += ms >= WARM_UP_MS ? 1 : 0;
-    note(node.onRequest(QuotaSamples.request(ms, tokens), ms * MS), ms);
+    countRefusals(node.onRequest(QuotaSamples.request(ms, tokens), ms * MS), ms);
   }
 
-  private void note(List<ForwardAction> actions, long ms) {
+  private void countRefusals(List<ForwardAction> actions, long ms) {
     if (ms >= WARM_UP_MS) {
       refused +=
           actions.stream()
@@ -111,16 +113,16 @@
       return;
     }
     List<ForwardAction> actions = node.tick(nowNs);
-    note(actions, nowNs / MS);
+    countRefusals(actions, nowNs / MS);
     for (ForwardAction action : actions) {
       if (action instanceof ForwardAction.SendControl send
           && send.message() instanceof ServingMessage.Sync sync) {
-        ledger.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
+        allocator.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
         QuotaLimit limit =
-            new QuotaLimit(LIMIT + HANDED_OUT_TOLERANCE, RATE, RATE + HANDED_OUT_TOLERANCE, 50_000);
+            new QuotaLimit(LIMIT + ALLOCATION_TOLERANCE, RATE, RATE + ALLOCATION_TOLERANCE, 50_000);
         List<QuotaGrant> grants =
-            ledger.allocate(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
-        note(
+            allocator.allocate(sync.vm(), Map.of(TestPlans.CUSTOMER, limit), nowNs);
+        countRefusals(
             node.onControlMessage(
                 new ServingReply.Confirmed(
                     TERM,
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
@@ -16,25 +16,28 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.serving.UpstreamSlots;
 
-/** Makes entry VMs and requests for tests of a quota over several VMs. */
+/** Creates entry VMs and requests for tests of a quota over several VMs. */
 final class QuotaSamples {
 
   static final VmId MEMBER = ForwardSamples.MEMBER;
 
   private static final UpstreamId UPSTREAM = new UpstreamId("p1");
-  private static final int MANY = 1_000_000;
+  private static final int UNLIMITED = 1_000_000;
 
-  /** What the leader tells of the upstream: there is room for whatever a VM sends. */
-  static final UpstreamSlots PLACES = new UpstreamSlots(List.of(0), List.of(MANY));
+  /** Slots that the leader reports for the upstream: enough for all requests of a VM. */
+  static final UpstreamSlots PLACES = new UpstreamSlots(List.of(0), List.of(UNLIMITED));
 
   private static final FencingNumber TERM = new FencingNumber(1);
 
   private QuotaSamples() {}
 
-  /** Makes a VM whose one customer may use so many tokens a second, at an upstream without end. */
+  /**
+   * Creates a VM whose one customer may use this many tokens per second, at an upstream with
+   * unlimited capacity.
+   */
   static ForwardNode node(VmId vm, long incarnation, double tokensPerSecond) {
     ForwardNode node = new ForwardNode(ForwardSamples.settings(vm, incarnation));
-    Registration upstream = ForwardSamples.upstream(UPSTREAM.value(), TestPlans.PLAIN, MANY);
+    Registration upstream = ForwardSamples.upstream(UPSTREAM.value(), TestPlans.PLAIN, UNLIMITED);
     node.onControlMessage(
         new ServingReply.PlanUpdate(
             TERM, TestPlans.plan(1, TestPlans.customer(TestPlans.KEY, tokensPerSecond))),
@@ -43,7 +46,7 @@
     return node;
   }
 
-  /** Makes the customer's request. */
+  /** Creates a request of the customer. */
   static ForwardRequest request(long number, int tokens) {
     return new ForwardRequest(
         number,
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutAtSmallServiceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutAtSmallServiceTest.java
@@ -9,14 +9,15 @@
 import org.teaseltrail.core.rollout.RolloutPhase;
 
 /**
- * Rollouts of a service with few requests: a canary of some eight a second tells little of a
- * version that turns slow late or on one route only before all requests are to go to it.
+ * Rollouts of a service with few requests: a canary of about eight requests a second provides too
+ * little data on a version that becomes slow late, or is slow on one route only, before the traffic
+ * shift.
  */
 @Tag("known-red")
 class RolloutAtSmallServiceTest {
 
   private static final int DURATION_MS = 12_000;
-  private static final int BEFORE_MS = 2_000;
+  private static final int WARM_UP_MS = 2_000;
   private static final int AFTERWARDS_MS = 3_000;
   private static final int VMS = 12;
   private static final int ENGINES = 14;
@@ -33,7 +34,7 @@
   void badVersionIsRolledBackWithinItsBounds(BadVersion bad, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     RolloutRun run = new RolloutRun(random.split(), bad, VMS, ENGINES, DURATION_MS);
-    run.play(BEFORE_MS, PER_SECOND);
+    run.play(WARM_UP_MS, PER_SECOND);
     run.order();
     run.play(DURATION_MS + AFTERWARDS_MS, PER_SECOND);
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.ROLLED_BACK);
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutBesideFaultsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutBesideFaultsTest.java
@@ -9,14 +9,15 @@
 import org.teaseltrail.core.rollout.RolloutPhase;
 
 /**
- * The load doubles while all requests turn to a good version. Its engines are overfilled, and there
- * is no old version left to compare with in the same seconds: it is found slow.
+ * The load doubles during the traffic shift to a good version. Its engines are overloaded, and no
+ * previous version receives requests in the same seconds for comparison, so the version is judged
+ * to be slow.
  */
 @Tag("known-red")
 class RolloutBesideFaultsTest {
 
   private static final int DURATION_MS = 12_000;
-  private static final int BEFORE_MS = 2_000;
+  private static final int WARM_UP_MS = 2_000;
   private static final int AFTERWARDS_MS = 3_000;
   private static final int VMS = 24;
   private static final int ENGINES = 42;
@@ -27,7 +28,7 @@
   void goodVersionIsCompletedThoughTheLoadDoublesWhileAllTurnToIt(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     RolloutRun run = new RolloutRun(random.split(), BadVersion.GOOD, VMS, ENGINES, DURATION_MS);
-    run.play(BEFORE_MS, PER_SECOND);
+    run.play(WARM_UP_MS, PER_SECOND);
     run.order();
     new RolloutFaults(run, random).play(DURATION_MS, PER_SECOND);
     run.play(AFTERWARDS_MS, PER_SECOND);
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutFaults.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutFaults.java
@@ -3,26 +3,26 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Brings faults about beside a rollout, a few of them at random. */
+/** Injects random faults during a rollout. */
 final class RolloutFaults {
 
   private static final int STEPS = 24;
 
-  /** Is a fault that may come at a step. */
+  /** Fault that may be injected in a step. */
   private enum Fault {
     NONE {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {}
+      void inject(RolloutRun run, SplittableRandom random) {}
     },
     UPSTREAM_CRASHES {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutRun run, SplittableRandom random) {
         run.crashAtRandom();
       }
     },
     CRASH_WAVE {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutRun run, SplittableRandom random) {
         for (int i = 0; i < 6; i++) {
           run.crashAtRandom();
         }
@@ -30,7 +30,7 @@
     },
     LEADER_KILLED {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutRun run, SplittableRandom random) {
         List<FakeControl> members = run.group().members();
         members.stream()
             .filter(FakeControl::isServing)
@@ -42,9 +42,9 @@
                 });
       }
     },
-    LEADER_FROZEN {
+    LEADER_PAUSED {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutRun run, SplittableRandom random) {
         run.group().members().stream()
             .filter(FakeControl::isServing)
             .findFirst()
@@ -57,13 +57,13 @@
     },
     VM_RESTARTED {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutRun run, SplittableRandom random) {
         run.restartVm(random.nextInt(run.vms().count()));
       }
     },
-    VM_CUT {
+    VM_PARTITIONED {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutRun run, SplittableRandom random) {
         int vm = random.nextInt(run.vms().count());
         run.vms().cut(vm, true);
         run.group().after(2_000_000_000L, () -> run.vms().cut(vm, false));
@@ -71,14 +71,14 @@
     },
     POWER_LOST {
       @Override
-      void strike(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutRun run, SplittableRandom random) {
         if (random.nextInt(4) == 0) {
           run.losePower();
         }
       }
     };
 
-    abstract void strike(RolloutRun run, SplittableRandom random);
+    abstract void inject(RolloutRun run, SplittableRandom random);
   }
 
   private final RolloutRun run;
@@ -89,12 +89,15 @@
     this.random = random;
   }
 
-  /** Lets time pass; in about a third of the steps something fails, and load may double. */
+  /**
+   * Advances the time; in a third of the steps, a random fault (or none) is injected, and the load
+   * may double.
+   */
   void play(int lengthMs, double perSecond) {
     Fault[] faults = Fault.values();
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(3) == 0) {
-        faults[random.nextInt(faults.length)].strike(run, random);
+        faults[random.nextInt(faults.length)].inject(run, random);
       }
       double rate = random.nextInt(6) == 0 ? 2 * perSecond : perSecond;
       run.play(lengthMs / STEPS, rate);
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutProperties.java
@@ -10,15 +10,16 @@
 import org.teaseltrail.core.rollout.RolloutPhase;
 
 /**
- * Rollouts of versions that fail at once go on while leaders, VMs and engines fail at random and
- * load swings. The promises: the version gets no more than its part, is left within seconds, and
- * what the record says at its end is what it says for good.
+ * Rollouts of versions that fail immediately run while leaders, VMs and engines fail at random and
+ * the load varies. The target version must not receive more than its share, must receive no
+ * requests some seconds after its failures are known, and the final state of the rollout must not
+ * change any more.
  */
 class RolloutProperties {
 
   private static final int DURATION_MS = 12_000;
   private static final int SETTLE_MS = 5_000;
-  private static final int LEFT_WITHIN_MS = 5_000;
+  private static final int STOP_WITHIN_MS = 5_000;
   private static final double PER_SECOND = 90;
 
   @Property(seed = "32", tries = 8)
@@ -26,7 +27,7 @@
     run(new SplittableRandom(seed));
   }
 
-  /** Takes a fresh seed each time; jqwik prints the one that failed. */
+  /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 300)
   void failingVersionHarmsFewRequestsWhateverElseFailsForLong(@ForAll long seed) {
@@ -40,7 +41,7 @@
     new RolloutFaults(run, random).play(DURATION_MS, PER_SECOND);
     run.play(SETTLE_MS, PER_SECOND);
     assertThat((double) run.exposed()).isLessThanOrEqualTo(run.allowed());
-    assertThat(run.sentAfterCountedMs()).isLessThanOrEqualTo(LEFT_WITHIN_MS);
+    assertThat(run.sentAfterCountedMs()).isLessThanOrEqualTo(STOP_WITHIN_MS);
     Rollout ended = run.rollout();
     assertThat(ended.phase()).isEqualTo(RolloutPhase.ROLLED_BACK);
     run.losePower();
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutPushTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutPushTest.java
@@ -20,7 +20,7 @@
 
   private static final VmId VM = new VmId("entry");
   private static final int SYNC_MS = 250;
-  private static final int PUSH_AGAIN_MS = 1_100;
+  private static final int RESEND_INTERVAL_MS = 1_100;
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
   private FakeControl leader;
@@ -52,7 +52,7 @@
     group.run(SYNC_MS);
   }
 
-  private void upstreamComes() {
+  private void registerUpstream() {
     leader.actions().clear();
     group.ask(
         leader, new OperatorRequest.Heartbeat(ForwardSamples.upstream("e1", TestPlans.ENGINES, 4)));
@@ -65,10 +65,13 @@
         .anyMatch(type::isInstance);
   }
 
-  /** The order is lost on its way to a VM, which then learns of the ordered version's upstreams. */
+  /**
+   * The rollout update to a VM is lost; the VM must not learn of the target version's upstreams
+   * before it.
+   */
   @Test
   void registrationsWaitUntilVmHasTheRollouts() {
-    upstreamComes();
+    registerUpstream();
     sync(0, 0);
     assertThat(pushed(ServingReply.RegistryUpdate.class)).isFalse();
     sync(0, 1);
@@ -77,8 +80,8 @@
 
   @Test
   void lostRolloutsAreToldAgainWithTheRegistrations() {
-    upstreamComes();
-    group.run(PUSH_AGAIN_MS);
+    registerUpstream();
+    group.run(RESEND_INTERVAL_MS);
     sync(0, 0);
     assertThat(pushed(ServingReply.RolloutUpdate.class)).isTrue();
     assertThat(pushed(ServingReply.RegistryUpdate.class)).isTrue();
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
@@ -20,42 +20,48 @@
 import org.teaseltrail.core.rollout.RolloutOrder;
 
 /**
- * Runs the parts that serve, under virtual time, through one rollout: three control members, entry
- * VMs, engines of the old version, and engines of the ordered one that start beside them. Engines
- * differ in speed by a factor of five.
+ * Simulates the serving components, in virtual time, through one rollout: three control members,
+ * entry VMs, engines of the previous version, and engines of the target version that start in
+ * addition. The speeds of engines differ by a factor of five.
  */
 final class RolloutRun {
 
   static final UpstreamVersion OLD = new UpstreamVersion("v1");
   static final UpstreamVersion ORDERED = new UpstreamVersion("v2");
 
-  /** Bad answers after which the time runs within which a bad version must get nothing more. */
+  /**
+   * Number of bad answers after which the time starts within which a bad version must stop
+   * receiving requests.
+   */
   static final int BAD_UNTIL_COUNTED = 50;
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int HEARTBEAT_EVERY_MS = 1_200;
   private static final int ENGINES_START_AFTER_MS = 300;
-  private static final int BACK_AFTER_MS = 2_500;
+  private static final int RESTART_DELAY_MS = 2_500;
   private static final int FIRST_EVENT_MS = 40;
-  private static final int RUN_MS = 300;
+  private static final int SERVICE_TIME_MS = 300;
   private static final int EVENTS = 10;
   private static final int DEADLINE_MS = 4_000;
   private static final double ONE_ROUTE_SHARE = 0.3;
-  private static final double LEAST_SLOWNESS = 0.45;
-  private static final double MOST_SLOWNESS = 2.25;
+  private static final double MIN_LATENCY_FACTOR = 0.45;
+  private static final double MAX_LATENCY_FACTOR = 2.25;
 
-  /** Is one attempt of a VM's life at an engine, or where none answers any longer. */
-  private record Attempt(int vm, long life, long request, Optional<VersionedEngine> engine) {
-    void leaveEngine() {
-      engine.ifPresent(there -> there.forget(request));
+  /**
+   * Attempt of one incarnation of a VM at an engine, or at an address where no engine runs any
+   * more.
+   */
+  private record Attempt(int vm, long incarnation, long request, Optional<VersionedEngine> engine) {
+    void removeFromEngine() {
+      engine.ifPresent(current -> current.forget(request));
     }
   }
 
   private final FakeControlGroup group = new FakeControlGroup(3);
   private final SplittableRandom random;
-  private final BadVersion bad;
+  private final BadVersion behavior;
   private final int durationMs;
-  private final int enginesOfVersion;
+  private final int enginesPerVersion;
   private final FakeEntryVms vms;
   private final List<VersionedEngine> engines = new ArrayList<>();
   private final Map<Long, Attempt> attempts = new HashMap<>();
@@ -69,22 +75,22 @@
   private int served;
   private int refused;
   private int lost;
-  private int lives;
+  private int incarnations;
 
   RolloutRun(
-      SplittableRandom random, BadVersion bad, int vmCount, int engineCount, int durationMs) {
+      SplittableRandom random, BadVersion behavior, int vmCount, int engineCount, int durationMs) {
     this.random = random;
-    this.bad = bad;
+    this.behavior = behavior;
     this.durationMs = durationMs;
-    enginesOfVersion = engineCount;
+    enginesPerVersion = engineCount;
     group.start();
     group.ask(
         group.leader(),
         new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     startEngines(OLD);
-    vms = new FakeEntryVms(group, vmCount, random, this::carryOut);
+    vms = new FakeEntryVms(group, vmCount, random, this::execute);
     vms.start();
-    heartbeats();
+    sendHeartbeats();
   }
 
   FakeControlGroup group() {
@@ -95,7 +101,10 @@
     return vms;
   }
 
-  /** Orders the rollout at whoever leads; its engines start a little later. */
+  /**
+   * Orders the rollout from the current leader; the engines of the target version start a little
+   * later.
+   */
   OperatorResult order() {
     OperatorResult answer = orderAgain();
     orderedNs = group.nowNs();
@@ -108,14 +117,14 @@
     return group.ask(group.leader(), new OperatorRequest.StartRollout(order));
   }
 
-  /** Returns the record of whoever leads. */
+  /** Returns the rollout as recorded by the current leader. */
   Rollout rollout() {
     OperatorResult result =
         group.ask(group.leader(), new OperatorRequest.ReadRollout(TestPlans.ENGINES));
     return ((OperatorResult.RolloutRead) result).rollout().orElseThrow();
   }
 
-  /** Lets time pass with callers at a rate. */
+  /** Advances the time while callers send requests at a rate. */
   void play(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
@@ -126,21 +135,24 @@
     }
   }
 
-  /** Ends an engine at random with all that it holds; its next life has another id. */
+  /** Crashes a random engine with all its requests; its next incarnation has another id. */
   void crashAtRandom() {
     if (!engines.isEmpty()) {
       crash(engines.get(random.nextInt(engines.size())));
     }
   }
 
-  /** Ends all engines of a version at once, without a word, as on completion. */
+  /** Stops all engines of a version at once without announcement, as after a completed rollout. */
   void endAll(UpstreamVersion version) {
     List.copyOf(engines).stream()
         .filter(engine -> engine.version().equals(version))
         .forEach(this::end);
   }
 
-  /** All lose power at once; only what is on the members' disks is left. */
+  /**
+   * Restarts all components at once, as in a power loss; only the members' disks keep their
+   * content.
+   */
   void losePower() {
     group.members().forEach(FakeControl::kill);
     for (int vm = 0; vm < vms.count(); vm++) {
@@ -152,24 +164,24 @@
   void restartVm(int vm) {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (attempt.vm() == vm) {
-        attempt.leaveEngine();
+        attempt.removeFromEngine();
         attempts.remove(attempt.request());
       }
     }
     vms.restart(vm);
   }
 
-  /** Returns requests that reached an engine between the order and its deadline. */
+  /** Returns the number of requests that reached an engine between the order and its deadline. */
   long reached() {
     return reached;
   }
 
-  /** Returns those of them that reached the ordered version. */
+  /** Returns the number of requests that reached the target version in that time. */
   long exposed() {
     return exposed;
   }
 
-  /** Returns how many a bad version may get in this time. */
+  /** Returns the number of requests that a bad version may receive in that time. */
   double allowed() {
     CanaryLimit limit = CanaryLimit.DEFAULT;
     return limit.share() * reached + limit.slack();
@@ -180,8 +192,8 @@
   }
 
   /**
-   * Returns how long the ordered version got requests after the bad answer from which it counts, in
-   * milliseconds; 0 or less if it got none later.
+   * Returns how long the target version received requests after {@link #BAD_UNTIL_COUNTED} bad
+   * answers, in milliseconds; 0 or less if it received none later.
    */
   long sentAfterCountedMs() {
     if (badAnswersNs.size() < BAD_UNTIL_COUNTED) {
@@ -190,7 +202,7 @@
     return (lastExposedNs - badAnswersNs.get(BAD_UNTIL_COUNTED - 1)) / NS_PER_MS;
   }
 
-  /** Returns when the ordered version got its last request, in milliseconds from the order. */
+  /** Returns when the target version received its last request, in milliseconds after the order. */
   long lastExposedMs() {
     return (lastExposedNs - orderedNs) / NS_PER_MS;
   }
@@ -200,29 +212,30 @@
     return (group.nowNs() - orderedNs) / NS_PER_MS;
   }
 
-  /** Returns the part of the requests with an answer that got a whole one of an engine. */
+  /** Returns the fraction of answered requests that received a complete answer of an engine. */
   double servedShare() {
     return served == 0 ? 1 : (double) served / (served + refused);
   }
 
-  /** Returns requests that were broken off when the old engines ended. */
+  /** Returns the number of requests that were lost because their engine crashed or was stopped. */
   int lost() {
     return lost;
   }
 
   private void startEngines(UpstreamVersion version) {
-    for (int i = 0; i < enginesOfVersion; i++) {
+    for (int i = 0; i < enginesPerVersion; i++) {
       engines.add(newEngine(version));
     }
-    engines.forEach(this::beat);
+    engines.forEach(this::sendHeartbeat);
   }
 
   private VersionedEngine newEngine(UpstreamVersion version) {
-    lives++;
-    double doublings =
-        random.nextDouble() * Math.log(MOST_SLOWNESS / LEAST_SLOWNESS) + Math.log(LEAST_SLOWNESS);
+    incarnations++;
+    double logFactor =
+        random.nextDouble() * Math.log(MAX_LATENCY_FACTOR / MIN_LATENCY_FACTOR)
+            + Math.log(MIN_LATENCY_FACTOR);
     return new VersionedEngine(
-        version + "-" + lives, TestPlans.ENGINES, version, Math.exp(doublings));
+        version + "-" + incarnations, TestPlans.ENGINES, version, Math.exp(logFactor));
   }
 
   private void send() {
@@ -246,7 +259,7 @@
     vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
-  private void carryOut(int vm, ForwardAction action) {
+  private void execute(int vm, ForwardAction action) {
     if (action instanceof ForwardAction.Dispatch dispatch) {
       dispatch(vm, dispatch);
     } else if (action instanceof ForwardAction.Cancel cancel) {
@@ -263,7 +276,7 @@
   private void cancel(long request) {
     Attempt attempt = attempts.remove(request);
     if (attempt != null) {
-      attempt.leaveEngine();
+      attempt.removeFromEngine();
     }
   }
 
@@ -278,13 +291,13 @@
     }
     count(engine.get());
     engine.get().take(dispatch.request());
-    begin(engine.get());
+    startQueued(engine.get());
   }
 
   private void count(VersionedEngine engine) {
     boolean ordered = engine.version().equals(ORDERED);
-    boolean inTime = group.nowNs() <= orderedNs + durationMs * NS_PER_MS;
-    if (inTime && group.nowNs() >= orderedNs) {
+    boolean beforeDeadline = group.nowNs() <= orderedNs + durationMs * NS_PER_MS;
+    if (beforeDeadline && group.nowNs() >= orderedNs) {
       reached++;
       exposed += ordered ? 1 : 0;
     }
@@ -293,40 +306,41 @@
     }
   }
 
-  private void begin(VersionedEngine engine) {
+  private void startQueued(VersionedEngine engine) {
     for (long request : engine.begin()) {
       Attempt attempt = attempts.get(request);
       boolean isBad = isBad(engine, routes.get(request));
-      double times = engine.slowness() * (isBad ? bad.times() : 1);
-      boolean fails = isBad && !bad.isSlow();
+      double latencyFactor = engine.slowness() * (isBad ? behavior.times() : 1);
+      boolean fails = isBad && !behavior.isSlow();
       if (!fails) {
-        later((int) (FIRST_EVENT_MS * times), () -> firstEvent(attempt));
+        later((int) (FIRST_EVENT_MS * latencyFactor), () -> firstEvent(attempt));
       }
-      int runMs = fails ? FIRST_EVENT_MS : (int) (RUN_MS * times);
-      double pauseMs = (RUN_MS - FIRST_EVENT_MS) * times / EVENTS;
-      later(runMs, () -> finish(attempt, isBad, fails, pauseMs));
+      int runMs = fails ? FIRST_EVENT_MS : (int) (SERVICE_TIME_MS * latencyFactor);
+      double eventIntervalMs = (SERVICE_TIME_MS - FIRST_EVENT_MS) * latencyFactor / EVENTS;
+      later(runMs, () -> finish(attempt, isBad, fails, eventIntervalMs));
     }
   }
 
   private boolean isBad(VersionedEngine engine, String route) {
-    double passed = (group.nowNs() - orderedNs) / (double) (durationMs * NS_PER_MS);
-    double share = bad.shareAt(passed, engine.isLoaded(), route.equals("/resumable/"));
+    double elapsedFraction = (group.nowNs() - orderedNs) / (double) (durationMs * NS_PER_MS);
+    double share =
+        behavior.shareAt(elapsedFraction, engine.isLoaded(), route.equals("/resumable/"));
     return engine.version().equals(ORDERED) && random.nextDouble() < share;
   }
 
   private void firstEvent(Attempt attempt) {
-    if (isUnderWay(attempt)) {
+    if (isInFlight(attempt)) {
       int vm = attempt.vm();
       vms.carryOut(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
-  private void finish(Attempt attempt, boolean isBad, boolean fails, double pauseMs) {
-    if (isUnderWay(attempt) && isBad) {
+  private void finish(Attempt attempt, boolean isBad, boolean fails, double eventIntervalMs) {
+    if (isInFlight(attempt) && isBad) {
       badAnswersNs.add(group.nowNs());
     }
-    if (isUnderWay(attempt) && !fails) {
-      vms.node(attempt.vm()).recordEventInterval(attempt.request(), pauseMs);
+    if (isInFlight(attempt) && !fails) {
+      vms.node(attempt.vm()).recordEventInterval(attempt.request(), eventIntervalMs);
     }
     end(attempt, fails ? AttemptOutcome.FAILED_ANSWER : AttemptOutcome.ANSWERED);
   }
@@ -335,10 +349,10 @@
     end(engine);
     VersionedEngine next = newEngine(engine.version());
     later(
-        BACK_AFTER_MS,
+        RESTART_DELAY_MS,
         () -> {
           engines.add(next);
-          beat(next);
+          sendHeartbeat(next);
         });
   }
 
@@ -352,26 +366,27 @@
   }
 
   private void end(Attempt attempt, AttemptOutcome end) {
-    if (!isUnderWay(attempt)) {
+    if (!isInFlight(attempt)) {
       return;
     }
     attempts.remove(attempt.request());
-    attempt.leaveEngine();
-    attempt.engine().ifPresent(this::begin);
+    attempt.removeFromEngine();
+    attempt.engine().ifPresent(this::startQueued);
     int vm = attempt.vm();
     vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
   }
 
-  private boolean isUnderWay(Attempt attempt) {
-    return attempts.get(attempt.request()) == attempt && attempt.life() == vms.life(attempt.vm());
+  private boolean isInFlight(Attempt attempt) {
+    return attempts.get(attempt.request()) == attempt
+        && attempt.incarnation() == vms.life(attempt.vm());
   }
 
-  private void heartbeats() {
-    List.copyOf(engines).forEach(this::beat);
-    later(HEARTBEAT_EVERY_MS, this::heartbeats);
+  private void sendHeartbeats() {
+    List.copyOf(engines).forEach(this::sendHeartbeat);
+    later(HEARTBEAT_EVERY_MS, this::sendHeartbeats);
   }
 
-  private void beat(VersionedEngine engine) {
+  private void sendHeartbeat(VersionedEngine engine) {
     for (FakeControl member : group.members()) {
       if (member.isServing()) {
         group.ask(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutStudyTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutStudyTest.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.rollout.Rollout;
 import org.teaseltrail.core.rollout.RolloutPhase;
 
-/** Prints how rollouts of good and bad versions go over many seeds. */
+/** Prints statistics of rollouts of good and bad versions over many seeds. */
 @Tag("long-run")
 class RolloutStudyTest {
 
@@ -24,14 +24,14 @@
   private static final int ENGINES = Integer.getInteger("rolloutEngines", 14);
   private static final String ONLY = System.getProperty("rolloutBad", "");
   private static final int AFTERWARDS_MS = 3_000;
-  private static final int BEFORE_MS = 2_000;
+  private static final int WARM_UP_MS = 2_000;
   private static final boolean FAULTS = Boolean.getBoolean("rolloutFaults");
 
   private final Map<RolloutPhase, Integer> ends = new EnumMap<>(RolloutPhase.class);
   private final List<Long> sentAfterMs = new ArrayList<>();
   private final List<Long> lastSentMs = new ArrayList<>();
   private int overExposed;
-  private int mistaken;
+  private int misjudged;
   private double servedShare;
 
   @ParameterizedTest
@@ -51,20 +51,20 @@
         SEEDS,
         FAULTS,
         ends,
-        mistaken,
+        misjudged,
         overExposed,
-        at(sentAfterMs, 0.5),
-        at(sentAfterMs, 0.99),
-        at(sentAfterMs, 1),
-        at(lastSentMs, 0.5),
-        at(lastSentMs, 1),
+        percentile(sentAfterMs, 0.5),
+        percentile(sentAfterMs, 0.99),
+        percentile(sentAfterMs, 1),
+        percentile(lastSentMs, 0.5),
+        percentile(lastSentMs, 1),
         servedShare / SEEDS);
   }
 
   private void play(BadVersion bad, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
     RolloutRun run = new RolloutRun(random.split(), bad, VMS, ENGINES, DURATION_MS);
-    run.play(BEFORE_MS, RATE);
+    run.play(WARM_UP_MS, RATE);
     run.order();
     if (FAULTS) {
       new RolloutFaults(run, random).play(DURATION_MS, RATE);
@@ -77,7 +77,7 @@
     boolean over = bad.isBad() && run.exposed() > run.allowed();
     overExposed += over ? 1 : 0;
     boolean wrong = bad.isBad() != (rollout.phase() == RolloutPhase.ROLLED_BACK);
-    mistaken += wrong ? 1 : 0;
+    misjudged += wrong ? 1 : 0;
     if (wrong || over) {
       System.out.println(
           "  seed "
@@ -98,7 +98,7 @@
     servedShare += run.servedShare();
   }
 
-  private static long at(List<Long> sorted, double part) {
+  private static long percentile(List<Long> sorted, double part) {
     return sorted.get((int) Math.min(sorted.size() - 1, part * sorted.size()));
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutTest.java
@@ -16,49 +16,55 @@
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.core.rollout.RolloutReason;
 
-/** Rollouts through the parts that serve, under virtual time, at a grown deployment's size. */
+/**
+ * Simulates rollouts through the serving components, in virtual time, at the size of a large
+ * deployment.
+ */
 class RolloutTest {
 
   private static final int DURATION_MS = 12_000;
   private static final int VMS = 24;
   private static final int ENGINES = 42;
   private static final double PER_SECOND = 270;
-  private static final int BEFORE_MS = 2_000;
+  private static final int WARM_UP_MS = 2_000;
   private static final int AFTERWARDS_MS = 2_000;
-  private static final int LEFT_WITHIN_MS = 2_000;
+  private static final int STOP_WITHIN_MS = 2_000;
   private static final int FEW_VMS = 6;
   private static final int FEW_ENGINES = 8;
   private static final double FEW_PER_SECOND = 50;
 
-  private static RolloutRun grown(BadVersion bad) {
+  private static RolloutRun large(BadVersion bad) {
     return new RolloutRun(new SplittableRandom(32), bad, VMS, ENGINES, DURATION_MS);
   }
 
   private static RolloutRun small(BadVersion bad) {
     RolloutRun run =
         new RolloutRun(new SplittableRandom(33), bad, FEW_VMS, FEW_ENGINES, DURATION_MS);
-    run.play(BEFORE_MS, FEW_PER_SECOND);
+    run.play(WARM_UP_MS, FEW_PER_SECOND);
     return run;
   }
 
-  /** A bad version gets more than its part of the requests, or goes on long after it is known. */
+  /**
+   * A bad version must not receive more than its share of the requests, nor any long after it is
+   * known to be bad.
+   */
   @ParameterizedTest
   @EnumSource(value = BadVersion.class, mode = EnumSource.Mode.EXCLUDE, names = "GOOD")
   void badVersionIsRolledBackWithinItsBounds(BadVersion bad) {
-    RolloutRun run = grown(bad);
-    run.play(BEFORE_MS, PER_SECOND);
+    RolloutRun run = large(bad);
+    run.play(WARM_UP_MS, PER_SECOND);
     run.order();
     run.play(DURATION_MS + AFTERWARDS_MS, PER_SECOND);
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.ROLLED_BACK);
     assertThat((double) run.exposed()).isLessThanOrEqualTo(run.allowed());
-    assertThat(run.sentAfterCountedMs()).isLessThanOrEqualTo(LEFT_WITHIN_MS);
+    assertThat(run.sentAfterCountedMs()).isLessThanOrEqualTo(STOP_WITHIN_MS);
   }
 
-  /** Old engines end without draining when the state says completed. */
+  /** Engines of the previous version stop without draining once the rollout is completed. */
   @Test
   void goodVersionIsCompletedInTimeAndNothingIsLost() {
-    RolloutRun run = grown(BadVersion.GOOD);
-    run.play(BEFORE_MS, PER_SECOND);
+    RolloutRun run = large(BadVersion.GOOD);
+    run.play(WARM_UP_MS, PER_SECOND);
     run.order();
     while (run.rollout().phase() != RolloutPhase.COMPLETED) {
       run.play(100, PER_SECOND);
@@ -70,7 +76,7 @@
     assertThat(run.servedShare()).isGreaterThan(0.98);
   }
 
-  /** The leader that acknowledged the order is gone, then all lose power. */
+  /** The leader that acknowledged the order is killed; then all components lose power. */
   @Test
   void orderOutlivesLeaderAndLossOfPower() {
     RolloutRun run = small(BadVersion.GOOD);
@@ -86,7 +92,10 @@
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.COMPLETED);
   }
 
-  /** A leader that begins right before the completion has not heard how warm any engine is. */
+  /**
+   * A leader that is elected right before the completion has no reports yet on how warm the engines
+   * are.
+   */
   @Test
   void goodVersionIsCompletedThoughTheLeaderIsLostWhileAllTurnToIt() {
     RolloutRun run = small(BadVersion.GOOD);
@@ -98,7 +107,7 @@
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.COMPLETED);
   }
 
-  /** After a roll-back all lose power, and the bad version's engines are still there. */
+  /** All components lose power after a rollback while the bad version's engines still run. */
   @Test
   void rollBackOutlivesLossOfPower() {
     RolloutRun run = small(BadVersion.FAILS);
@@ -112,7 +121,7 @@
     assertThat(run.lastExposedMs()).isEqualTo(lastMs);
   }
 
-  /** A VM that is cut off while the version is rolled back goes on sending to it. */
+  /** VMs that are partitioned when the version should be rolled back must stop sending to it. */
   @Test
   void cutVmStopsSendingToTheOrderedVersionByItself() {
     RolloutRun run = small(BadVersion.FAILS);
@@ -141,7 +150,9 @@
     assertThat(run.lastExposedMs()).isEqualTo(lastMs);
   }
 
-  /** The ordered version's engines never start; the old ones must not be ended. */
+  /**
+   * The target version's engines never start; those of the previous version must not be stopped.
+   */
   @Test
   void versionWithoutEnginesIsRolledBackAtTheDeadline() {
     RolloutRun run = small(BadVersion.GOOD);
@@ -155,19 +166,19 @@
   @Test
   void ordersThatCannotBeTakenAreRefusedAndChangeNothing() {
     RolloutRun run = small(BadVersion.GOOD);
-    assertThat(answer(run, new ServiceId("unknown"), RolloutRun.ORDERED, 1_000))
+    assertThat(startRollout(run, new ServiceId("unknown"), RolloutRun.ORDERED, 1_000))
         .isEqualTo(RolloutOrderResult.UNKNOWN_SERVICE);
-    assertThat(answer(run, TestPlans.ENGINES, RolloutRun.ORDERED, 0))
+    assertThat(startRollout(run, TestPlans.ENGINES, RolloutRun.ORDERED, 0))
         .isEqualTo(RolloutOrderResult.BAD_DURATION);
-    assertThat(answer(run, TestPlans.ENGINES, RolloutRun.OLD, 1_000))
+    assertThat(startRollout(run, TestPlans.ENGINES, RolloutRun.OLD, 1_000))
         .isEqualTo(RolloutOrderResult.ALREADY_IN_FORCE);
-    assertThat(read(run)).isEmpty();
+    assertThat(readRollout(run)).isEmpty();
     run.order();
     assertThat(run.orderAgain())
         .isEqualTo(new OperatorResult.RolloutOrderAnswered(RolloutOrderResult.ALREADY_RUNNING));
   }
 
-  private static RolloutOrderResult answer(
+  private static RolloutOrderResult startRollout(
       RolloutRun run, ServiceId service, UpstreamVersion to, long durationMs) {
     RolloutOrder order = new RolloutOrder(service, to, durationMs);
     OperatorResult result =
@@ -175,7 +186,7 @@
     return ((OperatorResult.RolloutOrderAnswered) result).answer();
   }
 
-  private static Optional<Rollout> read(RolloutRun run) {
+  private static Optional<Rollout> readRollout(RolloutRun run) {
     OperatorResult result =
         run.group().ask(run.group().leader(), new OperatorRequest.ReadRollout(TestPlans.ENGINES));
     return ((OperatorResult.RolloutRead) result).rollout();
--- a/core/src/test/java/org/teaseltrail/core/control/RunHistory.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RunHistory.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.message.Ticket;
 
-/** Knows which request ran under each key; a second one is the fault that users would see. */
+/** Records which request was dispatched for each idempotency key; fails if a second one is. */
 final class RunHistory {
 
   private final Map<IdempotencyKey, RequestId> ran = new HashMap<>();
--- a/core/src/test/java/org/teaseltrail/core/control/RunningVm.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RunningVm.java
@@ -19,8 +19,8 @@
 import org.teaseltrail.core.message.Usage;
 
 /**
- * Is an entry VM that keeps the contract in the plainest way: it dispatches a request once,
- * declines grants of older leaderships, tells a new leader all, and can lose its memory.
+ * Minimal entry VM that follows the protocol: it dispatches a request once, declines grants of
+ * older leaderships, reports its full state to a new leader, and can lose its state.
  */
 final class RunningVm implements FakeControlGroup.Listener {
 
@@ -47,18 +47,18 @@
     this.history = history;
     vm = new VmId(name);
     group.listen(vm, this);
-    hello();
+    sendHello();
   }
 
   void call(String request, String key) {
     EntryMessage.Offer offer = Samples.offer(request, key, "d");
     waiting.put(offer.ticket().request(), offer);
     if (leader != null) {
-      say(leader, offer);
+      send(leader, offer);
     }
   }
 
-  /** The process dies and starts again with nothing; what it dispatched goes on upstream. */
+  /** Restarts the process without state; requests that it dispatched keep running upstream. */
   void restart() {
     incarnation++;
     waiting.clear();
@@ -72,7 +72,7 @@
   @Override
   public void received(FakeControl from, ControlMessage message) {
     if (message instanceof ControlMessage.Welcome welcome) {
-      welcomed(from, welcome);
+      onWelcome(from, welcome);
     } else if (message instanceof ControlMessage.ConfigurationUpdate update) {
       Revision revision = update.configuration().revision();
       applied = revision.compareTo(applied) > 0 ? revision : applied;
@@ -85,7 +85,7 @@
     }
   }
 
-  private void welcomed(FakeControl from, ControlMessage.Welcome welcome) {
+  private void onWelcome(FakeControl from, ControlMessage.Welcome welcome) {
     if (welcome.fencing().compareTo(newest) < 0) {
       return;
     }
@@ -95,14 +95,14 @@
       running
           .values()
           .forEach(
-              one ->
-                  say(
+              each ->
+                  send(
                       from,
                       new EntryMessage.StillRunning(
-                          one.offer().ticket(), one.grant().upstream(), 1, 10)));
-      List.copyOf(waiting.values()).forEach(offer -> say(from, offer));
-      ended.forEach(end -> say(from, end));
-      say(from, new EntryMessage.ReportsComplete(vm, welcome.fencing()));
+                          each.offer().ticket(), each.grant().upstream(), 1, 10)));
+      List.copyOf(waiting.values()).forEach(offer -> send(from, offer));
+      ended.forEach(end -> send(from, end));
+      send(from, new EntryMessage.ReportsComplete(vm, welcome.fencing()));
     }
   }
 
@@ -122,38 +122,38 @@
       waiting.remove(grant.request());
       running.put(grant.request(), new Running(offer, grant));
       history.dispatched(offer.ticket());
-      int life = (int) incarnation;
-      group.after(RUN_NS, () -> end(life, grant));
+      int startedIncarnation = (int) incarnation;
+      group.after(RUN_NS, () -> end(startedIncarnation, grant));
     }
   }
 
-  private void end(int life, Grant grant) {
-    if (life == incarnation && running.remove(grant.request()) != null) {
+  private void end(int startedIncarnation, Grant grant) {
+    if (startedIncarnation == incarnation && running.remove(grant.request()) != null) {
       EndKind kind = grants % 3 == 0 ? EndKind.FAILED : EndKind.COMPLETED;
       EntryMessage.Ended end =
           new EntryMessage.Ended(
               grant.request(), grant.upstream(), kind, new Usage(100, 0, 20), 300);
       ended.add(end);
-      say(leader, end);
+      send(leader, end);
     }
   }
 
   private void decline(FakeControl from, Grant grant, DeclineReason reason) {
-    say(from, new EntryMessage.Declined(grant.request(), grant.upstream(), reason));
+    send(from, new EntryMessage.Declined(grant.request(), grant.upstream(), reason));
   }
 
-  private void say(FakeControl member, EntryMessage message) {
+  private void send(FakeControl member, EntryMessage message) {
     if (member != null) {
       group.say(vm, member, message);
     }
   }
 
-  private void hello() {
+  private void sendHello() {
     EntryMessage.Hello hello =
         new EntryMessage.Hello(
             vm, new Incarnation(incarnation), new DataCenterId("dc"), applied, ++sequence);
-    group.members().forEach(member -> say(member, hello));
-    say(leader, Samples.seen("u1", "regina-a", sequence));
-    group.after(HELLO_NS, this::hello);
+    group.members().forEach(member -> send(member, hello));
+    send(leader, Samples.seen("u1", "regina-a", sequence));
+    group.after(HELLO_NS, this::sendHello);
   }
 }
