--- a/core/src/test/java/org/teaseltrail/core/control/Samples.java
+++ b/core/src/test/java/org/teaseltrail/core/control/Samples.java
@@ -33,7 +33,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Makes the small fleet that tests use: one pool with one model. */
+/** Creates the small configuration that tests use: one pool with one model. */
 public final class Samples {
 
   public static final CustomerId CUSTOMER = new CustomerId("division-7");
@@ -45,7 +45,10 @@
 
   private Samples() {}
 
-  /** Returns the changes that make the fleet, with so many copies wanted of the model. */
+  /**
+   * Returns the changes that create the configuration, with the given number of copies of the
+   * model.
+   */
   public static ConfigurationChange[] fleet(int copies, String... upstreams) {
     var changes = new ArrayList<ConfigurationChange>();
     changes.add(tier(1));
@@ -60,12 +63,12 @@
     return changes.toArray(new ConfigurationChange[0]);
   }
 
-  /** Returns the change that puts a tier. */
+  /** Returns the change that creates a tier. */
   public static ConfigurationChange tier(int rank) {
     return new ConfigurationChange.PutTier(new TierDefinition(new Tier(rank), "tier " + rank));
   }
 
-  /** Returns the change that puts a customer without a limit. */
+  /** Returns the change that creates a customer without limits. */
   public static ConfigurationChange customer(String id, int tier) {
     return new ConfigurationChange.PutCustomer(
         new Customer(new CustomerId(id), new Tier(tier), List.of(), 0, 0, 1));
--- a/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
@@ -19,24 +19,24 @@
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /**
- * Runs the parts that serve, under virtual time: three control members, some entry VMs and engines
- * that differ in speed by a factor of five, with callers who come back once after a refusal.
+ * Simulates the serving components, in virtual time: three control members, several entry VMs and
+ * engines whose speeds differ by a factor of five, with callers that retry once after a refusal.
  */
 final class ServingRun {
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int VMS = 6;
-  private static final double[] SLOWNESS = {1, 1.3, 2, 2.5, 4, 5};
+  private static final double[] LATENCY_FACTORS = {1, 1.3, 2, 2.5, 4, 5};
   private static final int HEARTBEAT_EVERY_MS = 1_200;
-  private static final double FIRST_EVENT_PART = 0.2;
-  private static final long SOON_MS = 1;
+  private static final double FIRST_EVENT_FRACTION = 0.2;
+  private static final long FAILURE_DELAY_MS = 1;
   private static final long BREAK_MS = 50;
 
-  /** Time in which a place that has become free is handed to a request that waits. */
-  private static final long HAND_OUT_NS = 300 * NS_PER_MS;
+  /** Time within which a freed slot is allocated to a waiting request. */
+  private static final long ALLOCATION_DELAY_NS = 300 * NS_PER_MS;
 
-  /** Is one attempt of a VM's life at an engine. */
-  private record Attempt(int vm, long life, long request, FakeEngine engine) {}
+  /** Attempt of one incarnation of a VM at an engine. */
+  private record Attempt(int vm, long incarnation, long request, FakeEngine engine) {}
 
   private final FakeControlGroup group = new FakeControlGroup(3);
   private final SplittableRandom random;
@@ -54,12 +54,12 @@
     group.start();
     FakeControl leader = group.leader();
     group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
-    for (int i = 0; i < SLOWNESS.length; i++) {
-      engines.add(new FakeEngine("e" + i, SLOWNESS[i]));
+    for (int i = 0; i < LATENCY_FACTORS.length; i++) {
+      engines.add(new FakeEngine("e" + i, LATENCY_FACTORS[i]));
     }
-    vms = new FakeEntryVms(group, VMS, random, this::carryOut);
+    vms = new FakeEntryVms(group, VMS, random, this::execute);
     vms.start();
-    heartbeats();
+    sendHeartbeats();
   }
 
   FakeControlGroup group() {
@@ -74,12 +74,12 @@
     return VMS;
   }
 
-  /** Returns the requests a second that the engines present can answer. */
+  /** Returns the throughput of the present engines, in requests per second. */
   double perSecond() {
     return engines.stream().mapToDouble(FakeEngine::perSecond).sum();
   }
 
-  /** Counts from now on, and only what becomes of callers who come from now on. */
+  /** Resets the counters; only requests sent from now on are counted. */
   void countAnew() {
     refused.clear();
     refusedWithRoom.clear();
@@ -87,17 +87,20 @@
     engines.forEach(FakeEngine::countAnew);
   }
 
-  /** Returns the counted refusals, by reason. */
+  /** Returns the counted refusals by reason. */
   Map<RefusalReason, Integer> refused() {
     return refused;
   }
 
-  /** Returns those of them that came while some engine had had a free place for a while. */
+  /**
+   * Returns the counted refusals, by reason, that occurred while some engine had had a free slot
+   * for a while.
+   */
   Map<RefusalReason, Integer> refusedWithRoom() {
     return refusedWithRoom;
   }
 
-  /** Lets callers come at a rate for some time. */
+  /** Advances the time while callers send requests at a rate. */
   void play(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
@@ -111,7 +114,7 @@
     }
   }
 
-  /** Starts a VM with nothing remembered; what it had at engines is broken off. */
+  /** Restarts a VM without its state; its attempts at engines are aborted. */
   void restartVm(int vm) {
     attempts
         .entrySet()
@@ -126,7 +129,7 @@
     vms.restart(vm);
   }
 
-  /** Takes an engine away for good, if a member that leads can be told. */
+  /** Removes an engine for good if a leader can receive its deregistration. */
   void leave(FakeEngine engine) {
     group.members().stream()
         .filter(FakeControl::isServing)
@@ -141,13 +144,13 @@
   }
 
   /**
-   * Makes all engines sound: what hung at one of them is broken off, as its process has ended, and
-   * what a slow one has goes on in the usual time.
+   * Makes all engines healthy: requests of a hanging engine break, as if its process had ended, and
+   * those of a slow one continue at the usual speed.
    */
   void recoverEngines() {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (attempt.engine().state() == FakeEngine.State.SILENT) {
-        endLater(attempt, AttemptOutcome.BROKEN, SOON_MS);
+        endLater(attempt, AttemptOutcome.BROKEN, FAILURE_DELAY_MS);
       } else if (attempt.engine().state() == FakeEngine.State.SLOW) {
         endLater(attempt, AttemptOutcome.ANSWERED, attempt.engine().usualMs());
       }
@@ -155,7 +158,7 @@
     engines.forEach(engine -> engine.become(FakeEngine.State.SOUND));
   }
 
-  private void heartbeats() {
+  private void sendHeartbeats() {
     for (FakeControl member : group.members()) {
       if (member.isServing()) {
         for (FakeEngine engine : engines) {
@@ -163,13 +166,13 @@
         }
       }
     }
-    group.after(HEARTBEAT_EVERY_MS * NS_PER_MS, this::heartbeats);
+    group.after(HEARTBEAT_EVERY_MS * NS_PER_MS, this::sendHeartbeats);
   }
 
-  private void call(boolean comesBack) {
+  private void call(boolean canRetry) {
     lastRequest++;
     int vm = random.nextInt(VMS);
-    long number = comesBack ? 2 * lastRequest : 2 * lastRequest + 1;
+    long number = canRetry ? 2 * lastRequest : 2 * lastRequest + 1;
     ForwardRequest request =
         new ForwardRequest(
             number,
@@ -185,13 +188,13 @@
     vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
-  private void carryOut(int vm, ForwardAction action) {
+  private void execute(int vm, ForwardAction action) {
     if (action instanceof ForwardAction.Dispatch dispatch) {
       dispatch(vm, dispatch);
     } else if (action instanceof ForwardAction.Cancel cancel) {
-      forget(cancel.request());
+      removeAttempt(cancel.request());
     } else if (action instanceof ForwardAction.Refuse refuse) {
-      note(refuse);
+      countRefusal(refuse);
       boolean firstTry = refuse.request() % 2 == 0;
       if (firstTry) {
         group.after(refuse.retryAfterMs() * NS_PER_MS, () -> call(false));
@@ -199,12 +202,12 @@
     }
   }
 
-  private void note(ForwardAction.Refuse refuse) {
+  private void countRefusal(ForwardAction.Refuse refuse) {
     if (refuse.request() / 2 < firstCounted) {
       return;
     }
     refused.merge(refuse.refusalReason(), 1, Integer::sum);
-    if (group.nowNs() - lastFullNs > HAND_OUT_NS) {
+    if (group.nowNs() - lastFullNs > ALLOCATION_DELAY_NS) {
       refusedWithRoom.merge(refuse.refusalReason(), 1, Integer::sum);
     }
   }
@@ -214,26 +217,26 @@
     FakeEngine engine =
         engines.stream().filter(one -> one.id().equals(id)).findFirst().orElse(null);
     if (engine == null) {
-      end(vm, vms.life(vm), dispatch.request(), AttemptOutcome.NOT_CONNECTED, SOON_MS);
+      end(vm, vms.life(vm), dispatch.request(), AttemptOutcome.NOT_CONNECTED, FAILURE_DELAY_MS);
       return;
     }
-    long tookMs = engine.begin();
+    long serviceTimeMs = engine.begin();
     Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     switch (engine.state()) {
-      case GONE -> endLater(attempt, AttemptOutcome.NOT_CONNECTED, SOON_MS);
+      case GONE -> endLater(attempt, AttemptOutcome.NOT_CONNECTED, FAILURE_DELAY_MS);
       case BREAKING -> endLater(attempt, AttemptOutcome.BROKEN, BREAK_MS);
       case FAILING -> endLater(attempt, AttemptOutcome.FAILED_ANSWER, BREAK_MS);
       case SILENT -> {}
       default -> {
-        later((long) (FIRST_EVENT_PART * tookMs), () -> begun(attempt));
-        endLater(attempt, AttemptOutcome.ANSWERED, tookMs);
-        later(tookMs - 1, () -> pace(attempt, tookMs));
+        later((long) (FIRST_EVENT_FRACTION * serviceTimeMs), () -> reportResponseStarted(attempt));
+        endLater(attempt, AttemptOutcome.ANSWERED, serviceTimeMs);
+        later(serviceTimeMs - 1, () -> reportEventLatency(attempt, serviceTimeMs));
       }
     }
   }
 
-  private void begun(Attempt attempt) {
+  private void reportResponseStarted(Attempt attempt) {
     if (attempts.get(attempt.request()) == attempt) {
       ForwardNode node = vms.node(attempt.vm());
       node.onLoadReport(attempt.engine().id(), attempt.engine().running(), group.nowNs());
@@ -241,10 +244,10 @@
     }
   }
 
-  private void pace(Attempt attempt, long tookMs) {
+  private void reportEventLatency(Attempt attempt, long serviceTimeMs) {
     if (attempts.get(attempt.request()) == attempt) {
       vms.node(attempt.vm())
-          .recordEventLatency(attempt.engine().id(), tookMs / 10.0, group.nowNs());
+          .recordEventLatency(attempt.engine().id(), serviceTimeMs / 10.0, group.nowNs());
     }
   }
 
@@ -253,23 +256,23 @@
         afterMs,
         () -> {
           if (attempts.get(attempt.request()) == attempt) {
-            forget(attempt.request());
-            end(attempt.vm(), attempt.life(), attempt.request(), end, 0);
+            removeAttempt(attempt.request());
+            end(attempt.vm(), attempt.incarnation(), attempt.request(), end, 0);
           }
         });
   }
 
-  private void end(int vm, long life, long request, AttemptOutcome end, long afterMs) {
+  private void end(int vm, long incarnation, long request, AttemptOutcome end, long afterMs) {
     later(
         afterMs,
         () -> {
-          if (life == vms.life(vm)) {
+          if (incarnation == vms.life(vm)) {
             vms.carryOut(vm, vms.node(vm).onAttemptEnded(request, end, group.nowNs()));
           }
         });
   }
 
-  private void forget(long request) {
+  private void removeAttempt(long request) {
     Attempt attempt = attempts.remove(request);
     if (attempt != null) {
       attempt.engine().end();
--- a/core/src/test/java/org/teaseltrail/core/control/VersionedEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/VersionedEngine.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.id.UpstreamVersion;
 import org.teaseltrail.core.registry.Registration;
 
-/** Is an engine of one version; engines differ in speed, and run some requests at once. */
+/** Simulated engine of one version with a given speed that runs several requests concurrently. */
 final class VersionedEngine {
 
   static final int PLACES = 4;
@@ -20,17 +20,17 @@
   private final List<Long> queued = new ArrayList<>();
 
   VersionedEngine(String id, ServiceId service, UpstreamVersion version, double slowness) {
-    Registration plain = ForwardSamples.upstream(id, service, PLACES);
+    Registration template = ForwardSamples.upstream(id, service, PLACES);
     registration =
         new Registration(
-            plain.id(),
-            plain.bornMs(),
-            plain.service(),
-            plain.address(),
-            plain.dataCenter(),
-            plain.slots(),
-            plain.phase(),
-            plain.sequence(),
+            template.id(),
+            template.bornMs(),
+            template.service(),
+            template.address(),
+            template.dataCenter(),
+            template.slots(),
+            template.phase(),
+            template.sequence(),
             Optional.of(version),
             0);
     this.slowness = slowness;
@@ -48,12 +48,12 @@
     return registration.version().orElseThrow();
   }
 
-  /** Returns how many times longer it takes than a middling one. */
+  /** Returns how many times longer it takes than a typical engine. */
   double slowness() {
     return slowness;
   }
 
-  /** Tells whether it runs nearly as many requests as it has places for. */
+  /** Returns whether almost all its slots are in use. */
   boolean isLoaded() {
     return running.size() >= PLACES - 1;
   }
@@ -67,16 +67,16 @@
     queued.remove(request);
   }
 
-  /** Moves requests from the queue into free places; returns those that begin to run now. */
+  /** Moves requests from the queue into free slots; returns those that start now. */
   List<Long> begin() {
     int free = Math.max(0, PLACES - running.size());
-    List<Long> begun = List.copyOf(queued.subList(0, Math.min(free, queued.size())));
-    queued.removeAll(begun);
-    running.addAll(begun);
-    return begun;
+    List<Long> started = List.copyOf(queued.subList(0, Math.min(free, queued.size())));
+    queued.removeAll(started);
+    running.addAll(started);
+    return started;
   }
 
-  /** Ends it; returns all that it held. */
+  /** Stops the engine; returns the requests that it was running or had queued. */
   List<Long> end() {
     List<Long> held = new ArrayList<>(running);
     held.addAll(queued);
