--- a/core/src/main/java/org/teaseltrail/core/replication/Ballot.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Ballot.java
@@ -6,24 +6,24 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /**
- * Holds this member's term and vote and has each change saved.
+ * Keeps the member's current term and vote and persists every change of them.
  *
- * <p>Guards against a second vote in one term after a restart: a vote is told to anyone, this
- * member included, only once its write is synced.
+ * <p>A vote is sent to other members, or counted by this member, only after its write is synced.
+ * Otherwise a member that restarts after a power loss could vote twice in one term.
  */
 final class Ballot {
 
   private final Outbox outbox;
   private Vote vote;
-  private long newestWrite;
-  private long syncedWrite;
+  private long newestWriteNumber;
+  private long syncedWriteNumber;
 
   Ballot(Outbox outbox, RecoveredState recovered) {
     this.outbox = outbox;
-    this.vote = atLeastLogTerm(recovered);
+    this.vote = recoveredVote(recovered);
   }
 
-  private static Vote atLeastLogTerm(RecoveredState recovered) {
+  private static Vote recoveredVote(RecoveredState recovered) {
     long logTerm = recovered.entries().stream().mapToLong(LogEntry::term).max().orElse(0);
     long snapshotTerm = recovered.snapshot().map(Snapshot::term).orElse(0L);
     long term = Math.max(logTerm, snapshotTerm);
@@ -34,12 +34,12 @@
     return vote.term();
   }
 
-  /** Goes on to a later term without a vote. */
+  /** Advances to a later term without casting a vote. */
   void advanceTo(long term) {
     save(new Vote(term, Optional.empty()));
   }
 
-  /** Goes on to the next term and votes in it for this member. */
+  /** Advances to the next term and casts this member's own vote in it. */
   void standAs(MemberId self) {
     save(new Vote(vote.term() + 1, Optional.of(self)));
   }
@@ -55,16 +55,16 @@
   }
 
   boolean isSynced() {
-    return syncedWrite >= newestWrite;
+    return syncedWriteNumber >= newestWriteNumber;
   }
 
   void synced(long writeNumber) {
-    syncedWrite = Math.max(syncedWrite, writeNumber);
+    syncedWriteNumber = Math.max(syncedWriteNumber, writeNumber);
   }
 
   private void save(Vote changed) {
     Invariant.check(changed.term() >= vote.term(), InvariantName.TERM_GROWS);
     vote = changed;
-    newestWrite = outbox.write(number -> new ReplicaAction.SaveVote(number, changed));
+    newestWriteNumber = outbox.write(number -> new ReplicaAction.SaveVote(number, changed));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/Candidacy.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Candidacy.java
@@ -7,33 +7,35 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /**
- * Stands for election: first asks whether a vote would succeed, then for the votes.
+ * Runs this member's election campaigns: a pre-vote, then a vote request in the next term.
  *
- * <p>The first step guards against a member that was cut off coming back with a higher term and so
- * ending a working leadership: it raises its term only once a quorum would vote for it.
+ * <p>The pre-vote prevents a member that returns from a network partition from deposing a working
+ * leader with a higher term: a member raises its term only after a quorum has indicated that it
+ * would vote for it.
  */
 final class Candidacy {
 
   private enum Phase {
     NONE,
-    ASKING_AHEAD,
+    REQUESTING_PRE_VOTES,
     SAVING_OWN_VOTE,
-    ASKING
+    REQUESTING_VOTES
   }
 
   private static final long NANOS_PER_MS = 1_000_000L;
 
   /**
-   * Greatest time after the first lease in which a restarted member begins to ask ahead. The
-   * members of a group that was restarted as a whole ask one after the other within it.
+   * Max delay between the end of the startup lease and the first pre-vote of a restarted member.
+   * Each member draws its delay at random, so that the members of a group that restarts as a whole
+   * start their pre-votes one after the other.
    */
-  private static final int FIRST_SPREAD_MS = 100;
+  private static final int INITIAL_JITTER_MS = 100;
 
-  /** Least time between two askings ahead: some round trips, and the sync of a slow disk. */
-  private static final int ASK_AGAIN_MIN_MS = 100;
+  /** Min interval between two pre-votes: a few round trips and the sync of a slow disk. */
+  private static final int PRE_VOTE_RETRY_MIN_MS = 100;
 
-  /** Greatest such time; each wait is drawn anew from the range. */
-  private static final int ASK_AGAIN_MAX_MS = 200;
+  /** Max interval between two pre-votes; each interval is drawn at random between min and max. */
+  private static final int PRE_VOTE_RETRY_MAX_MS = 200;
 
   private final ReplicaContext context;
   private final Set<MemberId> granted = new HashSet<>();
@@ -43,30 +45,31 @@
 
   Candidacy(ReplicaContext context, long lastLifeEndedNs, long nowNs) {
     this.context = context;
-    boolean alone = context.isVoter() && context.members.latest().quorumCount() == 1;
-    if (alone) {
+    boolean isOnlyVoter = context.isVoter() && context.members.latest().quorumCount() == 1;
+    if (isOnlyVoter) {
       this.deadlineNs = nowNs;
     } else {
-      waitForFirstLease(lastLifeEndedNs, nowNs);
+      scheduleFirstPreVote(lastLifeEndedNs, nowNs);
     }
   }
 
   /**
-   * Sets when a restarted member begins to ask: voters refuse for a lease after their last life.
-   * Guards against a group without a leader for longer than it must be, after all were restarted at
-   * once: it shows as callers that are turned away by entry VMs which are up.
+   * Sets the time of the first pre-vote after a restart. Voters refuse their votes for one lease
+   * after their previous incarnation ended, so an earlier request fails, and waiting much longer
+   * leaves a group that was restarted as a whole without a leader: entry VMs that are up reject
+   * requests meanwhile.
    */
-  private void waitForFirstLease(long lastLifeEndedNs, long nowNs) {
-    int spreadMs = context.random.nextInt(FIRST_SPREAD_MS);
-    long freeNs = Math.max(nowNs, lastLifeEndedNs + context.settings.leaseNs());
-    deadlineNs = freeNs + spreadMs * NANOS_PER_MS;
+  private void scheduleFirstPreVote(long lastLifeEndedNs, long nowNs) {
+    int jitterMs = context.random.nextInt(INITIAL_JITTER_MS);
+    long votesAllowedNs = Math.max(nowNs, lastLifeEndedNs + context.settings.leaseNs());
+    deadlineNs = votesAllowedNs + jitterMs * NANOS_PER_MS;
   }
 
   long deadlineNs() {
     return deadlineNs;
   }
 
-  /** Draws the time at which this member stands if it hears from no leader. */
+  /** Draws the time at which this member starts a pre-vote unless a leader contacts it before. */
   void restartTimeout(long nowNs) {
     ReplicaSettings settings = context.settings;
     int timeoutMs =
@@ -76,24 +79,25 @@
   }
 
   /**
-   * Asks again sooner than it would stand again: asking changes nobody's term, and a voter that
-   * refuses because it was just started grants its vote a moment later.
+   * Schedules the next pre-vote earlier than an election timeout would. A pre-vote changes nobody's
+   * term, and a voter that refuses only because it has just restarted grants its vote shortly
+   * after.
    */
-  private void askAgainSoon(long nowNs) {
-    int waitMs = context.random.nextInt(ASK_AGAIN_MIN_MS, ASK_AGAIN_MAX_MS + 1);
+  private void schedulePreVoteRetry(long nowNs) {
+    int waitMs = context.random.nextInt(PRE_VOTE_RETRY_MIN_MS, PRE_VOTE_RETRY_MAX_MS + 1);
     deadlineNs = nowNs + waitMs * NANOS_PER_MS;
   }
 
-  /** Gives the candidacy up. */
+  /** Cancels the campaign. */
   void end() {
     phase = Phase.NONE;
     granted.clear();
   }
 
-  /** Asks the other voters whether they would vote for this member. */
+  /** Requests pre-votes from the other voters. */
   void askAhead(long nowNs) {
-    begin(Phase.ASKING_AHEAD, nowNs);
-    askAgainSoon(nowNs);
+    startPhase(Phase.REQUESTING_PRE_VOTES, nowNs);
+    schedulePreVoteRetry(nowNs);
     granted.add(context.self);
     ReplicatedLog log = context.log;
     PeerMessage request =
@@ -105,10 +109,10 @@
     }
   }
 
-  /** Takes a pre-vote. */
+  /** Handles a reply to a pre-vote request. */
   void preVoteReply(MemberId from, PeerMessage.PreVoteReply reply, long nowNs) {
     boolean counts =
-        phase == Phase.ASKING_AHEAD
+        phase == Phase.REQUESTING_PRE_VOTES
             && reply.granted()
             && reply.candidateTerm() == context.ballot.term() + 1;
     if (!counts) {
@@ -121,19 +125,20 @@
   }
 
   /**
-   * Stands in the next term.
+   * Starts an election in the next term by casting and saving this member's own vote.
    *
-   * @param byHandOver whether the present leader has given its lease up for this
+   * @param byHandOver whether the current leader has released its lease for this election
    */
   void stand(boolean byHandOver, long nowNs) {
-    begin(Phase.SAVING_OWN_VOTE, nowNs);
+    startPhase(Phase.SAVING_OWN_VOTE, nowNs);
     handOver = byHandOver;
     context.ballot.standAs(context.self);
   }
 
   /**
-   * Counts this member's own vote and asks for the others' once it is synced. Asking earlier could
-   * lead, after a crash, to a second candidacy in the same term with another log.
+   * Counts this member's own vote once it is synced, then requests the votes of the others.
+   * Requesting them before the sync could lead, after a crash, to a second campaign in the same
+   * term with a different log.
    *
    * @return whether this member is elected
    */
@@ -141,7 +146,7 @@
     if (phase != Phase.SAVING_OWN_VOTE || !context.ballot.isSynced()) {
       return false;
     }
-    phase = Phase.ASKING;
+    phase = Phase.REQUESTING_VOTES;
     granted.add(context.self);
     ReplicatedLog log = context.log;
     sendToOtherVoters(
@@ -151,21 +156,21 @@
   }
 
   /**
-   * Takes a vote.
+   * Handles a reply to a vote request.
    *
    * @return whether this member is elected
    */
   boolean voteReply(MemberId from, PeerMessage.VoteReply reply) {
-    if (phase != Phase.ASKING || !reply.granted()) {
+    if (phase != Phase.REQUESTING_VOTES || !reply.granted()) {
       return false;
     }
     granted.add(from);
     return hasQuorum();
   }
 
-  private void begin(Phase first, long nowNs) {
+  private void startPhase(Phase initialPhase, long nowNs) {
     Invariant.check(context.isVoter(), InvariantName.ONLY_VOTERS_STAND);
-    phase = first;
+    phase = initialPhase;
     granted.clear();
     restartTimeout(nowNs);
   }
--- a/core/src/main/java/org/teaseltrail/core/replication/CatchUp.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/CatchUp.java
@@ -1,17 +1,18 @@
 package org.teaseltrail.core.replication;
 
 /**
- * Follows how far a member is behind in time: at a heartbeat it is asked for what is committed
- * then, and once it holds that, synced, it was up to date at that heartbeat.
+ * Tracks whether a member has caught up with the leader's log. At a heartbeat the leader sets the
+ * commit index of that moment as the target; once the member has synced its log up to the target,
+ * it was up to date at the time of that heartbeat.
  *
- * <p>A comparison with the commit index of the moment would refuse a member for ever that is one
- * round trip further away than the others while commands keep coming.
+ * <p>Comparing the member with the current commit index instead would never accept a member with a
+ * longer round trip than the others while commands keep arriving.
  *
- * @param asked whether a question is open
- * @param askedIndex what was committed when it was asked
- * @param askedNs when it was asked
- * @param wasUpToDate whether an earlier question was answered
- * @param upToDateNs when the newest question that was answered had been asked
+ * @param asked whether a target is set and not yet reached
+ * @param askedIndex the commit index when the target was set
+ * @param askedNs when the target was set
+ * @param wasUpToDate whether the member has reached an earlier target
+ * @param upToDateNs when the last target that was reached had been set
  */
 record CatchUp(boolean asked, long askedIndex, long askedNs, boolean wasUpToDate, long upToDateNs) {
 
@@ -19,7 +20,7 @@
     return new CatchUp(false, 0, 0, false, 0);
   }
 
-  /** Asks, unless a question is open that isn't too old to be of use. */
+  /** Sets a new target unless the pending one is younger than the given age. */
   CatchUp asked(long commitIndex, long nowNs, long patienceNs) {
     if (asked && nowNs - askedNs < patienceNs) {
       return this;
@@ -28,8 +29,8 @@
   }
 
   CatchUp holds(long syncedIndex) {
-    boolean answers = asked && syncedIndex >= askedIndex;
-    return answers ? new CatchUp(false, 0, 0, true, askedNs) : this;
+    boolean isReached = asked && syncedIndex >= askedIndex;
+    return isReached ? new CatchUp(false, 0, 0, true, askedNs) : this;
   }
 
   boolean isRecent(long nowNs, long patienceNs) {
--- a/core/src/main/java/org/teaseltrail/core/replication/CommitPoint.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/CommitPoint.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.invariant.Invariant;
 import org.teaseltrail.core.invariant.InvariantName;
 
-/** Knows up to which index the log is committed, and passes committed entries on once. */
+/** Tracks the commit index and emits each committed entry once to be applied. */
 final class CommitPoint {
 
   private final Outbox outbox;
@@ -39,7 +39,10 @@
     }
   }
 
-  /** Takes the state that was asked for, unless a leader's snapshot has overtaken it. */
+  /**
+   * Compacts the log with the requested snapshot, unless a snapshot from a leader covers more by
+   * now.
+   */
   void snapshotTaken(
       ReplicaEvent.SnapshotTaken event, MembershipHistory members, long neededAfterIndex) {
     schedule.taken();
--- a/core/src/main/java/org/teaseltrail/core/replication/EntryPayload.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/EntryPayload.java
@@ -2,14 +2,14 @@
 
 import java.util.Arrays;
 
-/** Is what a log entry holds. */
+/** Content of a log entry. */
 public sealed interface EntryPayload {
 
-  /** Holds nothing; a new leader commits it first, and with it all that came before. */
+  /** No-operation. A new leader commits it first, which also commits all entries before it. */
   record Noop() implements EntryPayload {}
 
   /**
-   * Holds a command of the replicated state, opaque to the log.
+   * Command for the replicated state, opaque to the log.
    *
    * @param bytes the encoded command; must not be changed afterwards
    */
@@ -32,16 +32,16 @@
   }
 
   /**
-   * Holds the member set that counts from this entry on, committed or not.
+   * Member set that is in effect from this entry on, whether committed or not.
    *
-   * @param membership the whole new member set
+   * @param membership the complete new member set
    */
   record MembershipPayload(Membership membership) implements EntryPayload {}
 
   /**
-   * Returns the size that counts against limits on batches.
+   * Returns the size that counts towards the limits on batches.
    *
-   * @return size in bytes, without the record's own framing
+   * @return size of the command in bytes, without framing
    */
   default int sizeBytes() {
     return this instanceof CommandPayload command ? command.bytes().length : 0;
--- a/core/src/main/java/org/teaseltrail/core/replication/Follower.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Follower.java
@@ -7,18 +7,18 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /**
- * Takes the leader's entries and snapshots. One object serves one term under one leader.
+ * Follower role for one term under one leader: accepts the leader's entries and snapshots.
  *
- * <p>Guards against acknowledging what a crash takes back: a reply names an index only up to where
- * the log is both the leader's and synced. Replies held back by a sync can't outlive their term, as
- * they are worked out from this object when the sync is done.
+ * <p>A reply acknowledges an index only as far as the log both matches the leader's and is synced,
+ * so that a crash can't revoke an acknowledgement. A reply that waits for a sync can't outlive its
+ * term, because it is computed from this object when the sync completes.
  */
 final class Follower {
 
   private final ReplicaContext context;
   private final MemberId leader;
   private long matchedIndex;
-  private long toldIndex;
+  private long acknowledgedIndex;
   private long newestRound;
   private SnapshotAssembly assembly;
 
@@ -34,14 +34,14 @@
 
   void append(PeerMessage.Append append) {
     newestRound = Math.max(newestRound, append.round());
-    if (!joins(append)) {
+    if (!matchesPrevious(append)) {
       reject(append.previousIndex());
       return;
     }
-    takeEntries(append.entries());
+    appendMissing(append.entries());
     matchedIndex = Math.max(matchedIndex, append.previousIndex() + append.entries().size());
     context.commits.advanceTo(Math.min(append.commitIndex(), matchedIndex));
-    if (append.entries().isEmpty() || syncedMatch() == matchedIndex) {
+    if (append.entries().isEmpty() || syncedMatchIndex() == matchedIndex) {
       acknowledge();
     }
   }
@@ -66,29 +66,29 @@
     }
   }
 
-  /** Acknowledges what has been synced since the last reply. */
+  /** Acknowledges the entries synced since the last reply. */
   void synced() {
-    if (syncedMatch() > toldIndex) {
+    if (syncedMatchIndex() > acknowledgedIndex) {
       acknowledge();
     }
   }
 
-  private boolean joins(PeerMessage.Append append) {
+  private boolean matchesPrevious(PeerMessage.Append append) {
     if (append.previousIndex() <= matchedIndex) {
       return true;
     }
     return context.log.holds(append.previousIndex(), append.previousTerm());
   }
 
-  private void takeEntries(List<LogEntry> entries) {
-    int known = 0;
-    while (known < entries.size() && isHeld(entries.get(known))) {
-      known++;
+  private void appendMissing(List<LogEntry> entries) {
+    int heldCount = 0;
+    while (heldCount < entries.size() && isHeld(entries.get(heldCount))) {
+      heldCount++;
     }
-    if (known == entries.size()) {
+    if (heldCount == entries.size()) {
       return;
     }
-    List<LogEntry> added = entries.subList(known, entries.size());
+    List<LogEntry> added = entries.subList(heldCount, entries.size());
     truncateFrom(added.get(0).index());
     context.append(added);
   }
@@ -107,9 +107,9 @@
   }
 
   private void install(Snapshot snapshot) {
-    boolean keepsLog = context.log.holds(snapshot.index(), snapshot.term());
+    boolean logHasSnapshotEnd = context.log.holds(snapshot.index(), snapshot.term());
     context.log.install(snapshot);
-    if (keepsLog) {
+    if (logHasSnapshotEnd) {
       context.members.installed(snapshot);
     } else {
       context.members.restartedAt(snapshot);
@@ -118,34 +118,41 @@
     matchedIndex = Math.max(matchedIndex, snapshot.index());
   }
 
-  private long syncedMatch() {
+  private long syncedMatchIndex() {
     return Math.min(matchedIndex, context.log.syncedIndex());
   }
 
   private void acknowledge() {
-    toldIndex = syncedMatch();
+    acknowledgedIndex = syncedMatchIndex();
     context.outbox.send(
         leader,
         new PeerMessage.AppendReply(
-            context.ballot.term(), newestRound, true, toldIndex, toldIndex + 1));
+            context.ballot.term(), newestRound, true, acknowledgedIndex, acknowledgedIndex + 1));
   }
 
   private void reject(long previousIndex) {
     context.outbox.send(
         leader,
         new PeerMessage.AppendReply(
-            context.ballot.term(), newestRound, false, syncedMatch(), resumeIndex(previousIndex)));
+            context.ballot.term(),
+            newestRound,
+            false,
+            syncedMatchIndex(),
+            resumeIndex(previousIndex)));
   }
 
-  /** Returns where the leader should go on: behind the log's end, or before a term that differs. */
+  /**
+   * Returns the index from which the leader should resume: after the end of the log, or at the
+   * first entry of the conflicting term.
+   */
   private long resumeIndex(long previousIndex) {
     ReplicatedLog log = context.log;
     if (previousIndex > log.lastIndex()) {
       return log.lastIndex() + 1;
     }
-    OptionalLong differing = log.termAt(previousIndex);
+    OptionalLong conflictingTerm = log.termAt(previousIndex);
     long index = previousIndex;
-    while (index > matchedIndex + 1 && log.termAt(index - 1).equals(differing)) {
+    while (index > matchedIndex + 1 && log.termAt(index - 1).equals(conflictingTerm)) {
       index--;
     }
     return index;
--- a/core/src/main/java/org/teaseltrail/core/replication/GroupId.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/GroupId.java
@@ -3,13 +3,13 @@
 import org.teaseltrail.core.id.StringId;
 
 /**
- * Names a group of control members that share one log.
+ * Identifies a group of control members that share one log.
  *
  * @param value the text of the id
  */
 public record GroupId(String value) implements StringId {
 
-  /** Checks the text. */
+  /** Validates the text of the id. */
   public GroupId {
     StringId.checked(value, "group id");
   }
--- a/core/src/main/java/org/teaseltrail/core/replication/HandOver.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/HandOver.java
@@ -5,12 +5,12 @@
 import org.teaseltrail.core.id.MemberId;
 
 /**
- * Hands leadership over: waits until the successor holds the whole log, gives the lease up, and
- * tells the successor to stand.
+ * Leadership transfer: waits until the successor holds the complete log, releases the leader's
+ * lease and requests the successor to start an election.
  *
- * <p>Guards against two lease holders: the message to the successor may arrive late, so once it is
- * sent the lease never comes back in this term. If no successor is elected in time, the leader
- * steps down.
+ * <p>The request to the successor may be delivered late. Once it is sent, the lease therefore is
+ * never valid again in this term, which prevents two leaders with a valid lease. If no successor is
+ * elected in time, the leader steps down.
  */
 final class HandOver {
 
@@ -34,20 +34,20 @@
     return deadlineNs;
   }
 
-  /** Chooses a successor, or returns empty if there is none. */
+  /** Selects the most up-to-date eligible voter, or returns empty if there is none. */
   Optional<MemberId> choose(Optional<MemberId> wanted, Iterable<PeerProgress> peers) {
     Membership members = context.members.latest();
     Optional<PeerProgress> best = Optional.empty();
     for (PeerProgress peer : peers) {
-      boolean fits = members.isVoter(peer.id()) && wanted.map(peer.id()::equals).orElse(true);
-      if (fits && best.map(other -> isAhead(peer, other)).orElse(true)) {
+      boolean isEligible = members.isVoter(peer.id()) && wanted.map(peer.id()::equals).orElse(true);
+      if (isEligible && best.map(other -> isMoreUpToDate(peer, other)).orElse(true)) {
         best = Optional.of(peer);
       }
     }
     return best.map(PeerProgress::id);
   }
 
-  private static boolean isAhead(PeerProgress one, PeerProgress other) {
+  private static boolean isMoreUpToDate(PeerProgress one, PeerProgress other) {
     return Comparator.comparingLong(PeerProgress::matchIndex)
             .thenComparingLong(PeerProgress::answeredRound)
             .compare(one, other)
@@ -59,7 +59,10 @@
     deadlineNs = nowNs + context.settings.electionTimeoutMaxMs() * NANOS_PER_MS;
   }
 
-  /** Tells the successor to stand if it holds the whole log; said again until it does stand. */
+  /**
+   * Sends TimeoutNow to the successor if it holds the complete log; repeated until the successor
+   * starts its election.
+   */
   void advance(PeerProgress peer) {
     boolean ready =
         successor.map(peer.id()::equals).orElse(false)
@@ -71,9 +74,9 @@
   }
 
   /**
-   * Ends an attempt that took too long.
+   * Cancels a transfer that has timed out.
    *
-   * @return whether the leader must step down, its lease being given up
+   * @return whether the leader must step down because its lease is released
    */
   boolean expired(long nowNs) {
     if (successor.isEmpty() || nowNs < deadlineNs) {
--- a/core/src/main/java/org/teaseltrail/core/replication/InvalidReplicaSettingsException.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/InvalidReplicaSettingsException.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.core.replication;
 
-/** Tells that settings of replication don't fit one another. */
+/** Thrown if the replication settings are inconsistent. */
 public final class InvalidReplicaSettingsException extends IllegalArgumentException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure with what is needed. */
+  /** Creates an exception for a requirement that isn't met. */
   public InvalidReplicaSettingsException(String need) {
     super("replica settings: " + need);
   }
--- a/core/src/main/java/org/teaseltrail/core/replication/LeaderLease.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LeaderLease.java
@@ -10,19 +10,19 @@
 import org.teaseltrail.core.id.MemberId;
 
 /**
- * Knows since when a quorum has answered a leader. The lease counts from the sending of the newest
- * round that a quorum has answered, see {@link VoteGuard}.
+ * Tracks the leader's lease. The lease starts when the leader sends a heartbeat round and is
+ * granted by a quorum's replies to that round; see {@link VoteGuard}.
  */
 final class LeaderLease {
 
-  private static final int KEPT_LEASES = 10;
+  private static final int RETAINED_LEASE_PERIODS = 10;
 
   private final ReplicaContext context;
   private final long electedNs;
   private final TreeMap<Long, Long> sentNsByRound = new TreeMap<>();
-  private final Map<MemberId, Long> answeredSentNs = new HashMap<>();
+  private final Map<MemberId, Long> repliedSendNsByMember = new HashMap<>();
   private long newestRound;
-  private boolean givenUp;
+  private boolean released;
 
   LeaderLease(ReplicaContext context, long electedNs) {
     this.context = context;
@@ -33,63 +33,69 @@
     return newestRound;
   }
 
-  /** Begins a round; what is sent from now on carries its number. */
+  /** Starts a heartbeat round; messages sent from now on carry its number. */
   long beginRound(long nowNs) {
     newestRound++;
     sentNsByRound.put(newestRound, nowNs);
-    long forgottenNs = nowNs - KEPT_LEASES * context.settings.leaseNs();
-    while (sentNsByRound.firstEntry().getValue() < forgottenNs) {
+    long retainedSinceNs = nowNs - RETAINED_LEASE_PERIODS * context.settings.leaseNs();
+    while (sentNsByRound.firstEntry().getValue() < retainedSinceNs) {
       sentNsByRound.pollFirstEntry();
     }
     return newestRound;
   }
 
   void answered(MemberId from, long round) {
-    Long sentNs = sentNsByRound.get(round);
-    if (sentNs != null) {
-      answeredSentNs.merge(from, sentNs, Math::max);
+    Long sendNs = sentNsByRound.get(round);
+    if (sendNs != null) {
+      repliedSendNsByMember.merge(from, sendNs, Math::max);
     }
   }
 
   OptionalLong answeredNs(MemberId member) {
-    Long sentNs = answeredSentNs.get(member);
-    return sentNs == null ? OptionalLong.empty() : OptionalLong.of(sentNs);
+    Long sendNs = repliedSendNsByMember.get(member);
+    return sendNs == null ? OptionalLong.empty() : OptionalLong.of(sendNs);
   }
 
   boolean hasAnsweredSince(MemberId member, long sinceNs) {
-    return answeredSentNs.containsKey(member) && answeredSentNs.get(member) >= sinceNs;
+    return repliedSendNsByMember.containsKey(member)
+        && repliedSendNsByMember.get(member) >= sinceNs;
   }
 
-  /** Gives the lease up for the rest of the term, so that a successor need not wait it out. */
+  /**
+   * Releases the lease for the rest of the term, so that a successor needn't wait for its expiry.
+   */
   void giveUp() {
-    givenUp = true;
+    released = true;
   }
 
   boolean isGivenUp() {
-    return givenUp;
+    return released;
   }
 
   boolean holds(long nowNs) {
-    if (givenUp) {
+    if (released) {
       return false;
     }
-    long quorumNs = quorumAnsweredNs(Long.MIN_VALUE, nowNs);
+    long quorumNs = quorumRepliedSendNs(Long.MIN_VALUE, nowNs);
     return quorumNs != Long.MIN_VALUE && nowNs - quorumNs < context.settings.leaderLeaseNs();
   }
 
-  /** Returns since when no quorum has been heard, counted from the election at the earliest. */
+  /**
+   * Returns when the last message was sent to which a quorum has replied, or the time of the
+   * election if that is later.
+   */
   long quorumHeardNs(long nowNs) {
-    return quorumAnsweredNs(electedNs, nowNs);
+    return quorumRepliedSendNs(electedNs, nowNs);
   }
 
-  private long quorumAnsweredNs(long unansweredNs, long nowNs) {
+  private long quorumRepliedSendNs(long noReplyNs, long nowNs) {
     Membership members = context.members.latest();
-    List<Long> sentNs = new ArrayList<>();
+    List<Long> sendNs = new ArrayList<>();
     for (Member voter : members.voters()) {
       boolean isSelf = voter.id().equals(context.self);
-      sentNs.add(isSelf ? nowNs : answeredSentNs.getOrDefault(voter.id(), unansweredNs));
+      sendNs.add(isSelf ? nowNs : repliedSendNsByMember.getOrDefault(voter.id(), noReplyNs));
     }
-    sentNs.sort(Collections.reverseOrder());
-    return sentNs.get(members.quorumCount() - 1);
+    sendNs.sort(Collections.reverseOrder());
+    return sendNs.get(members.quorumCount() - 1);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/LeaderRole.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LeaderRole.java
@@ -11,19 +11,22 @@
 import java.util.function.ToLongFunction;
 import org.teaseltrail.core.id.MemberId;
 
-/** Leads for one term: appends, ships, commits, and knows when it must stop. */
+/**
+ * Leader role for one term: appends entries to the log, replicates and commits them, and detects
+ * when it must step down.
+ */
 final class LeaderRole {
 
   private static final long NANOS_PER_MS = 1_000_000L;
 
   private final ReplicaContext context;
   private final LeaderLease lease;
-  private final LogShipping shipping;
+  private final LogShipping replicator;
   private final ReadBarriers reads;
   private final HandOver handOver;
-  private final MembershipRules rules;
+  private final MembershipRules changeValidator;
   private final Map<MemberId, PeerProgress> peers = new LinkedHashMap<>();
-  private final long firstOwnIndex;
+  private final long firstIndexOfTerm;
   private long uncommittedBytes;
   private long nextHeartbeatNs;
   private boolean ready;
@@ -31,17 +34,17 @@
   LeaderRole(ReplicaContext context, long nowNs) {
     this.context = context;
     this.lease = new LeaderLease(context, nowNs);
-    this.shipping = new LogShipping(context, lease);
+    this.replicator = new LogShipping(context, lease);
     this.reads = new ReadBarriers(context.outbox);
     this.handOver = new HandOver(context, lease);
-    this.rules = new MembershipRules(context);
-    this.firstOwnIndex = context.log.lastIndex() + 1;
-    updatePeers(firstOwnIndex);
+    this.changeValidator = new MembershipRules(context);
+    this.firstIndexOfTerm = context.log.lastIndex() + 1;
+    updatePeers(firstIndexOfTerm);
     append(new EntryPayload.Noop());
     heartbeat(nowNs);
   }
 
-  /** Tells whether all that was committed before this term is applied here. */
+  /** Returns whether all entries committed in earlier terms are applied on this member. */
   boolean isReady() {
     return ready;
   }
@@ -65,14 +68,17 @@
     if (refusal.isEmpty() && uncommittedBytes > context.settings.maxUncommittedBytes()) {
       refusal = Optional.of(ProposalRejection.TOO_MUCH_UNCOMMITTED);
     }
-    answerProposal(proposalId, refusal, () -> new EntryPayload.CommandPayload(command), nowNs);
+    appendOrReject(proposalId, refusal, () -> new EntryPayload.CommandPayload(command), nowNs);
   }
 
   void proposeMembership(long proposalId, MembershipChange change, long nowNs) {
     Optional<ProposalRejection> refusal =
-        refusal().or(() -> rules.refusal(change, progressOf(change), nowNs));
-    answerProposal(
-        proposalId, refusal, () -> new EntryPayload.MembershipPayload(rules.apply(change)), nowNs);
+        refusal().or(() -> changeValidator.refusal(change, progressOf(change), nowNs));
+    appendOrReject(
+        proposalId,
+        refusal,
+        () -> new EntryPayload.MembershipPayload(changeValidator.apply(change)),
+        nowNs);
   }
 
   void transfer(ReplicaEvent.TransferLeadership request, long nowNs) {
@@ -96,7 +102,7 @@
       return;
     }
     reads.add(barrierId);
-    beginReadRound(nowNs);
+    startReadRoundIfNeeded(nowNs);
   }
 
   void appendReply(MemberId from, PeerMessage.AppendReply reply, long nowNs) {
@@ -104,32 +110,32 @@
     if (peer == null) {
       return;
     }
-    answered(peer, reply.round(), nowNs);
+    onPeerReply(peer, reply.round(), nowNs);
     if (reply.matched()) {
       peer.matched(reply.matchIndex());
       advanceCommit();
       handOver.advance(peer);
     } else if (peer.rejected(reply.nextIndex())) {
-      shipping.heartbeat(peer, nowNs);
+      replicator.heartbeat(peer, nowNs);
     }
-    shipping.ship(peer, nowNs);
+    replicator.ship(peer, nowNs);
   }
 
   void snapshotReply(MemberId from, PeerMessage.InstallSnapshotReply reply, long nowNs) {
     PeerProgress peer = peers.get(from);
     if (peer != null) {
-      answered(peer, reply.round(), nowNs);
-      shipping.snapshotReply(peer, reply, nowNs);
+      onPeerReply(peer, reply.round(), nowNs);
+      replicator.snapshotReply(peer, reply, nowNs);
     }
   }
 
-  /** Counts this member's own syncs. */
+  /** Advances the commit index after a sync of this member's own log. */
   void synced() {
     advanceCommit();
   }
 
   /**
-   * Sends what is due.
+   * Sends a heartbeat if one is due.
    *
    * @return whether this member must step down
    */
@@ -144,11 +150,13 @@
   }
 
   /**
-   * Returns up to where the log may go for all that members need that answer.
+   * Returns the index after which entries must be retained for the members that have replied
+   * recently.
    *
-   * <p>Failure: while a large snapshot is on its way to a member, a newer one is taken and the log
-   * behind the first dropped; the member gets snapshot after snapshot and never catches up. The
-   * guard: the log stays from where each answering member goes on.
+   * <p>Without this bound, a newer snapshot could be taken, and the log after the previous one
+   * dropped, while a large snapshot is still being sent to a member. That member would receive one
+   * snapshot after another and never catch up. The log is therefore retained from the point at
+   * which each responsive member continues.
    */
   long neededAfterIndex(long nowNs) {
     return peers.values().stream()
@@ -158,14 +166,15 @@
         .orElse(Long.MAX_VALUE);
   }
 
-  /** Ends the leadership. */
+  /** Ends this leader role and rejects its pending reads. */
   void end() {
     reads.rejectAll();
   }
 
   /**
-   * Tells whether no quorum has been heard for so long that others may lead by now. The lease is
-   * over by then; stepping down lets voters that still hear this member elect another.
+   * Returns whether no quorum has replied for so long that another member may be leader. The lease
+   * has expired by then; stepping down allows voters that still receive this member's heartbeats to
+   * elect another leader.
    */
   private boolean hasLostQuorum(long nowNs) {
     long limitNs = context.settings.electionTimeoutMinMs() * NANOS_PER_MS;
@@ -189,7 +198,7 @@
         : Optional.empty();
   }
 
-  private void answerProposal(
+  private void appendOrReject(
       long proposalId,
       Optional<ProposalRejection> refusal,
       Supplier<EntryPayload> payload,
@@ -202,7 +211,7 @@
     context.outbox.add(
         new ReplicaAction.ProposalAppended(
             proposalId, context.log.lastIndex(), context.ballot.term()));
-    peers.values().forEach(peer -> shipping.ship(peer, nowNs));
+    peers.values().forEach(peer -> replicator.ship(peer, nowNs));
   }
 
   private void append(EntryPayload payload) {
@@ -227,48 +236,49 @@
   /**
    * Sends a heartbeat to each member.
    *
-   * <p>A leader that was restarted doesn't know what is committed, only that it lies before its own
-   * first entry; asking for less would take an empty learner for one that has caught up.
+   * <p>A restarted leader doesn't know the commit index, only that it is below the first entry of
+   * its own term. The catch-up target is therefore at least that entry; with a lower target an
+   * empty learner would count as caught up.
    */
   private void heartbeat(long nowNs) {
     nextHeartbeatNs = nowNs + context.settings.heartbeatNs();
     reads.roundBegun(lease.beginRound(nowNs));
-    long committedIndex = Math.max(context.commits.commitIndex(), firstOwnIndex);
+    long targetIndex = Math.max(context.commits.commitIndex(), firstIndexOfTerm);
     for (PeerProgress peer : peers.values()) {
-      peer.asked(committedIndex, nowNs, context.settings.catchUpNs());
-      shipping.heartbeat(peer, nowNs);
+      peer.asked(targetIndex, nowNs, context.settings.catchUpNs());
+      replicator.heartbeat(peer, nowNs);
       handOver.advance(peer);
     }
-    readsMaybeConfirmed();
+    confirmReads();
   }
 
-  private void beginReadRound(long nowNs) {
+  private void startReadRoundIfNeeded(long nowNs) {
     if (reads.wantsRound()) {
       heartbeat(nowNs);
     }
   }
 
-  private void answered(PeerProgress peer, long round, long nowNs) {
+  private void onPeerReply(PeerProgress peer, long round, long nowNs) {
     peer.answered(round);
     lease.answered(peer.id(), round);
-    readsMaybeConfirmed();
-    beginReadRound(nowNs);
+    confirmReads();
+    startReadRoundIfNeeded(nowNs);
   }
 
-  private void readsMaybeConfirmed() {
-    reads.quorumAnswered(quorumValue(lease.newestRound(), PeerProgress::answeredRound));
+  private void confirmReads() {
+    reads.quorumAnswered(quorumReached(lease.newestRound(), PeerProgress::answeredRound));
   }
 
   private void advanceCommit() {
-    long synced = quorumValue(context.log.syncedIndex(), PeerProgress::matchIndex);
+    long synced = quorumReached(context.log.syncedIndex(), PeerProgress::matchIndex);
     if (synced <= context.commits.commitIndex()
         || !context.log.holds(synced, context.ballot.term())) {
       return;
     }
-    long committedBefore = context.commits.commitIndex();
+    long previousCommitIndex = context.commits.commitIndex();
     context.commits.advanceTo(synced);
-    uncommittedBytes -= bytesOf(Math.max(committedBefore + 1, firstOwnIndex), synced);
-    if (!ready && synced >= firstOwnIndex) {
+    uncommittedBytes -= bytesOf(Math.max(previousCommitIndex + 1, firstIndexOfTerm), synced);
+    if (!ready && synced >= firstIndexOfTerm) {
       ready = true;
       context.outbox.add(new ReplicaAction.BecameLeader(context.ballot.term()));
     }
@@ -280,13 +290,13 @@
         .sum();
   }
 
-  /** Returns the greatest value that a quorum of voters has reached. */
-  private long quorumValue(long own, ToLongFunction<PeerProgress> ofPeer) {
+  /** Returns the highest value that a quorum of voters has reached. */
+  private long quorumReached(long ownValue, ToLongFunction<PeerProgress> peerValue) {
     Membership members = context.members.latest();
     List<Long> values = new ArrayList<>();
     for (Member voter : members.voters()) {
       boolean isSelf = voter.id().equals(context.self);
-      values.add(isSelf ? own : ofPeer.applyAsLong(peers.get(voter.id())));
+      values.add(isSelf ? ownValue : peerValue.applyAsLong(peers.get(voter.id())));
     }
     values.sort(Collections.reverseOrder());
     return values.get(members.quorumCount() - 1);
--- a/core/src/main/java/org/teaseltrail/core/replication/LogEntry.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LogEntry.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.replication;
 
 /**
- * Is an entry of the replicated log; index and term name its content for good.
+ * Entry of the replicated log. Index and term together identify its content uniquely.
  *
  * @param index position in the log, from 1
  * @param term term of the leader that appended it
--- a/core/src/main/java/org/teaseltrail/core/replication/LogShipping.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LogShipping.java
@@ -5,12 +5,13 @@
 import java.util.OptionalLong;
 
 /**
- * Sends a leader's heartbeats, entries and snapshots. Entries go out without waiting for answers,
- * up to a window that a slow member fills; what collects meanwhile goes out in one batch.
+ * Sends the leader's heartbeats, entries and snapshots to the other members. Entries are pipelined
+ * up to a window of unacknowledged messages. While the window of a slow member is full, new entries
+ * accumulate and are then sent in one batch.
  */
 final class LogShipping {
 
-  private static final int RESEND_HEARTBEATS = 4;
+  private static final int CHUNK_RESEND_HEARTBEATS = 4;
 
   private final ReplicaContext context;
   private final LeaderLease lease;
@@ -20,11 +21,11 @@
     this.lease = lease;
   }
 
-  /** Sends a heartbeat, and again what may have got lost. */
+  /** Sends a heartbeat and resends a snapshot chunk that may have been lost. */
   void heartbeat(PeerProgress peer, long nowNs) {
     if (peer.mode() == PeerProgress.Mode.SNAPSHOT) {
       sendAppend(peer, 0, 0, List.of());
-      resendPart(peer, nowNs);
+      resendChunkIfDue(peer, nowNs);
       return;
     }
     OptionalLong previousTerm = context.log.termAt(peer.nextIndex() - 1);
@@ -35,9 +36,9 @@
     sendAppend(peer, peer.nextIndex() - 1, previousTerm.getAsLong(), List.of());
   }
 
-  /** Sends entries as far as the window allows. */
+  /** Sends entries up to the window limit. */
   void ship(PeerProgress peer, long nowNs) {
-    while (mayStream(peer)) {
+    while (canSendEntries(peer)) {
       OptionalLong previousTerm = context.log.termAt(peer.nextIndex() - 1);
       if (previousTerm.isEmpty()) {
         startSnapshot(peer, nowNs);
@@ -53,7 +54,7 @@
     }
   }
 
-  /** Goes on with a snapshot where the member says. */
+  /** Continues a snapshot at the offset that the member expects next. */
   void snapshotReply(PeerProgress peer, PeerMessage.InstallSnapshotReply reply, long nowNs) {
     if (!peer.isSending(reply.snapshotIndex())) {
       return;
@@ -62,11 +63,11 @@
     peer.snapshotAnswered(reply.nextOffsetBytes());
     boolean complete = peer.snapshotOffsetBytes() == peer.snapshot().state().length;
     if (peer.snapshotOffsetBytes() != before && !complete) {
-      sendPart(peer, nowNs);
+      sendChunk(peer, nowNs);
     }
   }
 
-  private boolean mayStream(PeerProgress peer) {
+  private boolean canSendEntries(PeerProgress peer) {
     return peer.mode() == PeerProgress.Mode.STREAM
         && peer.nextIndex() <= context.log.lastIndex()
         && peer.inflightMessages() < context.settings.maxInflightMessages();
@@ -87,17 +88,17 @@
 
   private void startSnapshot(PeerProgress peer, long nowNs) {
     peer.startSnapshot(context.log.snapshot().orElseThrow(), nowNs);
-    sendPart(peer, nowNs);
+    sendChunk(peer, nowNs);
   }
 
-  private void resendPart(PeerProgress peer, long nowNs) {
-    long waitNs = RESEND_HEARTBEATS * context.settings.heartbeatNs();
+  private void resendChunkIfDue(PeerProgress peer, long nowNs) {
+    long waitNs = CHUNK_RESEND_HEARTBEATS * context.settings.heartbeatNs();
     if (nowNs - peer.snapshotSentNs() >= waitNs) {
-      sendPart(peer, nowNs);
+      sendChunk(peer, nowNs);
     }
   }
 
-  private void sendPart(PeerProgress peer, long nowNs) {
+  private void sendChunk(PeerProgress peer, long nowNs) {
     Snapshot snapshot = peer.snapshot();
     byte[] state = snapshot.state();
     int from = peer.snapshotOffsetBytes();
--- a/core/src/main/java/org/teaseltrail/core/replication/Member.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Member.java
@@ -4,9 +4,9 @@
 import org.teaseltrail.core.id.VmId;
 
 /**
- * Is a control member and the VM whose disk holds its state.
+ * Control member and the VM whose disk stores its state.
  *
- * @param id the member; an empty disk is always a new member
- * @param vm the VM, whose address the processes' settings tell
+ * @param id the member's id; a member that starts with an empty disk is always a new member
+ * @param vm the VM; its address is configured in the settings of the processes
  */
 public record Member(MemberId id, VmId vm) {}
--- a/core/src/main/java/org/teaseltrail/core/replication/Membership.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Membership.java
@@ -7,10 +7,10 @@
 import org.teaseltrail.core.id.MemberId;
 
 /**
- * Is the member set of a group: voters decide, learners only follow.
+ * Member set of a Raft group: voters form quorums, learners only replicate the log.
  *
- * @param voters the members whose syncs and votes count
- * @param learners the members that catch up and don't count
+ * @param voters members that count towards quorums for commits and elections
+ * @param learners members that receive the log without counting towards quorums
  */
 public record Membership(List<Member> voters, List<Member> learners) {
 
@@ -21,7 +21,7 @@
   }
 
   /**
-   * Returns the member set of a member that has heard of no group yet.
+   * Returns the member set of a member that hasn't yet received the log of a group.
    *
    * @return the empty set
    */
@@ -40,7 +40,7 @@
   }
 
   /**
-   * Tells whether a member votes.
+   * Returns whether a member is a voter.
    *
    * @param id the member
    * @return true for voters
@@ -50,7 +50,7 @@
   }
 
   /**
-   * Tells whether a member only follows.
+   * Returns whether a member is a learner.
    *
    * @param id the member
    * @return true for learners
@@ -60,7 +60,7 @@
   }
 
   /**
-   * Tells whether a member belongs to the group.
+   * Returns whether a member belongs to the group.
    *
    * @param id the member
    * @return true for voters and learners
@@ -89,7 +89,7 @@
   }
 
   /**
-   * Returns how many voters make a quorum.
+   * Returns the number of voters in a quorum.
    *
    * @return more than half of the voters
    */
@@ -98,7 +98,7 @@
   }
 
   /**
-   * Returns the set with one more learner.
+   * Returns the member set with an additional learner.
    *
    * @param learner the new member
    * @return the changed set
@@ -110,7 +110,7 @@
   }
 
   /**
-   * Returns the set in which a learner votes.
+   * Returns the member set with a learner promoted to voter.
    *
    * @param learner the member
    * @return the changed set
--- a/core/src/main/java/org/teaseltrail/core/replication/MembershipHistory.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/MembershipHistory.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Knows the member set at each index of the log. A member set counts as soon as its entry is in the
- * log, committed or not, and no longer when the entry is cut off.
+ * Records the member set at each index of the log. A member set is in effect as soon as its entry
+ * is in the log, whether committed or not, until the entry is truncated.
  */
 final class MembershipHistory {
 
@@ -16,9 +16,9 @@
 
   MembershipHistory(Outbox outbox, RecoveredState recovered) {
     this.outbox = outbox;
-    long coveredIndex = recovered.snapshot().map(Snapshot::index).orElse(0L);
-    Membership first = recovered.snapshot().map(Snapshot::membership).orElse(Membership.empty());
-    steps.add(new Step(coveredIndex, first));
+    long snapshotIndex = recovered.snapshot().map(Snapshot::index).orElse(0L);
+    Membership initial = recovered.snapshot().map(Snapshot::membership).orElse(Membership.empty());
+    steps.add(new Step(snapshotIndex, initial));
     recovered.entries().forEach(this::addStep);
   }
 
@@ -41,13 +41,13 @@
   void appended(List<LogEntry> entries) {
     long before = latestIndex();
     entries.forEach(this::addStep);
-    announceIfNot(before);
+    publishUnlessLatestIs(before);
   }
 
   void truncatedFrom(long index) {
     long before = latestIndex();
     steps.removeIf(step -> step.index() >= index && step.index() > 0);
-    announceIfNot(before);
+    publishUnlessLatestIs(before);
   }
 
   void installed(Snapshot snapshot) {
@@ -56,13 +56,16 @@
     outbox.add(new ReplicaAction.MembershipChanged(latest()));
   }
 
-  /** Forgets what came after a snapshot's end; used when the log starts anew at it. */
+  /**
+   * Discards all member sets and starts again with the one of a snapshot; used when the log
+   * restarts at the snapshot.
+   */
   void restartedAt(Snapshot snapshot) {
     steps.clear();
     installed(snapshot);
   }
 
-  private void announceIfNot(long index) {
+  private void publishUnlessLatestIs(long index) {
     if (latestIndex() != index) {
       outbox.add(new ReplicaAction.MembershipChanged(latest()));
     }
--- a/core/src/main/java/org/teaseltrail/core/replication/MembershipRules.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/MembershipRules.java
@@ -3,17 +3,20 @@
 import java.util.Optional;
 
 /**
- * Decides which member change may follow.
+ * Validates membership changes.
  *
- * <p>Guards against two quorums without a common voter: one step at a time, each committed before
- * the next, and none before the leader has committed an entry of its own term, as a change of an
- * older leader might otherwise still come back.
+ * <p>Changes are made one at a time, each committed before the next. The leader must first have
+ * committed an entry of its own term, because an uncommitted change of an earlier leader might
+ * otherwise reappear. Both rules prevent two quorums without a common voter.
  *
- * <p>A learner votes only once it held, synced, all that was committed a short time before: else
- * the group would wait for it with every command, and elect nobody if another member fails. That
- * the loss of a second member right after a repair loses nothing rests on the order of steps: while
- * the lost voter still counts, a quorum of four needs the three others, so that all that is
- * committed before the lost one is out is on each of them.
+ * <p>A learner is promoted only after it has synced all entries that were committed a short time
+ * before. Otherwise every command would wait for it, and no leader could be elected if another
+ * member fails.
+ *
+ * <p>The order of the steps also protects against the loss of a second member right after the
+ * replacement of a first. As long as the lost voter is still in the member set, a quorum of four
+ * needs the three other voters, so each of them holds everything that was committed before the lost
+ * voter is removed.
  */
 final class MembershipRules {
 
@@ -23,7 +26,7 @@
     this.context = context;
   }
 
-  /** Returns why a change may not follow now, or empty if it may. */
+  /** Returns why a change is rejected, or empty if it may be proposed now. */
   Optional<ProposalRejection> refusal(
       MembershipChange change, Optional<PeerProgress> progress, long nowNs) {
     if (context.members.latestIndex() > context.commits.commitIndex()) {
@@ -37,13 +40,13 @@
     }
     if (change instanceof MembershipChange.PromoteLearner promote) {
       return members.isLearner(promote.id())
-          ? refusalOfPromotion(progress, nowNs)
+          ? validatePromotion(progress, nowNs)
           : Optional.of(ProposalRejection.UNKNOWN_MEMBER);
     }
-    return refusalOfRemoval((MembershipChange.RemoveMember) change, members);
+    return validateRemoval((MembershipChange.RemoveMember) change, members);
   }
 
-  /** Returns the member set after a change. */
+  /** Returns the member set that results from a change. */
   Membership apply(MembershipChange change) {
     Membership members = context.members.latest();
     if (change instanceof MembershipChange.AddLearner add) {
@@ -55,19 +58,19 @@
     return members.without(((MembershipChange.RemoveMember) change).id());
   }
 
-  private Optional<ProposalRejection> refusalOfPromotion(
+  private Optional<ProposalRejection> validatePromotion(
       Optional<PeerProgress> progress, long nowNs) {
     long patienceNs = context.settings.catchUpNs();
     boolean caughtUp = progress.map(learner -> learner.isCaughtUp(nowNs, patienceNs)).orElse(false);
     return caughtUp ? Optional.empty() : Optional.of(ProposalRejection.LEARNER_NOT_CAUGHT_UP);
   }
 
-  private static Optional<ProposalRejection> refusalOfRemoval(
+  private static Optional<ProposalRejection> validateRemoval(
       MembershipChange.RemoveMember remove, Membership members) {
     if (!members.contains(remove.id())) {
       return Optional.of(ProposalRejection.UNKNOWN_MEMBER);
     }
-    boolean last = members.isVoter(remove.id()) && members.voters().size() == 1;
-    return last ? Optional.of(ProposalRejection.LAST_VOTER) : Optional.empty();
+    boolean isLastVoter = members.isVoter(remove.id()) && members.voters().size() == 1;
+    return isLastVoter ? Optional.of(ProposalRejection.LAST_VOTER) : Optional.empty();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/Outbox.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Outbox.java
@@ -5,7 +5,7 @@
 import java.util.function.LongFunction;
 import org.teaseltrail.core.id.MemberId;
 
-/** Collects the actions of one event and numbers the writes. */
+/** Collects the actions that result from one event and assigns numbers to the writes. */
 final class Outbox {
 
   private final GroupId group;
@@ -26,7 +26,7 @@
     actions.add(new ReplicaAction.SendPeer(new PeerEnvelope(group, self, to, message)));
   }
 
-  /** Adds a write under the next number and returns the number. */
+  /** Adds a write with the next number and returns that number. */
   long write(LongFunction<ReplicaAction.Write> numbered) {
     newestWriteNumber++;
     actions.add(numbered.apply(newestWriteNumber));
--- a/core/src/main/java/org/teaseltrail/core/replication/PeerEnvelope.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/PeerEnvelope.java
@@ -3,8 +3,8 @@
 import org.teaseltrail.core.id.MemberId;
 
 /**
- * Carries a message between two members of one group. A member drops what names another group or
- * another receiver: after a lost disk the VM is the same, yet the member is not.
+ * Message between two members of a group with its addresses. A member drops messages for another
+ * group or another receiver: after a disk loss the same VM runs a new member.
  *
  * @param group the group
  * @param from the sender
--- a/core/src/main/java/org/teaseltrail/core/replication/PeerMessage.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/PeerMessage.java
@@ -2,62 +2,65 @@
 
 import java.util.List;
 
-/** Is a message between control members. */
+/** Message between control members. */
 public sealed interface PeerMessage {
 
   /**
-   * Returns the sender's term (of a pre-vote request: the term it would stand in).
+   * Returns the sender's term; for a pre-vote request, the term in which it would start an
+   * election.
    *
    * @return the term
    */
   long term();
 
   /**
-   * Asks whether an election would have a chance; changes nothing at the receiver.
+   * Pre-vote request: asks whether the receiver would vote for the sender, without changing the
+   * receiver's state.
    *
-   * @param term the term the sender would stand in
+   * @param term the term in which the sender would start an election
    * @param lastIndex index of the sender's last entry
    * @param lastTerm term of that entry
    */
   record PreVoteRequest(long term, long lastIndex, long lastTerm) implements PeerMessage {}
 
   /**
-   * Answers a pre-vote request.
+   * Reply to a pre-vote request.
    *
    * @param term the receiver's own term
-   * @param candidateTerm the term asked for
+   * @param candidateTerm the term of the request
    * @param granted whether it would vote for the sender
    */
   record PreVoteReply(long term, long candidateTerm, boolean granted) implements PeerMessage {}
 
   /**
-   * Asks for a vote.
+   * Vote request of a candidate.
    *
-   * @param term the term the sender stands in
+   * @param term the term of the election
    * @param lastIndex index of the sender's last entry
    * @param lastTerm term of that entry
-   * @param handOver whether the leader of the term before has given its lease up for this election
+   * @param handOver whether the previous leader has released its lease for this election
+   *     (leadership transfer)
    */
   record VoteRequest(long term, long lastIndex, long lastTerm, boolean handOver)
       implements PeerMessage {}
 
   /**
-   * Answers a vote request; a granted vote is synced.
+   * Reply to a vote request; a granted vote is synced before it is sent.
    *
    * @param term the receiver's term
-   * @param granted whether the sender has its vote in this term
+   * @param granted whether the receiver votes for the sender in this term
    */
   record VoteReply(long term, boolean granted) implements PeerMessage {}
 
   /**
-   * Sends entries; without entries, a heartbeat.
+   * Log entries from the leader; a heartbeat if there are no entries.
    *
    * @param term the leader's term
-   * @param previousIndex index of the entry before the first one sent
+   * @param previousIndex index of the entry that precedes the first one sent
    * @param previousTerm term of that entry
-   * @param entries entries that follow
+   * @param entries entries that follow the previous entry
    * @param commitIndex the leader's commit index
-   * @param round the leader's count of lease rounds, echoed in the reply
+   * @param round number of the leader's heartbeat round, echoed in the reply
    */
   record Append(
       long term,
@@ -75,28 +78,28 @@
   }
 
   /**
-   * Answers an append.
+   * Reply to an append.
    *
    * @param term the follower's term
-   * @param round the newest round heard from this leader
-   * @param matched whether the previous entry was there
-   * @param matchIndex up to here the follower's log is the leader's, synced
-   * @param nextIndex if not matched, the index to go on from
+   * @param round the latest heartbeat round received from this leader
+   * @param matched whether the follower's log has the previous entry
+   * @param matchIndex index up to which the follower's log matches the leader's and is synced
+   * @param nextIndex if not matched, the index from which the leader should resume
    */
   record AppendReply(long term, long round, boolean matched, long matchIndex, long nextIndex)
       implements PeerMessage {}
 
   /**
-   * Sends a part of a snapshot to a member that is behind the start of the leader's log.
+   * Chunk of a snapshot for a member that needs entries which the leader has already compacted.
    *
    * @param term the leader's term
-   * @param round the leader's count of lease rounds, echoed in the reply
+   * @param round number of the leader's heartbeat round, echoed in the reply
    * @param snapshotIndex index of the last entry covered
    * @param snapshotTerm term of that entry
    * @param membership member set at that entry
-   * @param offsetBytes where the part begins in the state
-   * @param totalBytes size of the whole state
-   * @param part the part's bytes
+   * @param offsetBytes offset of the chunk in the state
+   * @param totalBytes size of the complete state
+   * @param part the bytes of the chunk
    */
   record InstallSnapshot(
       long term,
@@ -110,20 +113,21 @@
       implements PeerMessage {}
 
   /**
-   * Answers a part of a snapshot. That the whole is synced is told by an {@link AppendReply}.
+   * Reply to a snapshot chunk. The sync of the complete snapshot is acknowledged by an {@link
+   * AppendReply}.
    *
    * @param term the follower's term
-   * @param round the newest round heard from this leader
-   * @param snapshotIndex which snapshot
-   * @param nextOffsetBytes which byte it expects next
+   * @param round the latest heartbeat round received from this leader
+   * @param snapshotIndex index of the snapshot
+   * @param nextOffsetBytes offset of the next byte expected
    */
   record InstallSnapshotReply(long term, long round, long snapshotIndex, int nextOffsetBytes)
       implements PeerMessage {}
 
   /**
-   * Tells a voter that holds the whole log to stand for election at once.
+   * Request to a voter that holds the complete log to start an election immediately.
    *
-   * @param term the leader's term, whose lease it has given up
+   * @param term the leader's term; the leader has released its lease
    */
   record TimeoutNow(long term) implements PeerMessage {}
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/PeerProgress.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/PeerProgress.java
@@ -4,16 +4,16 @@
 import java.util.Deque;
 import org.teaseltrail.core.id.MemberId;
 
-/** Is what a leader knows of how far one other member has come. */
+/** Leader's view of the replication progress of one other member. */
 final class PeerProgress {
 
-  /** Says what is sent to the member. */
+  /** What the leader sends to the member. */
   enum Mode {
-    /** Only empty appends, until one has shown where the logs join. */
+    /** Only empty appends, until a reply shows where the two logs match. */
     PROBE,
-    /** Entries, without waiting for each answer. */
+    /** Pipelined entries, without waiting for each reply. */
     STREAM,
-    /** Parts of a snapshot, one at a time. */
+    /** Chunks of a snapshot, one at a time. */
     SNAPSHOT
   }
 
@@ -57,17 +57,17 @@
     answeredRound = Math.max(answeredRound, round);
   }
 
-  /** Notes what is committed at the time of a heartbeat. */
+  /** Sets the commit index at the time of a heartbeat as the catch-up target. */
   void asked(long commitIndex, long nowNs, long patienceNs) {
     catchUp = catchUp.asked(commitIndex, nowNs, patienceNs);
   }
 
-  /** Tells whether the member held, synced, all that was committed a short time ago. */
+  /** Returns whether the member had recently synced all entries committed at the time. */
   boolean isCaughtUp(long nowNs, long patienceNs) {
     return catchUp.isRecent(nowNs, patienceNs);
   }
 
-  /** Returns up to where the log isn't needed to serve this member. */
+  /** Returns the index after which the log must be retained for this member. */
   long servedIndex() {
     return mode == Mode.SNAPSHOT ? snapshot.index() : matchIndex;
   }
@@ -76,13 +76,13 @@
     return inflightLastIndexes.size();
   }
 
-  /** Notes that entries up to an index are on their way. */
+  /** Records that entries up to an index are in flight. */
   void sent(long lastIndex) {
     inflightLastIndexes.addLast(lastIndex);
     nextIndex = lastIndex + 1;
   }
 
-  /** Takes an answer by which the logs join. */
+  /** Handles a reply that confirms a match of the logs. */
   void matched(long syncedIndex) {
     matchIndex = Math.max(matchIndex, syncedIndex);
     catchUp = catchUp.holds(matchIndex);
@@ -92,18 +92,18 @@
     }
     boolean installed = mode == Mode.SNAPSHOT && matchIndex >= snapshot.index();
     if (installed || mode == Mode.PROBE) {
-      startStream();
+      startReplicating();
     }
   }
 
   /**
-   * Takes an answer by which the logs don't join.
+   * Handles a reply that rejects the previous entry.
    *
-   * @return whether it tells anything new
+   * @return whether the rejection isn't stale
    */
   boolean rejected(long resumeIndex) {
-    boolean old = resumeIndex >= nextIndex || mode == Mode.SNAPSHOT;
-    if (old) {
+    boolean stale = resumeIndex >= nextIndex || mode == Mode.SNAPSHOT;
+    if (stale) {
       return false;
     }
     nextIndex = Math.max(matchIndex + 1, resumeIndex);
@@ -144,7 +144,7 @@
     return snapshotSentNs;
   }
 
-  private void startStream() {
+  private void startReplicating() {
     mode = Mode.STREAM;
     snapshot = null;
   }
--- a/core/src/main/java/org/teaseltrail/core/replication/ProposalRejection.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ProposalRejection.java
@@ -1,25 +1,25 @@
 package org.teaseltrail.core.replication;
 
-/** Says why a proposal was not appended; it will never be applied. */
+/** Reason why a proposal wasn't appended to the log. A rejected proposal is never applied. */
 public enum ProposalRejection {
-  /** This member doesn't lead. */
+  /** This member isn't the leader. */
   NOT_LEADER,
-  /** This member leads but hasn't committed an entry of its term yet. */
+  /** This member is the leader but hasn't committed an entry of its term yet. */
   LEADER_NOT_READY,
-  /** This member is handing its leadership over. */
+  /** This member is transferring its leadership. */
   HANDING_OVER,
-  /** More is waiting for a quorum's syncs than the settings allow. */
+  /** The uncommitted commands exceed the size limit of the settings. */
   TOO_MUCH_UNCOMMITTED,
-  /** The member change before isn't committed yet. */
+  /** The previous membership change isn't committed yet. */
   MEMBERSHIP_CHANGE_PENDING,
-  /** The member belongs to the group already. */
+  /** The member is already in the group. */
   ALREADY_MEMBER,
-  /** The member doesn't belong to the group, or isn't a learner where one is needed. */
+  /** The member isn't in the group, or isn't a learner where one is required. */
   UNKNOWN_MEMBER,
-  /** The learner didn't hold all that was committed a short time ago, synced. */
+  /** The learner hasn't recently synced all committed entries. */
   LEARNER_NOT_CAUGHT_UP,
-  /** A group needs a voter. */
+  /** The group must keep at least one voter. */
   LAST_VOTER,
-  /** There is no other voter, or not the one named, to hand leadership to. */
+  /** There is no other voter, or the named one isn't another voter, to transfer leadership to. */
   NO_SUCCESSOR
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/ReadBarriers.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReadBarriers.java
@@ -4,10 +4,12 @@
 import java.util.List;
 
 /**
- * Confirms reads: a quorum must answer a round that began after the read was asked for.
+ * Queues read barriers and confirms each one after a quorum has replied to a heartbeat round that
+ * began after the read was requested.
  *
- * <p>Guards against a leader that was replaced without knowing it and answers with old state. One
- * round at a time is under way for reads; those asked for meanwhile share the next one.
+ * <p>A leader that has been replaced without noticing would otherwise answer reads with stale
+ * state. Only one round is in flight for reads; barriers that arrive meanwhile share the next
+ * round.
  */
 final class ReadBarriers {
 
@@ -24,7 +26,7 @@
     waiting.add(barrierId);
   }
 
-  /** Tells whether a new round is wanted now. */
+  /** Returns whether a new round must start for waiting barriers. */
   boolean wantsRound() {
     return confirming.isEmpty() && !waiting.isEmpty();
   }
@@ -38,7 +40,7 @@
     confirmingRound = round;
   }
 
-  /** Takes the newest round that a quorum has answered. */
+  /** Confirms the pending barriers if a quorum has replied to their round or to a later one. */
   void quorumAnswered(long round) {
     if (confirming.isEmpty() || round < confirmingRound) {
       return;
--- a/core/src/main/java/org/teaseltrail/core/replication/RecoveredState.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/RecoveredState.java
@@ -6,20 +6,22 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /**
- * Is what a member's data folder held when the process started.
+ * State of a member recovered from its data folder at startup.
  *
- * <p>A crash between the saving of a leader's snapshot and the dropping of the log that it replaces
- * leaves both. Entries that the snapshot's last entry doesn't join are therefore left out here.
+ * <p>A crash after a leader's snapshot is saved and before the log that it replaces is deleted
+ * leaves both on disk. Entries that conflict with the last entry of the snapshot are therefore
+ * dropped here.
  *
- * @param vote the vote file
- * @param snapshot the newest snapshot
- * @param entries the log without gaps, from the snapshot's end on or from before it
+ * @param vote content of the vote file
+ * @param snapshot the latest snapshot
+ * @param entries the log without gaps, starting at or before the first entry after the snapshot
  */
 public record RecoveredState(Vote vote, Optional<Snapshot> snapshot, List<LogEntry> entries) {
 
-  /** Drops entries that the snapshot replaces and checks that the others follow one another. */
+  /** Drops entries that the snapshot replaces and checks that the remaining ones have no gaps. */
   public RecoveredState {
-    entries = snapshot.isPresent() ? joining(snapshot.get(), entries) : List.copyOf(entries);
+    entries =
+        snapshot.isPresent() ? withoutReplaced(snapshot.get(), entries) : List.copyOf(entries);
     long expectedIndex = snapshot.map(Snapshot::index).orElse(0L) + 1;
     for (LogEntry entry : entries) {
       Invariant.check(entry.index() == expectedIndex, InvariantName.LOG_WITHOUT_GAP);
@@ -27,7 +29,7 @@
     }
   }
 
-  private static List<LogEntry> joining(Snapshot snapshot, List<LogEntry> entries) {
+  private static List<LogEntry> withoutReplaced(Snapshot snapshot, List<LogEntry> entries) {
     boolean conflicts =
         entries.stream()
             .anyMatch(
@@ -39,8 +41,8 @@
   }
 
   /**
-   * Returns the state of a member that joins a group: it knows nothing and never votes before it
-   * has heard of the group's members.
+   * Returns the state of a member that joins an existing group. It has no log and never votes
+   * before it has received the group's member set.
    *
    * @return the empty state
    */
@@ -59,14 +61,15 @@
   }
 
   /**
-   * Returns the state of each founder of a new group. All founders must begin with the same set: it
-   * is the first entry of all their logs, so that they agree on it without having spoken.
+   * Returns the state of each founder of a new group. All founders must start with the same member
+   * set: it is the first entry of each of their logs, so that they agree on it without exchanging
+   * messages.
    *
-   * @param founders the members that vote from the start
+   * @param founders the initial member set
    * @return a log with the member set as its first entry
    */
   public static RecoveredState newGroup(Membership founders) {
-    LogEntry first = new LogEntry(1, 0, new EntryPayload.MembershipPayload(founders));
-    return new RecoveredState(Vote.none(), Optional.empty(), List.of(first));
+    LogEntry firstEntry = new LogEntry(1, 0, new EntryPayload.MembershipPayload(founders));
+    return new RecoveredState(Vote.none(), Optional.empty(), List.of(firstEntry));
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/Replica.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Replica.java
@@ -9,18 +9,18 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /**
- * Is one member's part in replicating the log. Holds no clock, no thread, no socket and no file:
- * the caller passes events and the monotonic time, and carries out the actions in their order.
+ * Raft state machine of one group member. It has no clock, threads, sockets or files: the caller
+ * passes in events and the monotonic time and executes the returned actions in order.
  *
- * <p>The way of replicating is that of Raft (Ongaro, "Consensus: Bridging Theory and Practice",
- * 2014), with pre-vote, quorum check, a leader lease and single-step member changes.
+ * <p>Implements Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote,
+ * quorum check, a leader lease and single-step membership changes.
  *
  * <p>Example:
  *
  * <pre>{@code
  * Replica replica = new Replica(group, self, settings, recovered, random, System.nanoTime());
  * for (ReplicaAction action : replica.handle(new ReplicaEvent.Tick(), System.nanoTime())) {
- *   carryOut(action);
+ *   execute(action);
  * }
  * }</pre>
  */
@@ -29,11 +29,11 @@
   private final GroupId group;
   private final ReplicaContext context;
   private final RequestDispatch requests;
-  private final VoteGuard guard;
-  private final Voter voter;
-  private final Candidacy candidacy;
+  private final VoteGuard votePolicy;
+  private final Voter voteRequestHandler;
+  private final Candidacy candidate;
   private Optional<Follower> follower = Optional.empty();
-  private Optional<LeaderRole> leadership = Optional.empty();
+  private Optional<LeaderRole> leaderRole = Optional.empty();
 
   /**
    * Creates a replica.
@@ -56,14 +56,16 @@
   }
 
   /**
-   * Creates a replica whose last life is known to be over for a while.
+   * Creates a replica whose previous incarnation ended some time ago, which shortens the time
+   * during which it must refuse its vote after the restart.
    *
    * @param group the group
    * @param self this member
    * @param settings times and sizes
-   * @param recovered what its disk holds
-   * @param random source of chance
-   * @param lastLifeEndedNs a monotonic time at or after the end of the last life that used the disk
+   * @param recovered state recovered from the data folder
+   * @param random source of randomness for timeouts and snapshot intervals
+   * @param lastLifeEndedNs a monotonic time at or after the end of the previous incarnation that
+   *     used the disk
    * @param nowNs monotonic time in nanoseconds
    */
   public Replica(
@@ -77,69 +79,70 @@
     this.group = group;
     this.context = new ReplicaContext(group, self, settings, recovered, random);
     this.requests = new RequestDispatch(context.outbox);
-    this.guard = new VoteGuard(settings, lastLifeEndedNs);
-    this.voter = new Voter(context, guard);
-    this.candidacy = new Candidacy(context, lastLifeEndedNs, nowNs);
+    this.votePolicy = new VoteGuard(settings, lastLifeEndedNs);
+    this.voteRequestHandler = new Voter(context, votePolicy);
+    this.candidate = new Candidacy(context, lastLifeEndedNs, nowNs);
   }
 
   /**
-   * Takes an event.
+   * Handles an event.
    *
-   * @param event what has happened
-   * @param nowNs monotonic time in nanoseconds, never less than at the call before
-   * @return what is to be done, in order
+   * @param event the event
+   * @param nowNs monotonic time in nanoseconds, never less than in the previous call
+   * @return the actions to execute, in order
    */
   public List<ReplicaAction> handle(ReplicaEvent event, long nowNs) {
     if (event instanceof ReplicaEvent.PeerReceived received) {
-      receive(received.envelope(), nowNs);
+      onMessage(received.envelope(), nowNs);
     } else if (event instanceof ReplicaEvent.Persisted persisted) {
-      persisted(persisted.writeNumber(), nowNs);
+      onPersisted(persisted.writeNumber(), nowNs);
     } else if (event instanceof ReplicaEvent.SnapshotTaken taken) {
       long neededAfterIndex =
-          leadership.map(leading -> leading.neededAfterIndex(nowNs)).orElse(Long.MAX_VALUE);
+          leaderRole.map(role -> role.neededAfterIndex(nowNs)).orElse(Long.MAX_VALUE);
       context.commits.snapshotTaken(taken, context.members, neededAfterIndex);
     } else {
-      requests.handle(event, leadership, nowNs);
+      requests.handle(event, leaderRole, nowNs);
     }
     checkTimers(nowNs);
     return context.outbox.drain();
   }
 
   /**
-   * Returns when the replica next wants a tick if nothing else happens.
+   * Returns when the replica next needs a tick if no other event occurs.
    *
-   * @return monotonic time in nanoseconds, or empty if it waits for nothing
+   * @return monotonic time in nanoseconds, or empty if no timer is running
    */
   public OptionalLong nextWakeupNs() {
-    if (leadership.isPresent()) {
-      return OptionalLong.of(leadership.get().nextWakeupNs());
+    if (leaderRole.isPresent()) {
+      return OptionalLong.of(leaderRole.get().nextWakeupNs());
     }
-    return context.isVoter() ? OptionalLong.of(candidacy.deadlineNs()) : OptionalLong.empty();
+    return context.isVoter() ? OptionalLong.of(candidate.deadlineNs()) : OptionalLong.empty();
   }
 
   /**
-   * Tells whether this member leads and no other member can lead. To be asked right before each
-   * outward action.
+   * Returns whether this member is the leader and no other member can be. Callers must check this
+   * immediately before each action that requires the lease.
    *
    * @param nowNs monotonic time in nanoseconds
-   * @return true while its lease holds
+   * @return true while the lease is valid
    */
   public boolean leaseHolds(long nowNs) {
-    return leadership.map(leading -> leading.leaseHolds(nowNs)).orElse(false);
+    return leaderRole.map(role -> role.leaseHolds(nowNs)).orElse(false);
   }
 
   /**
-   * Tells whether this member's vote is bound to a leader, or may be: a lease rests on it.
+   * Returns whether this member must refuse its vote because a leader's lease rests on it or may do
+   * so.
    *
    * @param nowNs monotonic time in nanoseconds
-   * @return true while it refuses its vote to others
+   * @return true while it refuses its vote to other members
    */
   public boolean isVoteBound(long nowNs) {
-    return leadership.isPresent() || !guard.allows(false, nowNs);
+    return leaderRole.isPresent() || !votePolicy.allows(false, nowNs);
   }
 
   /**
-   * Returns this member's term.
+   * Returns this member's current term.
    *
    * @return the term
    */
@@ -148,7 +151,7 @@
   }
 
   /**
-   * Returns the leader of this term.
+   * Returns the leader of the current term.
    *
    * @return the leader, if one is known
    */
@@ -157,207 +160,205 @@
   }
 
   /**
-   * Returns the member set that counts for this member.
+   * Returns the member set in effect on this member.
    *
-   * @return the latest in its log, committed or not
+   * @return the latest one in its log, whether committed or not
    */
   public Membership membership() {
     return context.members.latest();
   }
 
   /**
-   * Tells whether the member set that counts is known to be committed.
+   * Returns whether the member set in effect is known to be committed.
    *
-   * @return false while a member change waits for a quorum
+   * @return false while a membership change waits for a quorum
    */
   public boolean isMembershipCommitted() {
     return context.members.latestIndex() <= context.commits.commitIndex();
   }
 
   /**
-   * Returns up to where the log is known to be committed.
+   * Returns the index up to which the log is known to be committed.
    *
-   * @return index of the last entry passed on to be applied
+   * @return index of the last entry emitted to be applied
    */
   public long commitIndex() {
     return context.commits.commitIndex();
   }
 
   /**
-   * Takes a message. One for another receiver is dropped: after a lost disk the VM runs a new
-   * member, which must not answer for what the old one had promised.
+   * Handles a message. Messages to another receiver are dropped: after a disk loss the VM runs a
+   * new member, which must not answer on behalf of the previous one.
    */
-  private void receive(PeerEnvelope envelope, long nowNs) {
+  private void onMessage(PeerEnvelope envelope, long nowNs) {
     if (!envelope.group().equals(group) || !envelope.to().equals(context.self)) {
       return;
     }
     PeerMessage message = envelope.message();
     if (message instanceof PeerMessage.PreVoteRequest request) {
-      voter.preVote(envelope.from(), request, leadership.isPresent(), nowNs);
+      voteRequestHandler.preVote(envelope.from(), request, leaderRole.isPresent(), nowNs);
     } else if (message instanceof PeerMessage.VoteRequest request) {
-      voteRequest(envelope.from(), request, nowNs);
+      onVoteRequest(envelope.from(), request, nowNs);
     } else if (message instanceof PeerMessage.TimeoutNow timeoutNow) {
-      timeoutNow(envelope.from(), timeoutNow, nowNs);
-    } else if (message instanceof PeerMessage.Append || isInstall(message)) {
-      fromLeader(envelope.from(), message, nowNs);
+      onTimeoutNow(envelope.from(), timeoutNow, nowNs);
+    } else if (message instanceof PeerMessage.Append || isInstallSnapshot(message)) {
+      onLeaderMessage(envelope.from(), message, nowNs);
     } else {
-      reply(envelope.from(), message, nowNs);
+      onReply(envelope.from(), message, nowNs);
     }
   }
 
   /**
-   * Tells, on a leader, when the newest message was sent that a member has answered.
+   * Returns, on a leader, when the latest message was sent to which a member has replied.
    *
    * @param member the member
-   * @return monotonic time in nanoseconds, or empty if it hasn't answered in this term
+   * @return monotonic time in nanoseconds, or empty if it hasn't replied in this term
    */
   public OptionalLong answeredNs(MemberId member) {
-    return leadership.map(leading -> leading.answeredNs(member)).orElse(OptionalLong.empty());
+    return leaderRole.map(role -> role.answeredNs(member)).orElse(OptionalLong.empty());
   }
 
-  private static boolean isInstall(PeerMessage message) {
+  private static boolean isInstallSnapshot(PeerMessage message) {
     return message instanceof PeerMessage.InstallSnapshot;
   }
 
-  private void voteRequest(MemberId from, PeerMessage.VoteRequest request, long nowNs) {
-    if (!voter.mayConsider(request, leadership.isPresent(), nowNs)) {
+  private void onVoteRequest(MemberId from, PeerMessage.VoteRequest request, long nowNs) {
+    if (!voteRequestHandler.mayConsider(request, leaderRole.isPresent(), nowNs)) {
       return;
     }
-    observeTerm(request.term(), nowNs);
-    if (voter.vote(from, request)) {
-      candidacy.restartTimeout(nowNs);
+    adoptTerm(request.term(), nowNs);
+    if (voteRequestHandler.vote(from, request)) {
+      candidate.restartTimeout(nowNs);
     }
   }
 
-  private void timeoutNow(MemberId from, PeerMessage.TimeoutNow message, long nowNs) {
+  private void onTimeoutNow(MemberId from, PeerMessage.TimeoutNow message, long nowNs) {
     boolean fromLeader =
-        message.term() == term()
-            && follower.map(following -> following.leader().equals(from)).orElse(false);
-    if (fromLeader && context.isVoter() && !guard.justStarted(nowNs)) {
-      candidacy.stand(true, nowNs);
-      stood();
+        message.term() == term() && follower.map(role -> role.leader().equals(from)).orElse(false);
+    if (fromLeader && context.isVoter() && !votePolicy.justStarted(nowNs)) {
+      candidate.stand(true, nowNs);
+      onCampaignStarted();
     }
   }
 
-  private void fromLeader(MemberId from, PeerMessage message, long nowNs) {
+  private void onLeaderMessage(MemberId from, PeerMessage message, long nowNs) {
     if (message.term() < term()) {
       context.outbox.send(from, new PeerMessage.AppendReply(term(), 0, false, 0, 1));
       return;
     }
-    observeTerm(message.term(), nowNs);
-    Follower following = follow(from, nowNs);
+    adoptTerm(message.term(), nowNs);
+    Follower role = becomeFollower(from, nowNs);
     if (message instanceof PeerMessage.Append append) {
-      following.append(append);
+      role.append(append);
     } else {
-      following.installSnapshot((PeerMessage.InstallSnapshot) message);
+      role.installSnapshot((PeerMessage.InstallSnapshot) message);
     }
   }
 
-  private Follower follow(MemberId from, long nowNs) {
-    boolean onlyLeader =
-        leadership.isEmpty()
-            && follower.map(following -> following.leader().equals(from)).orElse(true);
-    Invariant.check(onlyLeader, InvariantName.ONE_LEADER_PER_TERM);
+  private Follower becomeFollower(MemberId from, long nowNs) {
+    boolean isOnlyLeader =
+        leaderRole.isEmpty() && follower.map(role -> role.leader().equals(from)).orElse(true);
+    Invariant.check(isOnlyLeader, InvariantName.ONE_LEADER_PER_TERM);
     if (follower.isEmpty()) {
       follower = Optional.of(new Follower(context, from));
     }
-    candidacy.end();
-    candidacy.restartTimeout(nowNs);
-    guard.heardFromLeader(nowNs);
+    candidate.end();
+    candidate.restartTimeout(nowNs);
+    votePolicy.heardFromLeader(nowNs);
     context.leaderIs(Optional.of(from));
     return follower.get();
   }
 
-  private void reply(MemberId from, PeerMessage message, long nowNs) {
-    observeTerm(message.term(), nowNs);
+  private void onReply(MemberId from, PeerMessage message, long nowNs) {
+    adoptTerm(message.term(), nowNs);
     if (message instanceof PeerMessage.PreVoteReply reply) {
-      long termBefore = term();
-      candidacy.preVoteReply(from, reply, nowNs);
-      stoodSince(termBefore);
+      long previousTerm = term();
+      candidate.preVoteReply(from, reply, nowNs);
+      checkCampaignStarted(previousTerm);
     } else if (message.term() < term()) {
       return;
     } else if (message instanceof PeerMessage.VoteReply reply) {
-      if (candidacy.voteReply(from, reply)) {
-        lead(nowNs);
+      if (candidate.voteReply(from, reply)) {
+        becomeLeader(nowNs);
       }
     } else if (message instanceof PeerMessage.AppendReply reply) {
-      leadership.ifPresent(leading -> leading.appendReply(from, reply, nowNs));
+      leaderRole.ifPresent(role -> role.appendReply(from, reply, nowNs));
     } else if (message instanceof PeerMessage.InstallSnapshotReply reply) {
-      leadership.ifPresent(leading -> leading.snapshotReply(from, reply, nowNs));
+      leaderRole.ifPresent(role -> role.snapshotReply(from, reply, nowNs));
     }
   }
 
-  private void persisted(long writeNumber, long nowNs) {
+  private void onPersisted(long writeNumber, long nowNs) {
     Invariant.check(
         writeNumber <= context.outbox.newestWriteNumber(),
         InvariantName.SYNCED_WRITE_WAS_ASKED_FOR);
     context.log.synced(writeNumber);
     context.ballot.synced(writeNumber);
-    voter.tellSyncedVote();
+    voteRequestHandler.tellSyncedVote();
     follower.ifPresent(Follower::synced);
-    leadership.ifPresent(LeaderRole::synced);
-    if (candidacy.ownVoteMaybeSynced()) {
-      lead(nowNs);
+    leaderRole.ifPresent(LeaderRole::synced);
+    if (candidate.ownVoteMaybeSynced()) {
+      becomeLeader(nowNs);
     }
   }
 
-  private void observeTerm(long seenTerm, long nowNs) {
-    if (seenTerm <= term()) {
+  private void adoptTerm(long newTerm, long nowNs) {
+    if (newTerm <= term()) {
       return;
     }
     stepDown(nowNs);
-    candidacy.end();
+    candidate.end();
     follower = Optional.empty();
-    voter.termChanged();
-    context.ballot.advanceTo(seenTerm);
+    voteRequestHandler.termChanged();
+    context.ballot.advanceTo(newTerm);
     context.leaderIs(Optional.empty());
   }
 
   private void checkTimers(long nowNs) {
-    if (leadership.isPresent()) {
-      if (leadership.get().tick(nowNs)) {
+    if (leaderRole.isPresent()) {
+      if (leaderRole.get().tick(nowNs)) {
         stepDown(nowNs);
         context.leaderIs(Optional.empty());
       }
       return;
     }
-    if (context.isVoter() && nowNs >= candidacy.deadlineNs()) {
-      long termBefore = term();
-      candidacy.askAhead(nowNs);
+    if (context.isVoter() && nowNs >= candidate.deadlineNs()) {
+      long previousTerm = term();
+      candidate.askAhead(nowNs);
       context.leaderIs(Optional.empty());
-      stoodSince(termBefore);
+      checkCampaignStarted(previousTerm);
     }
   }
 
-  private void stoodSince(long termBefore) {
-    if (term() != termBefore) {
-      stood();
+  private void checkCampaignStarted(long previousTerm) {
+    if (term() != previousTerm) {
+      onCampaignStarted();
     }
   }
 
-  private void stood() {
+  private void onCampaignStarted() {
     follower = Optional.empty();
-    voter.termChanged();
+    voteRequestHandler.termChanged();
     context.leaderIs(Optional.empty());
   }
 
-  private void lead(long nowNs) {
-    candidacy.end();
+  private void becomeLeader(long nowNs) {
+    candidate.end();
     follower = Optional.empty();
     context.leaderIs(Optional.of(context.self));
-    leadership = Optional.of(new LeaderRole(context, nowNs));
+    leaderRole = Optional.of(new LeaderRole(context, nowNs));
   }
 
   private void stepDown(long nowNs) {
-    if (leadership.isEmpty()) {
+    if (leaderRole.isEmpty()) {
       return;
     }
-    LeaderRole ended = leadership.get();
-    leadership = Optional.empty();
-    ended.end();
-    if (ended.isReady()) {
+    LeaderRole endedRole = leaderRole.get();
+    leaderRole = Optional.empty();
+    endedRole.end();
+    if (endedRole.isReady()) {
       context.outbox.add(new ReplicaAction.LostLeadership(term()));
     }
-    candidacy.restartTimeout(nowNs);
+    candidate.restartTimeout(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaAction.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaAction.java
@@ -5,17 +5,17 @@
 import org.teaseltrail.core.id.MemberId;
 
 /**
- * Is something that a replica wants done. Actions are carried out in their order. Writes need not
- * be synced before the next action; once they are, the replica is told by {@link
+ * Action that the caller of a replica must execute. Actions are executed in order. Writes need not
+ * be synced before the next action is executed; once they are, the caller sends {@link
  * ReplicaEvent.Persisted}.
  */
 public sealed interface ReplicaAction {
 
-  /** Changes the data folder. */
+  /** Change of the data folder. */
   sealed interface Write extends ReplicaAction {
 
     /**
-     * Returns the write's place among all writes of this process.
+     * Returns the sequence number of the write among all writes of this process.
      *
      * @return the number, from 1 without gaps
      */
@@ -23,7 +23,7 @@
   }
 
   /**
-   * Append entries to the log.
+   * Appends entries to the log.
    *
    * @param writeNumber the write's number
    * @param entries entries that follow the last one
@@ -31,15 +31,15 @@
   record AppendToLog(long writeNumber, List<LogEntry> entries) implements Write {}
 
   /**
-   * Remove entries that no quorum holds from the log's end.
+   * Removes entries that no quorum holds from the end of the log.
    *
    * @param writeNumber the write's number
-   * @param fromIndex index of the first entry to go
+   * @param fromIndex index of the first entry to remove
    */
   record TruncateLog(long writeNumber, long fromIndex) implements Write {}
 
   /**
-   * Replace the vote file.
+   * Replaces the vote file.
    *
    * @param writeNumber the write's number
    * @param vote the new content
@@ -47,61 +47,66 @@
   record SaveVote(long writeNumber, Vote vote) implements Write {}
 
   /**
-   * Save a snapshot. Only once it is synced may the log's entries that it covers go.
+   * Saves a snapshot. The log entries that it covers may be deleted only after the snapshot is
+   * synced.
    *
    * @param writeNumber the write's number
    * @param snapshot the snapshot
-   * @param keepAfterIndex entries after this index are kept for members that are little behind
-   * @param discardsLog whether the whole log goes, as it doesn't hold the snapshot's last entry
+   * @param keepAfterIndex entries after this index are retained for members that lag slightly
+   * @param discardsLog whether the complete log is deleted, because it doesn't have the snapshot's
+   *     last entry
    */
   record SaveSnapshot(long writeNumber, Snapshot snapshot, long keepAfterIndex, boolean discardsLog)
       implements Write {}
 
   /**
-   * Send a message to a member; it may get lost.
+   * Sends a message to a member; delivery isn't guaranteed.
    *
-   * @param envelope the message with its receiver
+   * @param envelope the message with its addresses
    */
   record SendPeer(PeerEnvelope envelope) implements ReplicaAction {}
 
   /**
-   * Apply committed entries to the replicated state.
+   * Applies committed entries to the replicated state.
    *
-   * @param entries entries that follow the last one applied, no-operations among them
+   * @param entries entries that follow the last one applied, including no-operations
    */
   record Apply(List<LogEntry> entries) implements ReplicaAction {}
 
   /**
-   * Replace the replicated state by a snapshot's. Comes first after a restart, if there is one.
+   * Replaces the replicated state by the one of a snapshot. After a restart with a snapshot, this
+   * is the first action.
    *
    * @param snapshot the snapshot
    */
   record RestoreSnapshot(Snapshot snapshot) implements ReplicaAction {}
 
   /**
-   * Write the replicated state out and answer with {@link ReplicaEvent.SnapshotTaken}.
+   * Takes a snapshot of the replicated state and reports it with {@link
+   * ReplicaEvent.SnapshotTaken}.
    *
    * @param index index of the last entry applied
    */
   record TakeSnapshot(long index) implements ReplicaAction {}
 
   /**
-   * This member leads, and all that was committed before is applied. The term is the fencing number
-   * of the leadership.
+   * Reports that this member has become leader and has applied everything committed before. The
+   * term is the fencing number of the leadership.
    *
-   * @param term its term
+   * @param term the term of the leadership
    */
   record BecameLeader(long term) implements ReplicaAction {}
 
   /**
-   * This member doesn't lead any longer. The outcome of proposals that weren't applied is open.
+   * Reports that this member is no longer leader. The outcome of proposals that weren't applied is
+   * indeterminate.
    *
-   * @param term the term it led in
+   * @param term the term in which it was leader
    */
   record LostLeadership(long term) implements ReplicaAction {}
 
   /**
-   * The leader known to this member has changed.
+   * Reports that the leader known to this member has changed.
    *
    * @param term this member's term
    * @param leader the leader, if one is known
@@ -109,41 +114,41 @@
   record LeaderChanged(long term, Optional<MemberId> leader) implements ReplicaAction {}
 
   /**
-   * The member set of this member's log has changed.
+   * Reports that the member set in this member's log has changed.
    *
-   * @param membership the member set that counts from now on
+   * @param membership the member set in effect from now on
    */
   record MembershipChanged(Membership membership) implements ReplicaAction {}
 
   /**
-   * A proposal is in the leader's log. It is committed when an entry with this index and this term
-   * is applied, and lost for good when another entry with this index is.
+   * Reports that a proposal is in the leader's log. It is committed when an entry with this index
+   * and term is applied, and lost when another entry with this index is applied.
    *
-   * @param proposalId the asker's number
+   * @param proposalId the id given by the proposer
    * @param index index of its entry
    * @param term term of its entry
    */
   record ProposalAppended(long proposalId, long index, long term) implements ReplicaAction {}
 
   /**
-   * A proposal was refused and will never be applied.
+   * Reports that a proposal was rejected and will never be applied.
    *
-   * @param proposalId the asker's number
+   * @param proposalId the id given by the proposer
    * @param reason why
    */
   record ProposalRejected(long proposalId, ProposalRejection reason) implements ReplicaAction {}
 
   /**
-   * All that was committed when the barrier was asked for is applied.
+   * Reports that everything committed before the barrier was requested is applied.
    *
-   * @param barrierId the asker's number
+   * @param barrierId the id given by the requester
    */
   record ReadReady(long barrierId) implements ReplicaAction {}
 
   /**
-   * A read barrier can't be confirmed here.
+   * Reports that a read barrier can't be confirmed on this member.
    *
-   * @param barrierId the asker's number
+   * @param barrierId the id given by the requester
    * @param reason why
    */
   record ReadRejected(long barrierId, ProposalRejection reason) implements ReplicaAction {}
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaContext.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaContext.java
@@ -5,7 +5,7 @@
 import java.util.random.RandomGenerator;
 import org.teaseltrail.core.id.MemberId;
 
-/** Holds what all roles of a replica share. */
+/** State shared by all roles of a replica. */
 final class ReplicaContext {
 
   final MemberId self;
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Appends entries to the log; a member set among them counts from now on. */
+  /** Appends entries to the log; a member set among them takes effect immediately. */
   void append(List<LogEntry> entries) {
     log.append(entries);
     members.appended(entries);
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaEvent.java
@@ -3,41 +3,42 @@
 import java.util.Optional;
 import org.teaseltrail.core.id.MemberId;
 
-/** Is something that has happened and that a replica must know. */
+/** Input event of a replica. */
 public sealed interface ReplicaEvent {
 
   /**
-   * A member has sent a message.
+   * A message from another member was received.
    *
-   * @param envelope the message with its sender and receiver
+   * @param envelope the message with its addresses
    */
   record PeerReceived(PeerEnvelope envelope) implements ReplicaEvent {}
 
   /**
-   * Someone asks for a command to be committed.
+   * A command is proposed.
    *
-   * @param proposalId the asker's number, given back in the reply
+   * @param proposalId the proposer's id, echoed in the reply
    * @param command the encoded command
    */
   record Propose(long proposalId, byte[] command) implements ReplicaEvent {}
 
   /**
-   * Someone asks for a member change.
+   * A membership change is proposed.
    *
-   * @param proposalId the asker's number, given back in the reply
-   * @param change the step
+   * @param proposalId the proposer's id, echoed in the reply
+   * @param change the change
    */
   record ProposeMembership(long proposalId, MembershipChange change) implements ReplicaEvent {}
 
   /**
-   * All writes up to a number are synced, in their order.
+   * All writes up to a number are synced.
    *
-   * @param writeNumber number of the newest synced write
+   * @param writeNumber number of the latest synced write
    */
   record Persisted(long writeNumber) implements ReplicaEvent {}
 
   /**
-   * The replicated state was written out, as asked for by {@link ReplicaAction.TakeSnapshot}.
+   * A snapshot of the replicated state was taken, as requested by {@link
+   * ReplicaAction.TakeSnapshot}.
    *
    * @param index index of the last entry applied to it
    * @param state the encoded state
@@ -45,21 +46,21 @@
   record SnapshotTaken(long index, byte[] state) implements ReplicaEvent {}
 
   /**
-   * Someone asks the leader to hand over, as before a graceful shutdown.
+   * A leadership transfer is requested, for example before a graceful shutdown.
    *
-   * @param proposalId the asker's number, given back in a rejection
-   * @param successor the voter to lead next, or empty for the one that is least behind
+   * @param proposalId the requester's id, echoed in a rejection
+   * @param successor the voter to become leader, or empty for the most up-to-date one
    */
   record TransferLeadership(long proposalId, Optional<MemberId> successor)
       implements ReplicaEvent {}
 
   /**
-   * Someone asks to read all that is committed.
+   * A read of all committed state is requested.
    *
-   * @param barrierId the asker's number, given back in the reply
+   * @param barrierId the requester's id, echoed in the reply
    */
   record ReadBarrier(long barrierId) implements ReplicaEvent {}
 
-  /** Time has passed. */
+  /** A timer may have expired. */
   record Tick() implements ReplicaEvent {}
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaSettings.java
@@ -1,24 +1,27 @@
 package org.teaseltrail.core.replication;
 
 /**
- * Sets times and sizes of replication.
+ * Timeouts and size limits of replication.
  *
- * @param heartbeatMs between a leader's heartbeats, in milliseconds
- * @param leaseMs how long a voter that has heard from a leader refuses others its vote, in
- *     milliseconds of its own clock; less than the election timeout
- * @param leaseMarginPerMille part of the lease that a leader gives up because its clock may be
- *     slower than a voter's, in thousandths
- * @param electionTimeoutMinMs least time without a leader before a voter stands, in milliseconds
- * @param electionTimeoutMaxMs greatest such time; each wait is drawn anew from the range
- * @param maxBatchEntries most entries in one message
- * @param maxBatchBytes most bytes of commands in one message, unless one command alone has more
- * @param maxInflightMessages most messages with entries sent to a member and not answered
- * @param maxUncommittedBytes most bytes of commands that wait for a quorum
+ * @param heartbeatMs interval between a leader's heartbeats, in milliseconds
+ * @param leaseMs how long a voter refuses its vote to others after it has received a message from a
+ *     leader, in milliseconds of its own clock; less than the election timeout
+ * @param leaseMarginPerMille fraction of the lease that a leader doesn't use because its clock may
+ *     be slower than a voter's, in thousandths
+ * @param electionTimeoutMinMs min time without a leader before a voter starts an election, in
+ *     milliseconds
+ * @param electionTimeoutMaxMs max time without a leader; each timeout is drawn at random between
+ *     min and max
+ * @param maxBatchEntries max entries in one message
+ * @param maxBatchBytes max bytes of commands in one message, unless a single command is larger
+ * @param maxInflightMessages max unacknowledged messages with entries per member
+ * @param maxUncommittedBytes max bytes of commands that wait for a quorum
  * @param snapshotPartBytes bytes of a snapshot in one message
- * @param snapshotEveryEntries least entries applied since the last snapshot before one is taken; up
- *     to half as many more are drawn, and the commands must be as large as the last snapshot's
- *     state
- * @param keptEntries least entries before a snapshot's end that stay for members little behind
+ * @param snapshotEveryEntries min entries applied since the last snapshot before the next one is
+ *     taken; up to half as many are added at random, and the commands must be at least as large as
+ *     the state in the last snapshot
+ * @param keptEntries min entries before the end of a snapshot that are retained for members that
+ *     lag slightly
  */
 public record ReplicaSettings(
     int heartbeatMs,
@@ -34,27 +37,28 @@
     int snapshotEveryEntries,
     int keptEntries) {
 
-  private static final int KEPT_SNAPSHOT_INTERVALS = 4;
+  private static final int MAX_RETAINED_SNAPSHOT_INTERVALS = 4;
 
-  /** Checks that the times fit one another. */
+  /** Validates that the times are consistent. */
   public ReplicaSettings {
-    boolean timesFit =
+    boolean isConsistent =
         0 < heartbeatMs
             && heartbeatMs < leaseMs
             && leaseMs < electionTimeoutMinMs
             && electionTimeoutMinMs <= electionTimeoutMaxMs;
-    if (!timesFit) {
+    if (!isConsistent) {
       throw new InvalidReplicaSettingsException(
-          "needs heartbeat < lease < least election timeout <= greatest election timeout");
+          "requires heartbeat < lease < min election timeout <= max election timeout");
     }
     if (leaseMarginPerMille < 0 || leaseMarginPerMille >= 1000) {
-      throw new InvalidReplicaSettingsException("needs a lease margin from 0 to 999 per mille");
+      throw new InvalidReplicaSettingsException("requires a lease margin from 0 to 999 per mille");
     }
   }
 
   /**
-   * Returns the settings for members within one region. The times leave several heartbeats to a
-   * lease at the users' one-way latencies of up to 3 ms, and put a new leader within 2 s of a kill.
+   * Returns the settings for members within one region. With one-way latencies of up to 3 ms the
+   * times allow several heartbeats per lease, and a new leader is elected within 2 s after a leader
+   * crash.
    *
    * @return the defaults
    */
@@ -64,22 +68,25 @@
   }
 
   /**
-   * Returns how long a leader may rely on a round that a quorum has answered.
+   * Returns how long a leader may rely on a heartbeat round to which a quorum has replied.
    *
-   * @return nanoseconds of its own clock from the round's sending
+   * @return nanoseconds of its own clock since the round was sent
    */
   long leaderLeaseNs() {
     return leaseMs * 1_000L * (1_000 - leaseMarginPerMille);
   }
 
-  /** Returns how old what a learner holds may be for it to count as caught up. */
+  /** Returns how long ago a learner may have been up to date to still count as caught up. */
   long catchUpNs() {
     return electionTimeoutMinMs * 1_000_000L;
   }
 
-  /** Returns how many entries before a snapshot's end stay at most for members that lag. */
+  /**
+   * Returns the max number of entries before the end of a snapshot that are retained for members
+   * that lag.
+   */
   long maxKeptEntries() {
-    return KEPT_SNAPSHOT_INTERVALS * (long) snapshotEveryEntries;
+    return MAX_RETAINED_SNAPSHOT_INTERVALS * (long) snapshotEveryEntries;
   }
 
   long leaseNs() {
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicatedLog.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicatedLog.java
@@ -8,8 +8,8 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /**
- * Holds the entries of the log since the last snapshot, and some before it. Every change is passed
- * on as a write.
+ * In-memory log: the entries since the last snapshot and some before it. Every change is also
+ * emitted as a write.
  */
 final class ReplicatedLog {
 
@@ -45,7 +45,7 @@
     return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
   }
 
-  /** Returns the index before the first entry held. */
+  /** Returns the index that precedes the first entry in memory. */
   long baseIndex() {
     return baseIndex;
   }
@@ -62,7 +62,9 @@
     return snapshot.map(Snapshot::index).orElse(0L);
   }
 
-  /** Returns an entry's term, or empty if the log begins after it or ends before it. */
+  /**
+   * Returns the term of an entry, or empty if the entry is compacted or beyond the end of the log.
+   */
   OptionalLong termAt(long index) {
     if (index == baseIndex) {
       return OptionalLong.of(baseTerm);
@@ -78,12 +80,12 @@
     return held.isPresent() && held.getAsLong() == term;
   }
 
-  /** Returns the entries of a range, both ends included. */
+  /** Returns the entries of a range, both ends inclusive. */
   List<LogEntry> range(long firstIndex, long lastIndex) {
     return List.copyOf(entries.subList(position(firstIndex), position(lastIndex) + 1));
   }
 
-  /** Returns entries from an index on, as many as the limits allow but at least one. */
+  /** Returns entries starting at an index, as many as the limits allow but at least one. */
   List<LogEntry> batch(long firstIndex, int maxEntries, int maxBytes) {
     List<LogEntry> batch = new ArrayList<>();
     long bytes = 0;
@@ -105,7 +107,9 @@
     syncMarks.written(write, lastIndex());
   }
 
-  /** Removes the entries from an index on; the caller has checked that none is committed. */
+  /**
+   * Removes the entries from an index on. The caller must ensure that none of them is committed.
+   */
   void truncateFrom(long index) {
     entries.subList(position(index), entries.size()).clear();
     syncMarks.truncatedTo(lastIndex());
@@ -114,18 +118,19 @@
   }
 
   /**
-   * Takes a snapshot of this member's own state and drops entries up to an index before its end.
+   * Saves a snapshot of this member's own state and drops the entries up to an index before its
+   * end.
    */
   void compact(Snapshot taken, long wantedAfterIndex) {
     snapshot = Optional.of(taken);
     long keepAfterIndex = Math.max(baseIndex, wantedAfterIndex);
     outbox.write(number -> new ReplicaAction.SaveSnapshot(number, taken, keepAfterIndex, false));
-    dropThrough(keepAfterIndex);
+    removeThrough(keepAfterIndex);
   }
 
   /**
-   * Starts anew at a leader's snapshot. Entries behind it stay only if the log holds its last
-   * entry; any other entries may differ from the leader's.
+   * Installs a snapshot received from the leader. Entries after it are kept only if the log has the
+   * snapshot's last entry; otherwise they may differ from the leader's log.
    */
   void install(Snapshot received) {
     boolean discardsLog = !holds(received.index(), received.term());
@@ -136,7 +141,7 @@
       baseTerm = received.term();
       syncMarks.truncatedTo(0);
     } else {
-      dropThrough(received.index());
+      removeThrough(received.index());
     }
     long write =
         outbox.write(
@@ -149,7 +154,7 @@
     syncMarks.synced(writeNumber);
   }
 
-  private void dropThrough(long index) {
+  private void removeThrough(long index) {
     if (index <= baseIndex) {
       return;
     }
--- a/core/src/main/java/org/teaseltrail/core/replication/RequestDispatch.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/RequestDispatch.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Passes what is asked of a leader on to the leadership, and refuses it where there is none. */
+/** Dispatches requests to the leader role, or rejects them if this member isn't the leader. */
 final class RequestDispatch {
 
   private final Outbox outbox;
@@ -11,23 +11,22 @@
     this.outbox = outbox;
   }
 
-  /** Handles a request; a tick asks for nothing. */
+  /** Handles a request; a tick is ignored. */
   void handle(ReplicaEvent event, Optional<LeaderRole> leadership, long nowNs) {
     if (event instanceof ReplicaEvent.Propose propose) {
       leadership.ifPresentOrElse(
-          leading -> leading.propose(propose.proposalId(), propose.command(), nowNs),
+          role -> role.propose(propose.proposalId(), propose.command(), nowNs),
           () -> rejectProposal(propose.proposalId()));
     } else if (event instanceof ReplicaEvent.ProposeMembership propose) {
       leadership.ifPresentOrElse(
-          leading -> leading.proposeMembership(propose.proposalId(), propose.change(), nowNs),
+          role -> role.proposeMembership(propose.proposalId(), propose.change(), nowNs),
           () -> rejectProposal(propose.proposalId()));
     } else if (event instanceof ReplicaEvent.TransferLeadership transfer) {
       leadership.ifPresentOrElse(
-          leading -> leading.transfer(transfer, nowNs),
-          () -> rejectProposal(transfer.proposalId()));
+          role -> role.transfer(transfer, nowNs), () -> rejectProposal(transfer.proposalId()));
     } else if (event instanceof ReplicaEvent.ReadBarrier barrier) {
       leadership.ifPresentOrElse(
-          leading -> leading.readBarrier(barrier.barrierId(), nowNs),
+          role -> role.readBarrier(barrier.barrierId(), nowNs),
           () -> rejectRead(barrier.barrierId()));
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/replication/Snapshot.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Snapshot.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 
 /**
- * Stands for all entries of the log up to an index.
+ * Snapshot that replaces all log entries up to an index.
  *
  * @param index index of the last entry covered
  * @param term term of that entry
--- a/core/src/main/java/org/teaseltrail/core/replication/SnapshotAssembly.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/SnapshotAssembly.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.core.replication;
 
-/** Puts the parts of one leader's snapshot together. */
+/** Assembles a leader's snapshot from its chunks. */
 final class SnapshotAssembly {
 
   private final long index;
@@ -22,7 +22,10 @@
         && state.length == message.totalBytes();
   }
 
-  /** Takes a part if it is the next one; a repeated or early part is left for a resend. */
+  /**
+   * Adds a chunk if it is the next one. A duplicate or out-of-order chunk is ignored; the leader
+   * sends the missing chunk again.
+   */
   void add(PeerMessage.InstallSnapshot message) {
     if (message.offsetBytes() != receivedBytes) {
       return;
--- a/core/src/main/java/org/teaseltrail/core/replication/SnapshotSchedule.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/SnapshotSchedule.java
@@ -6,52 +6,52 @@
 
 /**
  * Decides when a member takes a snapshot of its state: after a number of entries, and not before
- * the commands since the last one are as large as the state, so that writing snapshots costs no
- * more than writing the log.
+ * the commands since the last snapshot are as large as the state, so that writing snapshots costs
+ * no more than writing the log.
  *
- * <p>Failure: all members apply the same entries, so all would save a snapshot at the same moment,
- * and a large one stalls their syncs; users would see every claim wait, or a leader lost. The
- * guard: each member draws its own number of entries anew for each snapshot.
+ * <p>Each member draws its number of entries at random for each snapshot. All members apply the
+ * same entries, so with a fixed number all of them would save a snapshot at the same time. A large
+ * snapshot stalls syncs, so every claim would be delayed, or the leader lost.
  */
 final class SnapshotSchedule {
 
-  private final int leastEntries;
+  private final int minEntries;
   private final RandomGenerator random;
-  private long entriesWanted;
+  private long entriesThreshold;
   private long entries;
   private long bytes;
-  private boolean askedFor;
+  private boolean isRequested;
 
   SnapshotSchedule(ReplicaSettings settings, RandomGenerator random) {
-    this.leastEntries = settings.snapshotEveryEntries();
+    this.minEntries = settings.snapshotEveryEntries();
     this.random = random;
-    this.entriesWanted = drawEntries();
+    this.entriesThreshold = drawThreshold();
   }
 
-  /** Counts committed entries and tells whether a snapshot is due now. */
+  /** Counts committed entries and returns whether a snapshot is due now. */
   boolean isDue(List<LogEntry> committed, Optional<Snapshot> last) {
     entries += committed.size();
     for (LogEntry entry : committed) {
       bytes += entry.payload().sizeBytes();
     }
     long stateBytes = last.map(snapshot -> (long) snapshot.state().length).orElse(0L);
-    if (askedFor || entries < entriesWanted || bytes < stateBytes) {
+    if (isRequested || entries < entriesThreshold || bytes < stateBytes) {
       return false;
     }
-    askedFor = true;
+    isRequested = true;
     return true;
   }
 
-  /** Begins to count anew. */
+  /** Restarts the counting after a snapshot. */
   void taken() {
-    askedFor = false;
+    isRequested = false;
     entries = 0;
     bytes = 0;
-    entriesWanted = drawEntries();
+    entriesThreshold = drawThreshold();
   }
 
-  /** Draws from the least number up to one and a half times as many. */
-  private long drawEntries() {
-    return leastEntries + random.nextLong(leastEntries / 2 + 1L);
+  /** Draws a number between the minimum and one and a half times the minimum. */
+  private long drawThreshold() {
+    return minEntries + random.nextLong(minEntries / 2 + 1L);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/SyncMarks.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/SyncMarks.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * Knows up to which index the log is synced, from the writes that are.
+ * Tracks the index up to which the log is synced, derived from the synced writes.
  *
- * <p>Guards against an acknowledgement of entries that a power loss takes back: an index counts as
- * synced only once a write at or after the one that holds it is, and an index that was cut off and
- * written anew counts only by the new write.
+ * <p>An index counts as synced only after a write at or after the one that contains it is synced.
+ * An index that was truncated and rewritten counts only with the new write. Otherwise a member
+ * could acknowledge entries that a power loss then removes.
  */
 final class SyncMarks {
 
-  private record Mark(long writeNumber, long lastIndex) {}
+  private record PendingWrite(long writeNumber, long lastIndex) {}
 
-  private final Deque<Mark> marks = new ArrayDeque<>();
+  private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
   private long syncedIndex;
 
   SyncMarks(long syncedIndex) {
@@ -27,26 +27,26 @@
     return syncedIndex;
   }
 
-  /** Notes that the log ends at an index as of a write. */
+  /** Records the last index of the log after a write. */
   void written(long writeNumber, long lastIndex) {
-    marks.addLast(new Mark(writeNumber, lastIndex));
+    pendingWrites.addLast(new PendingWrite(writeNumber, lastIndex));
   }
 
-  /** Notes that the log now ends at an index, whatever older writes put behind it. */
+  /** Records a truncation of the log; earlier writes no longer count beyond the new last index. */
   void truncatedTo(long lastIndex) {
     syncedIndex = Math.min(syncedIndex, lastIndex);
-    List<Mark> clamped = new ArrayList<>();
-    for (Mark mark : marks) {
-      clamped.add(new Mark(mark.writeNumber(), Math.min(mark.lastIndex(), lastIndex)));
+    List<PendingWrite> limited = new ArrayList<>();
+    for (PendingWrite write : pendingWrites) {
+      limited.add(new PendingWrite(write.writeNumber(), Math.min(write.lastIndex(), lastIndex)));
     }
-    marks.clear();
-    marks.addAll(clamped);
+    pendingWrites.clear();
+    pendingWrites.addAll(limited);
   }
 
-  /** Notes that all writes up to a number are synced. */
+  /** Records that all writes up to a number are synced. */
   void synced(long writeNumber) {
-    while (!marks.isEmpty() && marks.getFirst().writeNumber() <= writeNumber) {
-      syncedIndex = marks.removeFirst().lastIndex();
+    while (!pendingWrites.isEmpty() && pendingWrites.getFirst().writeNumber() <= writeNumber) {
+      syncedIndex = pendingWrites.removeFirst().lastIndex();
     }
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/Vote.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Vote.java
@@ -4,17 +4,17 @@
 import org.teaseltrail.core.id.MemberId;
 
 /**
- * Is what a member must never forget of elections.
+ * Persistent election state of a member.
  *
- * @param term its term
- * @param votedFor whom it has voted for in this term
+ * @param term the member's current term
+ * @param votedFor the candidate that received its vote in this term, if any
  */
 public record Vote(long term, Optional<MemberId> votedFor) {
 
   /**
-   * Returns the vote of a member that has seen no election.
+   * Returns the initial state of a member that has taken part in no election.
    *
-   * @return term 0, nobody
+   * @return term 0 without a vote
    */
   public static Vote none() {
     return new Vote(0, Optional.empty());
--- a/core/src/main/java/org/teaseltrail/core/replication/VoteGuard.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/VoteGuard.java
@@ -1,26 +1,28 @@
 package org.teaseltrail.core.replication;
 
 /**
- * Decides when this member's vote would endanger a leader's lease.
+ * Decides whether a vote of this member could violate a leader's lease.
  *
- * <p>Failure: a leader that is cut off, or slow, goes on in the belief that it leads while others
- * elect a second one; both grant the same upstream. The guard: whoever has heard from a leader
- * refuses its vote for the whole lease, counted on its own clock from the hearing; the leader
- * counts the lease from its sending, less a margin for drift. A quorum that elects shares a voter
- * with the quorum that answered the leader, so the old lease is over before the new leader has its
- * votes. A restart forgets when this member last heard from a leader, so it waits until a whole
- * lease after the end of its last life.
+ * <p>A voter that has received a message from a leader refuses its vote for a complete lease,
+ * measured on its own clock from the receipt. The leader measures the lease from the sending of the
+ * message, minus a margin for clock drift. Any quorum that elects a new leader has a voter in
+ * common with the quorum that replied to the old one, so the old lease has expired before the new
+ * leader has its votes. Without this rule a leader that is partitioned or slow would continue while
+ * another is elected, and both would grant the same upstream.
+ *
+ * <p>After a restart the time of the last leader contact is unknown. The member therefore refuses
+ * its vote until a complete lease has passed since the end of its previous incarnation.
  */
 final class VoteGuard {
 
   private final long leaseNs;
-  private final long lastLifeEndedNs;
+  private final long previousIncarnationEndedNs;
   private long heardNs;
   private boolean heard;
 
   VoteGuard(ReplicaSettings settings, long lastLifeEndedNs) {
     this.leaseNs = settings.leaseNs();
-    this.lastLifeEndedNs = lastLifeEndedNs;
+    this.previousIncarnationEndedNs = lastLifeEndedNs;
   }
 
   void heardFromLeader(long nowNs) {
@@ -28,15 +30,15 @@
     heardNs = nowNs;
   }
 
-  /** Tells whether the time since the restart alone forbids a vote. */
+  /** Returns whether a lease may still be in effect from before the restart. */
   boolean justStarted(long nowNs) {
-    return nowNs - lastLifeEndedNs < leaseNs;
+    return nowNs - previousIncarnationEndedNs < leaseNs;
   }
 
   /**
-   * Tells whether a vote may be given.
+   * Returns whether this member may grant its vote.
    *
-   * @param handOver whether the leader itself has given its lease up for this election
+   * @param handOver whether the leader itself has released its lease for this election
    */
   boolean allows(boolean handOver, long nowNs) {
     if (justStarted(nowNs)) {
--- a/core/src/main/java/org/teaseltrail/core/replication/Voter.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Voter.java
@@ -3,38 +3,38 @@
 import java.util.Optional;
 import org.teaseltrail.core.id.MemberId;
 
-/** Answers others' requests for votes. */
+/** Handles vote requests and pre-vote requests of other members. */
 final class Voter {
 
   private final ReplicaContext context;
-  private final VoteGuard guard;
-  private Optional<MemberId> unsyncedVote = Optional.empty();
+  private final VoteGuard votePolicy;
+  private Optional<MemberId> pendingVote = Optional.empty();
 
-  Voter(ReplicaContext context, VoteGuard guard) {
+  Voter(ReplicaContext context, VoteGuard votePolicy) {
     this.context = context;
-    this.guard = guard;
+    this.votePolicy = votePolicy;
   }
 
-  /** Answers a pre-vote request; nothing changes by it. */
+  /** Replies to a pre-vote request without changing any state. */
   void preVote(MemberId from, PeerMessage.PreVoteRequest request, boolean leading, long nowNs) {
     boolean granted =
         !leading
             && request.term() > context.ballot.term()
-            && guard.allows(false, nowNs)
+            && votePolicy.allows(false, nowNs)
             && isUpToDate(request.lastIndex(), request.lastTerm());
     context.outbox.send(
         from, new PeerMessage.PreVoteReply(context.ballot.term(), request.term(), granted));
   }
 
-  /** Tells whether a vote request may be looked at, and its term be taken over. */
+  /** Returns whether a vote request may be processed and its term adopted. */
   boolean mayConsider(PeerMessage.VoteRequest request, boolean leading, long nowNs) {
-    return guard.allows(request.handOver(), nowNs) && (!leading || request.handOver());
+    return votePolicy.allows(request.handOver(), nowNs) && (!leading || request.handOver());
   }
 
   /**
-   * Votes in this member's term.
+   * Processes a vote request in this member's current term.
    *
-   * @return whether the sender has the vote
+   * @return whether the sender receives the vote
    */
   boolean vote(MemberId from, PeerMessage.VoteRequest request) {
     boolean granted =
@@ -46,30 +46,30 @@
       return false;
     }
     context.ballot.voteFor(from);
-    unsyncedVote = Optional.of(from);
+    pendingVote = Optional.of(from);
     tellSyncedVote();
     return true;
   }
 
-  /** Tells a candidate of this member's vote, if the vote is synced by now. */
+  /** Sends the pending vote to its candidate if the vote is synced. */
   void tellSyncedVote() {
-    if (unsyncedVote.isEmpty() || !context.ballot.isSynced()) {
+    if (pendingVote.isEmpty() || !context.ballot.isSynced()) {
       return;
     }
-    context.outbox.send(unsyncedVote.get(), new PeerMessage.VoteReply(context.ballot.term(), true));
-    unsyncedVote = Optional.empty();
+    context.outbox.send(pendingVote.get(), new PeerMessage.VoteReply(context.ballot.term(), true));
+    pendingVote = Optional.empty();
   }
 
-  /** Forgets a vote of the term before. */
+  /** Discards the pending vote of the previous term. */
   void termChanged() {
-    unsyncedVote = Optional.empty();
+    pendingVote = Optional.empty();
   }
 
   /**
-   * Tells whether a candidate's log holds all that this member's log may have committed.
+   * Returns whether a candidate's log has all entries of this member's log that may be committed.
    *
-   * <p>A member with an empty log has nothing to compare with, so it never votes: its disk may be
-   * the replacement of one that held committed entries.
+   * <p>A member with an empty log never votes, because it can't compare: its disk may replace one
+   * that held committed entries.
    */
   private boolean isUpToDate(long lastIndex, long lastTerm) {
     ReplicatedLog log = context.log;
--- a/core/src/main/java/org/teaseltrail/core/replication/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Replicates a log over the control members: elections, leader lease, snapshots, member changes.
+ * Raft replication of a log between the control members: elections, leader lease, snapshots and
+ * membership changes.
  *
- * <p>{@link org.teaseltrail.core.replication.Replica} is the root. It knows nothing of what the
- * log's commands say, reads no clock and does no input or output.
+ * <p>{@link org.teaseltrail.core.replication.Replica} is the entry point. The package doesn't
+ * interpret commands, reads no clock and performs no I/O.
  */
 package org.teaseltrail.core.replication;
--- a/core/src/test/java/org/teaseltrail/core/replication/ElectionTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/ElectionTest.java
@@ -23,8 +23,8 @@
   }
 
   /**
-   * Story: a VM is cut off for a long time and comes back. Were its term to have grown meanwhile,
-   * it would depose the leader, and users would see scheduling stop for an election.
+   * Guards against a VM that returns from a long network partition with a higher term: it would
+   * depose the leader, and scheduling would stop for an election.
    */
   @Test
   void returnOfAnIsolatedMemberLeavesTheLeader() {
@@ -40,8 +40,9 @@
   }
 
   /**
-   * Story: a link fails in one direction: the leader is heard but hears nobody. Its heartbeats keep
-   * the others from voting, so without a step-down nothing is committed until someone repairs it.
+   * Guards against a one-way link failure in which the leader's messages arrive but no replies
+   * reach it. Its heartbeats keep the others from voting, so unless it steps down nothing is
+   * committed until an operator repairs the link.
    */
   @Test
   void deafLeaderStepsDown() {
@@ -51,7 +52,10 @@
     assertThat(group.elect()).isNotSameAs(leader);
   }
 
-  /** A kill leaves the group without a lease holder for less than the 2 s of the design. */
+  /**
+   * After a leader crash the group is without a valid lease for less than the 2 s that the design
+   * allows.
+   */
   @Test
   void nextLeaderWithinTwoSecondsOfKill() {
     for (int seed = 0; seed < 50; seed++) {
@@ -63,13 +67,14 @@
   }
 
   /**
-   * Story: power is lost everywhere and comes back. The members start within a fifth of a second of
-   * each other and refuse their votes for a lease. All of them waited a whole election timeout
-   * before they asked, and again if they had asked too early, while callers were turned away.
+   * Guards against a slow election after a power loss of all VMs. The members restart within a
+   * fifth of a second of each other and refuse their votes for one lease. If each of them waited a
+   * complete election timeout before its first pre-vote, and another one if that came too early,
+   * requests would be rejected meanwhile.
    */
   @Test
   void leaderSoonAfterAllMembersWereRestarted() {
-    long allNs = 0;
+    long totalNs = 0;
     for (int seed = 0; seed < 50; seed++) {
       FakeGroup restarted = new FakeGroup(seed, 5);
       restarted.elect();
@@ -79,16 +84,17 @@
       for (int i = 0; i < members.size(); i++) {
         restarted.after(i * 50 * FakeGroup.MS, members.get(i)::start);
       }
-      long beganNs = restarted.nowNs();
+      long startedNs = restarted.nowNs();
       restarted.elect();
-      allNs += restarted.nowNs() - beganNs;
+      totalNs += restarted.nowNs() - startedNs;
     }
-    assertThat(allNs / 50).isLessThan(700 * FakeGroup.MS);
+    assertThat(totalNs / 50).isLessThan(700 * FakeGroup.MS);
   }
 
   /**
-   * Story: a member is killed and at once started again. Its process takes 0.3 s before the member
-   * runs; that time counts for the lease which it may have granted before, and no more than that.
+   * Guards against a vote before the lease that a member may have granted in its previous
+   * incarnation has expired, and against waiting longer than that. A process takes 0.3 s to restart
+   * before the member runs; this time counts towards the lease.
    */
   @Test
   void voteIsFreeOneLeaseAfterTheLastLife() {
@@ -99,7 +105,7 @@
     assertThat(grantsVote(0, leaseMs + 1)).isTrue();
   }
 
-  private static boolean grantsVote(long silentMs, long afterStartMs) {
+  private static boolean grantsVote(long downtimeMs, long afterStartMs) {
     long startNs = 10_000 * FakeGroup.MS;
     FakeMember founder = new FakeGroup(1, 3).member(0);
     Replica replica =
@@ -109,7 +115,7 @@
             FakeGroup.SETTINGS,
             founder.disk().recovered(),
             new SplittableRandom(1),
-            startNs - silentMs * FakeGroup.MS,
+            startNs - downtimeMs * FakeGroup.MS,
             startNs);
     PeerMessage request = new PeerMessage.VoteRequest(9, 100, 8, false);
     PeerEnvelope envelope =
@@ -122,7 +128,10 @@
                     && saved.vote().votedFor().isPresent());
   }
 
-  /** A leader that hands over is followed at once, without the wait for its lease. */
+  /**
+   * A leader that transfers its leadership is replaced immediately, without waiting for its lease
+   * to expire.
+   */
   @Test
   void handOverNeedsNoWait() {
     FakeMember leader = group.elect();
@@ -134,8 +143,8 @@
   }
 
   /**
-   * Story: a disk is replaced and the process started with an empty folder. Were it to vote, it
-   * could elect a leader that lacks what the old disk had acknowledged.
+   * Guards against a vote of a process that starts with an empty folder after its disk was
+   * replaced: it could elect a leader that lacks entries which the old disk had acknowledged.
    */
   @Test
   void emptyLogNeverVotes() {
@@ -159,8 +168,8 @@
   }
 
   /**
-   * Story: an operator resends a member change, or two operators change members at once. With both
-   * under way, two quorums could decide without a common voter.
+   * Guards against two membership changes in flight, as when an operator repeats a change or two
+   * operators change members concurrently: two quorums without a common voter could decide.
    */
   @Test
   void memberChangesFollowOneAnother() {
--- a/core/src/test/java/org/teaseltrail/core/replication/FakeDisk.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FakeDisk.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Keeps synced writes over a crash and loses others, from any of them on. */
+/**
+ * Simulated disk that keeps synced writes over a crash and loses all other writes from some point
+ * on.
+ */
 final class FakeDisk {
 
   private final Deque<ReplicaAction.Write> unsynced = new ArrayDeque<>();
@@ -38,7 +41,7 @@
     }
   }
 
-  /** Loses power: of the writes that aren't synced only the first ones arrive. */
+  /** Simulates a power loss: only the given number of unsynced writes, in order, reach the disk. */
   void crash(int arrivingWrites) {
     for (int i = 0; i < arrivingWrites && !unsynced.isEmpty(); i++) {
       apply(unsynced.removeFirst());
@@ -54,7 +57,7 @@
     return new RecoveredState(vote, snapshot, entries);
   }
 
-  /** Tells whether a power loss now would leave the entry. */
+  /** Returns whether the entry would survive a power loss now. */
   boolean keeps(LogEntry entry) {
     return snapshot.map(Snapshot::index).orElse(0L) >= entry.index() || entries.contains(entry);
   }
@@ -68,7 +71,7 @@
     return entries.isEmpty() ? covered : Math.max(covered, lastEntry().index());
   }
 
-  /** Returns the member set that the log would hold were all writes synced. */
+  /** Returns the member set that the log would have if all writes were synced. */
   Membership writtenMembership() {
     FakeDisk all = new FakeDisk(recovered());
     unsynced.forEach(all::apply);
--- a/core/src/test/java/org/teaseltrail/core/replication/FakeGroup.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FakeGroup.java
@@ -14,7 +14,10 @@
 import org.teaseltrail.core.id.MemberId;
 import org.teaseltrail.core.id.VmId;
 
-/** Runs members under virtual time over a network that drops, delays, doubles and reorders. */
+/**
+ * Runs a group of members in virtual time over a simulated network that drops, delays, duplicates
+ * and reorders messages.
+ */
 final class FakeGroup {
 
   static final GroupId ID = new GroupId("group");
@@ -22,13 +25,13 @@
       new ReplicaSettings(50, 500, 50, 600, 900, 8, 64, 4, 100_000, 9, 20, 5);
   static final long MS = 1_000_000L;
 
-  private record Timed(long atNs, long sequence, Runnable task) {}
+  private record ScheduledTask(long atNs, long sequence, Runnable task) {}
 
   private record Link(MemberId from, MemberId to) {}
 
   private final SplittableRandom random;
   private final GroupHistory history = new GroupHistory();
-  private final PriorityQueue<Timed> queue =
+  private final PriorityQueue<ScheduledTask> queue =
       new PriorityQueue<>(
           (a, b) ->
               a.atNs() != b.atNs()
@@ -36,14 +39,14 @@
                   : Long.compare(a.sequence(), b.sequence()));
   private final Map<MemberId, FakeMember> members = new LinkedHashMap<>();
   private final List<FakeMember> everStarted = new ArrayList<>();
-  private final Set<Link> cuts = new HashSet<>();
+  private final Set<Link> cutLinks = new HashSet<>();
   private long nowNs;
   private long sequence;
   private long proposals;
   private int lossPercent;
   private int stateBytes = 40;
   private final Map<MemberId, Long> extraDelaysNs = new HashMap<>();
-  private int lives;
+  private int startedCount;
 
   FakeGroup(long seed, int voters) {
     this.random = new SplittableRandom(seed);
@@ -58,8 +61,8 @@
   }
 
   Member newMember(String vm) {
-    lives++;
-    return new Member(new MemberId(vm + "-" + lives), new VmId(vm));
+    startedCount++;
+    return new Member(new MemberId(vm + "-" + startedCount), new VmId(vm));
   }
 
   FakeMember start(Member member, RecoveredState initial) {
@@ -69,7 +72,7 @@
     return started;
   }
 
-  /** Takes a member away for good, with its disk. */
+  /** Removes a member permanently, together with its disk. */
   void destroy(FakeMember member) {
     member.crash();
     members.remove(member.id());
@@ -87,7 +90,10 @@
     return members.values();
   }
 
-  /** Returns the members and those whose disks are lost, as these had their part in a quorum. */
+  /**
+   * Returns all members ever started, including those whose disks are lost, because they were part
+   * of earlier quorums.
+   */
   Collection<FakeMember> everStarted() {
     return everStarted;
   }
@@ -127,13 +133,13 @@
     return stateBytes;
   }
 
-  /** Puts a member further away than the others. */
+  /** Adds latency to all messages from and to a member. */
   void delay(FakeMember member, long extraNs) {
     extraDelaysNs.put(member.id(), extraNs);
   }
 
   void cut(FakeMember from, FakeMember to) {
-    cuts.add(new Link(from.id(), to.id()));
+    cutLinks.add(new Link(from.id(), to.id()));
   }
 
   void isolate(FakeMember member) {
@@ -144,30 +150,30 @@
   }
 
   void heal() {
-    cuts.clear();
+    cutLinks.clear();
   }
 
   void after(long delayNs, Runnable task) {
-    queue.add(new Timed(nowNs + delayNs, sequence++, task));
+    queue.add(new ScheduledTask(nowNs + delayNs, sequence++, task));
   }
 
   void send(PeerEnvelope envelope) {
     boolean lost =
-        cuts.contains(new Link(envelope.from(), envelope.to()))
+        cutLinks.contains(new Link(envelope.from(), envelope.to()))
             || random.nextInt(100) < lossPercent;
     if (lost) {
       return;
     }
-    deliverLater(envelope);
+    scheduleDelivery(envelope);
     if (random.nextInt(100) < lossPercent) {
-      deliverLater(envelope);
+      scheduleDelivery(envelope);
     }
   }
 
   void run(long durationNs) {
     long endNs = nowNs + durationNs;
     while (!queue.isEmpty() && queue.peek().atNs() <= endNs) {
-      Timed next = queue.poll();
+      ScheduledTask next = queue.poll();
       nowNs = next.atNs();
       next.task().run();
       history.checkLeases(members.values());
@@ -175,7 +181,7 @@
     nowNs = endNs;
   }
 
-  /** Runs until a member leads and its lease holds. */
+  /** Runs until there is a leader with a valid lease. */
   FakeMember elect() {
     for (int i = 0; i < 1_000 && leader().isEmpty(); i++) {
       run(10 * MS);
@@ -189,7 +195,10 @@
     member.handle(new ReplicaEvent.Propose(proposals++, command));
   }
 
-  /** Ends all faults and checks that the group serves and all members come to the same state. */
+  /**
+   * Ends all faults and checks that the group commits again and all members converge to the same
+   * state.
+   */
   void settle() {
     heal();
     lossPercent = 0;
@@ -210,7 +219,7 @@
     }
   }
 
-  private void deliverLater(PeerEnvelope envelope) {
+  private void scheduleDelivery(PeerEnvelope envelope) {
     boolean slow = random.nextInt(100) < lossPercent;
     long extraNs =
         extraDelaysNs.getOrDefault(envelope.from(), 0L)
@@ -220,7 +229,7 @@
         delayNs,
         () -> {
           ReplicaEvent received = new ReplicaEvent.PeerReceived(envelope);
-          receiverOn(vmOf(envelope.to())).ifPresent(member -> member.handle(received));
+          memberOn(vmOf(envelope.to())).ifPresent(member -> member.handle(received));
         });
   }
 
@@ -228,8 +237,11 @@
     return id.value().substring(0, id.value().indexOf('-'));
   }
 
-  /** Returns who runs on a VM now, which after a lost disk isn't whom a message was meant for. */
-  private Optional<FakeMember> receiverOn(String vm) {
+  /**
+   * Returns the member that runs on a VM now. After a disk loss this isn't the member to which an
+   * earlier message was addressed.
+   */
+  private Optional<FakeMember> memberOn(String vm) {
     return members.values().stream()
         .filter(member -> member.member().vm().value().equals(vm))
         .findFirst();
--- a/core/src/test/java/org/teaseltrail/core/replication/FakeMember.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FakeMember.java
@@ -12,7 +12,9 @@
 import java.util.OptionalLong;
 import org.teaseltrail.core.id.MemberId;
 
-/** Runs one replica on a fake disk and a clock of its own; can crash, freeze and lose its disk. */
+/**
+ * Runs one replica with a simulated disk and its own clock; it can crash, pause and lose its disk.
+ */
 final class FakeMember {
 
   private static final long MAX_SYNC_NS = 3_000_000L;
@@ -25,13 +27,13 @@
   private final Deque<ReplicaEvent> held = new ArrayDeque<>();
   private final Map<Long, Long> barriers = new HashMap<>();
   private Replica replica;
-  private int life;
-  private boolean frozen;
+  private int incarnation;
+  private boolean paused;
   private boolean syncing;
   private long wakeupNs;
   private long appliedIndex;
   private long stateHash;
-  private long thawReads;
+  private long readsAfterPause;
   private int actionsUntilCrash = -1;
 
   FakeMember(FakeGroup group, Member member, RecoveredState initial) {
@@ -84,7 +86,7 @@
   }
 
   boolean hasCrashed() {
-    return life > 0;
+    return incarnation > 0;
   }
 
   void crashAfterActions(int count) {
@@ -109,29 +111,31 @@
     handle(new ReplicaEvent.Tick());
   }
 
-  /** Loses power; each unsynced write may have arrived, but none after one that hasn't. */
+  /**
+   * Simulates a power loss: any number of the unsynced writes, in order, may have reached the disk.
+   */
   void crash() {
     disk.crash(group.random().nextInt(disk.unsyncedCount() + 1));
     replica = null;
-    life++;
-    frozen = false;
+    incarnation++;
+    paused = false;
     syncing = false;
     held.clear();
     barriers.clear();
   }
 
   void freeze() {
-    frozen = true;
+    paused = true;
   }
 
-  /** Goes on with a read, and then with all that came in meanwhile. */
+  /** Resumes with a read, followed by all events that arrived during the pause. */
   void thaw() {
-    frozen = false;
+    paused = false;
     if (leads()) {
-      thawReads--;
-      read(thawReads);
+      readsAfterPause--;
+      read(readsAfterPause);
     }
-    while (!frozen && isUp() && !held.isEmpty()) {
+    while (!paused && isUp() && !held.isEmpty()) {
       handle(held.removeFirst());
     }
     if (isUp()) {
@@ -143,32 +147,32 @@
     if (!isUp()) {
       return;
     }
-    if (frozen) {
+    if (paused) {
       held.addLast(event);
       return;
     }
-    int now = life;
+    int current = incarnation;
     List<ReplicaAction> actions = replica.handle(event, localNs());
     checkReceiver(event, actions);
     for (ReplicaAction action : actions) {
-      if (life == now) {
-        carryOut(action);
+      if (incarnation == current) {
+        execute(action);
       }
     }
-    if (life == now) {
+    if (incarnation == current) {
       checkMembership(actions);
       startSync();
       scheduleWakeup();
     }
   }
 
-  /** Asks for a read that must see all that is committed by now. */
+  /** Requests a read that must observe everything committed so far. */
   void read(long barrierId) {
     barriers.put(barrierId, group.history().committedIndex());
     handle(new ReplicaEvent.ReadBarrier(barrierId));
   }
 
-  private void carryOut(ReplicaAction action) {
+  private void execute(ReplicaAction action) {
     if (actionsUntilCrash == 0) {
       actionsUntilCrash = -1;
       crash();
@@ -179,7 +183,7 @@
     if (action instanceof ReplicaAction.Write write) {
       disk.write(write);
     } else if (action instanceof ReplicaAction.SendPeer send) {
-      checkPromise(send.envelope());
+      checkDurable(send.envelope());
       group.send(send.envelope());
     } else if (action instanceof ReplicaAction.Apply apply) {
       apply.entries().forEach(this::apply);
@@ -218,8 +222,8 @@
         && send.envelope().message().getClass().getSimpleName().endsWith("Reply");
   }
 
-  /** Checks that what a message promises would outlive a power loss now. */
-  private void checkPromise(PeerEnvelope envelope) {
+  /** Checks that whatever a message acknowledges would survive a power loss now. */
+  private void checkDurable(PeerEnvelope envelope) {
     PeerMessage message = envelope.message();
     if (message instanceof PeerMessage.VoteReply reply && reply.granted()) {
       assertThat(disk.syncedVote()).isEqualTo(new Vote(reply.term(), Optional.of(envelope.to())));
@@ -254,11 +258,11 @@
     }
     syncing = true;
     long writeNumber = disk.newestWrite();
-    int started = life;
+    int expected = incarnation;
     group.after(
         group.random().nextLong(MAX_SYNC_NS),
         () -> {
-          if (life == started) {
+          if (incarnation == expected) {
             disk.sync(writeNumber);
             syncing = false;
             handle(new ReplicaEvent.Persisted(writeNumber));
@@ -272,13 +276,13 @@
       return;
     }
     wakeupNs = wanted.getAsLong();
-    int started = life;
+    int expected = incarnation;
     long delayNs = Math.max(0, (long) ((wakeupNs - localNs()) / rate)) + 1_000;
-    group.after(delayNs, () -> wake(started));
+    group.after(delayNs, () -> onWakeup(expected));
   }
 
-  private void wake(int started) {
-    if (life == started) {
+  private void onWakeup(int expected) {
+    if (incarnation == expected) {
       wakeupNs = Long.MAX_VALUE;
       handle(new ReplicaEvent.Tick());
     }
--- a/core/src/test/java/org/teaseltrail/core/replication/Fault.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/Fault.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.teaseltrail.core.id.VmId;
 
-/** Is something that goes wrong, or that an operator does, in a random run. */
+/** Fault or operator action that a random run injects. */
 enum Fault {
   CRASH {
     @Override
--- a/core/src/test/java/org/teaseltrail/core/replication/FaultRun.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FaultRun.java
@@ -3,13 +3,13 @@
 import java.util.Optional;
 import java.util.SplittableRandom;
 
-/** Runs a group under load and random faults, and repairs it after a lost disk. */
+/** Runs a group under load with random faults, and replaces a member that has lost its disk. */
 final class FaultRun {
 
   private static final long STEP_NS = 20 * FakeGroup.MS;
 
   private final FakeGroup group;
-  private Optional<FakeMember> lost = Optional.empty();
+  private Optional<FakeMember> lostMember = Optional.empty();
   private Optional<FakeMember> replacement = Optional.empty();
   private long reads;
 
@@ -34,16 +34,18 @@
     group.settle();
   }
 
-  /** Loses one disk; the next one may go as soon as the repair is done, not before. */
+  /**
+   * Loses the disk of one voter; the next disk may be lost only after the replacement is complete.
+   */
   void loseDisk() {
-    if (lost.isPresent() || group.leader().isEmpty()) {
+    if (lostMember.isPresent() || group.leader().isEmpty()) {
       return;
     }
     FakeMember member = group.anyMember();
     if (!group.leader().get().membership().isVoter(member.id())) {
       return;
     }
-    lost = Optional.of(member);
+    lostMember = Optional.of(member);
     group.destroy(member);
     Member successor = group.newMember(member.member().vm().value());
     replacement = Optional.of(group.start(successor, RecoveredState.empty()));
@@ -59,23 +61,23 @@
   }
 
   private void repair() {
-    if (lost.isEmpty() || group.leader().isEmpty()) {
+    if (lostMember.isEmpty() || group.leader().isEmpty()) {
       return;
     }
-    if (repair(group.leader().get(), lost.get(), replacement.orElseThrow())) {
-      lost = Optional.empty();
+    if (repair(group.leader().get(), lostMember.get(), replacement.orElseThrow())) {
+      lostMember = Optional.empty();
     }
   }
 
-  /** Takes the next step of a repair and tells whether it is done. */
-  static boolean repair(FakeMember leader, FakeMember lost, FakeMember added) {
+  /** Proposes the next step of a member replacement and returns whether it is complete. */
+  static boolean repair(FakeMember leader, FakeMember lostMember, FakeMember added) {
     Membership membership = leader.membership();
     if (!membership.contains(added.id())) {
       propose(leader, new MembershipChange.AddLearner(added.member()));
     } else if (membership.isLearner(added.id())) {
       propose(leader, new MembershipChange.PromoteLearner(added.id()));
-    } else if (membership.contains(lost.id())) {
-      propose(leader, new MembershipChange.RemoveMember(lost.id()));
+    } else if (membership.contains(lostMember.id())) {
+      propose(leader, new MembershipChange.RemoveMember(lostMember.id()));
     } else {
       return leader.replica().isMembershipCommitted();
     }
--- a/core/src/test/java/org/teaseltrail/core/replication/FaultRunLongTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FaultRunLongTest.java
@@ -6,8 +6,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs the story of {@link FaultRunProperties} with fresh seeds for as long as the system property
- * {@code longRunMinutes} says. A failure names its seed; {@code longRunSeed} repeats it.
+ * Runs the faults of {@link FaultRunProperties} with new random seeds for the time given by the
+ * system property {@code longRunMinutes}. A failure reports its seed; {@code longRunSeed} repeats
+ * the run.
  */
 @Tag("long-run")
 class FaultRunLongTest {
--- a/core/src/test/java/org/teaseltrail/core/replication/FaultRunProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FaultRunProperties.java
@@ -5,9 +5,10 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Story: processes die, links are cut both ways or one way, members freeze, a disk is lost and a
- * second one right after the repair. Users would see an accepted change gone, two schedulers
- * granting the same upstream, or no leader after all is well again.
+ * Random faults: processes crash, links fail in one or both directions, members pause, and a second
+ * disk is lost right after the replacement of a first. Guards against lost committed changes, two
+ * schedulers that grant the same upstream, and a group that has no leader after all faults have
+ * ended.
  */
 class FaultRunProperties {
 
--- a/core/src/test/java/org/teaseltrail/core/replication/GroupHistory.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/GroupHistory.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import org.teaseltrail.core.id.MemberId;
 
-/** Compares what all members of a group did, at each step. */
+/** Checks at each step that all members of a group act consistently. */
 final class GroupHistory {
 
   private final List<LogEntry> committed = new ArrayList<>();
-  private final List<Long> hashes = new ArrayList<>(List.of(0L));
+  private final List<Long> prefixHashes = new ArrayList<>(List.of(0L));
   private final Map<Long, MemberId> leaders = new HashMap<>();
 
   long committedIndex() {
@@ -24,44 +24,48 @@
     return leaders.size();
   }
 
-  /** Takes an applied entry and returns the hash of all entries up to it. */
+  /** Records an applied entry and returns the hash of all entries up to it. */
   long applied(FakeMember member, LogEntry entry, Collection<FakeMember> all) {
     if (entry.index() <= committed.size()) {
       assertThat(entry)
-          .as("entry applied by %s", member.id())
+          .as("entry applied by member %s", member.id())
           .isEqualTo(committed.get((int) entry.index() - 1));
     } else {
       assertThat(entry.index()).isEqualTo(committed.size() + 1L);
       committed.add(entry);
-      hashes.add(hashes.get(committed.size() - 1) * 31 + entry.hashCode());
+      prefixHashes.add(prefixHashes.get(committed.size() - 1) * 31 + entry.hashCode());
       checkQuorumHolds(member, entry, all);
     }
-    return hashes.get((int) entry.index());
+    return prefixHashes.get((int) entry.index());
   }
 
   void restored(FakeMember member, long index, long hash) {
-    assertThat(hash).as("snapshot restored by %s", member.id()).isEqualTo(hashes.get((int) index));
+    assertThat(hash)
+        .as("snapshot restored by member %s", member.id())
+        .isEqualTo(prefixHashes.get((int) index));
   }
 
   void leads(FakeMember member, long term) {
     MemberId other = leaders.putIfAbsent(term, member.id());
     assertThat(other).as("another leader in term %d", term).isIn(null, member.id());
     assertThat(member.appliedIndex())
-        .as("new leader %s holds all that is committed", member.id())
+        .as("new leader %s has applied all committed entries", member.id())
         .isEqualTo(committed.size());
   }
 
-  /** Checks that nobody can be elected while a lease holds. */
+  /** Checks that no member can be elected while a lease is valid. */
   void checkLeases(Collection<FakeMember> members) {
     List<FakeMember> holders = members.stream().filter(FakeMember::leaseHolds).toList();
-    assertThat(holders).as("lease holders").hasSizeLessThan(2);
+    assertThat(holders).as("leaders with a valid lease").hasSizeLessThan(2);
     for (FakeMember holder : holders) {
       Membership membership = holder.membership();
-      long free =
+      long availableVotes =
           members.stream()
               .filter(member -> membership.isVoter(member.id()) && member.isVoteFree())
               .count();
-      assertThat(free).as("votes free beside a lease").isLessThan(membership.quorumCount());
+      assertThat(availableVotes)
+          .as("voters that can vote while a lease is valid")
+          .isLessThan(membership.quorumCount());
     }
   }
 
@@ -71,12 +75,12 @@
       return;
     }
     Membership membership = member.membership();
-    long keeping =
+    long durableVoters =
         all.stream()
             .filter(other -> membership.isVoter(other.id()) && other.disk().keeps(entry))
             .count();
-    assertThat(keeping)
-        .as("voters that keep %s over a power loss", entry)
+    assertThat(durableVoters)
+        .as("voters on which %s survives a power loss", entry)
         .isGreaterThanOrEqualTo(membership.quorumCount());
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/replication/RepairTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/RepairTest.java
@@ -5,9 +5,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Story: a disk is lost and its member replaced. Right after the repair a second VM is lost with
- * its disk. Users would see accepted changes gone if the new member had counted before it held,
- * synced, all that the lost one had held; the last old member alone may lack the newest of them.
+ * Replaces a member that has lost its disk, then loses a second VM with its disk. Accepted changes
+ * would be lost if the new member counted as a voter before it had synced everything that the lost
+ * member held; the last old member alone may lack the latest entries.
  */
 class RepairTest {
 
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Story: a new member is sent a large snapshot while commands keep coming. By its end the leader
-   * has taken newer ones and dropped the log behind the first, so the member is sent another, for
-   * ever.
+   * Guards against a learner that never catches up: while a large snapshot is sent to it and
+   * commands keep arriving, the leader takes newer snapshots and drops the log after the first, so
+   * the learner is sent one snapshot after another.
    */
   @Test
   void learnerCatchesUpWhileSnapshotsAreTaken() {
@@ -42,8 +42,8 @@
   }
 
   /**
-   * Story: a new member is further away than the others, so it is always some commands behind.
-   * Measured against the commit index of the moment it would never get its vote.
+   * Guards against a learner with a longer round trip that is never promoted: it always lags by
+   * some commands, so a comparison with the current commit index would never succeed.
    */
   @Test
   void distantLearnerIsPromotedUnderLoad() {
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Loses a member under load and returns at the moment at which the repair is done. */
+  /** Loses a member under load and returns as soon as it is replaced. */
   private static void loseAndRepair(FakeGroup group, FakeMember lost) {
     group.destroy(lost);
     FakeMember added =
@@ -91,6 +91,6 @@
       }
       group.run(STEP_NS);
     }
-    throw new AssertionError("not repaired in " + MAX_STEPS + " steps");
+    throw new AssertionError("member not replaced within " + MAX_STEPS + " steps");
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/replication/SnapshotScheduleTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/SnapshotScheduleTest.java
@@ -16,8 +16,8 @@
       new LogEntry(1, 1, new EntryPayload.CommandPayload(new byte[10]));
 
   /**
-   * Story: the state has grown large, and a snapshot of it is written every few thousand commands.
-   * The disk is busy with snapshots, and users see claims wait.
+   * Guards against snapshots of a large state every few thousand commands: they keep the disk busy
+   * and delay claims.
    */
   @Test
   void waitsUntilCommandsAreAsLargeAsTheState() {
@@ -25,26 +25,28 @@
     Snapshot large = new Snapshot(1, 1, Membership.empty(), new byte[1_000]);
     assertThat(schedule.isDue(entries(99), Optional.of(large))).isFalse();
     assertThat(schedule.isDue(entries(1), Optional.of(large))).isTrue();
-    assertThat(schedule.isDue(entries(100), Optional.of(large))).as("asked for twice").isFalse();
+    assertThat(schedule.isDue(entries(100), Optional.of(large)))
+        .as("due again before the snapshot was taken")
+        .isFalse();
   }
 
   /**
-   * Story: every member writes its snapshot after the same command, so all syncs stall together,
-   * and users see every claim wait at once.
+   * Guards against all members saving their snapshots after the same command: all syncs would stall
+   * at the same time and delay every claim.
    */
   @Test
   void membersDrawMomentsOfTheirOwn() {
-    Set<Integer> moments = new HashSet<>();
+    Set<Integer> indexes = new HashSet<>();
     for (int member = 0; member < 20; member++) {
       SnapshotSchedule schedule =
           new SnapshotSchedule(FakeGroup.SETTINGS, new SplittableRandom(member));
-      int moment = 1;
+      int index = 1;
       while (!schedule.isDue(entries(1), Optional.empty())) {
-        moment++;
+        index++;
       }
-      moments.add(moment);
+      indexes.add(index);
     }
-    assertThat(moments).allMatch(moment -> moment >= 20 && moment <= 30).hasSizeGreaterThan(3);
+    assertThat(indexes).allMatch(index -> index >= 20 && index <= 30).hasSizeGreaterThan(3);
   }
 
   private static List<LogEntry> entries(int count) {
--- a/core/src/test/java/org/teaseltrail/core/replication/SyncBeforeReplyTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/SyncBeforeReplyTest.java
@@ -12,8 +12,9 @@
 import org.teaseltrail.core.id.VmId;
 
 /**
- * Story: a VM loses power between a reply and the sync that the reply stood for. The leader counted
- * it, told an operator that a change is accepted, and after the restart the change is gone.
+ * Guards against a reply that is sent before the write that it acknowledges is synced. If the VM
+ * loses power in between, the leader has counted the reply and reported a change as accepted that
+ * is lost after the restart.
  */
 class SyncBeforeReplyTest {
 
@@ -31,19 +32,19 @@
   void acknowledgesOnlySyncedEntries() {
     receive(LEADER, append(2, 3, 1, LongStream.of(2, 2)));
     assertThat(sent(PeerMessage.AppendReply.class)).isEmpty();
-    persisted(newestWrite());
+    persisted(newestWriteNumber());
     assertThat(sent(PeerMessage.AppendReply.class))
         .extracting(PeerMessage.AppendReply::matchIndex)
         .containsExactly(5L);
   }
 
-  /** An old entry's sync must not count for a new entry that took the old one's place. */
+  /** The sync of a truncated entry must not count for the new entry that replaced it. */
   @Test
   void syncOfEntriesCutOffCountsForNothing() {
     receive(LEADER, append(2, 3, 1, LongStream.of(2, 2, 2)));
-    long oldWrite = newestWrite();
+    long oldWriteNumber = newestWriteNumber();
     receive(OTHER, append(3, 3, 1, LongStream.of(3, 3, 3)));
-    persisted(oldWrite);
+    persisted(oldWriteNumber);
     assertThat(sent(PeerMessage.AppendReply.class)).allMatch(reply -> reply.matchIndex() <= 3);
   }
 
@@ -51,27 +52,30 @@
   void tellsOnlySyncedVotes() {
     receive(OTHER, new PeerMessage.VoteRequest(2, 9, 1, false));
     assertThat(sent(PeerMessage.VoteReply.class)).isEmpty();
-    persisted(newestWrite());
+    persisted(newestWriteNumber());
     assertThat(sent(PeerMessage.VoteReply.class)).hasSize(1);
   }
 
-  /** A candidate whose own vote gets lost could stand in the same term again with another log. */
+  /**
+   * A candidate whose own vote is lost in a crash could start another election in the same term
+   * with a different log.
+   */
   @Test
   void asksForVotesOnlyOnceItsOwnIsSynced() {
     receive(LEADER, append(2, 3, 1, LongStream.of(2)));
-    final long oldWrite = newestWrite();
+    final long oldWriteNumber = newestWriteNumber();
     nowNs += 2_000 * MS;
     handle(new ReplicaEvent.Tick());
     receive(OTHER, new PeerMessage.PreVoteReply(2, 3, true));
-    persisted(oldWrite);
+    persisted(oldWriteNumber);
     assertThat(sent(PeerMessage.VoteRequest.class)).isEmpty();
-    persisted(newestWrite());
+    persisted(newestWriteNumber());
     assertThat(sent(PeerMessage.VoteRequest.class)).hasSize(2);
   }
 
   /**
-   * An entry of an older term may lie on a quorum and still be replaced by a later leader (Ongaro,
-   * section 3.6.2), so it is committed only by an entry of the leader's own term.
+   * An entry of an earlier term may be held by a quorum and still be replaced by a later leader
+   * (Ongaro, section 3.6.2), so it is committed only by an entry of the leader's own term.
    */
   @Test
   void commitsOldEntriesOnlyByOneOfItsOwnTerm() {
@@ -83,9 +87,9 @@
   }
 
   /**
-   * Story: a restarted member is elected; it doesn't know yet what is committed, so an empty
-   * learner seems to hold all of it and gets a vote. It can't vote for anyone, and the group elects
-   * nobody.
+   * Guards against the promotion of an empty learner by a leader that has just been restarted and
+   * doesn't know the commit index yet, so that the learner seems to be caught up. An empty learner
+   * can't vote for anyone, and the group could no longer elect a leader.
    */
   @Test
   void emptyLearnerIsNotCaughtUpWithNewLeader() {
@@ -101,9 +105,9 @@
     nowNs += 2_000 * MS;
     handle(new ReplicaEvent.Tick());
     receive(OTHER, new PeerMessage.PreVoteReply(1, 2, true));
-    persisted(newestWrite());
+    persisted(newestWriteNumber());
     receive(OTHER, new PeerMessage.VoteReply(2, true));
-    persisted(newestWrite());
+    persisted(newestWriteNumber());
   }
 
   private Replica start(List<LogEntry> entries) {
@@ -129,7 +133,7 @@
   private static PeerMessage append(
       long term, long previousIndex, long previousTerm, LongStream terms) {
     List<LogEntry> entries = new ArrayList<>();
-    terms.forEach(each -> entries.add(entry(previousIndex + 1 + entries.size(), each)));
+    terms.forEach(entryTerm -> entries.add(entry(previousIndex + 1 + entries.size(), entryTerm)));
     return new PeerMessage.Append(term, previousIndex, previousTerm, entries, 0, 1);
   }
 
@@ -145,7 +149,7 @@
     actions.addAll(replica.handle(event, nowNs));
   }
 
-  private long newestWrite() {
+  private long newestWriteNumber() {
     return actions.stream()
         .filter(ReplicaAction.Write.class::isInstance)
         .mapToLong(action -> ((ReplicaAction.Write) action).writeNumber())
