--- a/core/src/main/java/org/teaseltrail/core/state/ChangeDigest.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ChangeDigest.java
@@ -6,15 +6,15 @@
 import org.teaseltrail.core.state.Command.ChangeConfiguration;
 
 /**
- * Digests the content of a change. The text of a record names its type and all its components, and
- * the records of the configuration hold their sets in order, so equal content gives equal text in
- * every process.
+ * Computes the content digest of a configuration change. The text form of a record contains its
+ * type and all components, and the configuration records keep their sets sorted, so equal content
+ * results in equal text in every process.
  */
 final class ChangeDigest {
 
   private ChangeDigest() {}
 
-  /** Returns SHA-256 over the expected revision and the items, in lower-case hexadecimal. */
+  /** Returns the SHA-256 hash of the expected revision and the items, in lower-case hexadecimal. */
   static String of(ChangeConfiguration command) {
     String content = command.expected() + "\n" + command.items();
     return HexFormat.of()
--- a/core/src/main/java/org/teaseltrail/core/state/ChangeHistory.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ChangeHistory.java
@@ -8,15 +8,18 @@
 import org.teaseltrail.core.id.ChangeId;
 
 /**
- * Remembers the results of changes for resends, oldest first. It is part of the replicated state,
- * so a resend finds its result at a new leader and after a snapshot too.
+ * Keeps the results of recent changes, oldest first, so that a retried change receives its first
+ * result. It is part of the replicated state, so a retry finds the result also on a new leader and
+ * after a snapshot.
  */
 final class ChangeHistory {
 
-  /** The two-year size has 5,100 changes a day; a resend comes within minutes. */
+  /**
+   * Sized for 5,100 changes a day, the load expected in two years; retries arrive within minutes.
+   */
   static final int MAX_RECORDS = 6_000;
 
-  /** Two days of log time. */
+  /** Retention of results: two days of log time. */
   static final long RETENTION_MS = 48L * 3_600_000;
 
   private final Map<ChangeId, ChangeRecord> records = new LinkedHashMap<>();
--- a/core/src/main/java/org/teaseltrail/core/state/ChangeRecord.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ChangeRecord.java
@@ -3,10 +3,10 @@
 import org.teaseltrail.core.id.ChangeId;
 
 /**
- * Keeps what a change came to, for its resends.
+ * Stored result of a change, returned to retries.
  *
  * @param change the change id
- * @param contentDigest tells another content under the same id apart
+ * @param contentDigest digest that detects different content under the same change id
  * @param result the first result
  * @param logTimeMs log time of the first result, in milliseconds
  */
--- a/core/src/main/java/org/teaseltrail/core/state/ChangeResult.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ChangeResult.java
@@ -4,34 +4,34 @@
 import org.teaseltrail.core.id.ChangeId;
 import org.teaseltrail.core.id.Revision;
 
-/** Is what a change of the configuration came to. */
+/** Result of a configuration change. */
 public sealed interface ChangeResult {
 
   /**
    * The change is accepted.
    *
-   * @param revision the configuration's revision with it
+   * @param revision revision of the configuration after the change
    */
   record Accepted(Revision revision) implements ChangeResult {}
 
   /**
-   * Another change came first.
+   * The expected revision isn't the current one because of another change.
    *
-   * @param present the revision that the operator did not know of
+   * @param present the current revision
    */
   record RevisionConflict(Revision present) implements ChangeResult {}
 
   /**
-   * The change id was used for another change.
+   * The change id has already been used for a change with different content.
    *
    * @param change the change id
    */
   record ChangeIdConflict(ChangeId change) implements ChangeResult {}
 
   /**
-   * The change breaks a rule of the configuration.
+   * The change violates a rule of the configuration.
    *
-   * @param failure the rule
+   * @param failure the violated rule
    */
   record Refused(ConfigurationFailure failure) implements ChangeResult {}
 }
--- a/core/src/main/java/org/teaseltrail/core/state/ClusterSnapshot.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ClusterSnapshot.java
@@ -7,14 +7,14 @@
 import org.teaseltrail.core.configuration.Configuration;
 
 /**
- * Is the whole replicated state as one value.
+ * Immutable copy of the complete replicated state.
  *
  * @param logTimeMs log time, in milliseconds
  * @param configuration the configuration
- * @param changes results kept for resends, oldest first
- * @param claimLimits limits of the claims
- * @param claims the claims in the order their book gives
- * @param serving what an outside platform decides; empty in snapshots of older versions
+ * @param changes results kept for retries, oldest first
+ * @param claimLimits limits on the number and retention of claims
+ * @param claims the claims in the order of their store
+ * @param serving state controlled by the external platform; empty in snapshots of older versions
  */
 public record ClusterSnapshot(
     long logTimeMs,
--- a/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
@@ -38,12 +38,12 @@
 import org.teaseltrail.core.state.Command.UpstreamLeaves;
 
 /**
- * Is the replicated state. Members that apply the same commands in the same order hold equal states
- * and give equal results.
+ * Replicated state machine. Members that apply the same commands in the same order have equal
+ * states and return equal results.
  */
 public final class ClusterState {
 
-  /** Stands for the version of a plan that isn't there; versions count from 0. */
+  /** Version that is reported when there is no plan; plan versions start at 0. */
   public static final long NO_PLAN = -1;
 
   private final ChangeHistory changes;
@@ -56,7 +56,7 @@
   private long logTimeMs;
 
   /**
-   * Builds the state that a snapshot holds.
+   * Restores the state from a snapshot.
    *
    * @param snapshot the snapshot
    */
@@ -76,7 +76,7 @@
    * Applies a committed command.
    *
    * @param command the command
-   * @return what it came to, the same on every member
+   * @return the result, which is the same on every member
    */
   public CommandResult apply(Command command) {
     logTimeMs = Math.max(logTimeMs, command.logTimeMs());
@@ -84,7 +84,7 @@
       return new CommandResult.OfChange(change(change));
     }
     if (command instanceof OpenClaim open) {
-      return new CommandResult.OfOpen(claims.open(wish(open)));
+      return new CommandResult.OfOpen(claims.open(newClaim(open)));
     }
     if (command instanceof CompleteClaim complete) {
       return new CommandResult.OfClaim(
@@ -134,11 +134,11 @@
   private RolloutOrderResult order(RolloutOrder order) {
     boolean known = plan.filter(held -> held.plan().hasService(order.service())).isPresent();
     return known
-        ? rollouts.order(order, versionsInForce(order.service()), logTimeMs)
+        ? rollouts.order(order, readyVersions(order.service()), logTimeMs)
         : RolloutOrderResult.UNKNOWN_SERVICE;
   }
 
-  private List<UpstreamVersion> versionsInForce(ServiceId service) {
+  private List<UpstreamVersion> readyVersions(ServiceId service) {
     return registry.present().stream()
         .filter(upstream -> upstream.service().equals(service))
         .filter(upstream -> upstream.phase() == RegistrationPhase.READY)
@@ -153,8 +153,9 @@
   }
 
   /**
-   * Guards against a change that was overtaken or comes again: an older version, or other content
-   * under the version held, would take back what was acknowledged since.
+   * Installs a plan only if its version is higher than the current one. A delayed or duplicate
+   * command, with an older version or with different content under the current version, would
+   * revert what has been acknowledged since.
    */
   private void install(InstalledPlan installed) {
     if (installed.plan().version() > planVersion()) {
@@ -176,27 +177,27 @@
         Optional.of(rollouts.all()));
   }
 
-  /** Returns the accepted plan of an outside platform, if there is one. */
+  /** Returns the plan accepted from the external platform, if there is one. */
   public Optional<InstalledPlan> plan() {
     return plan;
   }
 
-  /** Returns the registrations, to look up only. */
+  /** Returns the upstream registrations, for lookup only. */
   public UpstreamRegistry registry() {
     return registry;
   }
 
-  /** Returns the requests that no upstream gets, to look up only. */
+  /** Returns the quarantined requests, which are sent to no upstream, for lookup only. */
   public HeldRequestStore held() {
     return held;
   }
 
-  /** Returns the rollouts, to look up only. */
+  /** Returns the rollouts, for lookup only. */
   public RolloutStore rollouts() {
     return rollouts;
   }
 
-  /** Returns the whole state as one value. */
+  /** Returns a snapshot of the complete state. */
   public ClusterSnapshot snapshot() {
     return new ClusterSnapshot(
         logTimeMs,
@@ -212,19 +213,20 @@
     return configuration;
   }
 
-  /** Returns the claims, to look up only. */
+  /** Returns the claims, for lookup only. */
   public ClaimStore claims() {
     return claims;
   }
 
-  /** Returns the log time of the newest command, in milliseconds. */
+  /** Returns the log time of the latest command, in milliseconds. */
   public long logTimeMs() {
     return logTimeMs;
   }
 
   /**
-   * Guards against a change that is sent again because its answer was lost: applied twice, it would
-   * undo what another operator did in between. The kept result answers instead.
+   * Applies a configuration change at most once per change id. A change that is retried because its
+   * response was lost would otherwise revert what another operator changed in between; a retry
+   * receives the stored result instead.
    */
   private ChangeResult change(ChangeConfiguration command) {
     String digest = ChangeDigest.of(command);
@@ -239,8 +241,9 @@
   }
 
   /**
-   * Guards against two operators who change what both have read at the same revision: the later one
-   * would overwrite the earlier unseen. It learns the present revision instead.
+   * Applies a configuration change if its expected revision is the current one. Otherwise, of two
+   * operators who edit the same revision concurrently, the later one would silently overwrite the
+   * earlier one; it receives the current revision instead.
    */
   private ChangeResult edit(ChangeConfiguration command) {
     Revision present = configuration.revision();
@@ -258,7 +261,7 @@
     return new ChangeResult.Accepted(changed.revision());
   }
 
-  private ClaimRecord wish(OpenClaim open) {
+  private ClaimRecord newClaim(OpenClaim open) {
     return new ClaimRecord(
         open.key(),
         open.bodyDigest(),
--- a/core/src/main/java/org/teaseltrail/core/state/Command.java
+++ b/core/src/main/java/org/teaseltrail/core/state/Command.java
@@ -22,9 +22,9 @@
 import org.teaseltrail.core.rollout.RolloutReason;
 
 /**
- * Is a command of the log. It carries all that its result depends on, the time too: log time counts
- * the milliseconds during which the group had a leader, and each leader goes on from where the log
- * stands.
+ * Command in the replicated log. It contains everything on which its result depends, including the
+ * time. Log time counts the milliseconds during which the group had a leader; each new leader
+ * continues from the last log time in the log.
  */
 public sealed interface Command {
 
@@ -32,11 +32,11 @@
   long logTimeMs();
 
   /**
-   * Changes the configuration, whole or not at all.
+   * Changes the configuration atomically.
    *
-   * @param change names the change, so that a resend is known
-   * @param expected the revision the operator has seen, if it matters
-   * @param items what to change
+   * @param change id of the change, by which a retry is recognised
+   * @param expected the revision on which the change is based, if it must be the current one
+   * @param items the changes
    * @param logTimeMs log time
    */
   record ChangeConfiguration(
@@ -49,11 +49,11 @@
   }
 
   /**
-   * Opens a claim before a grant, or grants its holder again.
+   * Opens a claim before a grant, or grants it again to the request that already holds it.
    *
-   * @param key the customer's key
-   * @param bodyDigest SHA-256 of the body, in lower-case hexadecimal
-   * @param nonIdempotent whether the request must not run twice
+   * @param key the customer's idempotency key
+   * @param bodyDigest SHA-256 hash of the body, in lower-case hexadecimal
+   * @param nonIdempotent whether the request must not be executed twice
    * @param holder the request
    * @param vm its entry VM
    * @param upstream the upstream of the grant
@@ -70,7 +70,7 @@
       implements Command {}
 
   /**
-   * Ends a claim.
+   * Records the end of the request that holds a claim.
    *
    * @param holder the request
    * @param kind how it ended
@@ -79,36 +79,37 @@
   record CompleteClaim(RequestId holder, EndKind kind, long logTimeMs) implements Command {}
 
   /**
-   * Releases the claim of a request that did not run.
+   * Releases the claim of a request that was not executed.
    *
    * @param holder the request
-   * @param attempt the grant that was not dispatched
+   * @param attempt the attempt whose grant was not dispatched
    * @param logTimeMs log time
    */
   record ReleaseClaim(RequestId holder, int attempt, long logTimeMs) implements Command {}
 
   /**
-   * Lets another VM take a running answer over.
+   * Transfers the response stream of a running request to another VM.
    *
    * @param holder the request
-   * @param vm the VM that reads it from now on
+   * @param vm the VM that reads the response from now on
    * @param logTimeMs log time
    */
   record AdoptClaim(RequestId holder, VmId vm, long logTimeMs) implements Command {}
 
   /**
-   * Drops old claims.
+   * Removes finished claims whose retention has ended, and marks running claims for which no end
+   * has been reported in time as possibly executed.
    *
    * @param limits the leader's limits
    * @param logTimeMs log time
    */
   record ExpireClaims(ClaimLimits limits, long logTimeMs) implements Command {}
 
-  /** Changes what an outside platform decides. */
+  /** Command that changes the state controlled by the external platform. */
   sealed interface ServingCommand extends Command {}
 
   /**
-   * Installs a plan if its version is higher than the one held.
+   * Installs a plan if its version is higher than the current one.
    *
    * @param installed the plan
    * @param logTimeMs log time
@@ -116,23 +117,23 @@
   record InstallPlan(InstalledPlan installed, long logTimeMs) implements ServingCommand {}
 
   /**
-   * Takes in an upstream's heartbeat that changes something.
+   * Records a heartbeat that changes the registration of an upstream.
    *
-   * @param heard what it told
+   * @param heard the registration reported by the upstream
    * @param logTimeMs log time
    */
   record RegisterUpstream(Registration heard, long logTimeMs) implements ServingCommand {}
 
   /**
-   * Takes in an upstream's leave.
+   * Deregisters an upstream that leaves.
    *
-   * @param leaving what is known of it
+   * @param leaving the registration of the upstream, as far as it is known
    * @param logTimeMs log time
    */
   record UpstreamLeaves(Registration leaving, long logTimeMs) implements ServingCommand {}
 
   /**
-   * Drops an upstream of which nothing has been heard for long.
+   * Removes an upstream that has sent no heartbeat for too long.
    *
    * @param upstream the upstream
    * @param logTimeMs log time
@@ -140,7 +141,7 @@
   record DropUpstream(UpstreamId upstream, long logTimeMs) implements ServingCommand {}
 
   /**
-   * Holds a request under which too many upstreams ended.
+   * Quarantines a request during whose processing too many upstreams were lost.
    *
    * @param held the request
    * @param logTimeMs log time
@@ -148,7 +149,8 @@
   record HoldRequest(HeldRequest held, long logTimeMs) implements ServingCommand {}
 
   /**
-   * Counts that a held request may go to one upstream, to see whether that is lost too.
+   * Counts that a quarantined request may be sent to one upstream, to find out whether that
+   * upstream is lost too.
    *
    * @param request the request
    * @param logTimeMs log time
@@ -156,7 +158,7 @@
   record TryRequest(Fingerprint request, long logTimeMs) implements ServingCommand {}
 
   /**
-   * Takes an operator's order of a rollout.
+   * Records an operator's order of a rollout.
    *
    * @param order the order
    * @param logTimeMs log time
@@ -164,10 +166,10 @@
   record OrderRollout(RolloutOrder order, long logTimeMs) implements ServingCommand {}
 
   /**
-   * Turns a rollout to a later phase.
+   * Moves a rollout to a later phase.
    *
    * @param service its service
-   * @param orderedMs log time of its order, which names it
+   * @param orderedMs log time of its order, which identifies it
    * @param phase the phase
    * @param reason why
    * @param logTimeMs log time
@@ -177,11 +179,11 @@
       implements ServingCommand {}
 
   /**
-   * Writes down what the ordered version of a rollout may have got.
+   * Records how many requests the target version of a rollout may have received.
    *
    * @param service its service
-   * @param orderedMs log time of its order, which names it
-   * @param account the account
+   * @param orderedMs log time of its order, which identifies it
+   * @param account the counters
    * @param logTimeMs log time
    */
   record AccountExposure(
@@ -189,7 +191,7 @@
       implements ServingCommand {}
 
   /**
-   * Lets a held request go to upstreams again.
+   * Releases a request from quarantine.
    *
    * @param request the request
    * @param logTimeMs log time
--- a/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
+++ b/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
@@ -5,59 +5,61 @@
 import org.teaseltrail.core.claim.OpenClaimResult;
 import org.teaseltrail.core.rollout.RolloutOrderResult;
 
-/** Is what a command came to. */
+/** Result of a command. */
 public sealed interface CommandResult {
 
   /**
-   * A change of the configuration.
+   * Result of a configuration change.
    *
    * @param result what it came to
    */
   record OfChange(ChangeResult result) implements CommandResult {}
 
   /**
-   * The opening of a claim.
+   * Result of opening a claim.
    *
    * @param result what it came to
    */
   record OfOpen(OpenClaimResult result) implements CommandResult {}
 
   /**
-   * The end or adoption of a claim.
+   * Result of ending or taking over a claim.
    *
-   * @param claim the claim after it, or empty if the request holds none
+   * @param claim the claim after the command, or empty if the request holds none
    */
   record OfClaim(Optional<ClaimRecord> claim) implements CommandResult {}
 
   /**
-   * The release of a claim.
+   * Result of releasing a claim.
    *
-   * @param released whether the key is free
+   * @param released whether the key is available again
    */
   record OfRelease(boolean released) implements CommandResult {}
 
   /**
-   * The dropping of old claims.
+   * Result of removing old claims.
    *
-   * @param count claims dropped or settled
+   * @param count number of claims removed or settled
    */
   record OfExpiry(int count) implements CommandResult {}
 
   /**
-   * A change of what an outside platform decides.
+   * Result of a change to the state controlled by the external platform.
    *
-   * @param planVersion version of the plan held afterwards
-   * @param registryRevision revision of the registrations afterwards
+   * @param planVersion version of the current plan after the command
+   * @param registryRevision revision of the registrations after the command
    */
   record OfServing(long planVersion, long registryRevision) implements CommandResult {}
 
   /**
-   * An operator's order of a rollout, or the end of one.
+   * Result of a rollout order, or of moving a rollout to another phase.
    *
-   * @param answer what became of it
+   * @param answer the result
    */
   record OfRollout(RolloutOrderResult answer) implements CommandResult {}
 
-  /** Requests were written down that an ordered version may get; no VM need know. */
+  /**
+   * Result of recording the requests that a target version may receive; no VM needs to be notified.
+   */
   record OfExposure() implements CommandResult {}
 }
--- a/core/src/main/java/org/teaseltrail/core/state/ServingState.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ServingState.java
@@ -8,14 +8,15 @@
 import org.teaseltrail.core.rollout.Rollout;
 
 /**
- * Is the part of the replicated state that an outside platform decides.
+ * Part of the replicated state that the external platform controls.
  *
  * @param plan the accepted plan, if there is one
- * @param registryRevision number of changes of the registrations so far
+ * @param registryRevision number of changes to the registrations so far
  * @param registrations the registrations, oldest first
- * @param held requests that no upstream gets, oldest first; empty in snapshots of older versions
- * @param rolloutRevision number of changes of rollouts so far
- * @param rollouts the newest rollout of each service; empty in snapshots of older versions
+ * @param held quarantined requests, which are sent to no upstream, oldest first; empty in snapshots
+ *     of older versions
+ * @param rolloutRevision number of changes to the rollouts so far
+ * @param rollouts the latest rollout of each service; empty in snapshots of older versions
  */
 public record ServingState(
     Optional<InstalledPlan> plan,
--- a/core/src/main/java/org/teaseltrail/core/state/StateCodec.java
+++ b/core/src/main/java/org/teaseltrail/core/state/StateCodec.java
@@ -1,20 +1,21 @@
 package org.teaseltrail.core.state;
 
 /**
- * Writes commands and snapshots for the log. Passed in, so that the core needs no codec library.
- * What one version writes, every later version reads.
+ * Codec for the commands and snapshots in the log. It is an interface so that the core has no
+ * dependency on a codec library. Data written by one version must be readable by every later
+ * version.
  */
 public interface StateCodec {
 
   /** Encodes a command. */
   byte[] encodeCommand(Command command);
 
-  /** Decodes a command that was encoded here or by another member. */
+  /** Decodes a command that was encoded by this or another member. */
   Command decodeCommand(byte[] bytes);
 
   /** Encodes a snapshot. */
   byte[] encodeSnapshot(ClusterSnapshot snapshot);
 
-  /** Decodes a snapshot that was encoded here or by another member. */
+  /** Decodes a snapshot that was encoded by this or another member. */
   ClusterSnapshot decodeSnapshot(byte[] bytes);
 }
--- a/core/src/main/java/org/teaseltrail/core/state/package-info.java
+++ b/core/src/main/java/org/teaseltrail/core/state/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The replicated state: what the members apply from the log, one command after the other, with the
- * same result everywhere.
+ * The replicated state machine: members apply the commands of the log in order, with the same
+ * result on every member.
  */
 package org.teaseltrail.core.state;
--- a/core/src/test/java/org/teaseltrail/core/state/ClusterStateProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/state/ClusterStateProperties.java
@@ -39,7 +39,10 @@
 
   private static final ClaimLimits LIMITS = new ClaimLimits(4, 60, 30);
 
-  /** Members that apply one log agree, though one of them goes over a snapshot at each step. */
+  /**
+   * Members that apply the same log have equal states, although one of them is restored from a
+   * snapshot after each command.
+   */
   @Property(seed = "41", tries = 300)
   void membersAgreeWhateverSnapshotsTheyTake(@ForAll("logs") List<Command> log) {
     ClusterState plain = new ClusterState(ClusterSnapshot.empty());
@@ -54,7 +57,10 @@
     }
   }
 
-  /** A change id gives its first result for ever, and content that came first stays in force. */
+  /**
+   * A change that is retried under its id always receives the first result, and the retry doesn't
+   * change the configuration.
+   */
   @Property(seed = "42", tries = 300)
   void changeIdAlwaysGivesItsFirstResult(@ForAll("logs") List<Command> log) {
     ClusterState state = new ClusterState(ClusterSnapshot.empty());
@@ -74,7 +80,7 @@
     }
   }
 
-  /** Until a claim is released or expires, nobody but its holder opens its key. */
+  /** Until a claim is released or expires, only its holder can open its key. */
   @Property(seed = "43", tries = 500)
   void keyHasAtMostOneHolder(@ForAll("logs") List<Command> log) {
     ClusterState state = new ClusterState(ClusterSnapshot.empty());
@@ -118,7 +124,7 @@
   }
 
   private static Command open(int key, int holder, int upstream) {
-    // A request has one key for its whole life, so its name holds the key.
+    // A request has the same key throughout its life, so its id contains the key.
     return new OpenClaim(
         key(key),
         "d" + upstream / 5,
