--- a/forward/src/main/java/org/teaseltrail/forward/RefusalStatus.java
+++ b/forward/src/main/java/org/teaseltrail/forward/RefusalStatus.java
@@ -7,7 +7,7 @@
 enum RefusalStatus {
   /** No route matches the request. */
   NOT_FOUND(HttpResponseStatus.NOT_FOUND),
-  /** The API key of the request is unknown. */
+  /** The API key of the request is missing or unknown. */
   UNAUTHORIZED(HttpResponseStatus.UNAUTHORIZED),
   /** The request did not and will not run, because the customer exceeded its quota. */
   TOO_MANY_REQUESTS(HttpResponseStatus.TOO_MANY_REQUESTS),
