--- a/entry/src/main/java/org/teaseltrail/entry/ActionExecutor.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ActionExecutor.java
@@ -5,7 +5,7 @@
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.request.Outcome;
 
-/** Carries out what the node wants done. On the node's thread. */
+/** Executes the actions that the node returns. Runs on the node thread. */
 final class ActionExecutor implements Consumer<EntryAction> {
 
   private final Exchanges exchanges;
@@ -41,11 +41,11 @@
     } else if (action instanceof EntryAction.Log log) {
       decisions.write(log.decision());
     } else {
-      acceptConnection(action);
+      executeConnectionAction(action);
     }
   }
 
-  private void acceptConnection(EntryAction action) {
+  private void executeConnectionAction(EntryAction action) {
     if (action instanceof EntryAction.Connect connect) {
       exchanges.find(connect.request()).ifPresent(e -> connect(e, connect));
     } else if (action instanceof EntryAction.Transmit transmit) {
--- a/entry/src/main/java/org/teaseltrail/entry/AnnouncementParser.java
+++ b/entry/src/main/java/org/teaseltrail/entry/AnnouncementParser.java
@@ -20,7 +20,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Reads what upstreams say of themselves. */
+/** Parses the announcements and cache events that upstreams post. */
 final class AnnouncementParser {
 
   private static final int MAX_PORT = 65_535;
@@ -28,9 +28,9 @@
   private AnnouncementParser() {}
 
   /**
-   * Reads an announcement.
+   * Parses an announcement.
    *
-   * @throws RefusedRequestException if its form is wrong
+   * @throws RefusedRequestException if a field is missing or has a wrong type or value
    */
   static Announcement announcement(byte[] body) {
     JsonFields fields = fields(body);
@@ -40,8 +40,8 @@
         count(fields, "sequence"),
         address(fields.fields("address")),
         fields.id("data_center", DataCenterId::new),
-        constant(fields, "role", UpstreamRole.class),
-        constant(fields, "phase", UpstreamPhase.class),
+        enumConstant(fields, "role", UpstreamRole.class),
+        enumConstant(fields, "phase", UpstreamPhase.class),
         fields.objects("models").stream().map(AnnouncementParser::model).toList(),
         fields.optionalId("service", ServiceId::new),
         (int) fields.number("max_batch", 0, Integer.MAX_VALUE),
@@ -51,9 +51,9 @@
   }
 
   /**
-   * Reads a cache event.
+   * Parses a cache event.
    *
-   * @throws RefusedRequestException if its form is wrong
+   * @throws RefusedRequestException if a field is missing or has a wrong type or value
    */
   static CacheEvent cacheEvent(byte[] body) {
     JsonFields fields = fields(body);
@@ -86,7 +86,7 @@
     return new SocketAddress(fields.text("host"), (int) fields.number("port", 1, MAX_PORT));
   }
 
-  private static <E extends Enum<E>> E constant(JsonFields fields, String name, Class<E> type) {
+  private static <E extends Enum<E>> E enumConstant(JsonFields fields, String name, Class<E> type) {
     String text = fields.text(name).toUpperCase(Locale.ROOT);
     try {
       return Enum.valueOf(type, text);
--- a/entry/src/main/java/org/teaseltrail/entry/BodyReader.java
+++ b/entry/src/main/java/org/teaseltrail/entry/BodyReader.java
@@ -7,7 +7,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Reads whole bodies up to a limit of size and time. */
+/** Reads complete request bodies, up to a maximum size and within a timeout. */
 final class BodyReader {
 
   private final int maxBodyBytes;
@@ -19,10 +19,10 @@
   }
 
   /**
-   * Reads a body.
+   * Reads the body of a request.
    *
-   * <p>Guards against callers who send without end or hardly at all, which would show as memory and
-   * connections used up: at most the limit is held, for at most the time.
+   * <p>Buffers at most the maximum size, for at most the timeout. Otherwise callers that send an
+   * endless body, or send very slowly, would exhaust memory and connections.
    */
   Mono<byte[]> read(HttpServerRequest request) {
     if (declaredBytes(request) > maxBodyBytes) {
--- a/entry/src/main/java/org/teaseltrail/entry/CallerExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerExchange.java
@@ -8,33 +8,37 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Is one caller's request and the way its answer goes back. All but {@link #respond} is called on
- * the node's thread.
+ * One caller's request and the way its response is returned. All methods except {@link #respond}
+ * are called on the node thread.
  */
 interface CallerExchange {
 
-  /** Returns the request. */
+  /** Returns the id of the request. */
   RequestId request();
 
-  /** Answers the caller once there is something to answer. */
+  /** Writes the response to the caller once a token or the outcome is available. */
   Publisher<Void> respond(HttpServerResponse response);
 
-  /** Makes the connection's content for the upstream that was granted. */
+  /** Creates the call that sends the request to the granted upstream. */
   DispatchCall call(UpstreamCalls calls, int attempt, RouteTarget asked);
 
-  /** Takes the next piece of the answer. */
+  /** Accepts the next token frame of the response. */
   void deliver(StreamFrame.Text frame);
 
-  /** Takes the outcome. */
+  /** Accepts the outcome of the request, after which no frame follows. */
   void conclude(Outcome outcome);
 
-  /** Lets go of the caller; what still comes is dropped. */
+  /**
+   * Abandons the exchange after the caller has disconnected or stalled; frames that arrive later
+   * are dropped.
+   */
   void abandon();
 
   /**
-   * Returns whether the upstream is not to be read for now.
+   * Returns whether the buffer for the caller is full, so that the upstream must not be read for
+   * now.
    *
-   * @param whenRoom runs once the upstream may be read again, if it may not now
+   * @param whenRoom runs once the upstream may be read again; unused if the buffer isn't full
    */
   boolean isFull(Runnable whenRoom);
 }
--- a/entry/src/main/java/org/teaseltrail/entry/CallerHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerHandler.java
@@ -14,10 +14,10 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Takes callers' requests and gives their answers back. */
+/** Handles callers' HTTP requests: generations and calls of plain services. */
 final class CallerHandler {
 
-  /** Path below which plain services lie. */
+  /** Path prefix of plain services. */
   static final String SERVICES = "/v1/services/";
 
   private final EntryOptions options;
@@ -44,11 +44,11 @@
         .flatMap(
             bytes -> {
               GenerateBody body = GenerateBody.parse(bytes, options.limits());
-              return serve(exchange(body), generateCall(headers, body), response);
+              return serve(createExchange(body), generateCall(headers, body), response);
             });
   }
 
-  private CallerExchange exchange(GenerateBody body) {
+  private CallerExchange createExchange(GenerateBody body) {
     return body.stream()
         ? new StreamedExchange(
             ids.next(), body, loop, options.bufferFrames(), options.stallTimeoutMs())
@@ -75,9 +75,9 @@
 
   Publisher<Void> service(HttpServerRequest request, HttpServerResponse response) {
     HttpHeaders headers = request.requestHeaders().copy();
-    String rest = request.uri().substring(SERVICES.length());
-    String name = rest.split("[/?]", 2)[0];
-    String path = rest.substring(name.length());
+    String serviceAndPath = request.uri().substring(SERVICES.length());
+    String name = serviceAndPath.split("[/?]", 2)[0];
+    String path = serviceAndPath.substring(name.length());
     ServiceId service = serviceId(name);
     return bodies
         .read(request)
@@ -124,11 +124,11 @@
         });
     return responses.count(
         Mono.from(exchange.respond(response))
-            .doOnCancel(() -> callerGone(exchange))
-            .doOnError(failure -> callerGone(exchange)));
+            .doOnCancel(() -> onDisconnect(exchange))
+            .doOnError(failure -> onDisconnect(exchange)));
   }
 
-  private void callerGone(CallerExchange exchange) {
+  private void onDisconnect(CallerExchange exchange) {
     loop.run(
         () -> {
           exchange.abandon();
--- a/entry/src/main/java/org/teaseltrail/entry/CallerHeaders.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerHeaders.java
@@ -8,14 +8,14 @@
 import org.teaseltrail.core.id.InvalidIdException;
 import reactor.netty.http.server.HttpServerRequest;
 
-/** Reads the head of a caller's request. */
+/** Reads the headers of a caller's request. */
 final class CallerHeaders {
 
   private static final String BEARER = "bearer ";
 
   private CallerHeaders() {}
 
-  /** Refuses a head that is too long. */
+  /** Refuses a request whose URI and headers together exceed the maximum size. */
   static void checkSize(HttpServerRequest request, int maxHeaderBytes) {
     int sizeBytes = request.uri().length();
     for (Map.Entry<String, String> header : request.requestHeaders()) {
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Returns the hash of the API key, if one came. */
+  /** Returns the hash of the API key from the {@code Authorization} header, if present. */
   static Optional<String> keyHash(HttpHeaders headers) {
     return Optional.ofNullable(headers.get(HttpHeaderNames.AUTHORIZATION))
         .filter(value -> value.regionMatches(true, 0, BEARER, 0, BEARER.length()))
--- a/entry/src/main/java/org/teaseltrail/entry/CallerJson.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerJson.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.request.Outcome;
 import org.teaseltrail.core.request.StreamFrame;
 
-/** Writes what callers of a generation are told. */
+/** Serializes generation outcomes and server-sent events for callers. */
 final class CallerJson {
 
   private CallerJson() {}
@@ -20,7 +20,7 @@
     return json;
   }
 
-  /** Returns the name of an outcome. */
+  /** Returns the name of an outcome in responses and metrics. */
   static String name(Outcome outcome) {
     if (outcome instanceof Outcome.Completed) {
       return "completed";
@@ -28,7 +28,7 @@
     return outcome instanceof Outcome.NotRun ? "not_run" : "may_have_run";
   }
 
-  /** Returns the server-sent event of a piece of the answer. */
+  /** Returns the server-sent event for a token frame. */
   static byte[] tokenEvent(StreamFrame.Text frame) {
     ObjectNode json = Json.object();
     json.put("seq", frame.sequence());
@@ -36,7 +36,7 @@
     return event("event: token\nid: " + frame.sequence() + "\ndata: ", json);
   }
 
-  /** Returns the server-sent event of the outcome, the last of a stream. */
+  /** Returns the server-sent event for the outcome, which is the last event of a stream. */
   static byte[] outcomeEvent(RequestId request, Outcome outcome) {
     ObjectNode json = Json.object();
     json.put("request_id", request.value());
--- a/entry/src/main/java/org/teaseltrail/entry/CallerStalledException.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerStalledException.java
@@ -1,6 +1,9 @@
 package org.teaseltrail.entry;
 
-/** Tells that a caller has read nothing for so long that its connection is closed. */
+/**
+ * Ends the response stream of a caller whose exchange was abandoned, for example because it read
+ * nothing for the stall timeout.
+ */
 final class CallerStalledException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/entry/src/main/java/org/teaseltrail/entry/ConnectionThread.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ConnectionThread.java
@@ -7,20 +7,20 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Brings answers back to the thread of their connection.
+ * Moves responses to the event loop of their connection.
  *
- * <p>Guards against an answer that is written from the node's thread while the connection's thread
- * still reads the end of the request. It shows, rarely and on a busy machine, as a connection whose
- * next request is never read. With one thread for both, the two can't overlap.
+ * <p>A response written from the node thread could overlap with the event loop still reading the
+ * end of the request. Rarely, on a busy machine, the next request on that connection is then never
+ * read. Running both on one thread rules out the overlap.
  */
 final class ConnectionThread {
 
   private ConnectionThread() {}
 
-  /** Returns the same value, on the thread of the response's connection. */
+  /** Publishes the value on the event loop of the response's connection. */
   static <T> Mono<T> of(HttpServerResponse response, Mono<T> value) {
-    AtomicReference<Executor> thread = new AtomicReference<>();
-    response.withConnection(connection -> thread.set(connection.channel().eventLoop()));
-    return value.publishOn(Schedulers.fromExecutor(thread.get()));
+    AtomicReference<Executor> eventLoop = new AtomicReference<>();
+    response.withConnection(connection -> eventLoop.set(connection.channel().eventLoop()));
+    return value.publishOn(Schedulers.fromExecutor(eventLoop.get()));
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/ControlConnections.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ControlConnections.java
@@ -19,7 +19,7 @@
 import org.teaseltrail.wire.ReconnectBackoff;
 import org.teaseltrail.wire.SpeakerKind;
 
-/** Keeps one connection to each control member. */
+/** Maintains one connection to each control member. */
 final class ControlConnections implements AutoCloseable {
 
   private static final long MIN_BACKOFF_MS = 50;
@@ -33,7 +33,7 @@
     this.loop = loop;
   }
 
-  /** Starts to connect. */
+  /** Starts connecting to all control members. */
   void open(VmId vm, List<MemberAddress> members) {
     for (MemberAddress member : members) {
       FrameEndpoint<ControlMessage, EntryMessage> endpoint =
@@ -73,7 +73,7 @@
     clients.values().forEach(FrameClient::close);
   }
 
-  /** Passes what a member says to the node. */
+  /** Submits the connection events and messages of one member to the node. */
   private final class MemberListener implements FrameListener<ControlMessage, EntryMessage> {
 
     private final MemberId member;
--- a/entry/src/main/java/org/teaseltrail/entry/DecisionLines.java
+++ b/entry/src/main/java/org/teaseltrail/entry/DecisionLines.java
@@ -5,7 +5,7 @@
 import org.teaseltrail.runtime.log.DecisionLog;
 import org.teaseltrail.runtime.log.PartLogger;
 
-/** Writes the node's decisions to the log. */
+/** Writes the node's decisions to the decision log. */
 final class DecisionLines {
 
   private final DecisionLog log = new DecisionLog(new PartLogger("entry"));
--- a/entry/src/main/java/org/teaseltrail/entry/DispatchCall.java
+++ b/entry/src/main/java/org/teaseltrail/entry/DispatchCall.java
@@ -11,18 +11,19 @@
 import reactor.netty.NettyOutbound;
 
 /**
- * Is a connection that a request is dispatched over, in two steps: it stands, and is written to
- * only once the node has noted the dispatch.
+ * An upstream call that dispatches a request in two steps: it connects, and writes the request only
+ * after the node has recorded the dispatch.
  *
- * <p>Guards against a failure that could be before or after the first byte, which would show as a
- * request run twice, or as a false "not run". Before {@link #transmit} nothing is ever written.
+ * <p>Nothing is written before {@link #transmit}. Otherwise a failure could not be attributed to
+ * the time before or after the first byte: a request could run twice, or be reported as not run
+ * although it ran.
  */
 abstract class DispatchCall implements UpstreamCall {
 
   private final NodeLoop loop;
   private final RequestId request;
   private final int attempt;
-  private final Sinks.Empty<Void> permission = Sinks.empty();
+  private final Sinks.Empty<Void> transmitSignal = Sinks.empty();
   private final Disposable.Swap subscription = Disposables.swap();
   private boolean transmitted;
   private boolean closed;
@@ -33,30 +34,30 @@
     this.attempt = attempt;
   }
 
-  /** Makes the connection. */
+  /** Opens the connection to the upstream. */
   abstract void connect(UpstreamTarget target);
 
   final void subscribed(Disposable call) {
     subscription.update(call);
   }
 
-  /** Tells the node that the connection stands, and writes the body once it may. */
+  /** Reports the established connection to the node and writes the body after {@link #transmit}. */
   final Publisher<Void> sendWhenPermitted(NettyOutbound out, byte[] body) {
     loop.submit(new EntryEvent.UpstreamConnected(request, attempt));
-    return permission.asMono().then(Mono.defer(() -> write(out, body)));
+    return transmitSignal.asMono().then(Mono.defer(() -> write(out, body)));
   }
 
   private static Mono<Void> write(NettyOutbound out, byte[] body) {
     return body.length == 0 ? out.then() : out.sendByteArray(Mono.just(body)).then();
   }
 
-  /** Writes the request to the connection that stands. */
+  /** Allows the request to be written to the established connection. */
   final void transmit() {
     transmitted = true;
-    permission.tryEmitEmpty();
+    transmitSignal.tryEmitEmpty();
   }
 
-  /** Tells the node that the connection has ended without a whole answer. */
+  /** Reports to the node that the connection ended without a complete response. */
   final void broken() {
     loop.run(
         () ->
@@ -66,7 +67,7 @@
                     : new EntryEvent.UpstreamConnectFailed(request, attempt)));
   }
 
-  /** Passes an event of this connection to the node, unless it was closed. */
+  /** Submits an event of this call to the node, unless the call has been closed. */
   final void tell(EntryEvent event) {
     loop.run(() -> handle(event));
   }
--- a/entry/src/main/java/org/teaseltrail/entry/EngineAnswer.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineAnswer.java
@@ -1,13 +1,15 @@
 package org.teaseltrail.entry;
 
-/** Says how a connection to an engine ended. */
+/** The way in which the response of an engine ended. */
 enum EngineAnswer {
-  /** It ended or failed; whether the stream was whole is told by its frames alone. */
+  /**
+   * The connection ended or failed; only the received frames show whether the stream was complete.
+   */
   BROKEN,
-  /** The engine refused the request before it ran. */
+  /** The engine refused the request before running it. */
   REFUSED,
-  /** The engine knows no such stream. */
+  /** The engine doesn't know the requested stream. */
   UNKNOWN,
-  /** The engine gave a status that the protocol doesn't know. */
+  /** The engine returned a response that the protocol doesn't define. */
   REJECTED
 }
--- a/entry/src/main/java/org/teaseltrail/entry/EngineAnswerException.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineAnswerException.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.entry;
 
-/** Carries an engine's answer that is no stream. */
+/** Thrown when an engine responds with something other than a stream. */
 final class EngineAnswerException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/entry/src/main/java/org/teaseltrail/entry/EngineCall.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineCall.java
@@ -5,10 +5,10 @@
 import org.teaseltrail.core.request.FailureReason;
 import org.teaseltrail.core.request.UpstreamTarget;
 
-/** Sends a request to an engine and reads its stream. */
+/** Dispatches a request to an engine and reads the response stream. */
 final class EngineCall extends DispatchCall {
 
-  /** Path of an engine's streams. */
+  /** Path under which an engine serves its streams. */
   static final String STREAMS = "/v1/streams";
 
   private final UpstreamCalls calls;
@@ -24,7 +24,7 @@
 
   @Override
   void connect(UpstreamTarget target) {
-    EngineLines lines = new EngineLines(calls.loop(), exchange, attempt(), this::ended);
+    EngineLines lines = new EngineLines(calls.loop(), exchange, attempt(), this::onStreamEnd);
     subscribed(lines::close);
     calls
         .client(target)
@@ -41,7 +41,7 @@
         .subscribe(lines);
   }
 
-  private void ended(EngineAnswer answer) {
+  private void onStreamEnd(EngineAnswer answer) {
     switch (answer) {
       case REFUSED -> tell(new EntryEvent.UpstreamRefused(request(), attempt()));
       case UNKNOWN, REJECTED ->
--- a/entry/src/main/java/org/teaseltrail/entry/EngineLines.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineLines.java
@@ -12,17 +12,17 @@
 import reactor.netty.Connection;
 import reactor.netty.http.client.HttpClientResponse;
 
-/** Reads the lines of an engine's stream, no faster than the caller takes them. */
+/** Subscribes to the lines of an engine's stream, with backpressure from the caller. */
 final class EngineLines extends BaseSubscriber<String> {
 
-  /** Lines that may be under way to the node's thread. */
-  private static final int WINDOW_LINES = 32;
+  /** Maximum number of lines in flight to the node thread. */
+  private static final int MAX_IN_FLIGHT_LINES = 32;
 
   private final NodeLoop loop;
   private final CallerExchange exchange;
   private final int attempt;
   private final Consumer<EngineAnswer> onEnd;
-  private long owedLines;
+  private long processedLines;
   private boolean closed;
 
   EngineLines(NodeLoop loop, CallerExchange exchange, int attempt, Consumer<EngineAnswer> onEnd) {
@@ -32,7 +32,10 @@
     this.onEnd = onEnd;
   }
 
-  /** Returns the lines of an answer, or fails with what the answer says instead. */
+  /**
+   * Returns the lines of a response, or fails with an {@link EngineAnswerException} if the status
+   * isn't 200.
+   */
   static Publisher<String> read(HttpClientResponse response, Connection connection) {
     HttpResponseStatus status = response.status();
     if (status.equals(HttpResponseStatus.OK)) {
@@ -46,7 +49,7 @@
           .aggregate()
           .asString()
           .defaultIfEmpty("")
-          .flatMapMany(body -> Flux.error(new EngineAnswerException(refusal(body))));
+          .flatMapMany(body -> Flux.error(new EngineAnswerException(parseRefusal(body))));
     }
     return Flux.error(
         new EngineAnswerException(
@@ -55,7 +58,7 @@
                 : EngineAnswer.REJECTED));
   }
 
-  private static EngineAnswer refusal(String body) {
+  private static EngineAnswer parseRefusal(String body) {
     try {
       boolean notRun = Json.readObject(body).path("not_run").asBoolean(false);
       return notRun ? EngineAnswer.REFUSED : EngineAnswer.REJECTED;
@@ -66,7 +69,7 @@
 
   @Override
   protected void hookOnSubscribe(Subscription subscription) {
-    subscription.request(WINDOW_LINES);
+    subscription.request(MAX_IN_FLIGHT_LINES);
   }
 
   @Override
@@ -79,31 +82,31 @@
       onEnd.accept(EngineAnswer.BROKEN);
       return;
     }
-    loop.run(() -> pass(frame));
+    loop.run(() -> handleFrame(frame));
   }
 
-  private void pass(StreamFrame frame) {
+  private void handleFrame(StreamFrame frame) {
     if (closed) {
       return;
     }
     loop.handle(new EntryEvent.FrameReceived(exchange.request(), attempt, frame));
-    owedLines++;
-    if (!exchange.isFull(this::payOwed)) {
-      payOwed();
+    processedLines++;
+    if (!exchange.isFull(this::requestMore)) {
+      requestMore();
     }
   }
 
-  private void payOwed() {
-    long lines = owedLines;
-    owedLines = 0;
+  private void requestMore() {
+    long lines = processedLines;
+    processedLines = 0;
     if (lines > 0) {
       request(lines);
     }
   }
 
   /**
-   * Drops what is still under way; on the node's thread. A stream that merely ended isn't closed:
-   * its last lines may still be on their way to the node.
+   * Drops the lines still in flight. Runs on the node thread. A stream that has merely ended must
+   * not be closed, since its last lines may still be in flight to the node.
    */
   void close() {
     closed = true;
--- a/entry/src/main/java/org/teaseltrail/entry/EngineResume.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineResume.java
@@ -4,7 +4,10 @@
 import org.teaseltrail.core.entry.EntryEvent;
 import org.teaseltrail.core.id.RequestId;
 
-/** Asks an engine for the rest of a stream; it sends again what it made, and runs nothing. */
+/**
+ * Requests the rest of a stream from an engine, which resends the frames that it has generated and
+ * runs nothing again.
+ */
 final class EngineResume implements UpstreamCall {
 
   private final NodeLoop loop;
@@ -17,7 +20,7 @@
     this.loop = loop;
     this.request = exchange.request();
     this.attempt = attempt;
-    this.lines = new EngineLines(loop, exchange, attempt, this::ended);
+    this.lines = new EngineLines(loop, exchange, attempt, this::onStreamEnd);
   }
 
   static EngineResume start(
@@ -32,15 +35,15 @@
     return call;
   }
 
-  private void ended(EngineAnswer answer) {
+  private void onStreamEnd(EngineAnswer answer) {
     EntryEvent event =
         answer == EngineAnswer.UNKNOWN
             ? new EntryEvent.StreamUnknown(request, attempt)
             : new EntryEvent.StreamBroken(request, attempt);
-    loop.run(() -> tell(event));
+    loop.run(() -> handleUnlessClosed(event));
   }
 
-  private void tell(EntryEvent event) {
+  private void handleUnlessClosed(EntryEvent event) {
     if (!closed) {
       loop.handle(event);
     }
--- a/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.runtime.process.RunningProgram;
 import reactor.netty.DisposableServer;
 
-/** Is the running entry VM: the node, its thread and its sockets. */
+/** The running daemon of an entry VM: the node, its thread, the HTTP server and the connections. */
 final class EntryDaemon implements RunningProgram {
 
   private static final PartLogger LOGGER = new PartLogger("entry");
@@ -28,9 +28,9 @@
   }
 
   /**
-   * Starts to listen and to connect.
+   * Starts listening and connecting to the control members.
    *
-   * @throws reactor.netty.ChannelBindException if the address can't be listened on
+   * @throws reactor.netty.ChannelBindException if the address can't be bound
    */
   static EntryDaemon start(EntryOptions options) {
     NodeLoop loop = new NodeLoop(new EntryNode(options.node()));
@@ -57,7 +57,7 @@
     LOGGER.info("Listens on " + address() + ".");
   }
 
-  /** Returns where callers and upstreams come. */
+  /** Returns the address on which the daemon serves callers and upstreams. */
   InetSocketAddress address() {
     return (InetSocketAddress) server.address();
   }
@@ -76,7 +76,8 @@
     parts.loop().submit(new EntryEvent.DrainRequested());
     parts.shutdown().whenFinished().join();
     if (!parts.responses().awaitNone(stallTimeoutMs)) {
-      LOGGER.warn("Cuts off callers who have not read their answers to the end.");
+      LOGGER.warn(
+          "Closing the connections of callers that have not read their complete responses.");
     }
     server.disposeNow();
     parts.control().close();
--- a/entry/src/main/java/org/teaseltrail/entry/EntryHttp.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryHttp.java
@@ -12,12 +12,15 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Listens for callers and upstreams and leads each request to its handler. */
+/** The HTTP server for callers and upstreams, which routes each request to its handler. */
 final class EntryHttp {
 
   private static final PartLogger LOGGER = new PartLogger("entry");
 
-  /** What the decoder takes at all; a head above the setting is refused with a problem. */
+  /**
+   * Maximum header size in the decoder. It exceeds the configured limit, so that larger headers can
+   * be refused with a problem document.
+   */
   private static final int DECODER_HEADER_BYTES = 64 * 1024;
 
   private static final Duration IDLE = Duration.ofSeconds(75);
@@ -35,7 +38,7 @@
     this.status = new StatusHandler(parts);
   }
 
-  /** Starts to listen. */
+  /** Starts listening. */
   DisposableServer listen() {
     return HttpServer.create()
         .bindAddress(options::listen)
--- a/entry/src/main/java/org/teaseltrail/entry/EntryMain.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryMain.java
@@ -2,7 +2,7 @@
 
 import org.teaseltrail.runtime.process.ProgramMain;
 
-/** Starts the program of an entry VM. */
+/** Main class of an entry VM's daemon. */
 public final class EntryMain {
 
   private EntryMain() {}
--- a/entry/src/main/java/org/teaseltrail/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryMetrics.java
@@ -6,12 +6,12 @@
 import org.teaseltrail.core.request.Outcome;
 import org.teaseltrail.runtime.metrics.Metrics;
 
-/** Counts what the VM does. */
+/** The metrics of an entry VM. */
 final class EntryMetrics implements AutoCloseable {
 
   private final Metrics metrics = new Metrics("teaseltrail-entry");
 
-  /** Adds the gauges of what the VM holds. */
+  /** Registers the gauges of the node's status and the upstream calls. */
   void watch(Supplier<EntryStatus> status, Supplier<Number> upstreamCalls) {
     gauge("teaseltrail.entry.upstream.calls", upstreamCalls);
     gauge("teaseltrail.entry.waiting.requests", () -> status.get().waitingRequests());
@@ -21,13 +21,13 @@
     gauge("teaseltrail.entry.session.left.ms", () -> status.get().sessionLeftMs());
   }
 
-  // A gauge of this form holds what it reads; one with an object beside it holds that only weakly,
-  // and reads NaN once the collector has taken it.
+  // A gauge built from a supplier holds a strong reference to it. A gauge built with a separate
+  // state object holds that object only weakly and reads NaN after it has been garbage-collected.
   private void gauge(String name, Supplier<Number> value) {
     Gauge.builder(name, value).register(metrics.registry());
   }
 
-  /** Counts a request's end. */
+  /** Counts a finished request by its outcome. */
   void ended(Outcome outcome) {
     metrics
         .registry()
--- a/entry/src/main/java/org/teaseltrail/entry/EntryOptions.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryOptions.java
@@ -7,17 +7,18 @@
 import org.teaseltrail.runtime.settings.Settings;
 
 /**
- * Holds the settings that the program's parts need.
+ * The parsed settings of the daemon's components.
  *
- * @param listen where callers and upstreams come
+ * @param listen address for callers and upstreams
  * @param members the control members
- * @param limits what callers may send
- * @param bufferFrames frames held for a caller who reads slowly
- * @param stallTimeoutMs time that such a caller may read nothing
- * @param bodyTimeoutMs time in which a request must arrive
- * @param connectTimeoutMs time that a connection to an upstream may take
- * @param readTimeoutMs silence of an upstream after which its stream is resumed
- * @param node settings of the decisions
+ * @param limits limits on callers' requests and responses
+ * @param bufferFrames maximum number of frames buffered for a slow caller
+ * @param stallTimeoutMs time after which a caller that reads nothing from a full buffer is
+ *     disconnected
+ * @param bodyTimeoutMs time within which a request must arrive
+ * @param connectTimeoutMs timeout of a connection attempt to an upstream
+ * @param readTimeoutMs time without data from an upstream after which its stream is resumed
+ * @param node settings of the node
  */
 public record EntryOptions(
     InetSocketAddress listen,
--- a/entry/src/main/java/org/teaseltrail/entry/EntryParts.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryParts.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.entry;
 
 /**
- * Holds the parts that carry actions out.
+ * The daemon's components that handlers and the action executor share.
  *
- * @param loop the node's thread
+ * @param loop the node's event loop
  * @param exchanges live requests
- * @param calls connections to upstreams
+ * @param calls factory of upstream calls
  * @param control connections to control members
- * @param upstreamAnswers announcements that wait for their answer
- * @param metrics meters
- * @param shutdown the way out
- * @param responses answers being written
+ * @param upstreamAnswers announcements and cache events that wait for the node's verdict
+ * @param metrics the metrics
+ * @param shutdown coordinates the shutdown
+ * @param responses responses that are being written
  */
 record EntryParts(
     NodeLoop loop,
--- a/entry/src/main/java/org/teaseltrail/entry/EntryProgram.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryProgram.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.runtime.settings.SettingsSpec;
 import reactor.netty.ChannelBindException;
 
-/** Is the daemon of an entry VM. */
+/** The program of an entry VM's daemon. */
 public final class EntryProgram implements Program {
 
   @Override
--- a/entry/src/main/java/org/teaseltrail/entry/EntryProgramSettings.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryProgramSettings.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.runtime.settings.Setting;
 import org.teaseltrail.runtime.settings.SettingsSpec;
 
-/** Declares the settings of the entry VM's program. */
+/** Declares the settings of an entry VM's daemon. */
 final class EntryProgramSettings {
 
   static final Setting<VmId> VM =
--- a/entry/src/main/java/org/teaseltrail/entry/Exchanges.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Exchanges.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.teaseltrail.core.id.RequestId;
 
-/** Holds the exchanges and upstream connections of live requests. On the node's thread only. */
+/** Registry of the exchanges and upstream calls of live requests. Used on the node thread only. */
 final class Exchanges {
 
   private final Map<RequestId, CallerExchange> exchanges = new HashMap<>();
@@ -24,7 +24,7 @@
     return Optional.ofNullable(exchanges.remove(request));
   }
 
-  /** Notes the newest connection of a request and closes the one before. */
+  /** Registers the latest call of a request and closes the previous one. */
   void connected(RequestId request, UpstreamCall call) {
     close(request);
     calls.put(request, call);
@@ -44,17 +44,17 @@
   }
 
   /**
-   * Lets go of the connection of a whole answer without closing it; it ends by itself.
+   * Removes the call of a completed response without closing it; the call ends by itself.
    *
-   * <p>Guards against memory that fills with what completed requests leave behind. Closing it here
-   * would cut off a plain service's answer that is still being written to its caller.
+   * <p>Without the removal, the calls of completed requests would accumulate in memory. Closing the
+   * call here would truncate a plain service's response that is still being written to its caller.
    */
   void completed(RequestId request) {
     calls.remove(request);
     callCount = calls.size();
   }
 
-  /** Returns how many connections to upstreams are held; on any thread. */
+  /** Returns the number of registered upstream calls. May be called on any thread. */
   int callCount() {
     return callCount;
   }
--- a/entry/src/main/java/org/teaseltrail/entry/ForwardedHeaders.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ForwardedHeaders.java
@@ -9,7 +9,9 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 
-/** Passes headers on, but for those that belong to one connection or to this system alone. */
+/**
+ * Copies headers to be forwarded, except hop-by-hop headers and those meant for this system only.
+ */
 final class ForwardedHeaders {
 
   private static final Set<String> NOT_FORWARDED =
@@ -30,7 +32,10 @@
 
   private ForwardedHeaders() {}
 
-  /** Copies the headers that go on. */
+  /**
+   * Copies the headers that are forwarded, leaving out those that the {@code Connection} header
+   * lists.
+   */
   static void copy(HttpHeaders from, BiConsumer<String, String> to) {
     String connection = from.get(HttpHeaderNames.CONNECTION, "").toLowerCase(Locale.ROOT);
     Set<String> named = new HashSet<>(Arrays.asList(connection.split("\\s*,\\s*")));
--- a/entry/src/main/java/org/teaseltrail/entry/FrameParser.java
+++ b/entry/src/main/java/org/teaseltrail/entry/FrameParser.java
@@ -5,15 +5,15 @@
 import org.teaseltrail.core.message.Usage;
 import org.teaseltrail.core.request.StreamFrame;
 
-/** Reads a line of an engine's stream. */
+/** Parses the lines of an engine's stream. */
 final class FrameParser {
 
   private FrameParser() {}
 
   /**
-   * Reads a frame.
+   * Parses a frame.
    *
-   * @throws MalformedFrameException if the line is no frame
+   * @throws MalformedFrameException if the line isn't a valid frame
    */
   static StreamFrame parse(String line) {
     try {
--- a/entry/src/main/java/org/teaseltrail/entry/GenerateBody.java
+++ b/entry/src/main/java/org/teaseltrail/entry/GenerateBody.java
@@ -12,16 +12,16 @@
 import org.teaseltrail.core.id.RequestId;
 
 /**
- * Is the body of {@code POST /v1/generate}, checked for form.
+ * The validated body of {@code POST /v1/generate}.
  *
  * @param model the model
- * @param version its version, if one is asked for
+ * @param version the requested version, if any
  * @param adapter the adapter, if any
  * @param prompt the prompt
- * @param maxTokens most tokens to generate
- * @param idempotent whether it may run more than once
+ * @param maxTokens maximum number of tokens to generate
+ * @param idempotent whether the request may run more than once
  * @param deadlineMs time until the caller's deadline; zero if it has none
- * @param stream whether the answer is streamed
+ * @param stream whether the response is streamed
  */
 record GenerateBody(
     ModelId model,
@@ -46,12 +46,12 @@
           "stream");
 
   /**
-   * Reads the body.
+   * Parses and validates the body.
    *
-   * @throws RefusedRequestException if its form is wrong
+   * @throws RefusedRequestException if the body or a field is invalid
    */
   static GenerateBody parse(byte[] body, CallerLimits limits) {
-    JsonFields fields = new JsonFields(object(body)).onlyKnown(FIELDS);
+    JsonFields fields = new JsonFields(parseObject(body)).onlyKnown(FIELDS);
     String prompt = fields.text("prompt");
     if (prompt.getBytes(StandardCharsets.UTF_8).length > limits.maxPromptBytes()) {
       throw new RefusedRequestException(
@@ -69,7 +69,7 @@
         fields.flag("stream", true));
   }
 
-  private static ObjectNode object(byte[] body) {
+  private static ObjectNode parseObject(byte[] body) {
     try {
       return Json.readObject(body);
     } catch (IOException e) {
@@ -78,7 +78,10 @@
     }
   }
 
-  /** Returns the digest of what is asked for; how the answer is given back doesn't matter. */
+  /**
+   * Returns the digest that identifies equal requests; the deadline and the form of the response
+   * (streamed or not) aren't part of it.
+   */
   String digest() {
     String head =
         String.join(
@@ -91,7 +94,7 @@
     return Sha256Text.ofParts(head, prompt.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Returns the body that the engine gets. */
+  /** Returns the body of the request to the engine. */
   byte[] toEngine(RequestId request, ModelTarget asked) {
     ObjectNode json = Json.object();
     json.put("request_id", request.value());
--- a/entry/src/main/java/org/teaseltrail/entry/GenerationExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/GenerationExchange.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.configuration.RouteTarget.ModelTarget;
 import org.teaseltrail.core.id.RequestId;
 
-/** Is an exchange whose upstream is an engine. */
+/** An exchange whose upstream is an engine. */
 abstract class GenerationExchange implements CallerExchange {
 
   private final RequestId request;
--- a/entry/src/main/java/org/teaseltrail/entry/HolderState.java
+++ b/entry/src/main/java/org/teaseltrail/entry/HolderState.java
@@ -2,7 +2,10 @@
 
 import org.teaseltrail.core.message.ClaimState;
 
-/** Says what a caller is told whose key is held by an earlier request. */
+/**
+ * The response to a caller whose idempotency key is in use by an earlier request, by that request's
+ * state.
+ */
 enum HolderState {
   WAITING("key-waiting", "An earlier request under this key waits.", 1_000),
   RUNNING("key-running", "An earlier request under this key runs.", 1_000),
--- a/entry/src/main/java/org/teaseltrail/entry/HttpNames.java
+++ b/entry/src/main/java/org/teaseltrail/entry/HttpNames.java
@@ -2,7 +2,7 @@
 
 import io.netty.util.AsciiString;
 
-/** Names the headers and content types of the project's own protocols. */
+/** Names of the headers and content types that the project's protocols use. */
 final class HttpNames {
 
   static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-Id");
--- a/entry/src/main/java/org/teaseltrail/entry/Json.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Json.java
@@ -11,10 +11,10 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Reads and writes JSON. */
+/** Parses and serializes JSON. */
 final class Json {
 
-  /** Depth of nesting that is read; the protocols need three. */
+  /** Maximum nesting depth when parsing; the protocols need three. */
   private static final int MAX_DEPTH = 32;
 
   private static final ObjectMapper MAPPER = mapper();
@@ -51,7 +51,7 @@
     if (node instanceof ObjectNode object) {
       return object;
     }
-    throw new IOException("no JSON object");
+    throw new IOException("not a JSON object");
   }
 
   /**
@@ -64,14 +64,14 @@
     if (node instanceof ObjectNode object) {
       return object;
     }
-    throw new IOException("no JSON object");
+    throw new IOException("not a JSON object");
   }
 
   static byte[] bytes(ObjectNode object) {
     try {
       return MAPPER.writeValueAsBytes(object);
     } catch (JsonProcessingException e) {
-      throw new UncheckedIOException("a tree of plain values is always JSON", e);
+      throw new UncheckedIOException("serialization of a plain JSON tree failed", e);
     }
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/JsonFields.java
+++ b/entry/src/main/java/org/teaseltrail/entry/JsonFields.java
@@ -11,13 +11,13 @@
 import org.teaseltrail.core.id.InvalidIdException;
 
 /**
- * Takes typed fields out of a JSON object, and refuses the request for one of the wrong type.
+ * Reads typed fields from a JSON object and refuses the request if a field has the wrong type.
  *
  * @param object the object
  */
 record JsonFields(ObjectNode object) {
 
-  /** Refuses fields that the protocol doesn't know, so that a mistyped name isn't passed over. */
+  /** Refuses unknown fields, so that a misspelled field name isn't ignored silently. */
   JsonFields onlyKnown(Set<String> known) {
     Iterator<String> names = object.fieldNames();
     while (names.hasNext()) {
@@ -91,8 +91,8 @@
   }
 
   private static JsonFields fieldsOf(String name, JsonNode node) {
-    if (node instanceof ObjectNode inner) {
-      return new JsonFields(inner);
+    if (node instanceof ObjectNode nested) {
+      return new JsonFields(nested);
     }
     throw refused(name + " must be an object");
   }
--- a/entry/src/main/java/org/teaseltrail/entry/LineSplitter.java
+++ b/entry/src/main/java/org/teaseltrail/entry/LineSplitter.java
@@ -5,35 +5,35 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Cuts a stream of bytes into lines. A last line without its end is dropped as not whole. */
+/** Splits a byte stream into lines. A last line without a line feed is dropped as incomplete. */
 final class LineSplitter {
 
-  /** Longest line that is held; a frame carries a few tokens. */
+  /** Maximum length of a buffered line; a frame carries only a few tokens. */
   static final int MAX_LINE_BYTES = 1024 * 1024;
 
-  private final ByteArrayOutputStream rest = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream incompleteLine = new ByteArrayOutputStream();
 
-  /** Returns the lines that the bytes complete. */
+  /** Adds bytes to the stream and returns the lines that they complete. */
   List<String> split(byte[] bytes) {
     List<String> lines = new ArrayList<>();
     int from = 0;
-    for (int at = 0; at < bytes.length; at++) {
-      if (bytes[at] == '\n') {
-        rest.write(bytes, from, at - from);
+    for (int byteIndex = 0; byteIndex < bytes.length; byteIndex++) {
+      if (bytes[byteIndex] == '\n') {
+        incompleteLine.write(bytes, from, byteIndex - from);
         addLine(lines);
-        from = at + 1;
+        from = byteIndex + 1;
       }
     }
-    rest.write(bytes, from, bytes.length - from);
-    if (rest.size() > MAX_LINE_BYTES) {
-      throw new MalformedFrameException("a line is too long");
+    incompleteLine.write(bytes, from, bytes.length - from);
+    if (incompleteLine.size() > MAX_LINE_BYTES) {
+      throw new MalformedFrameException("a line exceeds the maximum length");
     }
     return lines;
   }
 
   private void addLine(List<String> lines) {
-    String line = rest.toString(StandardCharsets.UTF_8).strip();
-    rest.reset();
+    String line = incompleteLine.toString(StandardCharsets.UTF_8).strip();
+    incompleteLine.reset();
     if (!line.isEmpty()) {
       lines.add(line);
     }
--- a/entry/src/main/java/org/teaseltrail/entry/MalformedFrameException.java
+++ b/entry/src/main/java/org/teaseltrail/entry/MalformedFrameException.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.entry;
 
-/** Tells that an engine sent a line that is no frame. */
+/** Thrown when an engine sends a line that isn't a valid frame. */
 final class MalformedFrameException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/entry/src/main/java/org/teaseltrail/entry/MemberAddress.java
+++ b/entry/src/main/java/org/teaseltrail/entry/MemberAddress.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /**
- * Says where a control member takes connections of entry VMs.
+ * The address on which a control member accepts connections of entry VMs.
  *
  * @param member the member
  * @param address its address
@@ -12,18 +12,18 @@
 public record MemberAddress(MemberId member, SocketAddress address) {
 
   /**
-   * Reads {@code member@ip:port}.
+   * Parses {@code member@ip:port}.
    *
-   * @param text the text
-   * @throws IllegalArgumentException if it has another form
+   * @param text the text to parse
+   * @throws IllegalArgumentException if the text doesn't have this format
    */
   public static MemberAddress parse(String text) {
-    int at = text.indexOf('@');
-    int colon = text.lastIndexOf(':');
-    if (at < 1 || colon < at + 2) {
+    int atIndex = text.indexOf('@');
+    int colonIndex = text.lastIndexOf(':');
+    if (atIndex < 1 || colonIndex < atIndex + 2) {
       throw new IllegalArgumentException("not of the form member@ip:port");
     }
-    SocketAddress address = SocketAddress.parse(text.substring(at + 1));
-    return new MemberAddress(new MemberId(text.substring(0, at)), address);
+    SocketAddress address = SocketAddress.parse(text.substring(atIndex + 1));
+    return new MemberAddress(new MemberId(text.substring(0, atIndex)), address);
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/NodeLoop.java
+++ b/entry/src/main/java/org/teaseltrail/entry/NodeLoop.java
@@ -15,13 +15,13 @@
 import reactor.core.scheduler.Scheduler;
 import reactor.core.scheduler.Schedulers;
 
-/** Owns the node and the one thread that may use it. */
+/** The event loop that owns the node and the only thread that may use it. */
 final class NodeLoop implements AutoCloseable {
 
   private static final PartLogger LOGGER = new PartLogger("entry");
 
   private final Scheduler thread = Schedulers.newSingle("entry-node", true);
-  private final long originNs = System.nanoTime();
+  private final long startNs = System.nanoTime();
   private final EntryNode node;
   private Consumer<EntryAction> executor = action -> {};
   private volatile EntryStatus status;
@@ -34,51 +34,51 @@
     this.status = node.status();
   }
 
-  /** Sets who carries the actions out; before the first event. */
+  /** Sets the executor of the node's actions. Must be called before the first event. */
   void onActions(Consumer<EntryAction> carriesOut) {
     executor = carriesOut;
   }
 
-  /** Passes an event to the node. */
+  /** Submits an event to the node. */
   void submit(EntryEvent event) {
     run(() -> handle(event));
   }
 
-  /** Runs a task on the node's thread. */
+  /** Runs a task on the node thread. */
   void run(Runnable task) {
     if (!closed) {
-      thread.schedule(() -> guarded(task));
+      thread.schedule(() -> runLoggingErrors(task));
     }
   }
 
-  /** Runs a task on the node's thread after a delay. */
+  /** Runs a task on the node thread after a delay. */
   void later(Runnable task, long delayMs) {
     if (!closed) {
-      thread.schedule(() -> guarded(task), delayMs, TimeUnit.MILLISECONDS);
+      thread.schedule(() -> runLoggingErrors(task), delayMs, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Asks the node something, on its thread. */
+  /** Evaluates a query on the node thread. */
   <T> Mono<T> ask(Callable<T> question) {
     return Mono.fromCallable(question).subscribeOn(thread);
   }
 
-  private void guarded(Runnable task) {
+  private void runLoggingErrors(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException fault) {
-      LOGGER.error("A decision failed.", fault);
+      LOGGER.error("A task on the node thread failed.", fault);
     }
   }
 
-  /** Handles an event; on the node's thread only. */
+  /** Handles an event and executes the resulting actions. Must be called on the node thread. */
   void handle(EntryEvent event) {
     List<EntryAction> actions = node.handle(event, nowNs());
     actions.forEach(executor);
-    planWakeup();
+    scheduleWakeup();
   }
 
-  private void planWakeup() {
+  private void scheduleWakeup() {
     OptionalLong next = node.nextWakeupNs();
     if (next.isEmpty() || next.getAsLong() == wakeupNs) {
       return;
@@ -89,23 +89,28 @@
     wakeupNs = next.getAsLong();
     wakeup =
         thread.schedule(
-            () -> guarded(this::wakeUp), Math.max(0, wakeupNs - nowNs()), TimeUnit.NANOSECONDS);
+            () -> runLoggingErrors(this::onWakeup),
+            Math.max(0, wakeupNs - nowNs()),
+            TimeUnit.NANOSECONDS);
   }
 
-  private void wakeUp() {
+  private void onWakeup() {
     wakeupNs = Long.MAX_VALUE;
     handle(new EntryEvent.Tick());
     status = node.status();
   }
 
-  /** Returns what the node held at its last tick; hellos make one twice a second. */
+  /**
+   * Returns the node's status at its last tick. Sending Hello messages causes a tick twice a
+   * second.
+   */
   EntryStatus status() {
     return status;
   }
 
-  /** Returns the time on the node's clock. */
+  /** Returns the current time of the node's clock. */
   long nowNs() {
-    return System.nanoTime() - originNs;
+    return System.nanoTime() - startNs;
   }
 
   EntryNode node() {
--- a/entry/src/main/java/org/teaseltrail/entry/OpenResponses.java
+++ b/entry/src/main/java/org/teaseltrail/entry/OpenResponses.java
@@ -6,32 +6,32 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Counts the answers that are still being written to callers.
+ * Tracks the responses that are still being written to callers.
  *
- * <p>Guards against a shutdown that cuts off the end of an answer: the node has the whole of it,
- * but a caller who reads slowly doesn't yet.
+ * <p>A shutdown waits for them: the node may have received a complete response that a slow caller
+ * hasn't read yet, and the end of it would otherwise be lost.
  */
 final class OpenResponses {
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition none = lock.newCondition();
-  private int open;
+  private final Condition noneOpen = lock.newCondition();
+  private int openCount;
 
-  /** Counts an answer from now until it is written or its caller is gone. */
-  Mono<Void> count(Mono<Void> answer) {
+  /** Tracks a response from its subscription until it is written or its caller has disconnected. */
+  Mono<Void> count(Mono<Void> response) {
     return Mono.defer(
         () -> {
           add(1);
-          return answer.doFinally(end -> add(-1));
+          return response.doFinally(end -> add(-1));
         });
   }
 
   private void add(int change) {
     lock.lock();
     try {
-      open += change;
-      if (open == 0) {
-        none.signalAll();
+      openCount += change;
+      if (openCount == 0) {
+        noneOpen.signalAll();
       }
     } finally {
       lock.unlock();
@@ -39,18 +39,18 @@
   }
 
   /**
-   * Waits until no answer is being written.
+   * Waits until no response is being written.
    *
-   * @return whether that came within the time
+   * @return whether all responses were finished within the timeout
    */
   boolean awaitNone(long timeoutMs) {
-    long leftNs = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
+    long remainingNs = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     lock.lock();
     try {
-      while (open > 0 && leftNs > 0) {
-        leftNs = none.awaitNanos(leftNs);
+      while (openCount > 0 && remainingNs > 0) {
+        remainingNs = noneOpen.awaitNanos(remainingNs);
       }
-      return open == 0;
+      return openCount == 0;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
--- a/entry/src/main/java/org/teaseltrail/entry/Problem.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Problem.java
@@ -12,15 +12,15 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Is a refusal or failure as a caller gets it: {@code application/problem+json}.
+ * Problem details ({@code application/problem+json}) of a refused or failed request.
  *
  * @param httpStatus the HTTP status
- * @param name the last part of the type
- * @param title a sentence on the type
- * @param detail a sentence on this case; never the caller's text
+ * @param name the last part of the type URI
+ * @param title a sentence that describes the type
+ * @param detail a sentence that describes this occurrence; never contains the caller's text
  * @param ran whether the request ran
  * @param request the request, if it has an id
- * @param retryAfterMs when the caller may come back; zero if coming back is of no use
+ * @param retryAfterMs time after which the caller may retry; zero if a retry is of no use
  */
 record Problem(
     int httpStatus,
@@ -48,7 +48,7 @@
         0);
   }
 
-  /** Returns the problem that stands for an outcome other than completed. */
+  /** Returns the problem details of an outcome other than completed. */
   static Problem of(RequestId request, Outcome outcome) {
     if (outcome instanceof Outcome.NotRun notRun) {
       NotRunReason reason = notRun.reason();
@@ -87,12 +87,12 @@
         state.retryAfterMs());
   }
 
-  /** Returns the problem's type. */
+  /** Returns the type URI of the problem. */
   String type() {
     return TYPE_PREFIX + name;
   }
 
-  /** Answers with the problem. */
+  /** Sends the problem as the response. */
   Publisher<Void> send(HttpServerResponse response) {
     response.status(httpStatus).header(HttpHeaderNames.CONTENT_TYPE, CONTENT_TYPE);
     request.ifPresent(id -> response.header(HttpNames.REQUEST_ID, id.value()));
--- a/entry/src/main/java/org/teaseltrail/entry/RefusedRequestException.java
+++ b/entry/src/main/java/org/teaseltrail/entry/RefusedRequestException.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.entry;
 
-/** Tells that a caller's request is refused for its form. */
+/** Thrown when an HTTP request is refused before it is dispatched, for example as malformed. */
 final class RefusedRequestException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/entry/src/main/java/org/teaseltrail/entry/RequestIds.java
+++ b/entry/src/main/java/org/teaseltrail/entry/RequestIds.java
@@ -5,17 +5,20 @@
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.id.VmId;
 
-/** Makes ids that are unique over all VMs and their restarts: VM, life and count. */
+/**
+ * Generates request ids that are unique across all VMs and their restarts, from the VM, its
+ * incarnation and a counter.
+ */
 final class RequestIds {
 
   private final String prefix;
-  private final AtomicLong count = new AtomicLong();
+  private final AtomicLong counter = new AtomicLong();
 
   RequestIds(VmId vm, Incarnation incarnation) {
     prefix = vm + "-" + Long.toString(incarnation.value(), Character.MAX_RADIX) + "-";
   }
 
   RequestId next() {
-    return new RequestId(prefix + Long.toString(count.incrementAndGet(), Character.MAX_RADIX));
+    return new RequestId(prefix + Long.toString(counter.incrementAndGet(), Character.MAX_RADIX));
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceAnswer.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceAnswer.java
@@ -5,10 +5,10 @@
 import reactor.core.publisher.Flux;
 
 /**
- * Is the answer of a plain service, as it comes.
+ * The response of a plain service, with a streamed body.
  *
- * @param httpStatus its status
- * @param headers its headers
- * @param body its body, read as the caller takes it
+ * @param httpStatus the HTTP status
+ * @param headers the headers
+ * @param body the body, read at the pace of the caller
  */
 record ServiceAnswer(int httpStatus, HttpHeaders headers, Flux<ByteBuf> body) {}
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceExchange.java
@@ -11,13 +11,16 @@
 import reactor.core.publisher.Sinks;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Gives a plain service's answer back as it is; the connections' own flow control bounds it. */
+/**
+ * An exchange that forwards a plain service's response unchanged; the flow control of the two
+ * connections bounds the memory in use.
+ */
 final class ServiceExchange implements CallerExchange {
 
   private final RequestId request;
   private final ServiceRequest asked;
-  private final Sinks.One<Publisher<Void>> answer = Sinks.one();
-  private final AtomicReference<ServiceAnswer> answered = new AtomicReference<>();
+  private final Sinks.One<Publisher<Void>> responseWriter = Sinks.one();
+  private final AtomicReference<ServiceAnswer> unforwardedResponse = new AtomicReference<>();
   private final HttpServerResponse response;
   private volatile boolean abandoned;
 
@@ -38,7 +41,7 @@
 
   @Override
   public Publisher<Void> respond(HttpServerResponse sameResponse) {
-    return ConnectionThread.of(response, answer.asMono()).flatMap(Mono::from);
+    return ConnectionThread.of(response, responseWriter.asMono()).flatMap(Mono::from);
   }
 
   @Override
@@ -46,25 +49,31 @@
     return calls.service(this, attempt);
   }
 
-  /** Takes the service's answer; on the connection's thread, before the node is told. */
+  /**
+   * Accepts the service's response. Runs on the event loop of the upstream connection, before the
+   * node handles the event.
+   */
   void answer(ServiceAnswer service) {
-    answered.set(service);
-    answer.tryEmitValue(Mono.defer(() -> Mono.from(forward(service))));
+    unforwardedResponse.set(service);
+    responseWriter.tryEmitValue(Mono.defer(() -> Mono.from(forward(service))));
     if (abandoned) {
       drain();
     }
   }
 
-  /** Reads an answer that no one takes to its end, so that the call counts as completed. */
+  /**
+   * Reads a response without a caller to its end and discards it, so that the call counts as
+   * completed.
+   */
   private void drain() {
-    ServiceAnswer left = answered.getAndSet(null);
-    if (left != null) {
-      left.body().subscribe(ByteBuf::release, failure -> {});
+    ServiceAnswer unconsumed = unforwardedResponse.getAndSet(null);
+    if (unconsumed != null) {
+      unconsumed.body().subscribe(ByteBuf::release, failure -> {});
     }
   }
 
   private Publisher<Void> forward(ServiceAnswer service) {
-    if (answered.getAndSet(null) == null) {
+    if (unforwardedResponse.getAndSet(null) == null) {
       return Mono.empty();
     }
     response.status(service.httpStatus());
@@ -75,13 +84,14 @@
 
   @Override
   public void deliver(StreamFrame.Text frame) {
-    throw new IllegalStateException("a plain service has no frames");
+    throw new IllegalStateException("a plain service has no token frames");
   }
 
   @Override
   public void conclude(Outcome outcome) {
     if (!(outcome instanceof Outcome.Completed)) {
-      answer.tryEmitValue(Mono.defer(() -> Mono.from(Problem.of(request, outcome).send(response))));
+      responseWriter.tryEmitValue(
+          Mono.defer(() -> Mono.from(Problem.of(request, outcome).send(response))));
     }
   }
 
@@ -89,7 +99,7 @@
   public void abandon() {
     abandoned = true;
     drain();
-    answer.tryEmitEmpty();
+    responseWriter.tryEmitEmpty();
   }
 
   @Override
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceForward.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceForward.java
@@ -11,7 +11,7 @@
 import reactor.netty.Connection;
 import reactor.netty.http.client.HttpClientResponse;
 
-/** Sends a call to a plain service and passes the answer through. */
+/** Forwards a request to a plain service and relays the response. */
 final class ServiceForward extends DispatchCall {
 
   private final UpstreamCalls calls;
@@ -33,8 +33,8 @@
             .request(asked.method())
             .uri(asked.pathAndQuery())
             .send((head, out) -> sendWhenPermitted(out, asked.body()))
-            .responseConnection(this::pass)
-            .subscribe(done -> {}, failure -> broken()));
+            .responseConnection(this::relayResponse)
+            .subscribe(ignored -> {}, failure -> broken()));
   }
 
   private void writeHeaders(HttpHeaders headers) {
@@ -46,29 +46,29 @@
     }
   }
 
-  private Publisher<Void> pass(HttpClientResponse response, Connection connection) {
-    Sinks.Empty<Void> passed = Sinks.empty();
+  private Publisher<Void> relayResponse(HttpClientResponse response, Connection connection) {
+    Sinks.Empty<Void> relayed = Sinks.empty();
     Flux<ByteBuf> body =
         connection
             .inbound()
             .receive()
             .retain()
-            .doOnComplete(() -> completed(passed))
-            .doOnError(passed::tryEmitError)
-            .doOnCancel(() -> cutOff(passed));
+            .doOnComplete(() -> completed(relayed))
+            .doOnError(relayed::tryEmitError)
+            .doOnCancel(() -> onCancelled(relayed));
     tell(new EntryEvent.ServiceAnswering(request(), attempt()));
     exchange.answer(
         new ServiceAnswer(response.status().code(), response.responseHeaders().copy(), body));
-    return passed.asMono();
+    return relayed.asMono();
   }
 
-  private void completed(Sinks.Empty<Void> passed) {
+  private void completed(Sinks.Empty<Void> relayed) {
     tell(new EntryEvent.ServiceCompleted(request(), attempt()));
-    passed.tryEmitEmpty();
+    relayed.tryEmitEmpty();
   }
 
-  private void cutOff(Sinks.Empty<Void> passed) {
+  private void onCancelled(Sinks.Empty<Void> relayed) {
     broken();
-    passed.tryEmitEmpty();
+    relayed.tryEmitEmpty();
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceRequest.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceRequest.java
@@ -5,18 +5,18 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /**
- * Is a caller's call of a plain service.
+ * A caller's request to a plain service.
  *
  * @param service the service
  * @param method the HTTP method
- * @param pathAndQuery what the service gets as its URI
+ * @param pathAndQuery the request URI for the service
  * @param headers the caller's headers
  * @param body the body
  */
 record ServiceRequest(
     ServiceId service, HttpMethod method, String pathAndQuery, HttpHeaders headers, byte[] body) {
 
-  /** Returns the digest of what is asked for. */
+  /** Returns the digest that identifies equal requests. */
   String digest() {
     return Sha256Text.ofParts(method + "\n" + service + "\n" + pathAndQuery, body);
   }
--- a/entry/src/main/java/org/teaseltrail/entry/Sha256Text.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Sha256Text.java
@@ -5,7 +5,7 @@
 import java.util.HexFormat;
 import org.teaseltrail.core.digest.Sha256;
 
-/** Makes SHA-256 digests in lower-case hexadecimal. */
+/** Computes SHA-256 digests in lower-case hexadecimal. */
 final class Sha256Text {
 
   private static final byte SEPARATOR = 0;
@@ -16,7 +16,10 @@
     return HexFormat.of().formatHex(Sha256.create().digest(text.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Digests parts with a separator between them, so that no two splits are alike. */
+  /**
+   * Returns the digest of two parts with a separator between them, so that parts split at different
+   * positions have different digests.
+   */
   static String ofParts(String head, byte[] body) {
     MessageDigest digest = Sha256.create();
     digest.update(head.getBytes(StandardCharsets.UTF_8));
--- a/entry/src/main/java/org/teaseltrail/entry/Shutdown.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Shutdown.java
@@ -2,7 +2,10 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Is the way out: the node says when the listener closes and when all has finished. */
+/**
+ * Coordinates the shutdown: the node decides when the listener closes and when all requests have
+ * finished.
+ */
 final class Shutdown {
 
   private final CompletableFuture<Void> finished = new CompletableFuture<>();
--- a/entry/src/main/java/org/teaseltrail/entry/StatusHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/StatusHandler.java
@@ -13,10 +13,10 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Tells the state of requests, of the VM and its meters. */
+/** Serves the status of requests, health and readiness checks, and metrics. */
 final class StatusHandler {
 
-  /** Path below which requests lie. */
+  /** Path prefix of request statuses. */
   static final String REQUESTS = "/v1/requests/";
 
   private static final int OK = 200;
--- a/entry/src/main/java/org/teaseltrail/entry/StreamedExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/StreamedExchange.java
@@ -13,24 +13,24 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Gives an answer back as server-sent events.
+ * An exchange that streams the response as server-sent events.
  *
- * <p>Guards against a caller who reads slowly, which would show as memory growing without bound:
- * above a number of frames not yet written, the upstream isn't read, and a caller who then reads
- * nothing for the stall timeout is let go.
+ * <p>A slow caller must not make memory grow without bound. When the number of unwritten frames
+ * reaches the maximum, reading from the upstream pauses, and a caller that then reads nothing for
+ * the stall timeout is disconnected.
  */
 final class StreamedExchange extends GenerationExchange {
 
   private final NodeLoop loop;
   private final int bufferFrames;
   private final long stallTimeoutMs;
-  private final Sinks.One<Optional<Problem>> head = Sinks.one();
+  private final Sinks.One<Optional<Problem>> responseStart = Sinks.one();
   private final Sinks.Many<byte[]> events = Sinks.many().unicast().onBackpressureBuffer();
-  private final AtomicInteger unwrittenFrames = new AtomicInteger();
-  private volatile int takenFrames;
+  private final AtomicInteger unwrittenEvents = new AtomicInteger();
+  private volatile int writtenEvents;
   private volatile boolean paused;
-  private Runnable whenRoom;
-  private boolean headDecided;
+  private Runnable onCapacity;
+  private boolean responseStarted;
   private boolean abandoned;
 
   StreamedExchange(
@@ -43,31 +43,33 @@
 
   @Override
   public Publisher<Void> respond(HttpServerResponse response) {
-    return ConnectionThread.of(response, head.asMono())
-        .flatMap(problem -> Mono.from(answer(response, problem)));
+    return ConnectionThread.of(response, responseStart.asMono())
+        .flatMap(problem -> Mono.from(writeResponse(response, problem)));
   }
 
-  private Publisher<Void> answer(HttpServerResponse response, Optional<Problem> problem) {
+  private Publisher<Void> writeResponse(HttpServerResponse response, Optional<Problem> problem) {
     if (problem.isPresent()) {
       return problem.get().send(response);
     }
     response.header(HttpNames.REQUEST_ID, request().value());
     return response
         .sse()
-        .send(events.asFlux().doOnNext(e -> taken()).map(Unpooled::wrappedBuffer), e -> true);
+        .send(
+            events.asFlux().doOnNext(e -> onEventWritten()).map(Unpooled::wrappedBuffer),
+            e -> true);
   }
 
-  private void taken() {
-    takenFrames++;
-    int left = unwrittenFrames.decrementAndGet();
-    if (paused && left <= bufferFrames / 2) {
+  private void onEventWritten() {
+    writtenEvents++;
+    int remaining = unwrittenEvents.decrementAndGet();
+    if (paused && remaining <= bufferFrames / 2) {
       loop.run(this::resumeReading);
     }
   }
 
   private void resumeReading() {
-    Runnable task = whenRoom;
-    whenRoom = null;
+    Runnable task = onCapacity;
+    onCapacity = null;
     paused = false;
     if (task != null) {
       task.run();
@@ -79,29 +81,29 @@
     if (abandoned) {
       return;
     }
-    decideHead(Optional.empty());
+    startResponse(Optional.empty());
     emit(CallerJson.tokenEvent(frame));
   }
 
   private void emit(byte[] event) {
-    unwrittenFrames.incrementAndGet();
+    unwrittenEvents.incrementAndGet();
     events.tryEmitNext(event);
   }
 
-  private void decideHead(Optional<Problem> problem) {
-    if (!headDecided) {
-      headDecided = true;
-      head.tryEmitValue(problem);
+  private void startResponse(Optional<Problem> problem) {
+    if (!responseStarted) {
+      responseStarted = true;
+      responseStart.tryEmitValue(problem);
     }
   }
 
   @Override
   public void conclude(Outcome outcome) {
-    if (!headDecided && !(outcome instanceof Outcome.Completed)) {
-      decideHead(Optional.of(Problem.of(request(), outcome)));
+    if (!responseStarted && !(outcome instanceof Outcome.Completed)) {
+      startResponse(Optional.of(Problem.of(request(), outcome)));
       return;
     }
-    decideHead(Optional.empty());
+    startResponse(Optional.empty());
     emit(CallerJson.outcomeEvent(request(), outcome));
     events.tryEmitComplete();
   }
@@ -115,28 +117,28 @@
 
   @Override
   public boolean isFull(Runnable task) {
-    if (abandoned || unwrittenFrames.get() < bufferFrames) {
+    if (abandoned || unwrittenEvents.get() < bufferFrames) {
       return false;
     }
-    whenRoom = task;
+    onCapacity = task;
     if (!paused) {
       paused = true;
-      watchStall(takenFrames);
+      scheduleStallCheck(writtenEvents);
     }
-    if (unwrittenFrames.get() <= bufferFrames / 2) {
+    if (unwrittenEvents.get() <= bufferFrames / 2) {
       loop.run(this::resumeReading);
     }
     return true;
   }
 
-  private void watchStall(int takenBefore) {
+  private void scheduleStallCheck(int writtenBefore) {
     loop.later(
         () -> {
-          if (paused && takenFrames == takenBefore) {
+          if (paused && writtenEvents == writtenBefore) {
             loop.handle(new EntryEvent.CallerGone(request()));
             abandon();
           } else if (paused) {
-            watchStall(takenFrames);
+            scheduleStallCheck(writtenEvents);
           }
         },
         stallTimeoutMs);
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamAnswers.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamAnswers.java
@@ -9,30 +9,30 @@
 import reactor.core.publisher.Mono;
 import reactor.core.publisher.Sinks;
 
-/** Matches upstreams' announcements and cache events with the node's answers. */
+/** Correlates upstreams' announcements and cache events with the node's verdicts. */
 final class UpstreamAnswers {
 
   private final NodeLoop loop;
-  private final AtomicLong exchange = new AtomicLong();
+  private final AtomicLong lastExchange = new AtomicLong();
   private final Map<Long, Sinks.One<UpstreamVerdict>> waiting = new ConcurrentHashMap<>();
 
   UpstreamAnswers(NodeLoop loop) {
     this.loop = loop;
   }
 
-  /** Passes an event that carries an exchange's number, and returns the node's answer. */
+  /** Submits an event that carries an exchange number, and returns the node's verdict on it. */
   Mono<UpstreamVerdict> ask(LongFunction<EntryEvent> event) {
-    long number = exchange.incrementAndGet();
-    Sinks.One<UpstreamVerdict> answer = Sinks.one();
-    waiting.put(number, answer);
+    long number = lastExchange.incrementAndGet();
+    Sinks.One<UpstreamVerdict> verdictSink = Sinks.one();
+    waiting.put(number, verdictSink);
     loop.submit(event.apply(number));
-    return answer.asMono().doFinally(end -> waiting.remove(number));
+    return verdictSink.asMono().doFinally(end -> waiting.remove(number));
   }
 
   void answer(long number, UpstreamVerdict verdict) {
-    Sinks.One<UpstreamVerdict> answer = waiting.get(number);
-    if (answer != null) {
-      answer.tryEmitValue(verdict);
+    Sinks.One<UpstreamVerdict> verdictSink = waiting.get(number);
+    if (verdictSink != null) {
+      verdictSink.tryEmitValue(verdict);
     }
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamCall.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamCall.java
@@ -1,8 +1,8 @@
 package org.teaseltrail.entry;
 
-/** Is one connection to an upstream. Called on the node's thread. */
+/** A call to an upstream over its own connection. Used on the node thread. */
 interface UpstreamCall {
 
-  /** Closes the connection. Its events are late from now on. */
+  /** Closes the connection. Events of the call that arrive later are ignored. */
   void close();
 }
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamCalls.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamCalls.java
@@ -10,11 +10,11 @@
 import reactor.netty.resources.ConnectionProvider;
 
 /**
- * Makes connections to upstreams.
+ * Creates calls to upstreams.
  *
- * <p>Each call has a connection of its own. Guards against a kept connection that the upstream has
- * closed meanwhile: the request would be written and lost, and no one could say whether it ran.
- * Retry and redirects stay off, since either would send a request twice.
+ * <p>Each call uses a new connection. A pooled connection may have been closed by the upstream in
+ * the meantime: the request would be written and lost, and it would be unknown whether it ran.
+ * Retries and redirects are disabled, since either would send a request twice.
  */
 final class UpstreamCalls {
 
@@ -35,7 +35,7 @@
             .responseTimeout(Duration.ofMillis(readTimeoutMs));
   }
 
-  /** Returns a client for one upstream. */
+  /** Returns an HTTP client for one upstream. */
   HttpClient client(UpstreamTarget target) {
     return client.baseUrl(HTTP + target.address().host() + ":" + target.address().port());
   }
@@ -44,22 +44,25 @@
     return loop;
   }
 
-  /** Makes a call that sends a request to an engine. */
+  /** Creates a call that dispatches a request to an engine. */
   DispatchCall engine(CallerExchange exchange, int attempt, byte[] body) {
     return new EngineCall(this, exchange, attempt, body);
   }
 
-  /** Makes a call that forwards a request to a plain service. */
+  /** Creates a call that forwards a request to a plain service. */
   DispatchCall service(ServiceExchange exchange, int attempt) {
     return new ServiceForward(this, exchange, attempt);
   }
 
-  /** Asks an engine for the rest of a stream. */
+  /** Starts a call that requests the rest of a stream from an engine. */
   UpstreamCall resume(CallerExchange exchange, EntryAction.Resume resume) {
     return EngineResume.start(this, exchange, resume);
   }
 
-  /** Tells an engine to stop; a failure is logged, as the engine ends the stream by itself. */
+  /**
+   * Requests an engine to cancel a stream. A failure is only logged, since the engine ends the
+   * stream by itself.
+   */
   void cancel(RequestId request, UpstreamTarget target) {
     client(target)
         .delete()
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamHandler.java
@@ -12,7 +12,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Takes upstreams' announcements and cache events. */
+/** Handles upstreams' announcements and cache events. */
 final class UpstreamHandler {
 
   private final BodyReader bodies;
@@ -25,34 +25,34 @@
 
   Publisher<Void> announce(HttpServerRequest request, HttpServerResponse response) {
     String secretHash = secretHash(request);
-    return handle(request, response, body -> announced(request, secretHash, body));
+    return handle(request, response, body -> submitAnnouncement(request, secretHash, body));
   }
 
-  private Mono<UpstreamVerdict> announced(
+  private Mono<UpstreamVerdict> submitAnnouncement(
       HttpServerRequest request, String secretHash, byte[] body) {
     Announcement announcement = AnnouncementParser.announcement(body);
-    checkSameUpstream(request, announcement.upstream());
+    requireMatchingUpstreamId(request, announcement.upstream());
     return answers.ask(
         number -> new EntryEvent.AnnouncementReceived(number, announcement, secretHash));
   }
 
   Publisher<Void> cacheEvents(HttpServerRequest request, HttpServerResponse response) {
     String secretHash = secretHash(request);
-    return handle(request, response, body -> cacheChanged(request, secretHash, body));
+    return handle(request, response, body -> submitCacheEvent(request, secretHash, body));
   }
 
-  private Mono<UpstreamVerdict> cacheChanged(
+  private Mono<UpstreamVerdict> submitCacheEvent(
       HttpServerRequest request, String secretHash, byte[] body) {
     CacheEvent event = AnnouncementParser.cacheEvent(body);
-    checkSameUpstream(request, event.upstream());
+    requireMatchingUpstreamId(request, event.upstream());
     return answers.ask(number -> new EntryEvent.CacheEventReceived(number, event, secretHash));
   }
 
   private Mono<Void> handle(
       HttpServerRequest request,
       HttpServerResponse response,
-      Function<byte[], Mono<UpstreamVerdict>> asks) {
-    return ConnectionThread.of(response, bodies.read(request).flatMap(asks))
+      Function<byte[], Mono<UpstreamVerdict>> submitter) {
+    return ConnectionThread.of(response, bodies.read(request).flatMap(submitter))
         .flatMap(verdict -> response.status(verdict.httpStatus()).send().then());
   }
 
@@ -62,7 +62,7 @@
         .orElse("");
   }
 
-  private static void checkSameUpstream(HttpServerRequest request, UpstreamId announced) {
+  private static void requireMatchingUpstreamId(HttpServerRequest request, UpstreamId announced) {
     if (!announced.value().equals(request.requestHeaders().get(HttpNames.UPSTREAM_ID))) {
       throw new RefusedRequestException(
           ProblemKind.MALFORMED_REQUEST, "X-Upstream-Id is missing or differs from the body");
--- a/entry/src/main/java/org/teaseltrail/entry/WholeExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/WholeExchange.java
@@ -12,7 +12,7 @@
 import reactor.core.publisher.Sinks;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Gives an answer back in one piece. */
+/** An exchange that buffers the response and returns it as one JSON document. */
 final class WholeExchange extends GenerationExchange {
 
   private final NodeLoop loop;
@@ -29,10 +29,10 @@
   @Override
   public Publisher<Void> respond(HttpServerResponse response) {
     return ConnectionThread.of(response, outcome.asMono())
-        .flatMap(end -> Mono.from(answer(response, end)));
+        .flatMap(end -> Mono.from(writeResponse(response, end)));
   }
 
-  private Publisher<Void> answer(HttpServerResponse response, Outcome end) {
+  private Publisher<Void> writeResponse(HttpServerResponse response, Outcome end) {
     if (!(end instanceof Outcome.Completed completed)) {
       return Problem.of(request(), end).send(response);
     }
--- a/entry/src/main/java/org/teaseltrail/entry/package-info.java
+++ b/entry/src/main/java/org/teaseltrail/entry/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The program of an entry VM: callers' HTTP, upstreams' HTTP and the connections to control
- * members, around {@link org.teaseltrail.core.entry.EntryNode}, which decides.
+ * The daemon of an entry VM: the HTTP server for callers and upstreams and the connections to
+ * control members. The decisions are made by {@link org.teaseltrail.core.entry.EntryNode}.
  */
 package org.teaseltrail.entry;
--- a/entry/src/test/java/org/teaseltrail/entry/EntryBadInputTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryBadInputTest.java
@@ -18,7 +18,7 @@
 
 class EntryBadInputTest {
 
-  private static final String QUESTION =
+  private static final String REQUEST_PREFIX =
       "{\"model\":\"tutor-llm\",\"prompt\":\"When?\",\"max_tokens\":8,\"stream\":false";
 
   private static EntryWorld world;
@@ -33,10 +33,10 @@
     world.close();
   }
 
-  /** After each bad input the same process still serves. */
+  /** Checks that the same process still serves requests after each invalid input. */
   @AfterEach
   void stillServes() {
-    assertThat(world.generate(QUESTION + "}").statusCode()).isEqualTo(200);
+    assertThat(world.generate(REQUEST_PREFIX + "}").statusCode()).isEqualTo(200);
   }
 
   private static void assertProblem(HttpResponse<String> answer, int status, String name) {
@@ -98,7 +98,8 @@
     assertProblem(world.generate("x".repeat(64_001)), 413, "body-too-large");
   }
 
-  // A caller declares no length and sends without end; the VM must not gather it all.
+  // A caller sends an endless chunked body without a declared length; the VM must not buffer all of
+  // it.
   @Test
   void endlessBodyIsRefused() throws IOException {
     String head = "POST /v1/generate HTTP/1.1\r\nHost: vm\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -115,7 +116,9 @@
   @Test
   void oversizeHeadersAreRefused() {
     assertProblem(
-        world.generate(QUESTION + "}", "X-Padding", "x".repeat(5_000)), 431, "headers-too-large");
+        world.generate(REQUEST_PREFIX + "}", "X-Padding", "x".repeat(5_000)),
+        431,
+        "headers-too-large");
   }
 
   @Test
@@ -127,20 +130,20 @@
               request ->
                   request
                       .header("Authorization", key)
-                      .POST(HttpRequest.BodyPublishers.ofString(QUESTION + "}")));
+                      .POST(HttpRequest.BodyPublishers.ofString(REQUEST_PREFIX + "}")));
       assertProblem(answer, 401, "unauthenticated");
     }
     assertProblem(
         world.send(
             "/v1/generate",
-            request -> request.POST(HttpRequest.BodyPublishers.ofString(QUESTION + "}"))),
+            request -> request.POST(HttpRequest.BodyPublishers.ofString(REQUEST_PREFIX + "}"))),
         401,
         "unauthenticated");
   }
 
   @Test
   void nonIdempotentWithoutKeyIsRefused() {
-    assertProblem(world.generate(QUESTION + ",\"idempotent\":false}"), 400, "key-required");
+    assertProblem(world.generate(REQUEST_PREFIX + ",\"idempotent\":false}"), 400, "key-required");
     assertProblem(
         world.send(
             "/v1/services/portal-app/certificates",
@@ -155,9 +158,11 @@
   @Test
   void malformedHeadersAreRefused() {
     assertProblem(
-        world.generate(QUESTION + "}", "Idempotency-Key", "two words"), 400, "malformed-request");
+        world.generate(REQUEST_PREFIX + "}", "Idempotency-Key", "two words"),
+        400,
+        "malformed-request");
     assertProblem(
-        world.generate(QUESTION.replace("false", "true") + "}", "Last-Event-ID", "last"),
+        world.generate(REQUEST_PREFIX.replace("false", "true") + "}", "Last-Event-ID", "last"),
         400,
         "malformed-request");
   }
--- a/entry/src/test/java/org/teaseltrail/entry/EntryDaemonTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryDaemonTest.java
@@ -10,7 +10,7 @@
 
 class EntryDaemonTest {
 
-  private static final String QUESTION =
+  private static final String REQUEST_PREFIX =
       "{\"model\":\"tutor-llm\",\"prompt\":\"When is recess?\",\"max_tokens\":8";
 
   private final EntryWorld world = new EntryWorld();
@@ -22,7 +22,7 @@
 
   @Test
   void streamsAnAnswerWithItsOutcome() {
-    HttpResponse<String> answer = world.generate(QUESTION + "}");
+    HttpResponse<String> answer = world.generate(REQUEST_PREFIX + "}");
 
     assertThat(answer.statusCode()).isEqualTo(200);
     assertThat(answer.headers().firstValue("content-type")).hasValue("text/event-stream");
@@ -37,7 +37,7 @@
 
   @Test
   void givesAnAnswerInOnePiece() {
-    HttpResponse<String> answer = world.generate(QUESTION + ",\"stream\":false}");
+    HttpResponse<String> answer = world.generate(REQUEST_PREFIX + ",\"stream\":false}");
 
     assertThat(answer.statusCode()).isEqualTo(200);
     assertThat(answer.body())
@@ -52,14 +52,14 @@
     assertThat(world.send("/v1/requests/" + id, request -> request).statusCode()).isEqualTo(401);
   }
 
-  // A volunteer's answer stops in mid-sentence: the connection to the engine breaks after two
-  // frames. The rest comes over a new connection to the same engine, and nothing runs twice.
+  // Guards against a truncated response when the connection to the engine breaks after two frames.
+  // The rest is resumed over a new connection to the same engine, and nothing runs twice.
   @Test
   void resumesStreamAfterBrokenConnection() {
     world.engine.frames = 6;
     world.engine.cutAfterFrames = 2;
 
-    HttpResponse<String> answer = world.generate(QUESTION + ",\"stream\":false}");
+    HttpResponse<String> answer = world.generate(REQUEST_PREFIX + ",\"stream\":false}");
 
     assertThat(answer.body()).contains("\"text\":\"w0 w1 w2 w3 w4 w5 \"");
     assertThat(world.engine.count("POST")).isEqualTo(1);
@@ -70,7 +70,7 @@
   void tellsThatRefusedRequestDidNotRun() {
     world.engine.refuses = true;
 
-    HttpResponse<String> answer = world.generate(QUESTION + "}");
+    HttpResponse<String> answer = world.generate(REQUEST_PREFIX + "}");
 
     assertThat(answer.statusCode()).isEqualTo(503);
     assertThat(answer.headers().firstValue("Retry-After")).hasValue("1");
@@ -98,7 +98,7 @@
 
   @Test
   void tellsSchedulerHowRequestEnded() {
-    world.generate(QUESTION + ",\"stream\":false}");
+    world.generate(REQUEST_PREFIX + ",\"stream\":false}");
     world.entry.close();
 
     assertThat(world.control.heard(EntryMessage.Offer.class)).hasSize(1);
--- a/entry/src/test/java/org/teaseltrail/entry/EntryFlowTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryFlowTest.java
@@ -17,17 +17,17 @@
 
 class EntryFlowTest {
 
-  private static final String QUESTION =
+  private static final String REQUEST_BODY =
       "{\"model\":\"tutor-llm\",\"prompt\":\"When is recess?\",\"max_tokens\":8}";
   private static final int LONG_FRAMES = 24_000;
-  private static final long LINES_OF_OTHERS = 4;
+  private static final long LINES_PER_SHORT_RESPONSE = 4;
 
   private final EntryWorld world = new EntryWorld();
-  private final List<InputStream> opened = new ArrayList<>();
+  private final List<InputStream> openStreams = new ArrayList<>();
 
   @AfterEach
   void close() throws IOException {
-    for (InputStream unread : opened) {
+    for (InputStream unread : openStreams) {
       unread.close();
     }
     world.engine.release();
@@ -35,8 +35,8 @@
   }
 
   private HttpResponse<InputStream> open() {
-    HttpResponse<InputStream> answer = world.open(QUESTION);
-    opened.add(answer.body());
+    HttpResponse<InputStream> answer = world.open(REQUEST_BODY);
+    openStreams.add(answer.body());
     return answer;
   }
 
@@ -51,13 +51,13 @@
     return line.startsWith("id: ") || line.contains("\"outcome\":");
   }
 
-  // After some 30,000 answers a VM stops admitting: its memory is full, and it collects garbage
-  // without end. Each completed request's connection to its engine was still held, and with it the
-  // whole exchange with the caller.
+  // Guards against a memory leak: the calls of completed requests stayed registered and kept their
+  // exchanges reachable. After some 30,000 responses the heap was full, the VM collected garbage
+  // continuously and admitted no more requests.
   @Test
   void completedRequestLeavesNoConnectionBehind() {
     world.engine.frames = 3;
-    assertThat(world.generate(QUESTION).statusCode()).isEqualTo(200);
+    assertThat(world.generate(REQUEST_BODY).statusCode()).isEqualTo(200);
     world.await(() -> metrics().contains("upstream_calls{program=\"teaseltrail-entry\"} 0.0"));
   }
 
@@ -65,8 +65,9 @@
     return world.send("/metrics", HttpRequest.Builder::GET).body();
   }
 
-  // A caller opens a long answer (24 MB) and reads nothing. The engine must not be read to the end
-  // into the VM's memory, and other callers are served; when the caller reads on, it gets it whole.
+  // A caller requests a long response (24 MB) and reads nothing. The VM must not buffer all of the
+  // engine's stream, and must still serve other callers. Once the caller reads, it gets the
+  // complete response.
   @Test
   void slowCallerHoldsUpNeitherOthersNorMemory() throws IOException {
     world.engine.frames = LONG_FRAMES;
@@ -76,9 +77,9 @@
     long made = -1;
     int unchanged = 0;
     for (int others = 1; unchanged < 30; others++) {
-      assertThat(world.generate(QUESTION).statusCode()).isEqualTo(200);
+      assertThat(world.generate(REQUEST_BODY).statusCode()).isEqualTo(200);
       long before = made;
-      made = world.engine.linesMade.get() - others * LINES_OF_OTHERS;
+      made = world.engine.linesMade.get() - others * LINES_PER_SHORT_RESPONSE;
       unchanged = made == before ? unchanged + 1 : 0;
     }
     assertThat(made).isLessThan(LONG_FRAMES);
@@ -89,8 +90,8 @@
     assertThat(ids.get(LONG_FRAMES)).contains("\"outcome\":\"completed\"");
   }
 
-  // A volunteer closes the page in mid-answer. The engine is told to stop, or it would go on
-  // generating for no one.
+  // Guards against an engine that goes on generating after its caller has disconnected: the VM must
+  // cancel the engine's stream.
   @Test
   void engineIsToldThatCallerIsGone() throws IOException {
     world.engine.holdAfterFrames = 1;
@@ -101,8 +102,8 @@
     world.await(() -> world.engine.count("DELETE") == 1);
   }
 
-  // The VM is asked to shut down while an answer streams. The listener closes, and the caller still
-  // gets the rest and the outcome; only then does the process end.
+  // Guards against a shutdown that truncates a response being streamed. The listener closes, the
+  // caller still gets the remaining frames and the outcome, and only then does the daemon end.
   @Test
   void shutdownLetsRunningAnswerFinish() throws IOException {
     world.engine.holdAfterFrames = 1;
--- a/entry/src/test/java/org/teaseltrail/entry/EntryMetricsTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryMetricsTest.java
@@ -8,8 +8,9 @@
 class EntryMetricsTest {
 
   /**
-   * An operator's alert on waiting requests never fires: minutes after the start all gauges of the
-   * VM read NaN. The registry held what they read only weakly, and the collector took it.
+   * Guards against gauges that read NaN minutes after the start, so that alerts on them never fire.
+   * This happens if the registry holds the gauges' state objects only weakly and they are
+   * garbage-collected.
    */
   @Test
   void gaugesOutliveTheCollector() {
--- a/entry/src/test/java/org/teaseltrail/entry/EntryWorld.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryWorld.java
@@ -36,7 +36,7 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.id.VmId;
 
-/** Is an entry VM on loopback between a caller, a fake control member and a fake engine. */
+/** An entry VM on loopback between a caller, a fake control member and a fake engine. */
 final class EntryWorld implements AutoCloseable {
 
   static final String KEY = "gopherfield-key";
@@ -106,24 +106,27 @@
             UPSTREAM, new AllowedUpstream(UPSTREAM, pool, Sha256Text.ofText(SECRET), false, true)));
   }
 
-  /** Waits for the session; each ask takes a whole exchange, so no time is slept away. */
+  /**
+   * Waits until the VM is ready, which requires a session. Polls without sleeping, since each poll
+   * takes a complete HTTP exchange.
+   */
   private void awaitReady() {
     await(() -> send("/readyz", HttpRequest.Builder::GET).statusCode() == 200);
   }
 
-  /** Asks the VM for its health until the condition holds. */
+  /** Polls the VM's health check until the condition holds. */
   void await(BooleanSupplier condition) {
-    for (int asks = 0; !condition.getAsBoolean(); asks++) {
-      if (asks > 10_000) {
-        throw new IllegalStateException("the condition did not come to hold");
+    for (int polls = 0; !condition.getAsBoolean(); polls++) {
+      if (polls > 10_000) {
+        throw new IllegalStateException("the condition was not met");
       }
       send("/healthz", HttpRequest.Builder::GET);
     }
   }
 
-  /** Connects until the VM takes no more connections. */
+  /** Connects repeatedly until the VM refuses connections. */
   void awaitListenerClosed() {
-    for (int tries = 0; tries < 100_000; tries++) {
+    for (int attempts = 0; attempts < 100_000; attempts++) {
       try {
         new Socket("127.0.0.1", entry.address().getPort()).close();
       } catch (IOException refused) {
@@ -133,7 +136,7 @@
     throw new IllegalStateException("the listener did not close");
   }
 
-  /** Asks for a streamed answer and returns it unread. */
+  /** Requests a streamed response and returns it unread. */
   HttpResponse<InputStream> open(String body) {
     HttpRequest request =
         HttpRequest.newBuilder(uri("/v1/generate"))
--- a/entry/src/test/java/org/teaseltrail/entry/FakeControlMember.java
+++ b/entry/src/test/java/org/teaseltrail/entry/FakeControlMember.java
@@ -20,7 +20,7 @@
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.SpeakerKind;
 
-/** Is a control member that leads at once and grants each offer the one engine it knows. */
+/** A control member that acts as leader at once and grants its only engine to each offer. */
 final class FakeControlMember
     implements AutoCloseable, FrameListener<EntryMessage, ControlMessage> {
 
--- a/entry/src/test/java/org/teaseltrail/entry/FakeEngine.java
+++ b/entry/src/test/java/org/teaseltrail/entry/FakeEngine.java
@@ -14,7 +14,7 @@
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Is an engine, and a plain service, that answers as a test scripts it. */
+/** An engine and plain service with scripted responses. */
 final class FakeEngine implements AutoCloseable {
 
   final Queue<String> calls = new ConcurrentLinkedQueue<>();
@@ -24,7 +24,7 @@
   volatile String padding = "";
   volatile long holdAfterFrames = Long.MAX_VALUE;
   final AtomicLong linesMade = new AtomicLong();
-  private final Sinks.Empty<Void> released = Sinks.empty();
+  private final Sinks.Empty<Void> resumeSignal = Sinks.empty();
   private final DisposableServer server;
 
   FakeEngine() {
@@ -63,18 +63,19 @@
     }
     if (holdAfterFrames <= frames) {
       Flux<String> rest =
-          released.asMono().thenMany(Flux.defer(() -> lines(id, holdAfterFrames, frames + 1)));
+          resumeSignal.asMono().thenMany(Flux.defer(() -> lines(id, holdAfterFrames, frames + 1)));
       return response.sendString(lines(id, 0, holdAfterFrames).concatWith(rest));
     }
-    long upTo = Math.min(frames + 1, cutAfterFrames);
-    boolean cut = upTo <= frames;
-    Flux<String> lines = lines(id, 0, upTo);
-    return response.sendString(cut ? lines.concatWith(Flux.error(new CutException())) : lines);
+    long endSequence = Math.min(frames + 1, cutAfterFrames);
+    boolean disconnects = endSequence <= frames;
+    Flux<String> lines = lines(id, 0, endSequence);
+    return response.sendString(
+        disconnects ? lines.concatWith(Flux.error(new DisconnectException())) : lines);
   }
 
-  /** Lets held streams go on. */
+  /** Resumes paused streams. */
   void release() {
-    released.tryEmitEmpty();
+    resumeSignal.tryEmitEmpty();
   }
 
   private Publisher<Void> resume(HttpServerRequest request, HttpServerResponse response) {
@@ -99,9 +100,9 @@
         .flatMap(body -> response.sendString(Mono.just("certificate:" + body)).then());
   }
 
-  private Flux<String> lines(String id, long from, long upTo) {
+  private Flux<String> lines(String id, long from, long endSequence) {
     long total = frames;
-    return Flux.fromStream(LongStream.range(from, upTo).mapToObj(n -> line(id, n, total)));
+    return Flux.fromStream(LongStream.range(from, endSequence).mapToObj(n -> line(id, n, total)));
   }
 
   private String line(String id, long sequence, long total) {
@@ -121,7 +122,7 @@
     server.disposeNow();
   }
 
-  private static final class CutException extends RuntimeException {
+  private static final class DisconnectException extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
 }
--- a/entry/src/test/java/org/teaseltrail/entry/KeptConnectionTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/KeptConnectionTest.java
@@ -11,10 +11,10 @@
   private static final int CALLS = 2_000;
 
   /**
-   * A caller, or the balancer's check, sends one call after the other on a connection that it
-   * keeps. After a few dozen calls one is never answered, and the connection is never closed. An
-   * answer that another thread decides is sent there, and the next call, answered at once,
-   * overtakes its end.
+   * Guards against a request on a keep-alive connection that is never answered, while the
+   * connection stays open. A response computed on another thread was also written there, and the
+   * next request's immediate response could overtake its end. The failure appeared after a few
+   * dozen requests.
    */
   @Test
   @Timeout(30)
