--- a/control/src/main/java/org/teaseltrail/control/ActionRunner.java
+++ b/control/src/main/java/org/teaseltrail/control/ActionRunner.java
@@ -17,28 +17,28 @@
 import org.teaseltrail.runtime.log.LogField;
 import org.teaseltrail.runtime.log.PartLogger;
 
-/** Carries a member's actions out, on the member's own thread. */
+/** Executes the actions that a control member decides on, on the member's event loop thread. */
 final class ActionRunner {
 
-  private static final long HAND_OVER_MS = 2_000;
+  private static final long TRANSFER_TIMEOUT_MS = 2_000;
 
   private final PartLogger logger = new PartLogger("replica");
   private final DecisionLog decisions = new DecisionLog(new PartLogger("schedule"));
   private final ActionTargets targets;
-  private final OutwardQueue outward;
-  private final CountDownLatch handedOver = new CountDownLatch(1);
+  private final OutwardQueue leaseGuarded;
+  private final CountDownLatch transferEnded = new CountDownLatch(1);
   private volatile boolean serving;
   private volatile boolean leaderKnown;
-  private volatile boolean ending;
+  private volatile boolean closing;
 
-  ActionRunner(ActionTargets targets, BooleanSupplier leaseHolds) {
+  ActionRunner(ActionTargets targets, BooleanSupplier leaseValid) {
     this.targets = targets;
-    outward = new OutwardQueue(leaseHolds, this::runOutward);
+    leaseGuarded = new OutwardQueue(leaseValid, this::executeUnderLease);
   }
 
   void run(ControlAction action) {
     if (action.requiresLease()) {
-      outward.add(action);
+      leaseGuarded.add(action);
     } else if (action instanceof ControlAction.Persist persist) {
       targets.writes().submit(persist.write());
     } else if (action instanceof ControlAction.EncodeSnapshot encode) {
@@ -62,35 +62,38 @@
     } else if (action instanceof ControlAction.LeadershipChanged changed) {
       leadershipChanged(changed);
     } else if (action instanceof ControlAction.HandOverRejected) {
-      handedOver.countDown();
+      transferEnded.countDown();
     } else if (action instanceof ControlAction.MembershipChanged changed) {
       targets.group().members(changed.membership());
     }
   }
 
-  /** Sends what waits for the lease. */
+  /** Sends the queued actions that require the lease, if the lease is valid. */
   void flush() {
-    outward.flush();
+    leaseGuarded.flush();
   }
 
   boolean knowsLeader() {
     return leaderKnown;
   }
 
-  /** Waits until another member may lead, for a bounded time. */
+  /**
+   * Waits until this member no longer leads or its leadership transfer was rejected, but no longer
+   * than a fixed timeout.
+   */
   void awaitHandOver() {
-    ending = true;
+    closing = true;
     if (!serving) {
       return;
     }
     try {
-      handedOver.await(HAND_OVER_MS, TimeUnit.MILLISECONDS);
+      transferEnded.await(TRANSFER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void runOutward(ControlAction action) {
+  private void executeUnderLease(ControlAction action) {
     if (action instanceof ControlAction.SendToEntryVm send) {
       targets.entryVms().send(send.vm(), send.message());
     } else if (action instanceof ControlAction.SendToServingVm send) {
@@ -115,11 +118,18 @@
     targets.metrics().leadership(changed.serving(), changed.term());
     String leader = changed.leader().map(Object::toString).orElse("none");
     targets.log().ifPresent(log -> write(log, changed, leader));
-    logger.info("Term " + changed.term() + ", leader " + leader + ", serving " + serving + ".");
+    logger.info(
+        "Leadership changed: term "
+            + changed.term()
+            + ", leader "
+            + leader
+            + ", serving "
+            + serving
+            + ".");
     if (!serving) {
-      outward.clear();
-      if (ending) {
-        handedOver.countDown();
+      leaseGuarded.clear();
+      if (closing) {
+        transferEnded.countDown();
       }
     }
   }
@@ -134,11 +144,11 @@
                     .with(LogField.LOSSES, held.losses())
                     .write());
     logger.info(
-        "No upstream gets request "
+        "Quarantined request "
             + held.request().text()
-            + " any longer: "
+            + ": "
             + held.losses()
-            + " were lost under it.");
+            + " upstream(s) lost while processing it.");
   }
 
   private void released(ControlAction.RequestReleased released) {
@@ -150,13 +160,13 @@
                 quarantineLine(
                         log, LogEvent.REQUEST_RELEASED, released.request(), released.customer())
                     .write());
-    logger.info("Upstreams get request " + released.request().text() + " again.");
+    logger.info("Released request " + released.request().text() + " from quarantine.");
   }
 
   private void turned(ControlAction.RolloutPhaseChanged turned) {
     Rollout rollout = turned.rollout();
     targets.metrics().rolloutTurned(rollout.phase());
-    targets.log().ifPresent(log -> writeTurned(log, turned));
+    targets.log().ifPresent(log -> writePhaseChange(log, turned));
     logger.info(
         "Rollout of "
             + rollout.order().service()
@@ -169,7 +179,7 @@
             + ".");
   }
 
-  private static void writeTurned(EventLog log, ControlAction.RolloutPhaseChanged turned) {
+  private static void writePhaseChange(EventLog log, ControlAction.RolloutPhaseChanged turned) {
     Rollout rollout = turned.rollout();
     EventLog.Line line =
         log.line(LogEvent.ROLLOUT_TURNED)
@@ -179,11 +189,11 @@
             .with(LogField.REASON, rollout.reason().name())
             .with(LogField.LENT, rollout.account().lent())
             .with(LogField.REACHED, rollout.account().reached());
-    turned.verdict().ifPresent(verdict -> decidedBy(line, verdict));
+    turned.verdict().ifPresent(verdict -> addVerdict(line, verdict));
     line.write();
   }
 
-  private static void decidedBy(EventLog.Line line, Verdict verdict) {
+  private static void addVerdict(EventLog.Line line, Verdict verdict) {
     verdict.route().ifPresent(route -> line.with(LogField.ROUTE, route.value()));
     line.with(LogField.ANSWERS, verdict.ordered().answers())
         .with(LogField.BAD_ANSWERS, verdict.ordered().bad())
--- a/control/src/main/java/org/teaseltrail/control/ActionTargets.java
+++ b/control/src/main/java/org/teaseltrail/control/ActionTargets.java
@@ -8,18 +8,18 @@
 import org.teaseltrail.runtime.log.EventLog;
 
 /**
- * Holds where actions go.
+ * Lists the components that execute the actions of a control member.
  *
- * @param writes the data folder
+ * @param writes writes to the data folder
  * @param snapshots encodes snapshots
- * @param peers other members
- * @param entryVms entry VMs
- * @param servingVms entry VMs that place requests themselves
- * @param orders engines
- * @param calls operators
- * @param metrics counts
- * @param group who must know of the members and the leader
- * @param log takes a line for each change of leader, if there is one
+ * @param peers connections to the other members
+ * @param entryVms connections of entry VMs
+ * @param servingVms connections of entry VMs that schedule requests themselves
+ * @param orders sends orders to engines
+ * @param calls pending calls of operators
+ * @param metrics the member's metrics
+ * @param group notifies components of changes of the membership and the leader
+ * @param log event log, if enabled; records changes of leadership, quarantine and rollouts
  */
 record ActionTargets(
     WriteLoop writes,
--- a/control/src/main/java/org/teaseltrail/control/ChangeReader.java
+++ b/control/src/main/java/org/teaseltrail/control/ChangeReader.java
@@ -22,15 +22,15 @@
 import org.teaseltrail.core.id.Tier;
 import org.teaseltrail.core.id.UpstreamId;
 
-/** Reads the items of a change from the operators' schema. */
+/** Converts the items of a configuration change from protobuf messages of the operator API. */
 final class ChangeReader {
 
   private ChangeReader() {}
 
   /**
-   * Reads an item.
+   * Converts one item.
    *
-   * @throws InvalidIdException if a needed field is missing or no valid id
+   * @throws InvalidIdException if a required field is missing or holds an invalid id
    */
   static ConfigurationChange read(Change change) {
     return switch (change.getItemCase()) {
--- a/control/src/main/java/org/teaseltrail/control/ChangeResultWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/ChangeResultWriter.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.id.InvalidIdException;
 import org.teaseltrail.core.state.ChangeResult;
 
-/** Writes what a change came to in the operators' schema. */
+/** Converts the result of a configuration change to a protobuf message of the operator API. */
 final class ChangeResultWriter {
 
   private ChangeResultWriter() {}
--- a/control/src/main/java/org/teaseltrail/control/ConfigurationWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/ConfigurationWriter.java
@@ -13,7 +13,10 @@
 import org.teaseltrail.core.configuration.RouteTarget;
 import org.teaseltrail.core.configuration.TierDefinition;
 
-/** Writes the configuration in the operators' schema, each list in the order of its ids. */
+/**
+ * Converts the configuration to a protobuf message of the operator API, with each list sorted by
+ * id.
+ */
 final class ConfigurationWriter {
 
   private ConfigurationWriter() {}
--- a/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
@@ -41,12 +41,14 @@
 import org.teaseltrail.wire.MessagePackStateCodec;
 import org.teaseltrail.wire.SpeakerKind;
 
-/** Is a running control member. */
+/**
+ * Runs a control member: connects its event loop to the network, the data folder and the metrics.
+ */
 public final class ControlDaemon implements RunningProgram {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  private static final long OPERATOR_END_MS = 1_000;
+  private static final long OPERATOR_SHUTDOWN_TIMEOUT_MS = 1_000;
 
   private final PartLogger logger = new PartLogger("control");
   private final CompletableFuture<ExitCode> ended = new CompletableFuture<>();
@@ -61,13 +63,13 @@
   private final OperatorCalls calls = new OperatorCalls(this::post);
   private final ControlMetrics metrics;
   private final PeerLinks peers;
-  private final LeaderHint hint;
+  private final LeaderHint notLeaderResponses;
   private final WriteLoop writes;
   private final SnapshotEncoder snapshots;
-  private final ActionRunner runner;
+  private final ActionRunner actionExecutor;
   private final FrameServer frames;
   private final Optional<Server> operators;
-  private final Optional<GroupJoiner> joiner;
+  private final Optional<GroupJoiner> joinClient;
   private final GroupTargets group;
   private final HealthServer health;
 
@@ -83,17 +85,17 @@
             ? VmDirectory.byName()
             : VmDirectory.listed(options.members());
     peers = new PeerLinks(member, directory, codec, random, loop::post);
-    hint = new LeaderHint(member.id(), options.operatorAddresses());
+    notLeaderResponses = new LeaderHint(member.id(), options.operatorAddresses());
     writes = new WriteLoop(folder, loop::post, this::storageFailed, slow);
     final ControlMember decisions = decisions(options, folder, silentMs, random);
     snapshots = new SnapshotEncoder(new MessagePackStateCodec(codec), loop::post, this::loopFailed);
-    joiner =
+    joinClient =
         options
             .formation()
-            .map(formation -> new GroupJoiner(options.group(), member, formation, codec, random));
-    GroupDesk desk = new GroupDesk(options.group(), loop::post);
-    group = new GroupTargets(peers, hint, desk, joiner);
-    runner =
+            .map(bootstrap -> new GroupJoiner(options.group(), member, bootstrap, codec, random));
+    GroupDesk joinHandler = new GroupDesk(options.group(), loop::post);
+    group = new GroupTargets(peers, notLeaderResponses, joinHandler, joinClient);
+    actionExecutor =
         new ActionRunner(
             new ActionTargets(
                 writes,
@@ -115,12 +117,13 @@
             entry(),
             serving(),
             peer(),
-            joining(desk));
+            joining(joinHandler));
     operators = operators(options);
-    health = new HealthServer(options.listenMetrics(), runner::knowsLeader, metrics::scrape);
+    health =
+        new HealthServer(options.listenMetrics(), actionExecutor::knowsLeader, metrics::scrape);
     writes.start();
     options.members().forEach(peer -> peers.connect(peer.vm()));
-    loop.start(decisions, runner::run, runner::flush, this::loopFailed);
+    loop.start(decisions, actionExecutor::run, actionExecutor::flush, this::loopFailed);
     loop.post(new ControlEvent.Tick());
     logger.info(
         "Member "
@@ -143,46 +146,47 @@
   }
 
   /**
-   * Starts a member of a group that forms itself.
+   * Starts a member of a group that bootstraps itself.
    *
-   * @param options its settings, those of the formation among them
-   * @param silentMs time for which the member's last life is known to be over, in milliseconds
+   * @param options the member's options, including those of the bootstrap
+   * @param silentMs time for which no earlier instance of the member is known to have run, in
+   *     milliseconds
    * @return the running member
-   * @throws ProgramException if it can't start
+   * @throws ProgramException if the member can't start
    */
   public static ControlDaemon start(ControlOptions options, long silentMs) throws ProgramException {
     return ControlProgram.start(options, StartMode.GO_ON, silentMs);
   }
 
   /**
-   * Asks the member for something.
+   * Passes a request to the member.
    *
-   * @param request what is asked for
-   * @return the answer, which may take as long as a quorum can't be reached
+   * @param request the request
+   * @return the result; it may stay incomplete for as long as no quorum is reachable
    */
   public CompletableFuture<OperatorResult> call(OperatorRequest request) {
     return calls.call(request);
   }
 
   /**
-   * Takes other VMs to ask for the group, should this member be outside of it.
+   * Adds VMs to which the member sends its requests to join while it is not part of the group.
    *
    * @param seeds the VMs
    */
   public void seeds(List<VmId> seeds) {
-    joiner.ifPresent(present -> present.candidates(seeds));
+    joinClient.ifPresent(present -> present.candidates(seeds));
   }
 
   /**
    * Returns the VM of the leader.
    *
-   * @return the VM, this one too, if the member knows a leader
+   * @return the VM, which may be this one, if the member knows a leader
    */
   public Optional<VmId> leaderVm() {
     return group.leaderVm();
   }
 
-  /** Counts a heartbeat that can't be taken in. */
+  /** Counts a rejected heartbeat. */
   void heartbeatRefused(HeartbeatFailure failure) {
     metrics.heartbeatRefused(failure);
   }
@@ -192,15 +196,15 @@
     return ended;
   }
 
-  /** Hands leadership over first, so that scheduling goes on elsewhere, then ends. */
+  /** Transfers leadership first, so that another member continues scheduling, then shuts down. */
   @Override
   public void close() {
     loop.post(new ControlEvent.HandOver());
-    runner.awaitHandOver();
+    actionExecutor.awaitHandOver();
     operators.ifPresent(Server::shutdown);
     calls.end();
-    operators.ifPresent(ControlDaemon::awaitOperators);
-    joiner.ifPresent(GroupJoiner::close);
+    operators.ifPresent(ControlDaemon::awaitOperatorCalls);
+    joinClient.ifPresent(GroupJoiner::close);
     loop.stop();
     frames.close();
     peers.close();
@@ -245,16 +249,16 @@
         SpeakerKind.SERVING_VM, ServingMessage.class, ServingReply.class, servingVms);
   }
 
-  private static FrameEndpoint<?, ?> joining(GroupDesk desk) {
+  private static FrameEndpoint<?, ?> joining(GroupDesk joinHandler) {
     return new FrameEndpoint<>(
-        SpeakerKind.JOINING_MEMBER, GroupMessage.class, GroupReply.class, desk);
+        SpeakerKind.JOINING_MEMBER, GroupMessage.class, GroupReply.class, joinHandler);
   }
 
   private Optional<Server> operators(ControlOptions options) throws IOException {
     if (options.listenOperators().isEmpty()) {
       return Optional.empty();
     }
-    OperatorService service = new OperatorService(options.region(), calls, hint);
+    OperatorService service = new OperatorService(options.region(), calls, notLeaderResponses);
     return Optional.of(
         NettyServerBuilder.forAddress(options.listenOperators().get())
             .addService(service)
@@ -270,9 +274,9 @@
     return new SocketAddress(options.listen().getHostString(), options.listen().getPort());
   }
 
-  private static void awaitOperators(Server operators) {
+  private static void awaitOperatorCalls(Server operators) {
     try {
-      operators.awaitTermination(OPERATOR_END_MS, TimeUnit.MILLISECONDS);
+      operators.awaitTermination(OPERATOR_SHUTDOWN_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -280,12 +284,12 @@
   }
 
   private void storageFailed(StorageException failure) {
-    logger.error("The data folder failed; the member ends.", failure);
+    logger.error("Failed to write to the data folder; the member stops.", failure);
     ended.complete(ExitCode.DATA);
   }
 
   private void loopFailed(Throwable failure) {
-    logger.error("The member failed and ends.", failure);
+    logger.error("Unexpected error; the member stops.", failure);
     ended.complete(ExitCode.INTERNAL);
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/ControlLoop.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlLoop.java
@@ -8,11 +8,14 @@
 import org.teaseltrail.core.control.ControlMember;
 import org.teaseltrail.runtime.clock.SuspendAwareClock;
 
-/** Owns the member: one thread feeds it events and ticks, and passes its actions on in order. */
+/**
+ * Runs the event loop of a control member: a single thread passes events and ticks to the member
+ * and forwards the resulting actions in order.
+ */
 final class ControlLoop {
 
   private static final long MAX_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(50);
-  private static final long END_MS = 2_000;
+  private static final long STOP_TIMEOUT_MS = 2_000;
 
   private final EventQueue queue = new EventQueue();
   private final SuspendAwareClock clock;
@@ -22,14 +25,14 @@
   private Consumer<ControlAction> actions;
   private Runnable afterEvents;
   private Consumer<Throwable> failed;
-  private volatile boolean ending;
+  private volatile boolean stopping;
 
   ControlLoop(SuspendAwareClock clock, SlowLog slow) {
     this.clock = clock;
     this.slow = slow;
   }
 
-  /** Queues an event. May be called by any thread, before the start too. */
+  /** Queues an event. May be called by any thread, and before the loop is started. */
   void post(ControlEvent event) {
     queue.add(event);
   }
@@ -39,21 +42,21 @@
   }
 
   void start(
-      ControlMember owned,
-      Consumer<ControlAction> carryOut,
+      ControlMember controlMember,
+      Consumer<ControlAction> actionHandler,
       Runnable afterEachEvent,
-      Consumer<Throwable> whenFailed) {
-    member = owned;
-    actions = carryOut;
+      Consumer<Throwable> failureHandler) {
+    member = controlMember;
+    actions = actionHandler;
     afterEvents = afterEachEvent;
-    failed = whenFailed;
+    failed = failureHandler;
     thread.start();
   }
 
   void stop() {
-    ending = true;
+    stopping = true;
     try {
-      thread.join(END_MS);
+      thread.join(STOP_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -61,7 +64,7 @@
 
   private void run() {
     try {
-      while (!ending) {
+      while (!stopping) {
         takeEvent();
         tickIfDue();
         afterEvents.run();
@@ -69,12 +72,14 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (RuntimeException | Error e) {
-      // A broken invariant: the state can't be trusted any longer, so the process must end.
+      // An invariant is violated and the state may be inconsistent, so the process must exit.
       failed.accept(e);
     }
   }
 
-  /** Takes one event, so that neither timers nor what is urgent wait for more than that. */
+  /**
+   * Processes at most one event, so that timers and prioritized events wait for no more than one.
+   */
   private void takeEvent() throws InterruptedException {
     ControlEvent event = queue.poll(waitNs());
     if (event != null) {
@@ -98,8 +103,8 @@
   }
 
   private void handle(ControlEvent event) {
-    long beganNs = System.nanoTime();
+    long startNs = System.nanoTime();
     member.handle(event, clock.nowNs()).forEach(actions);
-    slow.step(event, System.nanoTime() - beganNs);
+    slow.step(event, System.nanoTime() - startNs);
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/ControlMain.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlMain.java
@@ -2,7 +2,7 @@
 
 import org.teaseltrail.runtime.process.ProgramMain;
 
-/** Starts the program of a control member. */
+/** Entry point of the control member's daemon. */
 public final class ControlMain {
 
   private ControlMain() {}
--- a/control/src/main/java/org/teaseltrail/control/ControlMetrics.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlMetrics.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.rollout.RolloutPhase;
 import org.teaseltrail.runtime.metrics.Metrics;
 
-/** Counts what the member does. */
+/** Metrics of a control member. */
 final class ControlMetrics implements AutoCloseable {
 
   private final Metrics metrics = new Metrics("teaseltrail-control");
--- a/control/src/main/java/org/teaseltrail/control/ControlOptions.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlOptions.java
@@ -17,20 +17,21 @@
 import org.teaseltrail.runtime.settings.Settings;
 
 /**
- * Holds the settings of a control member as its parts take them.
+ * Options of a control member, converted from the settings to the types that its components use.
  *
  * @param vm this VM
- * @param region where it stands
- * @param group its group
- * @param listen address for entry VMs and members
- * @param listenOperators address for operators; empty if none are served
- * @param listenMetrics address for health checks and metrics
- * @param members all VMs with members
- * @param operatorAddresses where the members take operators' calls
- * @param data folder of the member's state
- * @param control what the member does while it leads
- * @param formation how the group forms by itself; empty if operators begin and change it
- * @param log takes a line for each change of leader, if there is one
+ * @param region the region of this VM
+ * @param group the group that the member belongs to
+ * @param listen listen address for entry VMs and other members
+ * @param listenOperators listen address for operators' gRPC calls; empty disables the operator API
+ * @param listenMetrics listen address for health checks and metrics
+ * @param members addresses of all members, including this one
+ * @param operatorAddresses addresses at which the members accept operators' calls
+ * @param data folder of the member's persistent state
+ * @param control settings of the member's work as the leader
+ * @param formation how the group bootstraps itself; empty if operators create the group and change
+ *     its members
+ * @param log event log, if enabled; records changes of leadership, quarantine and rollouts
  */
 public record ControlOptions(
     VmId vm,
--- a/control/src/main/java/org/teaseltrail/control/ControlProgram.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlProgram.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.storage.StorageFolder;
 import reactor.netty.ChannelBindException;
 
-/** Is the daemon of a control member. */
+/** The control member's daemon as a program: settings, command-line options and startup. */
 public final class ControlProgram implements Program {
 
   private static final String NEW_GROUP = "new_group";
@@ -28,11 +28,13 @@
 
   @Override
   public void addArguments(ArgumentParser parser) {
-    var how = parser.addMutuallyExclusiveGroup();
-    how.addArgument("--new-group")
+    var startOptions = parser.addMutuallyExclusiveGroup();
+    startOptions
+        .addArgument("--new-group")
         .action(Arguments.storeTrue())
         .help("begin a new group with this member alone, in a folder that holds no member yet");
-    how.addArgument("--join")
+    startOptions
+        .addArgument("--join")
         .action(Arguments.storeTrue())
         .help(
             "make a new member in a folder that holds none yet; it serves once operators have"
--- a/control/src/main/java/org/teaseltrail/control/ControlProgramSettings.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlProgramSettings.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.runtime.settings.Setting;
 import org.teaseltrail.runtime.settings.SettingsSpec;
 
-/** Declares the settings of the control member's program. */
+/** Declares the settings of the control member's daemon. */
 final class ControlProgramSettings {
 
   static final Setting<VmId> VM =
--- a/control/src/main/java/org/teaseltrail/control/DecisionWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/DecisionWriter.java
@@ -5,15 +5,15 @@
 import org.teaseltrail.api.v1.ListDecisionsRequest;
 import org.teaseltrail.core.control.RecentDecision;
 
-/** Writes decisions in the operators' schema. */
+/** Converts recent scheduling decisions to protobuf messages of the operator API. */
 final class DecisionWriter {
 
   private DecisionWriter() {}
 
   static Decisions write(Iterable<RecentDecision> decisions, ListDecisionsRequest wanted) {
     Decisions.Builder written = Decisions.newBuilder();
-    for (RecentDecision logged : decisions) {
-      Decision decision = one(logged);
+    for (RecentDecision recent : decisions) {
+      Decision decision = convert(recent);
       boolean full = wanted.getLimit() > 0 && written.getDecisionsCount() >= wanted.getLimit();
       if (!full && matches(decision, wanted)) {
         written.addDecisions(decision);
@@ -29,12 +29,12 @@
     return request && customer;
   }
 
-  private static Decision one(RecentDecision logged) {
-    var decision = logged.decision();
+  private static Decision convert(RecentDecision recent) {
+    var decision = recent.decision();
     Decision.Builder written =
         Decision.newBuilder()
             .setKind(Decision.Kind.valueOf(decision.kind().name()))
-            .setAgeMs(logged.ageMs())
+            .setAgeMs(recent.ageMs())
             .setReason(decision.reason());
     decision.request().ifPresent(request -> written.setRequestId(request.value()));
     decision.customer().ifPresent(customer -> written.setCustomer(customer.value()));
--- a/control/src/main/java/org/teaseltrail/control/EventQueue.java
+++ b/control/src/main/java/org/teaseltrail/control/EventQueue.java
@@ -13,85 +13,87 @@
 import org.teaseltrail.core.serving.ServingMessage;
 
 /**
- * Is what waits for a control member's one thread. What entry VMs that place requests themselves
- * tell comes after all else, and of each VM only the newest is kept. Thread-safe.
+ * Two-level priority queue of the events for a control member's event loop. Messages from entry VMs
+ * that schedule requests themselves (serving VMs) have the lower priority, and only the newest
+ * message of each kind is kept per VM. Thread-safe.
  *
- * <p>Guards against a leader that is held up by its entry VMs: under load sixty of them tell more
- * than one thread takes in, and whatever came behind waited 0.4 s, the members' answers too, so
- * that the lease ran out over and over and operators' orders had no answer in time. It holds
- * because replication, timers and operators never wait for more than one message of a VM, and
- * because what a VM tells replaces what it told before, so that no more than two messages of each
- * VM can wait.
+ * <p>Keeps entry VMs from overloading the leader. Under load, sixty of them send more messages than
+ * one thread can process; in a FIFO queue the events behind them, including the replies of other
+ * members, waited 0.4 s, so that the lease expired repeatedly and operators' orders were not
+ * answered in time. With this queue, replication, timers and operators wait for at most one message
+ * of an entry VM, and a new message replaces the queued one of the same kind, so that at most two
+ * messages per VM are queued.
  */
 final class EventQueue {
 
   private final ReentrantLock lock = new ReentrantLock();
-  private final Condition filled = lock.newCondition();
-  private final Deque<ControlEvent> first = new ArrayDeque<>();
-  private final Map<VmId, List<ControlEvent>> told = new LinkedHashMap<>();
+  private final Condition notEmpty = lock.newCondition();
+  private final Deque<ControlEvent> prioritized = new ArrayDeque<>();
+  private final Map<VmId, List<ControlEvent>> servingVmEvents = new LinkedHashMap<>();
 
-  /** Adds an event. */
+  /** Adds an event; a message from a serving VM replaces the queued one of its kind. */
   void add(ControlEvent event) {
     lock.lock();
     try {
       if (event instanceof ControlEvent.FromServingVm from) {
-        tell(from);
+        addServingVmEvent(from);
       } else {
-        first.addLast(event);
+        prioritized.addLast(event);
       }
-      filled.signal();
+      notEmpty.signal();
     } finally {
       lock.unlock();
     }
   }
 
   /**
-   * Takes the next event out.
+   * Removes and returns the next event, waiting for one if the queue is empty.
    *
-   * @param waitNs time to wait for one, in nanoseconds
-   * @return the event, or null if none came
-   * @throws InterruptedException if the thread is interrupted while it waits
+   * @param waitNs maximum time to wait, in nanoseconds
+   * @return the event, or null if the time elapsed without one
+   * @throws InterruptedException if the thread is interrupted while waiting
    */
   ControlEvent poll(long waitNs) throws InterruptedException {
-    long leftNs = waitNs;
+    long remainingNs = waitNs;
     lock.lockInterruptibly();
     try {
-      while (first.isEmpty() && told.isEmpty() && leftNs > 0) {
-        leftNs = filled.awaitNanos(leftNs);
+      while (prioritized.isEmpty() && servingVmEvents.isEmpty() && remainingNs > 0) {
+        remainingNs = notEmpty.awaitNanos(remainingNs);
       }
-      return first.isEmpty() ? nextTold() : first.pollFirst();
+      return prioritized.isEmpty() ? pollServingVmEvent() : prioritized.pollFirst();
     } finally {
       lock.unlock();
     }
   }
 
-  /** Returns how many events wait. */
+  /** Returns the number of queued events. */
   int size() {
     lock.lock();
     try {
-      return first.size() + told.values().stream().mapToInt(List::size).sum();
+      return prioritized.size() + servingVmEvents.values().stream().mapToInt(List::size).sum();
     } finally {
       lock.unlock();
     }
   }
 
-  /** Keeps a VM's place in the order, so that one that tells often isn't passed over for ever. */
-  private void tell(ControlEvent.FromServingVm from) {
+  /** Keeps the VM's position in the queue, so that a VM that sends often is not starved. */
+  private void addServingVmEvent(ControlEvent.FromServingVm from) {
     ServingMessage message = from.message();
-    List<ControlEvent> ofVm = told.computeIfAbsent(message.vm(), vm -> new ArrayList<>());
-    ofVm.removeIf(
-        older -> ((ControlEvent.FromServingVm) older).message().getClass() == message.getClass());
-    ofVm.add(from);
+    List<ControlEvent> vmEvents =
+        servingVmEvents.computeIfAbsent(message.vm(), vm -> new ArrayList<>());
+    vmEvents.removeIf(
+        queued -> ((ControlEvent.FromServingVm) queued).message().getClass() == message.getClass());
+    vmEvents.add(from);
   }
 
-  private ControlEvent nextTold() {
-    if (told.isEmpty()) {
+  private ControlEvent pollServingVmEvent() {
+    if (servingVmEvents.isEmpty()) {
       return null;
     }
-    Map.Entry<VmId, List<ControlEvent>> next = told.entrySet().iterator().next();
+    Map.Entry<VmId, List<ControlEvent>> next = servingVmEvents.entrySet().iterator().next();
     ControlEvent event = next.getValue().remove(0);
     if (next.getValue().isEmpty()) {
-      told.remove(next.getKey());
+      servingVmEvents.remove(next.getKey());
     }
     return event;
   }
--- a/control/src/main/java/org/teaseltrail/control/FormationOptions.java
+++ b/control/src/main/java/org/teaseltrail/control/FormationOptions.java
@@ -4,15 +4,16 @@
 import org.teaseltrail.core.id.VmId;
 
 /**
- * Says how a group forms by itself. The VMs of such a group are named by the address of their
- * member, {@code ip:port}.
+ * Options of a group that bootstraps itself. The VMs of such a group are named after the address of
+ * their member, {@code ip:port}.
  *
- * @param seeds VMs to ask for the group; at the first start exactly these found it
- * @param firstStart whether the whole system starts for the first time; an empty disk founds a
- *     group only then
+ * @param seeds VMs to contact in order to join the group; at the first start of the system exactly
+ *     these are the group's initial members
+ * @param firstStart whether the whole system starts for the first time; only then may a member with
+ *     an empty disk create the group
  */
 public record FormationOptions(List<VmId> seeds, boolean firstStart) {
-  /** Copies the list. */
+  /** Makes a defensive copy of the list. */
   public FormationOptions {
     seeds = List.copyOf(seeds);
   }
--- a/control/src/main/java/org/teaseltrail/control/GroupDesk.java
+++ b/control/src/main/java/org/teaseltrail/control/GroupDesk.java
@@ -13,12 +13,12 @@
 import org.teaseltrail.wire.FrameConnection;
 import org.teaseltrail.wire.FrameListener;
 
-/** Takes the requests of members that want to belong to the group, and tells them who does. */
+/** Handles requests to join the group and replies with the VMs of its members. */
 final class GroupDesk implements FrameListener<GroupMessage, GroupReply> {
 
   private final GroupId group;
   private final Consumer<ControlEvent> events;
-  private volatile List<VmId> known = List.of();
+  private volatile List<VmId> memberVms = List.of();
 
   GroupDesk(GroupId group, Consumer<ControlEvent> events) {
     this.group = group;
@@ -26,7 +26,7 @@
   }
 
   void members(Membership membership) {
-    known = membership.all().map(Member::vm).distinct().toList();
+    memberVms = membership.all().map(Member::vm).distinct().toList();
   }
 
   @Override
@@ -37,7 +37,7 @@
     GroupMessage.Join join = (GroupMessage.Join) message;
     if (join.group().equals(group)) {
       events.accept(new ControlEvent.MemberJoins(join.member()));
-      connection.send(new GroupReply.KnownMembers(known));
+      connection.send(new GroupReply.KnownMembers(memberVms));
     }
   }
 
--- a/control/src/main/java/org/teaseltrail/control/GroupJoiner.java
+++ b/control/src/main/java/org/teaseltrail/control/GroupJoiner.java
@@ -26,14 +26,14 @@
 import reactor.core.scheduler.Schedulers;
 
 /**
- * Asks to belong to the group as long as this member doesn't, or hears of no leader: it may have
- * been replaced while it was cut off. It asks the seeds and whoever they name, since any of them
- * may be gone.
+ * Sends requests to join the group for as long as this member is not part of it or knows no leader:
+ * the member may have been replaced while it was partitioned from the others. The requests go to
+ * the seeds and to the members that these name, since any of them may have failed.
  */
 final class GroupJoiner implements AutoCloseable, FrameListener<GroupReply, GroupMessage> {
 
-  /** Pace of the requests; several within the time in which the leader looks for newcomers. */
-  private static final long ASK_EVERY_MS = 300;
+  /** Short enough that several requests arrive before the leader considers the member gone. */
+  private static final long JOIN_INTERVAL_MS = 300;
 
   private static final long MIN_BACKOFF_MS = 50;
   private static final long MAX_BACKOFF_MS = 500;
@@ -52,7 +52,7 @@
   GroupJoiner(
       GroupId group,
       Member self,
-      FormationOptions formation,
+      FormationOptions bootstrap,
       MessageCodec codec,
       RandomGenerator random) {
     this.group = group;
@@ -60,10 +60,11 @@
     this.directory = VmDirectory.byName();
     this.codec = codec;
     this.random = random;
-    candidates.addAll(formation.seeds());
+    candidates.addAll(bootstrap.seeds());
     timer =
         Schedulers.parallel()
-            .schedulePeriodically(this::ask, ASK_EVERY_MS, ASK_EVERY_MS, TimeUnit.MILLISECONDS);
+            .schedulePeriodically(
+                this::sendJoinRequests, JOIN_INTERVAL_MS, JOIN_INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
   synchronized void members(Membership changed) {
@@ -97,7 +98,7 @@
     closeClients();
   }
 
-  private synchronized void ask() {
+  private synchronized void sendJoinRequests() {
     if (membership.contains(self.id()) && leaderKnown) {
       closeClients();
       return;
--- a/control/src/main/java/org/teaseltrail/control/GroupTargets.java
+++ b/control/src/main/java/org/teaseltrail/control/GroupTargets.java
@@ -6,29 +6,33 @@
 import org.teaseltrail.core.replication.Member;
 import org.teaseltrail.core.replication.Membership;
 
-/** Tells those that must know which members there are and who leads. */
+/** Notifies the components that depend on the membership of the group and on its leader. */
 final class GroupTargets {
 
   private final PeerLinks peers;
-  private final LeaderHint hint;
-  private final GroupDesk desk;
-  private final Optional<GroupJoiner> joiner;
+  private final LeaderHint notLeaderResponses;
+  private final GroupDesk joinHandler;
+  private final Optional<GroupJoiner> joinClient;
   private volatile Membership membership = Membership.empty();
   private volatile Optional<MemberId> leader = Optional.empty();
 
-  GroupTargets(PeerLinks peers, LeaderHint hint, GroupDesk desk, Optional<GroupJoiner> joiner) {
+  GroupTargets(
+      PeerLinks peers,
+      LeaderHint notLeaderResponses,
+      GroupDesk joinHandler,
+      Optional<GroupJoiner> joinClient) {
     this.peers = peers;
-    this.hint = hint;
-    this.desk = desk;
-    this.joiner = joiner;
+    this.notLeaderResponses = notLeaderResponses;
+    this.joinHandler = joinHandler;
+    this.joinClient = joinClient;
   }
 
   void members(Membership changed) {
     membership = changed;
     peers.members(changed);
-    hint.members(changed);
-    desk.members(changed);
-    joiner.ifPresent(
+    notLeaderResponses.members(changed);
+    joinHandler.members(changed);
+    joinClient.ifPresent(
         present -> {
           peers.retain(changed);
           present.members(changed);
@@ -37,10 +41,10 @@
 
   void leader(Optional<MemberId> changed) {
     leader = changed;
-    joiner.ifPresent(present -> present.leaderKnown(changed.isPresent()));
+    joinClient.ifPresent(present -> present.leaderKnown(changed.isPresent()));
   }
 
-  /** Returns the VM of a leader that this member knows, itself included. */
+  /** Returns the VM of the leader, which may be this member's, if a leader is known. */
   Optional<VmId> leaderVm() {
     return leader.flatMap(membership::find).map(Member::vm);
   }
--- a/control/src/main/java/org/teaseltrail/control/HealthServer.java
+++ b/control/src/main/java/org/teaseltrail/control/HealthServer.java
@@ -10,7 +10,7 @@
 import reactor.netty.http.server.HttpServer;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Answers health checks and hands metrics out. */
+/** HTTP server for health checks and metrics. */
 final class HealthServer implements AutoCloseable {
 
   private static final int OK = 200;
--- a/control/src/main/java/org/teaseltrail/control/LeaderHint.java
+++ b/control/src/main/java/org/teaseltrail/control/LeaderHint.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.replication.Membership;
 
-/** Tells an operator who asked a member that does not lead where the leader is. */
+/** Creates the {@code NotLeader} reply, which directs an operator to the leader's address. */
 final class LeaderHint {
 
   private final MemberId self;
@@ -27,11 +27,11 @@
 
   NotLeader write(Optional<MemberId> leader) {
     NotLeader.Builder written = NotLeader.newBuilder().setMember(self.value());
-    leader.filter(known -> !known.equals(self)).ifPresent(known -> fill(written, known));
+    leader.filter(known -> !known.equals(self)).ifPresent(known -> addLeader(written, known));
     return written.build();
   }
 
-  private void fill(NotLeader.Builder written, MemberId leader) {
+  private void addLeader(NotLeader.Builder written, MemberId leader) {
     written.setLeader(leader.value());
     VmId vm = vms.get(leader);
     operatorAddresses.stream()
--- a/control/src/main/java/org/teaseltrail/control/MemberFolder.java
+++ b/control/src/main/java/org/teaseltrail/control/MemberFolder.java
@@ -12,50 +12,54 @@
 import org.teaseltrail.storage.NioFileSystem;
 import org.teaseltrail.storage.StorageFolder;
 
-/** Opens a member's data folder, and makes it first if the operator says so. */
+/** Opens the data folder of a member, and creates it first if requested. */
 final class MemberFolder {
 
   private static final System.Logger LOGGER = System.getLogger(MemberFolder.class.getName());
 
-  /** Incarnation of a group's founders, known to all of them; drawn ones begin at 1. */
-  private static final Incarnation FOUNDER = new Incarnation(0);
+  /**
+   * Incarnation of a group's initial members, which all of them must know in advance; random ones
+   * start at 1.
+   */
+  private static final Incarnation FOUNDER_INCARNATION = new Incarnation(0);
 
   private MemberFolder() {}
 
   /**
-   * Opens the folder.
+   * Opens the data folder.
    *
    * @throws org.teaseltrail.storage.StorageException if the folder can't be used, holds no member
-   *     where one is expected, or holds one where none is
+   *     although one is expected, or holds one although none is expected
    */
   static StorageFolder open(ControlOptions options, StartMode mode) {
     FileSystemAccess files = new NioFileSystem();
     if (options.formation().isPresent()) {
-      form(files, options, options.formation().get());
-      return checked(StorageFolder.open(files, options.data(), options.group()), options);
+      createFolderIfAbsent(files, options, options.formation().get());
+      return requireOwnFolder(StorageFolder.open(files, options.data(), options.group()), options);
     }
     if (mode == StartMode.NEW_GROUP) {
       StorageFolder.createGroup(files, options.data(), identity(options));
     } else if (mode == StartMode.JOIN) {
       StorageFolder.createMember(files, options.data(), identity(options));
     }
-    return checked(StorageFolder.open(files, options.data(), options.group()), options);
+    return requireOwnFolder(StorageFolder.open(files, options.data(), options.group()), options);
   }
 
   /**
-   * Makes the folder of a group that forms itself, unless there is one.
+   * Creates the data folder for a group that bootstraps itself, unless it exists.
    *
-   * <p>Guards against two groups: an empty disk founds a group only at the first start of the whole
-   * system, and only on the VMs that all settings list then; these begin with the same first entry,
-   * so they are one group. Any other empty disk waits to be taken in.
+   * <p>Prevents the bootstrap of two separate groups: a member with an empty disk creates the group
+   * only at the first start of the whole system, and only on the VMs that are seeds in all settings
+   * at that time. These start with the same first log entry, so they form a single group. Any other
+   * member with an empty disk waits until the group adds it.
    */
-  private static void form(
-      FileSystemAccess files, ControlOptions options, FormationOptions formation) {
+  private static void createFolderIfAbsent(
+      FileSystemAccess files, ControlOptions options, FormationOptions bootstrap) {
     try {
-      if (formation.firstStart() && formation.seeds().contains(options.vm())) {
+      if (bootstrap.firstStart() && bootstrap.seeds().contains(options.vm())) {
         Membership founders =
             new Membership(
-                formation.seeds().stream().map(vm -> founder(options, vm).member()).toList(),
+                bootstrap.seeds().stream().map(vm -> founder(options, vm).member()).toList(),
                 List.of());
         StorageFolder.createFounder(
             files, options.data(), founder(options, options.vm()), founders);
@@ -63,20 +67,20 @@
         StorageFolder.createMember(files, options.data(), identity(options));
       }
     } catch (FolderExistsException e) {
-      LOGGER.log(System.Logger.Level.DEBUG, "[replica] Goes on with the folder it has.");
+      LOGGER.log(System.Logger.Level.DEBUG, "[replica] Using the existing data folder.");
     }
   }
 
   private static FolderIdentity founder(ControlOptions options, VmId vm) {
-    return FolderIdentity.fresh(options.group(), vm, FOUNDER);
+    return FolderIdentity.fresh(options.group(), vm, FOUNDER_INCARNATION);
   }
 
   /**
-   * Checks that the folder is this VM's own. Guards against a folder copied to another VM: both
-   * processes would speak as one member, sync apart and count as one vote each time. The identity
-   * on the disk names the VM that it was made for.
+   * Checks that the folder was created for this VM; the stored identity names the VM. Guards
+   * against a folder that is copied to another VM: two processes would act as one member, each
+   * would sync to its own disk, and each would be counted as that member's vote.
    */
-  private static StorageFolder checked(StorageFolder folder, ControlOptions options) {
+  private static StorageFolder requireOwnFolder(StorageFolder folder, ControlOptions options) {
     VmId found = folder.identity().member().vm();
     if (!found.equals(options.vm())) {
       folder.close();
@@ -86,8 +90,9 @@
   }
 
   /**
-   * Draws an incarnation. Guards against a member whose disk was lost: under its old id it would be
-   * counted for syncs and votes that it has forgotten. A folder made anew is another member.
+   * Creates an identity with a random incarnation. Guards against a member that has lost its disk:
+   * under its old id the group would rely on synced entries and votes that are no longer stored. A
+   * newly created folder therefore belongs to a new member.
    */
   private static FolderIdentity identity(ControlOptions options) {
     long number = 1 + new SecureRandom().nextLong(Integer.MAX_VALUE);
--- a/control/src/main/java/org/teaseltrail/control/MembersWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/MembersWriter.java
@@ -12,15 +12,15 @@
 import org.teaseltrail.core.replication.MembershipChange;
 import org.teaseltrail.core.replication.ProposalRejection;
 
-/** Reads steps of a member change and writes what they came to, in the operators' schema. */
+/** Converts membership changes and their results between the domain and the operator API. */
 final class MembersWriter {
 
   private MembersWriter() {}
 
   /**
-   * Reads a step.
+   * Converts one step of a membership change.
    *
-   * @throws InvalidIdException if an id is missing or not valid
+   * @throws InvalidIdException if an id is missing or invalid
    */
   static OperatorRequest read(ChangeMembersRequest request) {
     return switch (request.getStepCase()) {
@@ -34,7 +34,7 @@
   }
 
   static ChangeMembersResponse rejected(ProposalRejection reason) {
-    // A member that has ceased to lead answers NotLeader before it comes here.
+    // A member that no longer leads replies with NotLeader before this point.
     MemberChangeRejected.Reason written =
         reason == ProposalRejection.NOT_LEADER
             ? MemberChangeRejected.Reason.LEADER_NOT_READY
--- a/control/src/main/java/org/teaseltrail/control/OperatorCalls.java
+++ b/control/src/main/java/org/teaseltrail/control/OperatorCalls.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.control.OperatorRequest;
 import org.teaseltrail.core.control.OperatorResult;
 
-/** Brings operators' requests to the member and its answers back. */
+/** Passes operators' requests to the member's event loop and completes them with its replies. */
 final class OperatorCalls {
 
   private final Map<Long, CompletableFuture<OperatorResult>> open = new ConcurrentHashMap<>();
@@ -35,7 +35,10 @@
     }
   }
 
-  /** Answers all that is open when the process ends: what was decided is not known here. */
+  /**
+   * Completes all pending calls at shutdown with an indeterminate outcome, since their requests may
+   * or may not have been committed.
+   */
   void end() {
     open.keySet().forEach(callId -> reply(callId, new OperatorResult.OutcomeIndeterminate()));
   }
--- a/control/src/main/java/org/teaseltrail/control/OperatorService.java
+++ b/control/src/main/java/org/teaseltrail/control/OperatorService.java
@@ -30,17 +30,17 @@
 import org.teaseltrail.core.id.RegionId;
 import org.teaseltrail.core.id.Revision;
 
-/** Serves the operators' schema: each call becomes a request to the member. */
+/** gRPC service of the operator API; passes each call as a request to the member. */
 final class OperatorService extends OperatorGrpc.OperatorImplBase {
 
   private final RegionId region;
   private final OperatorCalls calls;
-  private final LeaderHint hint;
+  private final LeaderHint notLeaderResponses;
 
-  OperatorService(RegionId region, OperatorCalls calls, LeaderHint hint) {
+  OperatorService(RegionId region, OperatorCalls calls, LeaderHint notLeaderResponses) {
     this.region = region;
     this.calls = calls;
-    this.hint = hint;
+    this.notLeaderResponses = notLeaderResponses;
   }
 
   @Override
@@ -54,7 +54,7 @@
       observer.onCompleted();
       return;
     }
-    answer(change, observer, this::changedOrNot);
+    answer(change, observer, this::applyChangeResponse);
   }
 
   @Override
@@ -97,7 +97,7 @@
       observer.onCompleted();
       return;
     }
-    answer(step, observer, this::membersChanged);
+    answer(step, observer, this::changeMembersResponse);
   }
 
   @Override
@@ -139,13 +139,13 @@
         });
   }
 
-  private ApplyChangeResponse changedOrNot(OperatorResult result) {
+  private ApplyChangeResponse applyChangeResponse(OperatorResult result) {
     if (result instanceof OperatorResult.Changed changed) {
       return ChangeResultWriter.write(changed.result());
     }
     ApplyChangeResponse.Builder response = ApplyChangeResponse.newBuilder();
     if (result instanceof OperatorResult.NotLeader other) {
-      return response.setNotLeader(hint.write(other.leader())).build();
+      return response.setNotLeader(notLeaderResponses.write(other.leader())).build();
     }
     return response.setOutcomeUnknown(OutcomeUnknown.getDefaultInstance()).build();
   }
@@ -155,7 +155,7 @@
     if (result instanceof OperatorResult.ConfigurationRead read) {
       return response.setConfiguration(ConfigurationWriter.write(read.configuration())).build();
     }
-    return response.setNotLeader(hint.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
   }
 
   private AwaitInForceResponse inForce(OperatorResult result) {
@@ -168,7 +168,7 @@
       missing.missing().forEach(vm -> written.addWaitingForVms(vm.value()));
       return response.setInForce(written).build();
     }
-    return response.setNotLeader(hint.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
   }
 
   private GetStatusResponse status(OperatorResult result) {
@@ -176,7 +176,7 @@
     if (result instanceof OperatorResult.StatusRead read) {
       return response.setStatus(StatusWriter.write(region, read.status())).build();
     }
-    return response.setNotLeader(hint.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
   }
 
   private ListDecisionsResponse decisions(OperatorResult result, ListDecisionsRequest wanted) {
@@ -184,10 +184,10 @@
     if (result instanceof OperatorResult.DecisionsRead read) {
       return response.setDecisions(DecisionWriter.write(read.decisions(), wanted)).build();
     }
-    return response.setNotLeader(hint.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
   }
 
-  private ChangeMembersResponse membersChanged(OperatorResult result) {
+  private ChangeMembersResponse changeMembersResponse(OperatorResult result) {
     ChangeMembersResponse.Builder response = ChangeMembersResponse.newBuilder();
     if (result instanceof OperatorResult.MembersChanged changed) {
       MembersChanged members =
@@ -203,7 +203,7 @@
       return MembersWriter.rejected(rejected.reason());
     }
     if (result instanceof OperatorResult.NotLeader other) {
-      return response.setNotLeader(hint.write(other.leader())).build();
+      return response.setNotLeader(notLeaderResponses.write(other.leader())).build();
     }
     return response.setOutcomeUnknown(OutcomeUnknown.getDefaultInstance()).build();
   }
@@ -216,12 +216,17 @@
       return OrderWriter.write(rejected);
     }
     if (result instanceof OperatorResult.NotLeader other) {
-      return OrderEngineResponse.newBuilder().setNotLeader(hint.write(other.leader())).build();
+      return OrderEngineResponse.newBuilder()
+          .setNotLeader(notLeaderResponses.write(other.leader()))
+          .build();
     }
     return OrderWriter.unknown();
   }
 
-  /** A read whose leadership ended under way is answered like one that found none. */
+  /**
+   * Returns the known leader. If leadership was lost while a read was in flight, the result is the
+   * same as when no leader is known.
+   */
   private static Optional<org.teaseltrail.core.id.MemberId> leaderOf(OperatorResult result) {
     return result instanceof OperatorResult.NotLeader other ? other.leader() : Optional.empty();
   }
--- a/control/src/main/java/org/teaseltrail/control/OrderBody.java
+++ b/control/src/main/java/org/teaseltrail/control/OrderBody.java
@@ -6,14 +6,14 @@
 import org.teaseltrail.core.control.OrderContent;
 
 /**
- * Is an order in the engines' protocol.
+ * JSON request body of an order in the engines' protocol.
  *
- * @param order what to do
- * @param model the model, if the order is about one
- * @param version its version
- * @param adapter the adapter, if the order names one
- * @param role the role to take, if the order is about one
- * @param fencingNumber the leadership that orders
+ * @param order kind of the order
+ * @param model model that the order refers to, or null
+ * @param version version of the model, or null
+ * @param adapter adapter that the order refers to, or null
+ * @param role role that the engine takes, or null
+ * @param fencingNumber fencing number of the leadership that sends the order
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
 record OrderBody(
--- a/control/src/main/java/org/teaseltrail/control/OrderClient.java
+++ b/control/src/main/java/org/teaseltrail/control/OrderClient.java
@@ -13,7 +13,10 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.client.HttpClient;
 
-/** Sends orders to engines, once each: an order that may have arrived is never sent again. */
+/**
+ * HTTP client that sends orders to engines with at-most-once delivery: an order that may have
+ * arrived is never retried.
+ */
 final class OrderClient {
 
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
@@ -53,7 +56,7 @@
     try {
       return mapper.writeValueAsString(OrderBody.of(order)).getBytes(StandardCharsets.UTF_8);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a record of texts and numbers can be written", e);
+      throw new IllegalStateException("failed to encode an engine order as JSON", e);
     }
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/OrderWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/OrderWriter.java
@@ -14,15 +14,15 @@
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Reads orders to engines and writes what they came to, in the operators' schema. */
+/** Converts engine orders and their results between the domain and the operator API. */
 final class OrderWriter {
 
   private OrderWriter() {}
 
   /**
-   * Reads an order.
+   * Converts an order.
    *
-   * @throws InvalidIdException if a needed field is missing or not valid
+   * @throws InvalidIdException if a required field is missing or invalid
    */
   static OperatorRequest read(OrderEngineRequest request) {
     OrderContent content =
--- a/control/src/main/java/org/teaseltrail/control/OutwardQueue.java
+++ b/control/src/main/java/org/teaseltrail/control/OutwardQueue.java
@@ -7,21 +7,22 @@
 import org.teaseltrail.core.control.ControlAction;
 
 /**
- * Sends outward actions only while the member's lease holds at that very moment.
+ * Queues actions that require the leader lease and sends each one only if the lease is valid at
+ * that moment.
  *
- * <p>Guards against a process that is frozen between a decision and its sending, by the machine or
- * by garbage collection: it shows as a grant or an order of a leader that another has followed
- * meanwhile. The clock is read again right before each sending, so at most the time between two
- * instructions is left.
+ * <p>Guards against a pause of the process between a decision and its sending, caused by the
+ * machine or by garbage collection: a grant or an order of a former leader would be sent after
+ * another member has taken over. The clock is read again immediately before each send, which
+ * reduces the window to the time between two instructions.
  */
 final class OutwardQueue {
 
   private final Deque<ControlAction> queue = new ArrayDeque<>();
-  private final BooleanSupplier leaseHolds;
+  private final BooleanSupplier leaseValid;
   private final Consumer<ControlAction> sender;
 
-  OutwardQueue(BooleanSupplier leaseHolds, Consumer<ControlAction> sender) {
-    this.leaseHolds = leaseHolds;
+  OutwardQueue(BooleanSupplier leaseValid, Consumer<ControlAction> sender) {
+    this.leaseValid = leaseValid;
     this.sender = sender;
   }
 
@@ -31,12 +32,12 @@
   }
 
   void flush() {
-    while (!queue.isEmpty() && leaseHolds.getAsBoolean()) {
+    while (!queue.isEmpty() && leaseValid.getAsBoolean()) {
       sender.accept(queue.removeFirst());
     }
   }
 
-  /** Drops what an ended leadership has left. */
+  /** Drops the queued actions of a leadership that has ended. */
   void clear() {
     queue.clear();
   }
--- a/control/src/main/java/org/teaseltrail/control/PeerAddress.java
+++ b/control/src/main/java/org/teaseltrail/control/PeerAddress.java
@@ -4,19 +4,19 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /**
- * Says where a control member listens. It is found by its VM: a member with a lost disk comes back
- * under a new id at the same place.
+ * Listen address of a control member. The key is the VM and not the member's id, because a member
+ * that has lost its disk returns with a new id on the same VM.
  *
- * @param vm the member's VM
- * @param address its address
+ * @param vm VM of the member
+ * @param address listen address of the member
  */
 public record PeerAddress(VmId vm, SocketAddress address) {
 
   /**
-   * Reads {@code vm@ip:port}.
+   * Parses {@code vm@ip:port}.
    *
-   * @param text the text
-   * @throws IllegalArgumentException if it has another form
+   * @param text the text to parse
+   * @throws IllegalArgumentException if the text has a different format
    */
   public static PeerAddress parse(String text) {
     int at = text.indexOf('@');
--- a/control/src/main/java/org/teaseltrail/control/PeerLinks.java
+++ b/control/src/main/java/org/teaseltrail/control/PeerLinks.java
@@ -24,8 +24,8 @@
 import org.teaseltrail.wire.SpeakerKind;
 
 /**
- * Holds a link to each other VM of control members. Each side sends on the connection that it has
- * opened itself.
+ * Manages the connections to the VMs of the other control members. Each side sends on the
+ * connection that it opened, except to a peer whose VM it does not know.
  */
 final class PeerLinks implements AutoCloseable, FrameListener<PeerEnvelope, PeerEnvelope> {
 
@@ -56,25 +56,25 @@
     this.directory = directory;
   }
 
-  /** Connects to a VM, unless it is this one or connected already. */
+  /** Connects to a VM, unless it is this VM or already has a connection. */
   void connect(VmId vm) {
     if (!vm.equals(self.vm())) {
       directory.find(vm).ifPresent(address -> clients.computeIfAbsent(vm, key -> client(address)));
     }
   }
 
-  /** Ends the connections to VMs that hold no member any longer. */
+  /** Closes the connections to VMs that no longer have a member. */
   void retain(Membership membership) {
     Set<VmId> wanted = membership.all().map(Member::vm).collect(Collectors.toSet());
     clients
         .entrySet()
         .removeIf(
             entry -> {
-              boolean left = !wanted.contains(entry.getKey());
-              if (left) {
+              boolean departed = !wanted.contains(entry.getKey());
+              if (departed) {
                 entry.getValue().close();
               }
-              return left;
+              return departed;
             });
   }
 
@@ -88,7 +88,7 @@
     membership.all().map(Member::vm).forEach(this::connect);
   }
 
-  /** Sends a message if its receiver's VM is connected; otherwise it is lost. */
+  /** Sends a message if there is a connection to its receiver; drops it otherwise. */
   void send(PeerEnvelope envelope) {
     VmId vm = vms.get(envelope.to());
     FrameClient<PeerEnvelope, PeerEnvelope> client = vm == null ? null : clients.get(vm);
@@ -96,12 +96,12 @@
       client.send(envelope);
       return;
     }
-    // A member that joins knows no members yet, so its answers would be lost: the leader would send
-    // it nothing but probes and refuse its vote for ever as not caught up. The leader's own
-    // connection leads back to the leader.
-    FrameConnection<PeerEnvelope, PeerEnvelope> back = inbound.get(envelope.to());
-    if (back != null) {
-      back.send(envelope);
+    // A joining member does not know the other members yet, so its replies would be dropped: the
+    // leader would send it only probes and would never promote it to a voter, as not caught up. The
+    // reply is therefore sent on the connection that the leader opened.
+    FrameConnection<PeerEnvelope, PeerEnvelope> inboundConnection = inbound.get(envelope.to());
+    if (inboundConnection != null) {
+      inboundConnection.send(envelope);
     }
   }
 
--- a/control/src/main/java/org/teaseltrail/control/RestartingMember.java
+++ b/control/src/main/java/org/teaseltrail/control/RestartingMember.java
@@ -15,16 +15,16 @@
 import org.teaseltrail.runtime.process.RunningProgram;
 
 /**
- * Runs a control member and starts it anew, in the same process, when its disk has failed.
+ * Supervises a control member: restarts it within the same process after a disk failure.
  *
- * <p>Guards against a disk that is full for a while: a failed write can't be taken back, so the
- * member must end and read its folder again. If its process ended with it, each try would cost a
- * start of the program, and whoever watches the process would see it end over and over. While the
- * disk refuses, this VM has no member and answers that it leads nothing.
+ * <p>Handles a disk that is temporarily full. A failed write can't be undone, so the member must
+ * stop and recover from its data folder. If the process exited too, each attempt would cost a start
+ * of the program, and its process supervisor would see a crash loop. While the disk fails, this VM
+ * runs no member and replies that it is not the leader.
  */
 public final class RestartingMember implements RunningProgram {
 
-  /** Time between two tries; a full disk of the users stays so for 4 to 5 s. */
+  /** Delay between two attempts; short compared to the 4 to 5 s for which a disk stays full. */
   private static final long RETRY_MS = 500;
 
   private final PartLogger logger = new PartLogger("control");
@@ -42,23 +42,24 @@
   }
 
   /**
-   * Starts a member of a group that forms itself.
+   * Starts a member of a group that bootstraps itself.
    *
-   * @param options its settings
+   * @param options the member's options
    * @return the running member
-   * @throws ProgramException if it can't start for another reason than its disk
+   * @throws ProgramException if the member can't start for a reason other than its disk
    */
   public static RestartingMember start(ControlOptions options) throws ProgramException {
-    // The platform starts a process only once the one before is gone.
+    // The platform starts a process only after the previous one has exited, so no earlier instance
+    // has run for at least the age of this process.
     long processAgeMs = ManagementFactory.getRuntimeMXBean().getUptime();
-    return new RestartingMember(options, firstStart(options, processAgeMs));
+    return new RestartingMember(options, startWithRetry(options, processAgeMs));
   }
 
   /**
-   * Asks the member for something.
+   * Passes a request to the member.
    *
-   * @param request what is asked for
-   * @return the answer
+   * @param request the request
+   * @return the result; {@code NotLeader} if no member runs
    */
   public CompletableFuture<OperatorResult> call(OperatorRequest request) {
     return current
@@ -78,16 +79,16 @@
   }
 
   /**
-   * Counts a heartbeat that can't be taken in.
+   * Counts a rejected heartbeat.
    *
-   * @param failure what is wrong with it
+   * @param failure why the heartbeat was rejected
    */
   public void heartbeatRefused(HeartbeatFailure failure) {
     current.ifPresent(daemon -> daemon.heartbeatRefused(failure));
   }
 
   /**
-   * Takes other VMs to ask for the group, should this member be outside of it.
+   * Adds VMs to which the member sends its requests to join while it is not part of the group.
    *
    * @param seeds the VMs
    */
@@ -107,24 +108,25 @@
   }
 
   /**
-   * Starts a member, as soon as its disk lets it.
+   * Starts a member; retries until its data folder can be used.
    *
-   * @param silentMs time for which its last life is known to be over if the first try succeeds;
-   *     before a later one another process may have used the folder
+   * @param knownDowntimeMs time for which no earlier instance of the member is known to have run;
+   *     applies to the first attempt only, since another process may have used the folder before a
+   *     later one
    */
-  private static ControlDaemon firstStart(ControlOptions options, long silentMs)
+  private static ControlDaemon startWithRetry(ControlOptions options, long knownDowntimeMs)
       throws ProgramException {
-    long knownMs = silentMs;
+    long downtimeMs = knownDowntimeMs;
     while (true) {
       try {
-        return ControlDaemon.start(options, knownMs);
+        return ControlDaemon.start(options, downtimeMs);
       } catch (ProgramException e) {
         if (e.exitCode() != ExitCode.DATA) {
           throw e;
         }
-        new PartLogger("control").error("The data folder can't be used; tries again.", e);
-        knownMs = 0;
-        pause();
+        new PartLogger("control").error("The data folder can't be used; retrying.", e);
+        downtimeMs = 0;
+        sleepBeforeRetry();
       }
     }
   }
@@ -148,16 +150,16 @@
     current = Optional.empty();
     failed.close();
     try {
-      pause();
-      current = Optional.of(firstStart(options, 0));
-      logger.info("Runs its member again.");
+      sleepBeforeRetry();
+      current = Optional.of(startWithRetry(options, 0));
+      logger.info("Restarted the member.");
     } catch (ProgramException e) {
-      logger.error("The member can't be started again.", e);
+      logger.error("Failed to restart the member.", e);
       ended.complete(e.exitCode());
     }
   }
 
-  private static void pause() {
+  private static void sleepBeforeRetry() {
     try {
       TimeUnit.MILLISECONDS.sleep(RETRY_MS);
     } catch (InterruptedException e) {
--- a/control/src/main/java/org/teaseltrail/control/SlowLog.java
+++ b/control/src/main/java/org/teaseltrail/control/SlowLog.java
@@ -8,13 +8,13 @@
 import org.teaseltrail.runtime.log.LogField;
 
 /**
- * Tells what held a control member up, so that an order without an answer can be put down to the
- * member's thread, its disk or the lack of a quorum.
+ * Logs slow operations of a control member, so that the cause of an unanswered order can be
+ * attributed to the member's event loop, its disk or a missing quorum.
  */
 final class SlowLog {
 
-  /** A fifth of the leader's lease: whoever waits for the member feels what takes so long. */
-  private static final long SLOW_NS = TimeUnit.MILLISECONDS.toNanos(100);
+  /** A fifth of the leader's lease: a delay of this length is noticeable to the callers. */
+  private static final long THRESHOLD_NS = TimeUnit.MILLISECONDS.toNanos(100);
 
   private final Optional<EventLog> log;
 
@@ -22,27 +22,27 @@
     this.log = log;
   }
 
-  /** Notes how long the member's thread took for an event and the actions that follow from it. */
-  void step(ControlEvent event, long tookNs) {
-    if (tookNs >= SLOW_NS) {
+  /** Logs an event that took the event loop too long, including the resulting actions. */
+  void step(ControlEvent event, long elapsedNs) {
+    if (elapsedNs >= THRESHOLD_NS) {
       log.ifPresent(
           lines ->
               lines
                   .line(LogEvent.STEP_SLOW)
                   .with(LogField.STEP, event.getClass().getSimpleName())
-                  .with(LogField.ELAPSED_MS, TimeUnit.NANOSECONDS.toMillis(tookNs))
+                  .with(LogField.ELAPSED_MS, TimeUnit.NANOSECONDS.toMillis(elapsedNs))
                   .write());
     }
   }
 
-  /** Notes how long a sync of the disk took. */
-  void sync(long tookNs) {
-    if (tookNs >= SLOW_NS) {
+  /** Logs a disk write and sync that took too long. */
+  void sync(long elapsedNs) {
+    if (elapsedNs >= THRESHOLD_NS) {
       log.ifPresent(
           lines ->
               lines
                   .line(LogEvent.SYNC_SLOW)
-                  .with(LogField.ELAPSED_MS, TimeUnit.NANOSECONDS.toMillis(tookNs))
+                  .with(LogField.ELAPSED_MS, TimeUnit.NANOSECONDS.toMillis(elapsedNs))
                   .write());
     }
   }
--- a/control/src/main/java/org/teaseltrail/control/SnapshotEncoder.java
+++ b/control/src/main/java/org/teaseltrail/control/SnapshotEncoder.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.control.ControlEvent;
 import org.teaseltrail.core.state.StateCodec;
 
-/** Encodes snapshots on a thread of its own. */
+/** Encodes snapshots on a dedicated thread. */
 final class SnapshotEncoder implements AutoCloseable {
 
   private final ExecutorService executor =
@@ -26,7 +26,7 @@
     executor.execute(() -> encodeNow(wanted));
   }
 
-  /** Ends without the snapshots under way; the log still holds all that they cover. */
+  /** Discards the snapshots in progress; the log still contains all entries that they cover. */
   @Override
   public void close() {
     executor.shutdownNow();
--- a/control/src/main/java/org/teaseltrail/control/StartMode.java
+++ b/control/src/main/java/org/teaseltrail/control/StartMode.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.control;
 
-/** Says what a data folder is expected to hold at the start. */
+/** Expected content of the data folder at startup. */
 enum StartMode {
-  /** A member that goes on. */
+  /** The state of an existing member, which resumes. */
   GO_ON,
-  /** Nothing: a new group begins here. */
+  /** Nothing: this member creates a new group. */
   NEW_GROUP,
-  /** Nothing: a new member will be added to a group. */
+  /** Nothing: this new member will be added to an existing group. */
   JOIN;
 
   static StartMode of(boolean newGroup, boolean join) {
--- a/control/src/main/java/org/teaseltrail/control/StatusWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/StatusWriter.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
-/** Writes a member's state in the operators' schema. */
+/** Converts the status of a member to protobuf messages of the operator API. */
 final class StatusWriter {
 
   private StatusWriter() {}
--- a/control/src/main/java/org/teaseltrail/control/VmConnections.java
+++ b/control/src/main/java/org/teaseltrail/control/VmConnections.java
@@ -12,24 +12,28 @@
 import org.teaseltrail.wire.FrameListener;
 
 /**
- * Holds the connection of each entry VM; the newest counts.
+ * Tracks the current connection of each entry VM; a new connection replaces and closes the previous
+ * one.
  *
- * @param <I> what VMs say
- * @param <O> what they are told
+ * @param <I> type of the messages received from VMs
+ * @param <O> type of the messages sent to VMs
  */
 final class VmConnections<I, O> implements FrameListener<I, O> {
 
   private final PartLogger logger = new PartLogger("control");
   private final Map<VmId, FrameConnection<I, O>> connections = new ConcurrentHashMap<>();
-  private final BiFunction<VmId, I, ControlEvent> events;
+  private final BiFunction<VmId, I, ControlEvent> eventFactory;
   private final Consumer<ControlEvent> sink;
 
-  VmConnections(BiFunction<VmId, I, ControlEvent> events, Consumer<ControlEvent> sink) {
-    this.events = events;
+  VmConnections(BiFunction<VmId, I, ControlEvent> eventFactory, Consumer<ControlEvent> sink) {
+    this.eventFactory = eventFactory;
     this.sink = sink;
   }
 
-  /** Sends a message if the VM is connected; otherwise it is lost, and the VM tells all anew. */
+  /**
+   * Sends a message if the VM is connected; drops it otherwise, since the VM reports its full state
+   * again when it reconnects.
+   */
   void send(VmId vm, O message) {
     FrameConnection<I, O> connection = connections.get(vm);
     if (connection != null) {
@@ -41,7 +45,7 @@
   public void opened(FrameConnection<I, O> connection) {
     VmId vm = vmOf(connection);
     FrameConnection<I, O> before = connections.put(vm, connection);
-    logger.info("Entry VM " + vm + " is connected.");
+    logger.info("Entry VM " + vm + " connected.");
     if (before != null) {
       before.close();
     }
@@ -49,14 +53,14 @@
 
   @Override
   public void received(FrameConnection<I, O> connection, I message) {
-    sink.accept(events.apply(vmOf(connection), message));
+    sink.accept(eventFactory.apply(vmOf(connection), message));
   }
 
   @Override
   public void closed(FrameConnection<I, O> connection, CloseReason reason) {
     VmId vm = vmOf(connection);
     if (connections.remove(vm, connection)) {
-      logger.info("Connection of entry VM " + vm + " has ended: " + reason + ".");
+      logger.info("Connection of entry VM " + vm + " closed: " + reason + ".");
     }
   }
 
--- a/control/src/main/java/org/teaseltrail/control/VmDirectory.java
+++ b/control/src/main/java/org/teaseltrail/control/VmDirectory.java
@@ -7,13 +7,13 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Finds the address at which a VM's control member takes frames. */
+/** Resolves a VM to the address at which its control member accepts connections. */
 @FunctionalInterface
 interface VmDirectory {
 
   Optional<SocketAddress> find(VmId vm);
 
-  /** Finds the VMs that the settings list. */
+  /** Resolves the VMs that are listed in the settings. */
   static VmDirectory listed(List<PeerAddress> peers) {
     Map<VmId, SocketAddress> addresses =
         peers.stream().collect(Collectors.toMap(PeerAddress::vm, PeerAddress::address));
@@ -21,8 +21,8 @@
   }
 
   /**
-   * Reads a VM's address from its name, {@code ip:port}. In a group that forms itself nobody lists
-   * the VMs beforehand.
+   * Parses the address from the VM's name, {@code ip:port}. In a group that bootstraps itself, the
+   * settings do not list all VMs in advance.
    */
   static VmDirectory byName() {
     return vm -> {
--- a/control/src/main/java/org/teaseltrail/control/WriteLoop.java
+++ b/control/src/main/java/org/teaseltrail/control/WriteLoop.java
@@ -12,13 +12,13 @@
 import org.teaseltrail.storage.StorageFolder;
 
 /**
- * Writes to the data folder on a thread of its own, so that a slow sync never holds the member up.
- * What has piled up during one sync goes into the next together.
+ * Writes to the data folder on a dedicated thread, so that a slow sync never blocks the event loop.
+ * Uses group commit: writes that are queued during one sync share the next one.
  */
 final class WriteLoop implements AutoCloseable {
 
   private static final long POLL_MS = 100;
-  private static final long END_MS = 5_000;
+  private static final long CLOSE_TIMEOUT_MS = 5_000;
 
   private final BlockingQueue<ReplicaAction.Write> queue = new LinkedBlockingQueue<>();
   private final StorageFolder folder;
@@ -26,7 +26,7 @@
   private final Consumer<StorageException> failed;
   private final SlowLog slow;
   private final Thread thread = new Thread(this::run, "writes");
-  private volatile boolean ending;
+  private volatile boolean closing;
 
   WriteLoop(
       StorageFolder folder,
@@ -47,12 +47,12 @@
     queue.add(write);
   }
 
-  /** Carries out what was submitted, then ends. */
+  /** Completes the submitted writes, then stops the thread and closes the data folder. */
   @Override
   public void close() {
-    ending = true;
+    closing = true;
     try {
-      thread.join(END_MS);
+      thread.join(CLOSE_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -61,7 +61,7 @@
 
   private void run() {
     try {
-      while (!ending || !queue.isEmpty()) {
+      while (!closing || !queue.isEmpty()) {
         writeBatch();
       }
     } catch (StorageException e) {
@@ -79,10 +79,10 @@
     List<ReplicaAction.Write> batch = new ArrayList<>();
     batch.add(first);
     queue.drainTo(batch);
-    long beganNs = System.nanoTime();
+    long startNs = System.nanoTime();
     batch.forEach(folder::write);
     long writeNumber = folder.sync();
-    slow.sync(System.nanoTime() - beganNs);
+    slow.sync(System.nanoTime() - startNs);
     events.accept(new ControlEvent.Persisted(writeNumber));
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/package-info.java
+++ b/control/src/main/java/org/teaseltrail/control/package-info.java
@@ -1,2 +1,5 @@
-/** The program of a control member: sockets, disk and timers around the member's decisions. */
+/**
+ * The control member's daemon: network connections, disk and timers around the member's decision
+ * logic.
+ */
 package org.teaseltrail.control;
--- a/control/src/test/java/org/teaseltrail/control/ControlDaemonTest.java
+++ b/control/src/test/java/org/teaseltrail/control/ControlDaemonTest.java
@@ -20,7 +20,7 @@
 import org.teaseltrail.api.v1.Status;
 import org.teaseltrail.api.v1.Tier;
 
-/** Runs members over real sockets and disks. */
+/** Runs members with real sockets and disks. */
 @Timeout(60)
 class ControlDaemonTest {
 
@@ -34,11 +34,11 @@
         .build();
   }
 
-  /** Asks again, without a pause, until the answer fits; the test's timeout bounds it. */
-  private static <T> T until(Supplier<T> question, Predicate<T> fits) {
-    T answer = question.get();
-    while (!fits.test(answer)) {
-      answer = question.get();
+  /** Repeats the call without delay until the condition holds; bounded by the test's timeout. */
+  private static <T> T pollUntil(Supplier<T> call, Predicate<T> condition) {
+    T answer = call.get();
+    while (!condition.test(answer)) {
+      answer = call.get();
     }
     return answer;
   }
@@ -55,13 +55,13 @@
             .setId(status.getMember())
             .setVm(status.getMember().replaceAll("-\\d+$", ""))
             .build();
-    until(
+    pollUntil(
         () ->
             leader
                 .operator()
                 .changeMembers(ChangeMembersRequest.newBuilder().setAddLearner(learner).build()),
         response -> response.hasChanged());
-    until(
+    pollUntil(
         () ->
             leader
                 .operator()
@@ -71,8 +71,9 @@
   }
 
   /**
-   * A member alone is ended and started again. What operators changed must be there, and a change
-   * whose answer they may have missed must give its first result.
+   * Guards against lost or repeated changes when a single member restarts: accepted changes must be
+   * restored, and a change that is resent because its response was lost must return its first
+   * result.
    */
   @Test
   void restartKeepsWhatWasAccepted() throws Exception {
@@ -80,14 +81,14 @@
     try (TestMember member = new TestMember(1, peers, TestMember.addresses(1), data)) {
       member.start(StartMode.NEW_GROUP);
       ApplyChangeResponse first =
-          until(
+          pollUntil(
               () -> member.operator().applyChange(tier("a", 1)), ApplyChangeResponse::hasAccepted);
       assertThat(first.getAccepted().getRevision()).isEqualTo(1);
       member.operator().applyChange(tier("b", 2));
       member.stop();
       member.start(StartMode.GO_ON);
       ApplyChangeResponse resent =
-          until(
+          pollUntil(
               () -> member.operator().applyChange(tier("a", 1)), ApplyChangeResponse::hasAccepted);
       assertThat(resent).isEqualTo(first);
       assertThat(
@@ -101,8 +102,9 @@
   }
 
   /**
-   * Two members join a group of one, then its leader is ended. Leadership must be handed over, and
-   * a change that the old leader accepted must be known to the new one.
+   * Guards against the loss of accepted changes at a change of leader. Two members join a group of
+   * one, then its leader stops. Leadership must move to one of them, which must know the change
+   * that the previous leader accepted.
    */
   @Test
   void membersJoinAndTakeLeadershipOver() throws Exception {
@@ -114,27 +116,27 @@
       one.start(StartMode.NEW_GROUP);
       two.start(StartMode.JOIN);
       three.start(StartMode.JOIN);
-      until(() -> local(one), Status::getLeading);
+      pollUntil(() -> local(one), Status::getLeading);
       join(one, two);
       join(one, three);
       ApplyChangeResponse first = one.operator().applyChange(tier("a", 1));
       assertThat(first.hasAccepted()).isTrue();
       one.stop();
-      List<TestMember> rest = List.of(two, three);
-      TestMember next =
-          until(
-                  () -> rest.stream().filter(member -> local(member).getLeading()).findAny(),
+      List<TestMember> remaining = List.of(two, three);
+      TestMember newLeader =
+          pollUntil(
+                  () -> remaining.stream().filter(member -> local(member).getLeading()).findAny(),
                   found -> found.isPresent())
               .orElseThrow();
-      assertThat(next.operator().applyChange(tier("a", 1))).isEqualTo(first);
-      TestMember other = next == two ? three : two;
+      assertThat(newLeader.operator().applyChange(tier("a", 1))).isEqualTo(first);
+      TestMember other = newLeader == two ? three : two;
       assertThat(other.operator().applyChange(tier("b", 2)).getNotLeader().getLeaderAddress())
           .isNotEmpty();
       restartAll(one, two, three);
     }
   }
 
-  /** All members start anew from their disks: they must know where the others are. */
+  /** Restarts all members from their disks; they must restore the membership of the group. */
   private static void restartAll(TestMember one, TestMember two, TestMember three)
       throws IOException {
     two.stop();
@@ -143,7 +145,7 @@
     for (TestMember member : all) {
       member.start(StartMode.GO_ON);
     }
-    until(
+    pollUntil(
         () -> all.stream().filter(member -> local(member).getLeading()).count(),
         leaders -> leaders == 1);
     assertThat(all).allMatch(member -> local(member).getMembersCount() == 3);
--- a/control/src/test/java/org/teaseltrail/control/EventQueueTest.java
+++ b/control/src/test/java/org/teaseltrail/control/EventQueueTest.java
@@ -13,14 +13,15 @@
 import org.teaseltrail.core.serving.ServingMessage;
 
 /**
- * Under load an operator's order waits 0.8 s for its answer, and as often has none: sixty entry VMs
- * tell of their lines faster than the leader takes it in, the order waits behind all of it, the
- * members' answers to it wait once more, and the leader's lease runs out meanwhile.
+ * Guards against operators' orders that wait 0.8 s for a response, or as often receive none, under
+ * load. This happens if sixty entry VMs report their queues faster than the leader processes the
+ * reports: an order waits behind all of them, the members' replies to it wait again, and the
+ * leader's lease expires meanwhile.
  */
 class EventQueueTest {
 
   private static final int VMS = 60;
-  private static final int TOLD_EACH = 20;
+  private static final int MESSAGES_PER_VM = 20;
 
   private final EventQueue queue = new EventQueue();
 
@@ -44,7 +45,7 @@
             new VmId("entry-" + vm), grantsSeen, Map.of(), Map.of(), List.of(), List.of()));
   }
 
-  private List<ControlEvent> takeAll() throws InterruptedException {
+  private List<ControlEvent> pollAll() throws InterruptedException {
     List<ControlEvent> taken = new ArrayList<>();
     for (ControlEvent next = queue.poll(0); next != null; next = queue.poll(0)) {
       taken.add(next);
@@ -54,9 +55,9 @@
 
   @Test
   void operatorsAndMembersNeverWaitBehindEntryVms() throws InterruptedException {
-    for (int told = 0; told < TOLD_EACH; told++) {
+    for (int iteration = 0; iteration < MESSAGES_PER_VM; iteration++) {
       for (int vm = 0; vm < VMS; vm++) {
-        queue.add(lines(vm, told));
+        queue.add(lines(vm, iteration));
       }
     }
     ControlEvent order = new ControlEvent.OperatorCall(1, new OperatorRequest.ReadPlan());
@@ -69,15 +70,15 @@
 
   @Test
   void noMoreThanTheNewestOfEachVmWaits() throws InterruptedException {
-    for (int told = 0; told < TOLD_EACH; told++) {
+    for (int iteration = 0; iteration < MESSAGES_PER_VM; iteration++) {
       for (int vm = 0; vm < VMS; vm++) {
-        queue.add(sync(vm, told));
-        queue.add(lines(vm, told));
+        queue.add(sync(vm, iteration));
+        queue.add(lines(vm, iteration));
       }
     }
     assertThat(queue.size()).isEqualTo(2 * VMS);
-    assertThat(takeAll())
-        .contains(sync(7, TOLD_EACH - 1), lines(7, TOLD_EACH - 1))
+    assertThat(pollAll())
+        .contains(sync(7, MESSAGES_PER_VM - 1), lines(7, MESSAGES_PER_VM - 1))
         .doesNotContain(sync(7, 0), lines(7, 0));
   }
 
@@ -86,7 +87,7 @@
     queue.add(sync(1, 1));
     queue.add(lines(1, 1));
     queue.add(sync(1, 2));
-    assertThat(takeAll()).containsExactly(lines(1, 1), sync(1, 2));
+    assertThat(pollAll()).containsExactly(lines(1, 1), sync(1, 2));
   }
 
   @Test
--- a/control/src/test/java/org/teaseltrail/control/MemberFolderTest.java
+++ b/control/src/test/java/org/teaseltrail/control/MemberFolderTest.java
@@ -19,9 +19,9 @@
   @TempDir private Path folder;
 
   /**
-   * An operator copies a member's data folder to another VM and starts a program there. Two
-   * processes would then speak as one member and each vote and sync for it, so that an accepted
-   * change could be on one disk only. The folder is refused under another VM's settings.
+   * Guards against two processes that act as one member because an operator copied its data folder
+   * to another VM: each would vote and sync for the member, so that an accepted change could be on
+   * one disk only. The folder must be rejected under another VM's settings.
    */
   @Test
   void refusesFolderOfAnotherVm() throws Exception {
@@ -34,8 +34,9 @@
   }
 
   /**
-   * A VM comes back with an empty disk. It must not go on as the member that it was, whose syncs
-   * and votes are forgotten: started as before it is refused, and joining makes another member.
+   * Guards against a VM that returns with an empty disk under its previous member id, although the
+   * synced entries and votes of that member are lost. Resuming must be rejected, and joining must
+   * create a new member.
    */
   @Test
   void emptyDiskIsAnotherMember() throws Exception {
--- a/control/src/test/java/org/teaseltrail/control/OutwardQueueTest.java
+++ b/control/src/test/java/org/teaseltrail/control/OutwardQueueTest.java
@@ -15,8 +15,8 @@
 class OutwardQueueTest {
 
   private final List<ControlAction> sent = new ArrayList<>();
-  private boolean leaseHolds = true;
-  private final OutwardQueue queue = new OutwardQueue(() -> leaseHolds, sent::add);
+  private boolean leaseValid = true;
+  private final OutwardQueue queue = new OutwardQueue(() -> leaseValid, sent::add);
 
   private static ControlAction action(String request) {
     return new ControlAction.SendToEntryVm(
@@ -30,26 +30,27 @@
   }
 
   /**
-   * The process is frozen after the member has decided on a grant under its lease, and thaws when
-   * another member leads. The grant must stay back, and be dropped once the loss is known.
+   * Guards against a grant that is sent after another member has become leader. This happens if the
+   * process pauses between the decision, made under the lease, and the send. The grant must not be
+   * sent, and must be dropped once the loss of leadership is known.
    */
   @Test
   void sendsNothingOnceTheLeaseHasRunOut() {
-    leaseHolds = false;
+    leaseValid = false;
     queue.add(action("r1"));
     queue.flush();
     assertThat(sent).isEmpty();
     queue.clear();
-    leaseHolds = true;
+    leaseValid = true;
     queue.flush();
     assertThat(sent).isEmpty();
   }
 
   @Test
   void goesOnInOrderWhenTheLeaseHoldsAgain() {
-    leaseHolds = false;
+    leaseValid = false;
     queue.add(action("r1"));
-    leaseHolds = true;
+    leaseValid = true;
     queue.add(action("r2"));
     assertThat(sent).containsExactly(action("r1"), action("r2"));
   }
--- a/control/src/test/java/org/teaseltrail/control/PeerLinksTest.java
+++ b/control/src/test/java/org/teaseltrail/control/PeerLinksTest.java
@@ -26,32 +26,32 @@
   private static final GroupId GROUP = new GroupId("prairie-control");
 
   private final List<ControlEvent> events = new ArrayList<>();
-  private final PeerLinks links =
+  private final PeerLinks connections =
       new PeerLinks(LEARNER, VmDirectory.listed(List.of()), null, new Random(1), events::add);
   private final FakeConnection connection = new FakeConnection();
 
   /**
-   * An operator adds a member with an empty disk and asks for its vote, which is refused for ever
-   * as not caught up. Its log is empty, so it doesn't know on which VM its leader stands, and its
-   * answers to the leader's messages were lost.
+   * Guards against a new member that can never be promoted to a voter because it does not catch up.
+   * Its log is empty, so it does not know the VM of the leader, and its replies to the leader's
+   * messages would be dropped.
    */
   @Test
   void newMemberAnswersLeaderWhoseVmItDoesNotKnow() {
-    PeerEnvelope answer = envelope(LEARNER.id(), LEADER);
+    PeerEnvelope reply = envelope(LEARNER.id(), LEADER);
 
-    links.received(connection, envelope(LEADER, LEARNER.id()));
-    links.send(answer);
+    connections.received(connection, envelope(LEADER, LEARNER.id()));
+    connections.send(reply);
 
     assertThat(events).hasSize(1);
-    assertThat(connection.sent).containsExactly(answer);
+    assertThat(connection.sent).containsExactly(reply);
   }
 
   @Test
   void forgetsAnEndedConnection() {
-    links.received(connection, envelope(LEADER, LEARNER.id()));
-    links.closed(connection, CloseReason.CLOSED_BY_PEER);
+    connections.received(connection, envelope(LEADER, LEARNER.id()));
+    connections.closed(connection, CloseReason.CLOSED_BY_PEER);
 
-    links.send(envelope(LEARNER.id(), LEADER));
+    connections.send(envelope(LEARNER.id(), LEADER));
 
     assertThat(connection.sent).isEmpty();
   }
@@ -66,7 +66,7 @@
 
     @Override
     public ConnectionOpening opening() {
-      throw new UnsupportedOperationException("not asked for here");
+      throw new UnsupportedOperationException("not used in this test");
     }
 
     @Override
--- a/control/src/test/java/org/teaseltrail/control/TestMember.java
+++ b/control/src/test/java/org/teaseltrail/control/TestMember.java
@@ -17,10 +17,10 @@
 import org.teaseltrail.core.replication.GroupId;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Runs a control member on loopback, with an operator's stub for it. */
+/** Runs a control member on the loopback interface and provides an operator API stub for it. */
 final class TestMember implements AutoCloseable {
 
-  private static final int CALL_MS = 5_000;
+  private static final int CALL_TIMEOUT_MS = 5_000;
 
   private final ControlOptions options;
   private final ManagedChannel channel;
@@ -45,7 +45,7 @@
         NettyChannelBuilder.forAddress(options.listenOperators().get()).usePlaintext().build();
   }
 
-  /** Returns addresses with ports that were free a moment ago. */
+  /** Returns loopback addresses with ports that were unused at the time of the call. */
   static List<PeerAddress> addresses(int count) throws IOException {
     var addresses = new ArrayList<PeerAddress>();
     var sockets = new ArrayList<ServerSocket>();
@@ -69,10 +69,10 @@
   OperatorGrpc.OperatorBlockingStub operator() {
     return OperatorGrpc.newBlockingStub(channel)
         .withWaitForReady()
-        .withDeadlineAfter(CALL_MS, TimeUnit.MILLISECONDS);
+        .withDeadlineAfter(CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends the member as SIGTERM does. */
+  /** Stops the member in the same way as SIGTERM does. */
   void stop() {
     daemon.close();
     daemon = null;
