--- a/bench/src/main/java/org/teaseltrail/bench/control/BenchNode.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/BenchNode.java
@@ -152,11 +152,12 @@
   private void carryOut(ReplicaAction action) {
     if (action instanceof ReplicaAction.Write write) {
       writes.add(write);
-    } else if (action instanceof ReplicaAction.SendPeer send) {
+    } else if (action instanceof ReplicaAction.SendPeerMessage send) {
       byte[] bytes = codec.encode(PeerEnvelope.class, send.envelope());
       BenchNode peer = peers.get(send.envelope().to());
       if (peer != null) {
-        peer.post(new ReplicaEvent.PeerReceived(peer.codec.decode(PeerEnvelope.class, bytes)));
+        peer.post(
+            new ReplicaEvent.PeerMessageReceived(peer.codec.decode(PeerEnvelope.class, bytes)));
       }
     } else if (action instanceof ReplicaAction.Apply apply) {
       apply.entries().forEach(this::apply);
--- a/bench/src/main/java/org/teaseltrail/bench/process/ColdProcess.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ColdProcess.java
@@ -18,7 +18,7 @@
 import net.sourceforge.argparse4j.inf.ArgumentParser;
 import net.sourceforge.argparse4j.inf.ArgumentParserException;
 import net.sourceforge.argparse4j.inf.Namespace;
-import org.teaseltrail.platform.LoopbackSite;
+import org.teaseltrail.platform.LoopbackDeployment;
 
 /**
  * Measures what an entry VM's process costs from its cold start on, in the load of one VM of a
@@ -80,17 +80,17 @@
     Path classLog = folder.resolve("classes.log");
     RunLine control = RunLine.of(deploy, CONTROL_ROLE);
     RunLine entry = RunLine.of(deploy, ENTRY_ROLE).withOptions(jvmOptions());
-    try (LoopbackSite site =
-            new LoopbackSite(
+    try (LoopbackDeployment site =
+            new LoopbackDeployment(
                 folder, options.getInt("upstreams"), options.getInt("events"), EVENT_PAUSE);
         MeasuredProgram member =
             new MeasuredProgram(
-                control.withArguments("--settings", site.controlSettings().toString()),
+                control.withArguments("--settings", site.writeControlSettings().toString()),
                 folder.resolve("core.log"))) {
-      site.configure(1, ROUTES);
+      site.installPlan(1, ROUTES);
       heartbeats.scheduleWithFixedDelay(
           () -> register(site), 0, HEARTBEAT_EVERY_MS, TimeUnit.MILLISECONDS);
-      String settings = site.entrySettings().toString();
+      String settings = site.writeEntrySettings().toString();
       RunLine started = entry.withArguments("--settings", settings);
       try (MeasuredProgram vm = new MeasuredProgram(started, folder.resolve("front.log"))) {
         live(site, vm);
@@ -116,7 +116,7 @@
         .toList();
   }
 
-  private void live(LoopbackSite site, MeasuredProgram vm) throws Exception {
+  private void live(LoopbackDeployment site, MeasuredProgram vm) throws Exception {
     site.awaitReady();
     phases.add(new Phase("start to ready", 1, vm.reading().since(ProcessReading.START)));
     settle();
@@ -136,14 +136,14 @@
     phases.add(new Phase(name, units, vm.reading().since(before)));
   }
 
-  private Void load(LoopbackSite site, int requests)
+  private Void load(LoopbackDeployment site, int requests)
       throws InterruptedException, ExecutionException {
     long gapMs = MS_PER_S / options.getInt("per_second");
     ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
     try {
       List<Future<Integer>> answers = new ArrayList<>();
       for (int i = 0; i < requests; i++) {
-        answers.add(callers.submit(site::call));
+        answers.add(callers.submit(site::sendRequest));
         sleep(gapMs);
       }
       for (Future<Integer> answer : answers) {
@@ -162,9 +162,9 @@
   }
 
   /** Upstreams whose heartbeats fail are registered with the next ones. */
-  private static void register(LoopbackSite site) {
+  private static void register(LoopbackDeployment site) {
     try {
-      site.register();
+      site.sendHeartbeats();
     } catch (IOException e) {
       LOGGER.log(System.Logger.Level.WARNING, "[process] no heartbeat", e);
     } catch (InterruptedException e) {
@@ -172,9 +172,10 @@
     }
   }
 
-  private static Void changePlans(LoopbackSite site) throws IOException, InterruptedException {
+  private static Void changePlans(LoopbackDeployment site)
+      throws IOException, InterruptedException {
     for (int i = 0; i < PLAN_CHANGES; i++) {
-      site.configure(i + 2, ROUTES + i);
+      site.installPlan(i + 2, ROUTES + i);
     }
     return settle();
   }
--- a/bench/src/main/java/org/teaseltrail/bench/replica/BenchMember.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/BenchMember.java
@@ -139,7 +139,7 @@
       if (action instanceof ReplicaAction.Write write) {
         folder.write(write);
         written = true;
-      } else if (action instanceof ReplicaAction.SendPeer send) {
+      } else if (action instanceof ReplicaAction.SendPeerMessage send) {
         deliver(send.envelope());
       } else if (action instanceof ReplicaAction.Apply apply) {
         apply.entries().forEach(listener::applied);
@@ -159,7 +159,7 @@
   private void deliver(PeerEnvelope envelope) {
     BenchMember receiver = peers.get(envelope.to());
     if (receiver != null) {
-      receiver.send(new ReplicaEvent.PeerReceived(envelope));
+      receiver.send(new ReplicaEvent.PeerMessageReceived(envelope));
     }
   }
 }
--- a/bench/src/main/java/org/teaseltrail/bench/replica/ReplicaBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/ReplicaBench.java
@@ -116,9 +116,9 @@
             defaults.maxBatchBytes(),
             defaults.maxInflightMessages(),
             defaults.maxUncommittedBytes(),
-            defaults.snapshotPartBytes(),
+            defaults.snapshotChunkBytes(),
             Integer.MAX_VALUE,
-            defaults.keptEntries());
+            defaults.retainedEntries());
     for (int entries : ENTRIES) {
       Path path = root.resolve("catch-up-" + entries);
       try (BenchGroup group = new BenchGroup(path, withoutSnapshots, SMALL_STATE_BYTES)) {
--- a/control/src/main/java/org/teaseltrail/control/ActionRunner.java
+++ b/control/src/main/java/org/teaseltrail/control/ActionExecutor.java
@@ -18,22 +18,22 @@
 import org.teaseltrail.runtime.log.PartLogger;
 
 /** Executes the actions that a control member decides on, on the member's event loop thread. */
-final class ActionRunner {
+final class ActionExecutor {
 
   private static final long TRANSFER_TIMEOUT_MS = 2_000;
 
   private final PartLogger logger = new PartLogger("replica");
   private final DecisionLog decisions = new DecisionLog(new PartLogger("schedule"));
   private final ActionTargets targets;
-  private final OutwardQueue leaseGuarded;
+  private final LeaseGuardedQueue leaseGuarded;
   private final CountDownLatch transferEnded = new CountDownLatch(1);
   private volatile boolean serving;
   private volatile boolean leaderKnown;
   private volatile boolean closing;
 
-  ActionRunner(ActionTargets targets, BooleanSupplier leaseValid) {
+  ActionExecutor(ActionTargets targets, BooleanSupplier leaseValid) {
     this.targets = targets;
-    leaseGuarded = new OutwardQueue(leaseValid, this::executeUnderLease);
+    leaseGuarded = new LeaseGuardedQueue(leaseValid, this::executeUnderLease);
   }
 
   void run(ControlAction action) {
@@ -44,7 +44,7 @@
     } else if (action instanceof ControlAction.EncodeSnapshot encode) {
       targets.snapshots().encode(encode);
     } else if (action instanceof ControlAction.SendToPeer send) {
-      targets.peers().send(send.envelope());
+      targets.peerConnections().send(send.envelope());
     } else if (action instanceof ControlAction.SendNotLeader send) {
       targets.entryVms().send(send.vm(), send.message());
     } else if (action instanceof ControlAction.SendToServingVm send) {
@@ -81,7 +81,7 @@
    * Waits until this member no longer leads or its leadership transfer was rejected, but no longer
    * than a fixed timeout.
    */
-  void awaitHandOver() {
+  void awaitLeadershipTransfer() {
     closing = true;
     if (!serving) {
       return;
@@ -99,7 +99,7 @@
     } else if (action instanceof ControlAction.SendToServingVm send) {
       targets.servingVms().send(send.vm(), send.reply());
     } else if (action instanceof ControlAction.SendOrder send) {
-      targets.orders().send(send.order());
+      targets.orderClient().send(send.order());
     }
   }
 
@@ -115,7 +115,7 @@
     serving = changed.serving();
     leaderKnown = changed.serving() || changed.leader().isPresent();
     targets.group().leader(changed.leader());
-    targets.metrics().leadership(changed.serving(), changed.term());
+    targets.metrics().setLeadership(changed.serving(), changed.term());
     String leader = changed.leader().map(Object::toString).orElse("none");
     targets.log().ifPresent(log -> write(log, changed, leader));
     logger.info(
@@ -135,7 +135,7 @@
   }
 
   private void held(ControlAction.RequestQuarantined held) {
-    targets.metrics().requestsHeld(held.quarantinedCount());
+    targets.metrics().setQuarantinedRequests(held.quarantinedCount());
     targets
         .log()
         .ifPresent(
@@ -152,7 +152,7 @@
   }
 
   private void released(ControlAction.RequestReleased released) {
-    targets.metrics().requestsHeld(released.quarantinedCount());
+    targets.metrics().setQuarantinedRequests(released.quarantinedCount());
     targets
         .log()
         .ifPresent(
@@ -165,7 +165,7 @@
 
   private void turned(ControlAction.RolloutPhaseChanged turned) {
     Rollout rollout = turned.rollout();
-    targets.metrics().rolloutTurned(rollout.phase());
+    targets.metrics().countRolloutPhase(rollout.phase());
     targets.log().ifPresent(log -> writePhaseChange(log, turned));
     logger.info(
         "Rollout of "
@@ -209,7 +209,7 @@
   }
 
   private void log(Decision decision) {
-    targets.metrics().decided(decision.kind());
+    targets.metrics().countDecision(decision.kind());
     decisions
         .line(decision.kind().name().toLowerCase(Locale.ROOT))
         .with("request", decision.request())
--- a/control/src/main/java/org/teaseltrail/control/ActionTargets.java
+++ b/control/src/main/java/org/teaseltrail/control/ActionTargets.java
@@ -12,23 +12,23 @@
  *
  * @param writes writes to the data folder
  * @param snapshots encodes snapshots
- * @param peers connections to the other members
+ * @param peerConnections connections to the other members
  * @param entryVms connections of entry VMs
  * @param servingVms connections of entry VMs that schedule requests themselves
- * @param orders sends orders to engines
+ * @param orderClient sends orders to engines
  * @param calls pending calls of operators
  * @param metrics the member's metrics
  * @param group notifies components of changes of the membership and the leader
  * @param log event log, if enabled; records changes of leadership, quarantine and rollouts
  */
 record ActionTargets(
-    WriteLoop writes,
+    DataFolderWriter writes,
     SnapshotEncoder snapshots,
-    PeerLinks peers,
-    VmConnections<EntryMessage, ControlMessage> entryVms,
-    VmConnections<ServingMessage, ServingReply> servingVms,
-    OrderClient orders,
-    OperatorCalls calls,
+    PeerConnections peerConnections,
+    EntryVmConnections<EntryMessage, ControlMessage> entryVms,
+    EntryVmConnections<ServingMessage, ServingReply> servingVms,
+    EngineOrderClient orderClient,
+    OperatorCallTracker calls,
     ControlMetrics metrics,
-    GroupTargets group,
+    GroupChangeNotifier group,
     Optional<EventLog> log) {}
--- a/control/src/main/java/org/teaseltrail/control/ChangeResultWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/ChangeResultConverter.java
@@ -13,11 +13,11 @@
 import org.teaseltrail.core.state.ChangeResult;
 
 /** Converts the result of a configuration change to a protobuf message of the operator API. */
-final class ChangeResultWriter {
+final class ChangeResultConverter {
 
-  private ChangeResultWriter() {}
+  private ChangeResultConverter() {}
 
-  static ApplyChangeResponse write(ChangeResult result) {
+  static ApplyChangeResponse toProto(ChangeResult result) {
     ApplyChangeResponse.Builder response = ApplyChangeResponse.newBuilder();
     if (result instanceof ChangeResult.Accepted accepted) {
       response.setAccepted(Accepted.newBuilder().setRevision(accepted.revision().value()));
--- a/control/src/main/java/org/teaseltrail/control/ChangeReader.java
+++ b/control/src/main/java/org/teaseltrail/control/ConfigurationChangeConverter.java
@@ -23,16 +23,16 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /** Converts the items of a configuration change from protobuf messages of the operator API. */
-final class ChangeReader {
+final class ConfigurationChangeConverter {
 
-  private ChangeReader() {}
+  private ConfigurationChangeConverter() {}
 
   /**
    * Converts one item.
    *
    * @throws InvalidIdException if a required field is missing or holds an invalid id
    */
-  static ConfigurationChange read(Change change) {
+  static ConfigurationChange fromProto(Change change) {
     return switch (change.getItemCase()) {
       case PUT_TIER -> new ConfigurationChange.PutTier(tier(change.getPutTier()));
       case REMOVE_TIER -> new ConfigurationChange.RemoveTier(new Tier(change.getRemoveTier()));
--- a/control/src/main/java/org/teaseltrail/control/ConfigurationWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/ConfigurationConverter.java
@@ -17,11 +17,11 @@
  * Converts the configuration to a protobuf message of the operator API, with each list sorted by
  * id.
  */
-final class ConfigurationWriter {
+final class ConfigurationConverter {
 
-  private ConfigurationWriter() {}
+  private ConfigurationConverter() {}
 
-  static Configuration write(org.teaseltrail.core.configuration.Configuration configuration) {
+  static Configuration toProto(org.teaseltrail.core.configuration.Configuration configuration) {
     Configuration.Builder written =
         Configuration.newBuilder().setRevision(configuration.revision().value());
     configuration.tiers().values().stream()
--- a/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
@@ -53,57 +53,60 @@
   private final PartLogger logger = new PartLogger("control");
   private final CompletableFuture<ExitCode> ended = new CompletableFuture<>();
   private final SuspendAwareClock clock = new SuspendAwareClock();
-  private final SlowLog slow;
-  private final ControlLoop loop;
+  private final SlowOperationLogger slow;
+  private final ControlEventLoop loop;
   private final MessageCodec codec = new MessageCodec();
-  private final VmConnections<EntryMessage, ControlMessage> entryVms =
-      new VmConnections<>(ControlEvent.FromEntry::new, this::post);
-  private final VmConnections<ServingMessage, ServingReply> servingVms =
-      new VmConnections<>((vm, message) -> new ControlEvent.FromServingVm(message), this::post);
-  private final OperatorCalls calls = new OperatorCalls(this::post);
+  private final EntryVmConnections<EntryMessage, ControlMessage> entryVms =
+      new EntryVmConnections<>(ControlEvent.FromEntry::new, this::post);
+  private final EntryVmConnections<ServingMessage, ServingReply> servingVms =
+      new EntryVmConnections<>(
+          (vm, message) -> new ControlEvent.FromServingVm(message), this::post);
+  private final OperatorCallTracker calls = new OperatorCallTracker(this::post);
   private final ControlMetrics metrics;
-  private final PeerLinks peers;
-  private final LeaderHint notLeaderResponses;
-  private final WriteLoop writes;
+  private final PeerConnections peers;
+  private final NotLeaderResponseFactory notLeaderResponses;
+  private final DataFolderWriter writes;
   private final SnapshotEncoder snapshots;
-  private final ActionRunner actionExecutor;
+  private final ActionExecutor actionExecutor;
   private final FrameServer frames;
   private final Optional<Server> operators;
-  private final Optional<GroupJoiner> joinClient;
-  private final GroupTargets group;
+  private final Optional<GroupJoinClient> joinClient;
+  private final GroupChangeNotifier group;
   private final HealthServer health;
 
   private ControlDaemon(ControlOptions options, StorageFolder folder, long silentMs)
       throws IOException {
-    slow = new SlowLog(options.log());
-    loop = new ControlLoop(clock, slow);
+    slow = new SlowOperationLogger(options.log());
+    loop = new ControlEventLoop(clock, slow);
     metrics = new ControlMetrics(entryVms, loop);
     RandomGenerator random = new SecureRandom();
     Member member = folder.identity().member();
-    VmDirectory directory =
-        options.formation().isPresent()
-            ? VmDirectory.byName()
-            : VmDirectory.listed(options.members());
-    peers = new PeerLinks(member, directory, codec, random, loop::post);
-    notLeaderResponses = new LeaderHint(member.id(), options.operatorAddresses());
-    writes = new WriteLoop(folder, loop::post, this::storageFailed, slow);
+    VmAddressResolver directory =
+        options.bootstrap().isPresent()
+            ? VmAddressResolver.fromVmName()
+            : VmAddressResolver.ofPeers(options.members());
+    peers = new PeerConnections(member, directory, codec, random, loop::post);
+    notLeaderResponses = new NotLeaderResponseFactory(member.id(), options.operatorAddresses());
+    writes = new DataFolderWriter(folder, loop::post, this::storageFailed, slow);
     final ControlMember decisions = decisions(options, folder, silentMs, random);
     snapshots = new SnapshotEncoder(new MessagePackStateCodec(codec), loop::post, this::loopFailed);
     joinClient =
         options
-            .formation()
-            .map(bootstrap -> new GroupJoiner(options.group(), member, bootstrap, codec, random));
-    GroupDesk joinHandler = new GroupDesk(options.group(), loop::post);
-    group = new GroupTargets(peers, notLeaderResponses, joinHandler, joinClient);
+            .bootstrap()
+            .map(
+                bootstrap ->
+                    new GroupJoinClient(options.group(), member, bootstrap, codec, random));
+    JoinRequestHandler joinHandler = new JoinRequestHandler(options.group(), loop::post);
+    group = new GroupChangeNotifier(peers, notLeaderResponses, joinHandler, joinClient);
     actionExecutor =
-        new ActionRunner(
+        new ActionExecutor(
             new ActionTargets(
                 writes,
                 snapshots,
                 peers,
                 entryVms,
                 servingVms,
-                new OrderClient(loop::post),
+                new EngineOrderClient(loop::post),
                 calls,
                 metrics,
                 group,
@@ -140,22 +143,23 @@
    * @throws IOException if the operators' address can't be listened on
    * @throws reactor.netty.ChannelBindException if another address can't be listened on
    */
-  static ControlDaemon start(ControlOptions options, StorageFolder folder, long silentMs)
+  static ControlDaemon start(ControlOptions options, StorageFolder folder, long knownDowntimeMs)
       throws IOException {
-    return new ControlDaemon(options, folder, silentMs);
+    return new ControlDaemon(options, folder, knownDowntimeMs);
   }
 
   /**
    * Starts a member of a group that bootstraps itself.
    *
    * @param options the member's options, including those of the bootstrap
-   * @param silentMs time for which no earlier instance of the member is known to have run, in
-   *     milliseconds
+   * @param knownDowntimeMs time for which no earlier instance of the member is known to have run,
+   *     in milliseconds
    * @return the running member
    * @throws ProgramException if the member can't start
    */
-  public static ControlDaemon start(ControlOptions options, long silentMs) throws ProgramException {
-    return ControlProgram.start(options, StartMode.GO_ON, silentMs);
+  public static ControlDaemon start(ControlOptions options, long knownDowntimeMs)
+      throws ProgramException {
+    return ControlProgram.start(options, StartMode.GO_ON, knownDowntimeMs);
   }
 
   /**
@@ -174,7 +178,7 @@
    * @param seeds the VMs
    */
   public void seeds(List<VmId> seeds) {
-    joinClient.ifPresent(present -> present.candidates(seeds));
+    joinClient.ifPresent(present -> present.addCandidates(seeds));
   }
 
   /**
@@ -187,8 +191,8 @@
   }
 
   /** Counts a rejected heartbeat. */
-  void heartbeatRefused(HeartbeatFailure failure) {
-    metrics.heartbeatRefused(failure);
+  void onHeartbeatRefused(HeartbeatFailure failure) {
+    metrics.countRefusedHeartbeat(failure);
   }
 
   @Override
@@ -200,11 +204,11 @@
   @Override
   public void close() {
     loop.post(new ControlEvent.HandOver());
-    actionExecutor.awaitHandOver();
+    actionExecutor.awaitLeadershipTransfer();
     operators.ifPresent(Server::shutdown);
     calls.end();
     operators.ifPresent(ControlDaemon::awaitOperatorCalls);
-    joinClient.ifPresent(GroupJoiner::close);
+    joinClient.ifPresent(GroupJoinClient::close);
     loop.stop();
     frames.close();
     peers.close();
@@ -249,7 +253,7 @@
         SpeakerKind.SERVING_VM, ServingMessage.class, ServingReply.class, servingVms);
   }
 
-  private static FrameEndpoint<?, ?> joining(GroupDesk joinHandler) {
+  private static FrameEndpoint<?, ?> joining(JoinRequestHandler joinHandler) {
     return new FrameEndpoint<>(
         SpeakerKind.JOINING_MEMBER, GroupMessage.class, GroupReply.class, joinHandler);
   }
--- a/control/src/main/java/org/teaseltrail/control/ControlLoop.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlEventLoop.java
@@ -12,14 +12,14 @@
  * Runs the event loop of a control member: a single thread passes events and ticks to the member
  * and forwards the resulting actions in order.
  */
-final class ControlLoop {
+final class ControlEventLoop {
 
   private static final long MAX_WAIT_NS = TimeUnit.MILLISECONDS.toNanos(50);
   private static final long STOP_TIMEOUT_MS = 2_000;
 
   private final EventQueue queue = new EventQueue();
   private final SuspendAwareClock clock;
-  private final SlowLog slow;
+  private final SlowOperationLogger slow;
   private final Thread thread = new Thread(this::run, "control");
   private ControlMember member;
   private Consumer<ControlAction> actions;
@@ -27,7 +27,7 @@
   private Consumer<Throwable> failed;
   private volatile boolean stopping;
 
-  ControlLoop(SuspendAwareClock clock, SlowLog slow) {
+  ControlEventLoop(SuspendAwareClock clock, SlowOperationLogger slow) {
     this.clock = clock;
     this.slow = slow;
   }
@@ -37,7 +37,7 @@
     queue.add(event);
   }
 
-  int queued() {
+  int queuedEvents() {
     return queue.size();
   }
 
--- a/control/src/main/java/org/teaseltrail/control/RestartingMember.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlMemberSupervisor.java
@@ -22,7 +22,7 @@
  * of the program, and its process supervisor would see a crash loop. While the disk fails, this VM
  * runs no member and replies that it is not the leader.
  */
-public final class RestartingMember implements RunningProgram {
+public final class ControlMemberSupervisor implements RunningProgram {
 
   /** Delay between two attempts; short compared to the 4 to 5 s for which a disk stays full. */
   private static final long RETRY_MS = 500;
@@ -34,7 +34,7 @@
   private volatile Optional<ControlDaemon> current;
   private volatile boolean closing;
 
-  private RestartingMember(ControlOptions options, ControlDaemon first) {
+  private ControlMemberSupervisor(ControlOptions options, ControlDaemon first) {
     this.options = options;
     current = Optional.of(first);
     thread.setDaemon(true);
@@ -48,11 +48,11 @@
    * @return the running member
    * @throws ProgramException if the member can't start for a reason other than its disk
    */
-  public static RestartingMember start(ControlOptions options) throws ProgramException {
+  public static ControlMemberSupervisor start(ControlOptions options) throws ProgramException {
     // The platform starts a process only after the previous one has exited, so no earlier instance
     // has run for at least the age of this process.
     long processAgeMs = ManagementFactory.getRuntimeMXBean().getUptime();
-    return new RestartingMember(options, startWithRetry(options, processAgeMs));
+    return new ControlMemberSupervisor(options, startWithRetry(options, processAgeMs));
   }
 
   /**
@@ -83,8 +83,8 @@
    *
    * @param failure why the heartbeat was rejected
    */
-  public void heartbeatRefused(HeartbeatFailure failure) {
-    current.ifPresent(daemon -> daemon.heartbeatRefused(failure));
+  public void onHeartbeatRefused(HeartbeatFailure failure) {
+    current.ifPresent(daemon -> daemon.onHeartbeatRefused(failure));
   }
 
   /**
--- a/control/src/main/java/org/teaseltrail/control/ControlMetrics.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlMetrics.java
@@ -20,9 +20,9 @@
   private final Map<RolloutPhase, Counter> rollouts = new EnumMap<>(RolloutPhase.class);
   private final AtomicLong leading = new AtomicLong();
   private final AtomicLong term = new AtomicLong();
-  private final AtomicLong requestsHeld = new AtomicLong();
+  private final AtomicLong setQuarantinedRequests = new AtomicLong();
 
-  ControlMetrics(VmConnections<?, ?> entryVms, ControlLoop loop) {
+  ControlMetrics(EntryVmConnections<?, ?> entryVms, ControlEventLoop loop) {
     MeterRegistry registry = metrics.registry();
     for (DecisionKind kind : DecisionKind.values()) {
       decisions.put(kind, registry.counter("teaseltrail.decisions", "kind", kind.name()));
@@ -36,29 +36,29 @@
     }
     registry.gauge("teaseltrail.leading", leading);
     registry.gauge("teaseltrail.term", term);
-    registry.gauge("teaseltrail.requests.held", requestsHeld);
-    registry.gauge("teaseltrail.entry.connections", entryVms, VmConnections::count);
-    registry.gauge("teaseltrail.control.events.queued", loop, ControlLoop::queued);
+    registry.gauge("teaseltrail.requests.held", setQuarantinedRequests);
+    registry.gauge("teaseltrail.entry.connections", entryVms, EntryVmConnections::count);
+    registry.gauge("teaseltrail.control.events.queued", loop, ControlEventLoop::queuedEvents);
   }
 
-  void decided(DecisionKind kind) {
+  void countDecision(DecisionKind kind) {
     decisions.get(kind).increment();
   }
 
-  void heartbeatRefused(HeartbeatFailure failure) {
+  void countRefusedHeartbeat(HeartbeatFailure failure) {
     heartbeatsRefused.get(failure).increment();
   }
 
-  void leadership(boolean serving, long newTerm) {
+  void setLeadership(boolean serving, long newTerm) {
     leading.set(serving ? 1 : 0);
     term.set(newTerm);
   }
 
-  void requestsHeld(int count) {
-    requestsHeld.set(count);
+  void setQuarantinedRequests(int count) {
+    setQuarantinedRequests.set(count);
   }
 
-  void rolloutTurned(RolloutPhase phase) {
+  void countRolloutPhase(RolloutPhase phase) {
     rollouts.get(phase).increment();
   }
 
--- a/control/src/main/java/org/teaseltrail/control/ControlOptions.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlOptions.java
@@ -29,7 +29,7 @@
  * @param operatorAddresses addresses at which the members accept operators' calls
  * @param data folder of the member's persistent state
  * @param control settings of the member's work as the leader
- * @param formation how the group bootstraps itself; empty if operators create the group and change
+ * @param bootstrap how the group bootstraps itself; empty if operators create the group and change
  *     its members
  * @param log event log, if enabled; records changes of leadership, quarantine and rollouts
  */
@@ -44,7 +44,7 @@
     List<PeerAddress> operatorAddresses,
     Path data,
     ControlSettings control,
-    Optional<FormationOptions> formation,
+    Optional<GroupBootstrapOptions> bootstrap,
     Optional<EventLog> log) {
 
   private static final long CLAIM_EXPIRY_EVERY_MS = 10_000;
--- a/control/src/main/java/org/teaseltrail/control/ControlProgram.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlProgram.java
@@ -48,11 +48,11 @@
         options, StartMode.of(arguments.getBoolean(NEW_GROUP), arguments.getBoolean(JOIN)), 0);
   }
 
-  static ControlDaemon start(ControlOptions options, StartMode mode, long silentMs)
+  static ControlDaemon start(ControlOptions options, StartMode mode, long knownDowntimeMs)
       throws ProgramException {
     StorageFolder folder = open(options, mode);
     try {
-      return ControlDaemon.start(options, folder, silentMs);
+      return ControlDaemon.start(options, folder, knownDowntimeMs);
     } catch (ChannelBindException e) {
       throw new ProgramException(
           ExitCode.LISTEN, "can't listen on " + options.listen() + ": " + e.getMessage(), e);
@@ -66,7 +66,7 @@
   private static StorageFolder open(ControlOptions options, StartMode mode)
       throws ProgramException {
     try {
-      return MemberFolder.open(options, mode);
+      return MemberFolderOpener.open(options, mode);
     } catch (FolderMissingException e) {
       String hint = "; begin a group with --new-group or make a new member with --join";
       throw new ProgramException(ExitCode.DATA, e.getMessage() + hint, e);
--- a/control/src/main/java/org/teaseltrail/control/WriteLoop.java
+++ b/control/src/main/java/org/teaseltrail/control/DataFolderWriter.java
@@ -15,7 +15,7 @@
  * Writes to the data folder on a dedicated thread, so that a slow sync never blocks the event loop.
  * Uses group commit: writes that are queued during one sync share the next one.
  */
-final class WriteLoop implements AutoCloseable {
+final class DataFolderWriter implements AutoCloseable {
 
   private static final long POLL_MS = 100;
   private static final long CLOSE_TIMEOUT_MS = 5_000;
@@ -24,15 +24,15 @@
   private final StorageFolder folder;
   private final Consumer<ControlEvent> events;
   private final Consumer<StorageException> failed;
-  private final SlowLog slow;
+  private final SlowOperationLogger slow;
   private final Thread thread = new Thread(this::run, "writes");
   private volatile boolean closing;
 
-  WriteLoop(
+  DataFolderWriter(
       StorageFolder folder,
       Consumer<ControlEvent> events,
       Consumer<StorageException> failed,
-      SlowLog slow) {
+      SlowOperationLogger slow) {
     this.slow = slow;
     this.folder = folder;
     this.events = events;
--- a/control/src/main/java/org/teaseltrail/control/DecisionWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/DecisionConverter.java
@@ -6,11 +6,11 @@
 import org.teaseltrail.core.control.RecentDecision;
 
 /** Converts recent scheduling decisions to protobuf messages of the operator API. */
-final class DecisionWriter {
+final class DecisionConverter {
 
-  private DecisionWriter() {}
+  private DecisionConverter() {}
 
-  static Decisions write(Iterable<RecentDecision> decisions, ListDecisionsRequest wanted) {
+  static Decisions toProto(Iterable<RecentDecision> decisions, ListDecisionsRequest wanted) {
     Decisions.Builder written = Decisions.newBuilder();
     for (RecentDecision recent : decisions) {
       Decision decision = convert(recent);
--- a/control/src/main/java/org/teaseltrail/control/OrderBody.java
+++ b/control/src/main/java/org/teaseltrail/control/EngineOrderBody.java
@@ -16,7 +16,7 @@
  * @param fencingNumber fencing number of the leadership that sends the order
  */
 @JsonInclude(JsonInclude.Include.NON_NULL)
-record OrderBody(
+record EngineOrderBody(
     String order,
     String model,
     String version,
@@ -24,9 +24,9 @@
     String role,
     @JsonProperty("fencing_number") long fencingNumber) {
 
-  static OrderBody of(EngineOrder order) {
+  static EngineOrderBody of(EngineOrder order) {
     OrderContent content = order.content();
-    return new OrderBody(
+    return new EngineOrderBody(
         content.kind().wireName(),
         content.target().map(target -> target.model().value()).orElse(null),
         content.target().map(target -> target.version().value()).orElse(null),
--- a/control/src/main/java/org/teaseltrail/control/OrderClient.java
+++ b/control/src/main/java/org/teaseltrail/control/EngineOrderClient.java
@@ -17,7 +17,7 @@
  * HTTP client that sends orders to engines with at-most-once delivery: an order that may have
  * arrived is never retried.
  */
-final class OrderClient {
+final class EngineOrderClient {
 
   private static final Duration TIMEOUT = Duration.ofSeconds(5);
   private static final int ACCEPTED = 202;
@@ -27,7 +27,7 @@
   private final ObjectMapper mapper = new ObjectMapper();
   private final Consumer<ControlEvent> events;
 
-  OrderClient(Consumer<ControlEvent> events) {
+  EngineOrderClient(Consumer<ControlEvent> events) {
     this.events = events;
   }
 
@@ -54,7 +54,7 @@
 
   private byte[] body(EngineOrder order) {
     try {
-      return mapper.writeValueAsString(OrderBody.of(order)).getBytes(StandardCharsets.UTF_8);
+      return mapper.writeValueAsString(EngineOrderBody.of(order)).getBytes(StandardCharsets.UTF_8);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException("failed to encode an engine order as JSON", e);
     }
--- a/control/src/main/java/org/teaseltrail/control/OrderWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/EngineOrderConverter.java
@@ -15,31 +15,36 @@
 import org.teaseltrail.core.upstream.UpstreamRole;
 
 /** Converts engine orders and their results between the domain and the operator API. */
-final class OrderWriter {
+final class EngineOrderConverter {
 
-  private OrderWriter() {}
+  private EngineOrderConverter() {}
 
   /**
    * Converts an order.
    *
    * @throws InvalidIdException if a required field is missing or invalid
    */
-  static OperatorRequest read(OrderEngineRequest request) {
+  static OperatorRequest fromProto(OrderEngineRequest request) {
     OrderContent content =
         switch (request.getOrderCase()) {
           case LOAD_MODEL ->
-              OrderContent.of(OrderKind.LOAD_MODEL, ChangeReader.model(request.getLoadModel()));
+              OrderContent.of(
+                  OrderKind.LOAD_MODEL, ConfigurationChangeConverter.model(request.getLoadModel()));
           case UNLOAD_MODEL ->
-              OrderContent.of(OrderKind.UNLOAD_MODEL, ChangeReader.model(request.getUnloadModel()));
+              OrderContent.of(
+                  OrderKind.UNLOAD_MODEL,
+                  ConfigurationChangeConverter.model(request.getUnloadModel()));
           case LOAD_ADAPTER ->
-              OrderContent.of(OrderKind.LOAD_ADAPTER, ChangeReader.model(request.getLoadAdapter()));
+              OrderContent.of(
+                  OrderKind.LOAD_ADAPTER,
+                  ConfigurationChangeConverter.model(request.getLoadAdapter()));
           case CHANGE_ROLE -> OrderContent.of(role(request.getChangeRole()));
           case ORDER_NOT_SET -> throw new InvalidIdException("order", "is missing");
         };
     return new OperatorRequest.OrderEngine(new UpstreamId(request.getUpstream()), content);
   }
 
-  static OrderEngineResponse write(OperatorResult.OrderAnswered answered) {
+  static OrderEngineResponse toProto(OperatorResult.OrderAnswered answered) {
     return switch (answered.outcome()) {
       case ACCEPTED ->
           OrderEngineResponse.newBuilder()
@@ -51,7 +56,7 @@
     };
   }
 
-  static OrderEngineResponse write(OperatorResult.OrderRejected rejected) {
+  static OrderEngineResponse toProto(OperatorResult.OrderRejected rejected) {
     return rejected(OrderRejected.Reason.valueOf(rejected.reason().name()));
   }
 
--- a/control/src/main/java/org/teaseltrail/control/VmConnections.java
+++ b/control/src/main/java/org/teaseltrail/control/EntryVmConnections.java
@@ -18,14 +18,14 @@
  * @param <I> type of the messages received from VMs
  * @param <O> type of the messages sent to VMs
  */
-final class VmConnections<I, O> implements FrameListener<I, O> {
+final class EntryVmConnections<I, O> implements FrameListener<I, O> {
 
   private final PartLogger logger = new PartLogger("control");
   private final Map<VmId, FrameConnection<I, O>> connections = new ConcurrentHashMap<>();
   private final BiFunction<VmId, I, ControlEvent> eventFactory;
   private final Consumer<ControlEvent> sink;
 
-  VmConnections(BiFunction<VmId, I, ControlEvent> eventFactory, Consumer<ControlEvent> sink) {
+  EntryVmConnections(BiFunction<VmId, I, ControlEvent> eventFactory, Consumer<ControlEvent> sink) {
     this.eventFactory = eventFactory;
     this.sink = sink;
   }
--- a/control/src/main/java/org/teaseltrail/control/FormationOptions.java
+++ b/control/src/main/java/org/teaseltrail/control/GroupBootstrapOptions.java
@@ -12,9 +12,9 @@
  * @param firstStart whether the whole system starts for the first time; only then may a member with
  *     an empty disk create the group
  */
-public record FormationOptions(List<VmId> seeds, boolean firstStart) {
+public record GroupBootstrapOptions(List<VmId> seeds, boolean firstStart) {
   /** Makes a defensive copy of the list. */
-  public FormationOptions {
+  public GroupBootstrapOptions {
     seeds = List.copyOf(seeds);
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/GroupTargets.java
+++ b/control/src/main/java/org/teaseltrail/control/GroupChangeNotifier.java
@@ -7,20 +7,20 @@
 import org.teaseltrail.core.replication.Membership;
 
 /** Notifies the components that depend on the membership of the group and on its leader. */
-final class GroupTargets {
+final class GroupChangeNotifier {
 
-  private final PeerLinks peers;
-  private final LeaderHint notLeaderResponses;
-  private final GroupDesk joinHandler;
-  private final Optional<GroupJoiner> joinClient;
+  private final PeerConnections peers;
+  private final NotLeaderResponseFactory notLeaderResponses;
+  private final JoinRequestHandler joinHandler;
+  private final Optional<GroupJoinClient> joinClient;
   private volatile Membership membership = Membership.empty();
   private volatile Optional<MemberId> leader = Optional.empty();
 
-  GroupTargets(
-      PeerLinks peers,
-      LeaderHint notLeaderResponses,
-      GroupDesk joinHandler,
-      Optional<GroupJoiner> joinClient) {
+  GroupChangeNotifier(
+      PeerConnections peers,
+      NotLeaderResponseFactory notLeaderResponses,
+      JoinRequestHandler joinHandler,
+      Optional<GroupJoinClient> joinClient) {
     this.peers = peers;
     this.notLeaderResponses = notLeaderResponses;
     this.joinHandler = joinHandler;
@@ -41,7 +41,7 @@
 
   void leader(Optional<MemberId> changed) {
     leader = changed;
-    joinClient.ifPresent(present -> present.leaderKnown(changed.isPresent()));
+    joinClient.ifPresent(present -> present.setLeaderKnown(changed.isPresent()));
   }
 
   /** Returns the VM of the leader, which may be this member's, if a leader is known. */
--- a/control/src/main/java/org/teaseltrail/control/GroupJoiner.java
+++ b/control/src/main/java/org/teaseltrail/control/GroupJoinClient.java
@@ -30,7 +30,7 @@
  * the member may have been replaced while it was partitioned from the others. The requests go to
  * the seeds and to the members that these name, since any of them may have failed.
  */
-final class GroupJoiner implements AutoCloseable, FrameListener<GroupReply, GroupMessage> {
+final class GroupJoinClient implements AutoCloseable, FrameListener<GroupReply, GroupMessage> {
 
   /** Short enough that several requests arrive before the leader considers the member gone. */
   private static final long JOIN_INTERVAL_MS = 300;
@@ -40,27 +40,27 @@
 
   private final GroupId group;
   private final Member self;
-  private final VmDirectory directory;
+  private final VmAddressResolver directory;
   private final MessageCodec codec;
   private final RandomGenerator random;
-  private final Set<VmId> candidates = new LinkedHashSet<>();
+  private final Set<VmId> addCandidates = new LinkedHashSet<>();
   private final Map<VmId, FrameClient<GroupReply, GroupMessage>> clients = new LinkedHashMap<>();
   private final Disposable timer;
   private Membership membership = Membership.empty();
-  private boolean leaderKnown;
+  private boolean setLeaderKnown;
 
-  GroupJoiner(
+  GroupJoinClient(
       GroupId group,
       Member self,
-      FormationOptions bootstrap,
+      GroupBootstrapOptions bootstrap,
       MessageCodec codec,
       RandomGenerator random) {
     this.group = group;
     this.self = self;
-    this.directory = VmDirectory.byName();
+    this.directory = VmAddressResolver.fromVmName();
     this.codec = codec;
     this.random = random;
-    candidates.addAll(bootstrap.seeds());
+    addCandidates.addAll(bootstrap.seeds());
     timer =
         Schedulers.parallel()
             .schedulePeriodically(
@@ -69,15 +69,15 @@
 
   synchronized void members(Membership changed) {
     membership = changed;
-    changed.all().map(Member::vm).forEach(candidates::add);
+    changed.all().map(Member::vm).forEach(addCandidates::add);
   }
 
-  synchronized void candidates(List<VmId> seeds) {
-    candidates.addAll(seeds);
+  synchronized void addCandidates(List<VmId> seeds) {
+    addCandidates.addAll(seeds);
   }
 
-  synchronized void leaderKnown(boolean known) {
-    leaderKnown = known;
+  synchronized void setLeaderKnown(boolean known) {
+    setLeaderKnown = known;
   }
 
   @Override
@@ -86,7 +86,7 @@
   @Override
   public synchronized void received(
       FrameConnection<GroupReply, GroupMessage> connection, GroupReply reply) {
-    candidates.addAll(((GroupReply.KnownMembers) reply).vms());
+    addCandidates.addAll(((GroupReply.KnownMembers) reply).vms());
   }
 
   @Override
@@ -99,12 +99,12 @@
   }
 
   private synchronized void sendJoinRequests() {
-    if (membership.contains(self.id()) && leaderKnown) {
+    if (membership.contains(self.id()) && setLeaderKnown) {
       closeClients();
       return;
     }
-    for (VmId vm : candidates) {
-      if (!vm.equals(self.vm()) && directory.find(vm).isPresent()) {
+    for (VmId vm : addCandidates) {
+      if (!vm.equals(self.vm()) && directory.resolve(vm).isPresent()) {
         clients.computeIfAbsent(vm, this::client).send(new GroupMessage.Join(group, self));
       }
     }
@@ -117,7 +117,7 @@
 
   private FrameClient<GroupReply, GroupMessage> client(VmId vm) {
     return FrameClient.connect(
-        directory.find(vm).orElseThrow(),
+        directory.resolve(vm).orElseThrow(),
         self.id().value(),
         new FrameEndpoint<>(SpeakerKind.JOINING_MEMBER, GroupReply.class, GroupMessage.class, this),
         FrameLimits.standard(),
--- a/control/src/main/java/org/teaseltrail/control/GroupDesk.java
+++ b/control/src/main/java/org/teaseltrail/control/JoinRequestHandler.java
@@ -14,13 +14,13 @@
 import org.teaseltrail.wire.FrameListener;
 
 /** Handles requests to join the group and replies with the VMs of its members. */
-final class GroupDesk implements FrameListener<GroupMessage, GroupReply> {
+final class JoinRequestHandler implements FrameListener<GroupMessage, GroupReply> {
 
   private final GroupId group;
   private final Consumer<ControlEvent> events;
   private volatile List<VmId> memberVms = List.of();
 
-  GroupDesk(GroupId group, Consumer<ControlEvent> events) {
+  JoinRequestHandler(GroupId group, Consumer<ControlEvent> events) {
     this.group = group;
     this.events = events;
   }
--- a/control/src/main/java/org/teaseltrail/control/OutwardQueue.java
+++ b/control/src/main/java/org/teaseltrail/control/LeaseGuardedQueue.java
@@ -15,13 +15,13 @@
  * another member has taken over. The clock is read again immediately before each send, which
  * reduces the window to the time between two instructions.
  */
-final class OutwardQueue {
+final class LeaseGuardedQueue {
 
   private final Deque<ControlAction> queue = new ArrayDeque<>();
   private final BooleanSupplier leaseValid;
   private final Consumer<ControlAction> sender;
 
-  OutwardQueue(BooleanSupplier leaseValid, Consumer<ControlAction> sender) {
+  LeaseGuardedQueue(BooleanSupplier leaseValid, Consumer<ControlAction> sender) {
     this.leaseValid = leaseValid;
     this.sender = sender;
   }
--- a/control/src/main/java/org/teaseltrail/control/MemberFolder.java
+++ b/control/src/main/java/org/teaseltrail/control/MemberFolderOpener.java
@@ -13,9 +13,9 @@
 import org.teaseltrail.storage.StorageFolder;
 
 /** Opens the data folder of a member, and creates it first if requested. */
-final class MemberFolder {
+final class MemberFolderOpener {
 
-  private static final System.Logger LOGGER = System.getLogger(MemberFolder.class.getName());
+  private static final System.Logger LOGGER = System.getLogger(MemberFolderOpener.class.getName());
 
   /**
    * Incarnation of a group's initial members, which all of them must know in advance; random ones
@@ -23,7 +23,7 @@
    */
   private static final Incarnation FOUNDER_INCARNATION = new Incarnation(0);
 
-  private MemberFolder() {}
+  private MemberFolderOpener() {}
 
   /**
    * Opens the data folder.
@@ -33,8 +33,8 @@
    */
   static StorageFolder open(ControlOptions options, StartMode mode) {
     FileSystemAccess files = new NioFileSystem();
-    if (options.formation().isPresent()) {
-      createFolderIfAbsent(files, options, options.formation().get());
+    if (options.bootstrap().isPresent()) {
+      createFolderIfAbsent(files, options, options.bootstrap().get());
       return requireOwnFolder(StorageFolder.open(files, options.data(), options.group()), options);
     }
     if (mode == StartMode.NEW_GROUP) {
@@ -54,7 +54,7 @@
    * member with an empty disk waits until the group adds it.
    */
   private static void createFolderIfAbsent(
-      FileSystemAccess files, ControlOptions options, FormationOptions bootstrap) {
+      FileSystemAccess files, ControlOptions options, GroupBootstrapOptions bootstrap) {
     try {
       if (bootstrap.firstStart() && bootstrap.seeds().contains(options.vm())) {
         Membership founders =
--- a/control/src/main/java/org/teaseltrail/control/MembersWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/MembershipChangeConverter.java
@@ -13,16 +13,16 @@
 import org.teaseltrail.core.replication.ProposalRejection;
 
 /** Converts membership changes and their results between the domain and the operator API. */
-final class MembersWriter {
+final class MembershipChangeConverter {
 
-  private MembersWriter() {}
+  private MembershipChangeConverter() {}
 
   /**
    * Converts one step of a membership change.
    *
    * @throws InvalidIdException if an id is missing or invalid
    */
-  static OperatorRequest read(ChangeMembersRequest request) {
+  static OperatorRequest fromProto(ChangeMembersRequest request) {
     return switch (request.getStepCase()) {
       case ADD_LEARNER -> change(new MembershipChange.AddLearner(learner(request)));
       case PROMOTE ->
--- a/control/src/main/java/org/teaseltrail/control/LeaderHint.java
+++ b/control/src/main/java/org/teaseltrail/control/NotLeaderResponseFactory.java
@@ -10,13 +10,13 @@
 import org.teaseltrail.core.replication.Membership;
 
 /** Creates the {@code NotLeader} reply, which directs an operator to the leader's address. */
-final class LeaderHint {
+final class NotLeaderResponseFactory {
 
   private final MemberId self;
   private final List<PeerAddress> operatorAddresses;
   private final Map<MemberId, VmId> vms = new ConcurrentHashMap<>();
 
-  LeaderHint(MemberId self, List<PeerAddress> operatorAddresses) {
+  NotLeaderResponseFactory(MemberId self, List<PeerAddress> operatorAddresses) {
     this.self = self;
     this.operatorAddresses = List.copyOf(operatorAddresses);
   }
@@ -25,7 +25,7 @@
     membership.all().forEach(member -> vms.put(member.id(), member.vm()));
   }
 
-  NotLeader write(Optional<MemberId> leader) {
+  NotLeader create(Optional<MemberId> leader) {
     NotLeader.Builder written = NotLeader.newBuilder().setMember(self.value());
     leader.filter(known -> !known.equals(self)).ifPresent(known -> addLeader(written, known));
     return written.build();
--- a/control/src/main/java/org/teaseltrail/control/OperatorCalls.java
+++ b/control/src/main/java/org/teaseltrail/control/OperatorCallTracker.java
@@ -10,13 +10,13 @@
 import org.teaseltrail.core.control.OperatorResult;
 
 /** Passes operators' requests to the member's event loop and completes them with its replies. */
-final class OperatorCalls {
+final class OperatorCallTracker {
 
   private final Map<Long, CompletableFuture<OperatorResult>> open = new ConcurrentHashMap<>();
   private final AtomicLong lastCallId = new AtomicLong();
   private final Consumer<ControlEvent> events;
 
-  OperatorCalls(Consumer<ControlEvent> events) {
+  OperatorCallTracker(Consumer<ControlEvent> events) {
     this.events = events;
   }
 
--- a/control/src/main/java/org/teaseltrail/control/OperatorService.java
+++ b/control/src/main/java/org/teaseltrail/control/OperatorService.java
@@ -30,14 +30,15 @@
 import org.teaseltrail.core.id.RegionId;
 import org.teaseltrail.core.id.Revision;
 
-/** gRPC service of the operator API; passes each call as a request to the member. */
+/** The operator API's gRPC service; passes each call as a request to the member. */
 final class OperatorService extends OperatorGrpc.OperatorImplBase {
 
   private final RegionId region;
-  private final OperatorCalls calls;
-  private final LeaderHint notLeaderResponses;
+  private final OperatorCallTracker calls;
+  private final NotLeaderResponseFactory notLeaderResponses;
 
-  OperatorService(RegionId region, OperatorCalls calls, LeaderHint notLeaderResponses) {
+  OperatorService(
+      RegionId region, OperatorCallTracker calls, NotLeaderResponseFactory notLeaderResponses) {
     this.region = region;
     this.calls = calls;
     this.notLeaderResponses = notLeaderResponses;
@@ -50,7 +51,7 @@
     try {
       change = change(request);
     } catch (InvalidIdException e) {
-      observer.onNext(ChangeResultWriter.malformed(e));
+      observer.onNext(ChangeResultConverter.malformed(e));
       observer.onCompleted();
       return;
     }
@@ -91,9 +92,9 @@
       ChangeMembersRequest request, StreamObserver<ChangeMembersResponse> observer) {
     OperatorRequest step;
     try {
-      step = MembersWriter.read(request);
+      step = MembershipChangeConverter.fromProto(request);
     } catch (InvalidIdException e) {
-      observer.onNext(MembersWriter.malformed());
+      observer.onNext(MembershipChangeConverter.malformed());
       observer.onCompleted();
       return;
     }
@@ -105,9 +106,9 @@
       OrderEngineRequest request, StreamObserver<OrderEngineResponse> observer) {
     OperatorRequest order;
     try {
-      order = OrderWriter.read(request);
+      order = EngineOrderConverter.fromProto(request);
     } catch (InvalidIdException e) {
-      observer.onNext(OrderWriter.malformed());
+      observer.onNext(EngineOrderConverter.malformed());
       observer.onCompleted();
       return;
     }
@@ -122,7 +123,7 @@
     return new OperatorRequest.Change(
         new ChangeId(request.getChangeId()),
         expected,
-        request.getChangesList().stream().map(ChangeReader::read).toList());
+        request.getChangesList().stream().map(ConfigurationChangeConverter::fromProto).toList());
   }
 
   private <T> void answer(
@@ -141,11 +142,11 @@
 
   private ApplyChangeResponse applyChangeResponse(OperatorResult result) {
     if (result instanceof OperatorResult.Changed changed) {
-      return ChangeResultWriter.write(changed.result());
+      return ChangeResultConverter.toProto(changed.result());
     }
     ApplyChangeResponse.Builder response = ApplyChangeResponse.newBuilder();
     if (result instanceof OperatorResult.NotLeader other) {
-      return response.setNotLeader(notLeaderResponses.write(other.leader())).build();
+      return response.setNotLeader(notLeaderResponses.create(other.leader())).build();
     }
     return response.setOutcomeUnknown(OutcomeUnknown.getDefaultInstance()).build();
   }
@@ -153,9 +154,11 @@
   private GetConfigurationResponse configuration(OperatorResult result) {
     GetConfigurationResponse.Builder response = GetConfigurationResponse.newBuilder();
     if (result instanceof OperatorResult.ConfigurationRead read) {
-      return response.setConfiguration(ConfigurationWriter.write(read.configuration())).build();
+      return response
+          .setConfiguration(ConfigurationConverter.toProto(read.configuration()))
+          .build();
     }
-    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.create(leaderOf(result))).build();
   }
 
   private AwaitInForceResponse inForce(OperatorResult result) {
@@ -168,23 +171,23 @@
       missing.missing().forEach(vm -> written.addWaitingForVms(vm.value()));
       return response.setInForce(written).build();
     }
-    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.create(leaderOf(result))).build();
   }
 
   private GetStatusResponse status(OperatorResult result) {
     GetStatusResponse.Builder response = GetStatusResponse.newBuilder();
     if (result instanceof OperatorResult.StatusRead read) {
-      return response.setStatus(StatusWriter.write(region, read.status())).build();
+      return response.setStatus(StatusConverter.toProto(region, read.status())).build();
     }
-    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.create(leaderOf(result))).build();
   }
 
   private ListDecisionsResponse decisions(OperatorResult result, ListDecisionsRequest wanted) {
     ListDecisionsResponse.Builder response = ListDecisionsResponse.newBuilder();
     if (result instanceof OperatorResult.DecisionsRead read) {
-      return response.setDecisions(DecisionWriter.write(read.decisions(), wanted)).build();
+      return response.setDecisions(DecisionConverter.toProto(read.decisions(), wanted)).build();
     }
-    return response.setNotLeader(notLeaderResponses.write(leaderOf(result))).build();
+    return response.setNotLeader(notLeaderResponses.create(leaderOf(result))).build();
   }
 
   private ChangeMembersResponse changeMembersResponse(OperatorResult result) {
@@ -192,7 +195,7 @@
     if (result instanceof OperatorResult.MembersChanged changed) {
       MembersChanged members =
           MembersChanged.newBuilder()
-              .addAllMembers(StatusWriter.members(changed.membership()))
+              .addAllMembers(StatusConverter.members(changed.membership()))
               .build();
       return response.setChanged(members).build();
     }
@@ -200,27 +203,27 @@
       return response.setChanged(MembersChanged.getDefaultInstance()).build();
     }
     if (result instanceof OperatorResult.Rejected rejected) {
-      return MembersWriter.rejected(rejected.reason());
+      return MembershipChangeConverter.rejected(rejected.reason());
     }
     if (result instanceof OperatorResult.NotLeader other) {
-      return response.setNotLeader(notLeaderResponses.write(other.leader())).build();
+      return response.setNotLeader(notLeaderResponses.create(other.leader())).build();
     }
     return response.setOutcomeUnknown(OutcomeUnknown.getDefaultInstance()).build();
   }
 
   private OrderEngineResponse ordered(OperatorResult result) {
     if (result instanceof OperatorResult.OrderAnswered answered) {
-      return OrderWriter.write(answered);
+      return EngineOrderConverter.toProto(answered);
     }
     if (result instanceof OperatorResult.OrderRejected rejected) {
-      return OrderWriter.write(rejected);
+      return EngineOrderConverter.toProto(rejected);
     }
     if (result instanceof OperatorResult.NotLeader other) {
       return OrderEngineResponse.newBuilder()
-          .setNotLeader(notLeaderResponses.write(other.leader()))
+          .setNotLeader(notLeaderResponses.create(other.leader()))
           .build();
     }
-    return OrderWriter.unknown();
+    return EngineOrderConverter.unknown();
   }
 
   /**
--- a/control/src/main/java/org/teaseltrail/control/PeerLinks.java
+++ b/control/src/main/java/org/teaseltrail/control/PeerConnections.java
@@ -27,12 +27,12 @@
  * Manages the connections to the VMs of the other control members. Each side sends on the
  * connection that it opened, except to a peer whose VM it does not know.
  */
-final class PeerLinks implements AutoCloseable, FrameListener<PeerEnvelope, PeerEnvelope> {
+final class PeerConnections implements AutoCloseable, FrameListener<PeerEnvelope, PeerEnvelope> {
 
   private static final long MIN_BACKOFF_MS = 20;
   private static final long MAX_BACKOFF_MS = 500;
 
-  private final VmDirectory directory;
+  private final VmAddressResolver directory;
   private final Map<VmId, FrameClient<PeerEnvelope, PeerEnvelope>> clients =
       new ConcurrentHashMap<>();
   private final Map<MemberId, FrameConnection<PeerEnvelope, PeerEnvelope>> inbound =
@@ -43,9 +43,9 @@
   private final MessageCodec codec;
   private final RandomGenerator random;
 
-  PeerLinks(
+  PeerConnections(
       Member self,
-      VmDirectory directory,
+      VmAddressResolver directory,
       MessageCodec codec,
       RandomGenerator random,
       Consumer<ControlEvent> events) {
@@ -59,7 +59,9 @@
   /** Connects to a VM, unless it is this VM or already has a connection. */
   void connect(VmId vm) {
     if (!vm.equals(self.vm())) {
-      directory.find(vm).ifPresent(address -> clients.computeIfAbsent(vm, key -> client(address)));
+      directory
+          .resolve(vm)
+          .ifPresent(address -> clients.computeIfAbsent(vm, key -> client(address)));
     }
   }
 
--- a/control/src/main/java/org/teaseltrail/control/SlowLog.java
+++ b/control/src/main/java/org/teaseltrail/control/SlowOperationLogger.java
@@ -11,14 +11,14 @@
  * Logs slow operations of a control member, so that the cause of an unanswered order can be
  * attributed to the member's event loop, its disk or a missing quorum.
  */
-final class SlowLog {
+final class SlowOperationLogger {
 
   /** A fifth of the leader's lease: a delay of this length is noticeable to the callers. */
   private static final long THRESHOLD_NS = TimeUnit.MILLISECONDS.toNanos(100);
 
   private final Optional<EventLog> log;
 
-  SlowLog(Optional<EventLog> log) {
+  SlowOperationLogger(Optional<EventLog> log) {
     this.log = log;
   }
 
--- a/control/src/main/java/org/teaseltrail/control/StatusWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/StatusConverter.java
@@ -13,11 +13,11 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /** Converts the status of a member to protobuf messages of the operator API. */
-final class StatusWriter {
+final class StatusConverter {
 
-  private StatusWriter() {}
+  private StatusConverter() {}
 
-  static Status write(RegionId region, ControlStatus status) {
+  static Status toProto(RegionId region, ControlStatus status) {
     Status.Builder written =
         Status.newBuilder()
             .setRegion(region.value())
--- a/control/src/main/java/org/teaseltrail/control/VmDirectory.java
+++ b/control/src/main/java/org/teaseltrail/control/VmAddressResolver.java
@@ -9,12 +9,12 @@
 
 /** Resolves a VM to the address at which its control member accepts connections. */
 @FunctionalInterface
-interface VmDirectory {
+interface VmAddressResolver {
 
-  Optional<SocketAddress> find(VmId vm);
+  Optional<SocketAddress> resolve(VmId vm);
 
   /** Resolves the VMs that are listed in the settings. */
-  static VmDirectory listed(List<PeerAddress> peers) {
+  static VmAddressResolver ofPeers(List<PeerAddress> peers) {
     Map<VmId, SocketAddress> addresses =
         peers.stream().collect(Collectors.toMap(PeerAddress::vm, PeerAddress::address));
     return vm -> Optional.ofNullable(addresses.get(vm));
@@ -24,7 +24,7 @@
    * Parses the address from the VM's name, {@code ip:port}. In a group that bootstraps itself, the
    * settings do not list all VMs in advance.
    */
-  static VmDirectory byName() {
+  static VmAddressResolver fromVmName() {
     return vm -> {
       boolean named = vm.value().lastIndexOf(':') > 0;
       return named ? Optional.of(SocketAddress.parse(vm.value())) : Optional.empty();
--- a/control/src/test/java/org/teaseltrail/control/ControlDaemonTest.java
+++ b/control/src/test/java/org/teaseltrail/control/ControlDaemonTest.java
@@ -76,9 +76,9 @@
    * result.
    */
   @Test
-  void restartKeepsWhatWasAccepted() throws Exception {
-    List<PeerAddress> peers = TestMember.addresses(1);
-    try (TestMember member = new TestMember(1, peers, TestMember.addresses(1), data)) {
+  void restartKeepsAcceptedChanges() throws Exception {
+    List<PeerAddress> peers = TestMember.unusedAddresses(1);
+    try (TestMember member = new TestMember(1, peers, TestMember.unusedAddresses(1), data)) {
       member.start(StartMode.NEW_GROUP);
       ApplyChangeResponse first =
           pollUntil(
@@ -107,9 +107,9 @@
    * that the previous leader accepted.
    */
   @Test
-  void membersJoinAndTakeLeadershipOver() throws Exception {
-    List<PeerAddress> peers = TestMember.addresses(3);
-    List<PeerAddress> operators = TestMember.addresses(3);
+  void leadershipMovesToJoinedMembers() throws Exception {
+    List<PeerAddress> peers = TestMember.unusedAddresses(3);
+    List<PeerAddress> operators = TestMember.unusedAddresses(3);
     try (TestMember one = new TestMember(1, peers, operators, data);
         TestMember two = new TestMember(2, peers, operators, data);
         TestMember three = new TestMember(3, peers, operators, data)) {
--- a/control/src/test/java/org/teaseltrail/control/EventQueueTest.java
+++ b/control/src/test/java/org/teaseltrail/control/EventQueueTest.java
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void operatorsAndMembersNeverWaitBehindEntryVms() throws InterruptedException {
+  void operatorCallsAndDiskSyncsPrecedeEntryVmMessages() throws InterruptedException {
     for (int iteration = 0; iteration < MESSAGES_PER_VM; iteration++) {
       for (int vm = 0; vm < VMS; vm++) {
         queue.add(lines(vm, iteration));
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void noMoreThanTheNewestOfEachVmWaits() throws InterruptedException {
+  void queuesOnlyTheNewestMessageOfEachKindPerVm() throws InterruptedException {
     for (int iteration = 0; iteration < MESSAGES_PER_VM; iteration++) {
       for (int vm = 0; vm < VMS; vm++) {
         queue.add(sync(vm, iteration));
@@ -83,7 +83,7 @@
   }
 
   @Test
-  void whatOneVmTellsKeepsItsOrder() throws InterruptedException {
+  void replacedMessageMovesBehindOtherKindsOfItsVm() throws InterruptedException {
     queue.add(sync(1, 1));
     queue.add(lines(1, 1));
     queue.add(sync(1, 2));
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void vmThatTellsOftenIsNotPassedOver() throws InterruptedException {
+  void replacedMessageKeepsTheQueuePositionOfItsVm() throws InterruptedException {
     queue.add(lines(1, 1));
     queue.add(lines(2, 1));
     queue.add(lines(1, 2));
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void waitsNoLongerThanAsked() throws InterruptedException {
+  void pollReturnsNullAfterItsTimeout() throws InterruptedException {
     assertThat(queue.poll(1)).isNull();
   }
 }
--- a/control/src/test/java/org/teaseltrail/control/OutwardQueueTest.java
+++ b/control/src/test/java/org/teaseltrail/control/LeaseGuardedQueueTest.java
@@ -12,11 +12,11 @@
 import org.teaseltrail.core.message.ClaimState;
 import org.teaseltrail.core.message.ControlMessage;
 
-class OutwardQueueTest {
+class LeaseGuardedQueueTest {
 
   private final List<ControlAction> sent = new ArrayList<>();
   private boolean leaseValid = true;
-  private final OutwardQueue queue = new OutwardQueue(() -> leaseValid, sent::add);
+  private final LeaseGuardedQueue queue = new LeaseGuardedQueue(() -> leaseValid, sent::add);
 
   private static ControlAction action(String request) {
     return new ControlAction.SendToEntryVm(
@@ -35,7 +35,7 @@
    * sent, and must be dropped once the loss of leadership is known.
    */
   @Test
-  void sendsNothingOnceTheLeaseHasRunOut() {
+  void sendsNothingAfterLeaseExpiry() {
     leaseValid = false;
     queue.add(action("r1"));
     queue.flush();
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void goesOnInOrderWhenTheLeaseHoldsAgain() {
+  void sendsInOrderOnceTheLeaseIsValidAgain() {
     leaseValid = false;
     queue.add(action("r1"));
     leaseValid = true;
--- a/control/src/test/java/org/teaseltrail/control/MemberFolderTest.java
+++ b/control/src/test/java/org/teaseltrail/control/MemberFolderOpenerTest.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.storage.ForeignFolderException;
 import org.teaseltrail.storage.StorageFolder;
 
-class MemberFolderTest {
+class MemberFolderOpenerTest {
 
   @TempDir private Path folder;
 
@@ -25,12 +25,12 @@
    */
   @Test
   void refusesFolderOfAnotherVm() throws Exception {
-    MemberFolder.open(options("control-1"), StartMode.NEW_GROUP).close();
+    MemberFolderOpener.open(options("control-1"), StartMode.NEW_GROUP).close();
 
     assertThatExceptionOfType(ForeignFolderException.class)
-        .isThrownBy(() -> MemberFolder.open(options("control-2"), StartMode.GO_ON))
+        .isThrownBy(() -> MemberFolderOpener.open(options("control-2"), StartMode.GO_ON))
         .withMessageContaining("belongs to the member on VM control-1, not control-2");
-    MemberFolder.open(options("control-1"), StartMode.GO_ON).close();
+    MemberFolderOpener.open(options("control-1"), StartMode.GO_ON).close();
   }
 
   /**
@@ -39,15 +39,15 @@
    * create a new member.
    */
   @Test
-  void emptyDiskIsAnotherMember() throws Exception {
-    Member first = member(MemberFolder.open(options("control-1"), StartMode.NEW_GROUP));
+  void joiningWithAnEmptyDiskCreatesAnotherMember() throws Exception {
+    Member first = member(MemberFolderOpener.open(options("control-1"), StartMode.NEW_GROUP));
     for (Path file : Files.list(folder.resolve("data")).toList()) {
       Files.delete(file);
     }
 
     assertThatExceptionOfType(FolderMissingException.class)
-        .isThrownBy(() -> MemberFolder.open(options("control-1"), StartMode.GO_ON));
-    Member second = member(MemberFolder.open(options("control-1"), StartMode.JOIN));
+        .isThrownBy(() -> MemberFolderOpener.open(options("control-1"), StartMode.GO_ON));
+    Member second = member(MemberFolderOpener.open(options("control-1"), StartMode.JOIN));
     assertThat(second.vm()).isEqualTo(first.vm());
     assertThat(second.id()).isNotEqualTo(first.id());
   }
--- a/control/src/test/java/org/teaseltrail/control/PeerLinksTest.java
+++ b/control/src/test/java/org/teaseltrail/control/PeerConnectionsTest.java
@@ -18,7 +18,7 @@
 import org.teaseltrail.wire.ConnectionOpening;
 import org.teaseltrail.wire.FrameConnection;
 
-class PeerLinksTest {
+class PeerConnectionsTest {
 
   private static final MemberId LEADER = new MemberId("control-1-7");
   private static final Member LEARNER =
@@ -26,8 +26,9 @@
   private static final GroupId GROUP = new GroupId("prairie-control");
 
   private final List<ControlEvent> events = new ArrayList<>();
-  private final PeerLinks connections =
-      new PeerLinks(LEARNER, VmDirectory.listed(List.of()), null, new Random(1), events::add);
+  private final PeerConnections connections =
+      new PeerConnections(
+          LEARNER, VmAddressResolver.ofPeers(List.of()), null, new Random(1), events::add);
   private final FakeConnection connection = new FakeConnection();
 
   /**
@@ -36,7 +37,7 @@
    * messages would be dropped.
    */
   @Test
-  void newMemberAnswersLeaderWhoseVmItDoesNotKnow() {
+  void newMemberRepliesToLeaderOnUnknownVm() {
     PeerEnvelope reply = envelope(LEARNER.id(), LEADER);
 
     connections.received(connection, envelope(LEADER, LEARNER.id()));
@@ -47,7 +48,7 @@
   }
 
   @Test
-  void forgetsAnEndedConnection() {
+  void removesClosedConnection() {
     connections.received(connection, envelope(LEADER, LEARNER.id()));
     connections.closed(connection, CloseReason.CLOSED_BY_PEER);
 
--- a/control/src/test/java/org/teaseltrail/control/TestMember.java
+++ b/control/src/test/java/org/teaseltrail/control/TestMember.java
@@ -46,7 +46,7 @@
   }
 
   /** Returns loopback addresses with ports that were unused at the time of the call. */
-  static List<PeerAddress> addresses(int count) throws IOException {
+  static List<PeerAddress> unusedAddresses(int count) throws IOException {
     var addresses = new ArrayList<PeerAddress>();
     var sockets = new ArrayList<ServerSocket>();
     for (int i = 1; i <= count; i++) {
@@ -62,7 +62,7 @@
   }
 
   TestMember start(StartMode mode) throws IOException {
-    daemon = ControlDaemon.start(options, MemberFolder.open(options, mode), 0);
+    daemon = ControlDaemon.start(options, MemberFolderOpener.open(options, mode), 0);
     return this;
   }
 
--- a/core/src/main/java/org/teaseltrail/core/control/ClaimCoordinator.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ClaimCoordinator.java
@@ -90,7 +90,7 @@
         new ProposalCallback() {
           @Override
           public void committed(CommandResult result, long outcomeNs) {
-            onOpened(commitRequest, ((CommandResult.OfOpen) result).result(), outcomeNs);
+            onOpened(commitRequest, ((CommandResult.OpenClaimOutcome) result).result(), outcomeNs);
           }
 
           @Override
--- a/core/src/main/java/org/teaseltrail/core/control/ControlMember.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ControlMember.java
@@ -55,7 +55,7 @@
     stateMachine = new ReplicatedStateMachine(replica, codec, actions, new LogListener());
     operators = new OperatorRequestHandler(stateMachine, actions);
     context = new LeaderContext(self, settings, stateMachine, actions, schedulers);
-    actions.setLeaseCheck(() -> replica.leaseHolds(nowNs));
+    actions.setLeaseCheck(() -> replica.isLeaseValid(nowNs));
   }
 
   /**
@@ -93,7 +93,7 @@
    * @param atNs monotonic time in nanoseconds
    */
   public boolean isLeaseValid(long atNs) {
-    return leadership.isPresent() && stateMachine.replica().leaseHolds(atNs);
+    return leadership.isPresent() && stateMachine.replica().isLeaseValid(atNs);
   }
 
   /** Returns the accepted configuration, up to the last log entry that this member has applied. */
@@ -116,7 +116,7 @@
           .flatMap(Leadership::membershipReconciler)
           .ifPresent(reconciler -> reconciler.heard(joins.member(), nowNs));
     } else if (event instanceof ControlEvent.FromPeer from) {
-      stateMachine.handle(new ReplicaEvent.PeerReceived(from.envelope()), nowNs);
+      stateMachine.handle(new ReplicaEvent.PeerMessageReceived(from.envelope()), nowNs);
     } else if (event instanceof ControlEvent.Persisted persisted) {
       stateMachine.handle(new ReplicaEvent.Persisted(persisted.writeNumber()), nowNs);
     } else if (event instanceof ControlEvent.SnapshotEncoded snapshot) {
@@ -204,13 +204,14 @@
     @Override
     public void applied(Command command, CommandResult result, long atNs) {
       boolean accepted =
-          result instanceof CommandResult.OfChange change
+          result instanceof CommandResult.ChangeOutcome change
               && change.result() instanceof ChangeResult.Accepted;
       if (accepted) {
         leadership.ifPresent(Leadership::onConfigurationAccepted);
       }
       boolean servingStateChanged =
-          result instanceof CommandResult.OfServing || result instanceof CommandResult.OfRollout;
+          result instanceof CommandResult.ServingOutcome
+              || result instanceof CommandResult.RolloutOutcome;
       if (servingStateChanged) {
         leadership.ifPresent(Leadership::onServingStateChanged);
       }
--- a/core/src/main/java/org/teaseltrail/core/control/Leadership.java
+++ b/core/src/main/java/org/teaseltrail/core/control/Leadership.java
@@ -54,7 +54,7 @@
     this.fencing = fencing;
     this.nowNs = nowNs;
     ControlSettings settings = context.settings();
-    gate = new LeaseGate(() -> context.stateMachine().replica().leaseHolds(this.nowNs));
+    gate = new LeaseGate(() -> context.stateMachine().replica().isLeaseValid(this.nowNs));
     clock = new LogClock(context.stateMachine().state().logTimeMs(), nowNs);
     sessions = new SessionRegistry(settings.sessions(), nowNs);
     schedulers =
--- a/core/src/main/java/org/teaseltrail/core/control/MembershipReconciler.java
+++ b/core/src/main/java/org/teaseltrail/core/control/MembershipReconciler.java
@@ -162,7 +162,7 @@
     if (id.equals(self)) {
       return 0;
     }
-    return nowNs - stateMachine.replica().answeredNs(id).orElse(startedNs);
+    return nowNs - stateMachine.replica().repliedSendNs(id).orElse(startedNs);
   }
 
   private void propose(MembershipChange step, long nowNs) {
--- a/core/src/main/java/org/teaseltrail/core/control/OperatorRequestHandler.java
+++ b/core/src/main/java/org/teaseltrail/core/control/OperatorRequestHandler.java
@@ -216,7 +216,7 @@
 
     @Override
     public void committed(CommandResult result, long nowNs) {
-      var change = ((CommandResult.OfChange) result).result();
+      var change = ((CommandResult.ChangeOutcome) result).result();
       actions.reply(callId, new OperatorResult.Changed(change));
     }
   }
@@ -243,7 +243,7 @@
 
     @Override
     public void committed(CommandResult result, long nowNs) {
-      RolloutOrderResult answer = ((CommandResult.OfRollout) result).answer();
+      RolloutOrderResult answer = ((CommandResult.RolloutOutcome) result).result();
       actions.reply(callId, new OperatorResult.RolloutOrderAnswered(answer));
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/control/ReplicatedStateMachine.java
+++ b/core/src/main/java/org/teaseltrail/core/control/ReplicatedStateMachine.java
@@ -128,7 +128,7 @@
   private void execute(ReplicaAction action, long nowNs) {
     if (action instanceof ReplicaAction.Write write) {
       actions.persist(write);
-    } else if (action instanceof ReplicaAction.SendPeer send) {
+    } else if (action instanceof ReplicaAction.SendPeerMessage send) {
       actions.sendToPeer(send.envelope());
     } else if (action instanceof ReplicaAction.Apply apply) {
       apply.entries().forEach(entry -> apply(entry, nowNs));
--- a/core/src/main/java/org/teaseltrail/core/replication/Candidacy.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/CandidateRole.java
@@ -13,7 +13,7 @@
  * leader with a higher term: a member raises its term only after a quorum has indicated that it
  * would vote for it.
  */
-final class Candidacy {
+final class CandidateRole {
 
   private enum Phase {
     NONE,
@@ -41,15 +41,15 @@
   private final Set<MemberId> granted = new HashSet<>();
   private Phase phase = Phase.NONE;
   private boolean handOver;
-  private long deadlineNs;
+  private long electionDeadlineNs;
 
-  Candidacy(ReplicaContext context, long lastLifeEndedNs, long nowNs) {
+  CandidateRole(ReplicaContext context, long previousIncarnationEndedNs, long nowNs) {
     this.context = context;
     boolean isOnlyVoter = context.isVoter() && context.members.latest().quorumCount() == 1;
     if (isOnlyVoter) {
-      this.deadlineNs = nowNs;
+      this.electionDeadlineNs = nowNs;
     } else {
-      scheduleFirstPreVote(lastLifeEndedNs, nowNs);
+      scheduleFirstPreVote(previousIncarnationEndedNs, nowNs);
     }
   }
 
@@ -62,20 +62,20 @@
   private void scheduleFirstPreVote(long lastLifeEndedNs, long nowNs) {
     int jitterMs = context.random.nextInt(INITIAL_JITTER_MS);
     long votesAllowedNs = Math.max(nowNs, lastLifeEndedNs + context.settings.leaseNs());
-    deadlineNs = votesAllowedNs + jitterMs * NANOS_PER_MS;
+    electionDeadlineNs = votesAllowedNs + jitterMs * NANOS_PER_MS;
   }
 
-  long deadlineNs() {
-    return deadlineNs;
+  long electionDeadlineNs() {
+    return electionDeadlineNs;
   }
 
   /** Draws the time at which this member starts a pre-vote unless a leader contacts it before. */
-  void restartTimeout(long nowNs) {
+  void resetElectionTimeout(long nowNs) {
     ReplicaSettings settings = context.settings;
     int timeoutMs =
         context.random.nextInt(
             settings.electionTimeoutMinMs(), settings.electionTimeoutMaxMs() + 1);
-    deadlineNs = nowNs + timeoutMs * NANOS_PER_MS;
+    electionDeadlineNs = nowNs + timeoutMs * NANOS_PER_MS;
   }
 
   /**
@@ -85,7 +85,7 @@
    */
   private void schedulePreVoteRetry(long nowNs) {
     int waitMs = context.random.nextInt(PRE_VOTE_RETRY_MIN_MS, PRE_VOTE_RETRY_MAX_MS + 1);
-    deadlineNs = nowNs + waitMs * NANOS_PER_MS;
+    electionDeadlineNs = nowNs + waitMs * NANOS_PER_MS;
   }
 
   /** Cancels the campaign. */
@@ -95,44 +95,45 @@
   }
 
   /** Requests pre-votes from the other voters. */
-  void askAhead(long nowNs) {
+  void startPreVote(long nowNs) {
     startPhase(Phase.REQUESTING_PRE_VOTES, nowNs);
     schedulePreVoteRetry(nowNs);
     granted.add(context.self);
     ReplicatedLog log = context.log;
     PeerMessage request =
-        new PeerMessage.PreVoteRequest(context.ballot.term() + 1, log.lastIndex(), log.lastTerm());
+        new PeerMessage.PreVoteRequest(
+            context.voteStore.term() + 1, log.lastIndex(), log.lastTerm());
     if (hasQuorum()) {
-      stand(false, nowNs);
+      startElection(false, nowNs);
     } else {
       sendToOtherVoters(request);
     }
   }
 
   /** Handles a reply to a pre-vote request. */
-  void preVoteReply(MemberId from, PeerMessage.PreVoteReply reply, long nowNs) {
+  void onPreVoteReply(MemberId from, PeerMessage.PreVoteReply reply, long nowNs) {
     boolean counts =
         phase == Phase.REQUESTING_PRE_VOTES
             && reply.granted()
-            && reply.candidateTerm() == context.ballot.term() + 1;
+            && reply.candidateTerm() == context.voteStore.term() + 1;
     if (!counts) {
       return;
     }
     granted.add(from);
     if (hasQuorum()) {
-      stand(false, nowNs);
+      startElection(false, nowNs);
     }
   }
 
   /**
    * Starts an election in the next term by casting and saving this member's own vote.
    *
-   * @param byHandOver whether the current leader has released its lease for this election
+   * @param byLeadershipTransfer whether the current leader has released its lease for this election
    */
-  void stand(boolean byHandOver, long nowNs) {
+  void startElection(boolean byLeadershipTransfer, long nowNs) {
     startPhase(Phase.SAVING_OWN_VOTE, nowNs);
-    handOver = byHandOver;
-    context.ballot.standAs(context.self);
+    handOver = byLeadershipTransfer;
+    context.voteStore.voteForSelfInNextTerm(context.self);
   }
 
   /**
@@ -142,8 +143,8 @@
    *
    * @return whether this member is elected
    */
-  boolean ownVoteMaybeSynced() {
-    if (phase != Phase.SAVING_OWN_VOTE || !context.ballot.isSynced()) {
+  boolean requestVotesIfOwnVoteSynced() {
+    if (phase != Phase.SAVING_OWN_VOTE || !context.voteStore.isSynced()) {
       return false;
     }
     phase = Phase.REQUESTING_VOTES;
@@ -151,7 +152,7 @@
     ReplicatedLog log = context.log;
     sendToOtherVoters(
         new PeerMessage.VoteRequest(
-            context.ballot.term(), log.lastIndex(), log.lastTerm(), handOver));
+            context.voteStore.term(), log.lastIndex(), log.lastTerm(), handOver));
     return hasQuorum();
   }
 
@@ -160,7 +161,7 @@
    *
    * @return whether this member is elected
    */
-  boolean voteReply(MemberId from, PeerMessage.VoteReply reply) {
+  boolean onVoteReply(MemberId from, PeerMessage.VoteReply reply) {
     if (phase != Phase.REQUESTING_VOTES || !reply.granted()) {
       return false;
     }
@@ -172,7 +173,7 @@
     Invariant.check(context.isVoter(), InvariantName.ONLY_VOTERS_STAND);
     phase = initialPhase;
     granted.clear();
-    restartTimeout(nowNs);
+    resetElectionTimeout(nowNs);
   }
 
   private boolean hasQuorum() {
--- a/core/src/main/java/org/teaseltrail/core/replication/CommitPoint.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/CommitTracker.java
@@ -5,16 +5,16 @@
 import org.teaseltrail.core.invariant.InvariantName;
 
 /** Tracks the commit index and emits each committed entry once to be applied. */
-final class CommitPoint {
+final class CommitTracker {
 
   private final Outbox outbox;
   private final ReplicatedLog log;
   private final ReplicaSettings settings;
-  private final SnapshotSchedule schedule;
+  private final SnapshotScheduler schedule;
   private long commitIndex;
 
-  CommitPoint(
-      Outbox outbox, ReplicatedLog log, SnapshotSchedule schedule, ReplicaSettings settings) {
+  CommitTracker(
+      Outbox outbox, ReplicatedLog log, SnapshotScheduler schedule, ReplicaSettings settings) {
     this.outbox = outbox;
     this.log = log;
     this.schedule = schedule;
@@ -43,17 +43,17 @@
    * Compacts the log with the requested snapshot, unless a snapshot from a leader covers more by
    * now.
    */
-  void snapshotTaken(
-      ReplicaEvent.SnapshotTaken event, MembershipHistory members, long neededAfterIndex) {
-    schedule.taken();
+  void onSnapshotTaken(
+      ReplicaEvent.SnapshotTaken event, MembershipHistory members, long retainAfterIndex) {
+    schedule.onSnapshotTaken();
     long index = event.index();
     if (index <= log.snapshotIndex() || index > commitIndex) {
       return;
     }
     long term = log.termAt(index).getAsLong();
     Snapshot taken = new Snapshot(index, term, members.at(index), event.state());
-    long wanted = Math.min(index - settings.keptEntries(), neededAfterIndex);
-    log.compact(taken, Math.max(wanted, index - settings.maxKeptEntries()));
+    long wanted = Math.min(index - settings.retainedEntries(), retainAfterIndex);
+    log.compact(taken, Math.max(wanted, index - settings.maxRetainedEntries()));
   }
 
   void installed(Snapshot snapshot) {
--- a/core/src/main/java/org/teaseltrail/core/replication/Follower.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/FollowerRole.java
@@ -13,26 +13,26 @@
  * so that a crash can't revoke an acknowledgement. A reply that waits for a sync can't outlive its
  * term, because it is computed from this object when the sync completes.
  */
-final class Follower {
+final class FollowerRole {
 
   private final ReplicaContext context;
   private final MemberId leader;
   private long matchedIndex;
   private long acknowledgedIndex;
   private long newestRound;
-  private SnapshotAssembly assembly;
+  private SnapshotAssembler assembly;
 
-  Follower(ReplicaContext context, MemberId leader) {
+  FollowerRole(ReplicaContext context, MemberId leader) {
     this.context = context;
     this.leader = leader;
-    this.matchedIndex = context.commits.commitIndex();
+    this.matchedIndex = context.commitTracker.commitIndex();
   }
 
   MemberId leader() {
     return leader;
   }
 
-  void append(PeerMessage.Append append) {
+  void onAppend(PeerMessage.Append append) {
     newestRound = Math.max(newestRound, append.round());
     if (!matchesPrevious(append)) {
       reject(append.previousIndex());
@@ -40,26 +40,29 @@
     }
     appendMissing(append.entries());
     matchedIndex = Math.max(matchedIndex, append.previousIndex() + append.entries().size());
-    context.commits.advanceTo(Math.min(append.commitIndex(), matchedIndex));
+    context.commitTracker.advanceTo(Math.min(append.commitIndex(), matchedIndex));
     if (append.entries().isEmpty() || syncedMatchIndex() == matchedIndex) {
       acknowledge();
     }
   }
 
-  void installSnapshot(PeerMessage.InstallSnapshot message) {
+  void onInstallSnapshot(PeerMessage.InstallSnapshot message) {
     newestRound = Math.max(newestRound, message.round());
-    if (message.snapshotIndex() <= context.commits.commitIndex()) {
+    if (message.snapshotIndex() <= context.commitTracker.commitIndex()) {
       acknowledge();
       return;
     }
-    if (assembly == null || !assembly.isOf(message)) {
-      assembly = new SnapshotAssembly(message);
+    if (assembly == null || !assembly.matches(message)) {
+      assembly = new SnapshotAssembler(message);
     }
     assembly.add(message);
     context.outbox.send(
         leader,
         new PeerMessage.InstallSnapshotReply(
-            context.ballot.term(), newestRound, message.snapshotIndex(), assembly.receivedBytes()));
+            context.voteStore.term(),
+            newestRound,
+            message.snapshotIndex(),
+            assembly.receivedBytes()));
     if (assembly.isComplete()) {
       install(assembly.snapshot());
       assembly = null;
@@ -67,7 +70,7 @@
   }
 
   /** Acknowledges the entries synced since the last reply. */
-  void synced() {
+  void onSynced() {
     if (syncedMatchIndex() > acknowledgedIndex) {
       acknowledge();
     }
@@ -77,7 +80,7 @@
     if (append.previousIndex() <= matchedIndex) {
       return true;
     }
-    return context.log.holds(append.previousIndex(), append.previousTerm());
+    return context.log.hasEntry(append.previousIndex(), append.previousTerm());
   }
 
   private void appendMissing(List<LogEntry> entries) {
@@ -94,27 +97,28 @@
   }
 
   private boolean isHeld(LogEntry entry) {
-    return entry.index() <= matchedIndex || context.log.holds(entry.index(), entry.term());
+    return entry.index() <= matchedIndex || context.log.hasEntry(entry.index(), entry.term());
   }
 
   private void truncateFrom(long index) {
     if (index > context.log.lastIndex()) {
       return;
     }
-    Invariant.check(index > context.commits.commitIndex(), InvariantName.COMMITTED_ENTRY_KEPT);
+    Invariant.check(
+        index > context.commitTracker.commitIndex(), InvariantName.COMMITTED_ENTRY_KEPT);
     context.log.truncateFrom(index);
-    context.members.truncatedFrom(index);
+    context.members.onTruncatedFrom(index);
   }
 
   private void install(Snapshot snapshot) {
-    boolean logHasSnapshotEnd = context.log.holds(snapshot.index(), snapshot.term());
+    boolean logHasSnapshotEnd = context.log.hasEntry(snapshot.index(), snapshot.term());
     context.log.install(snapshot);
     if (logHasSnapshotEnd) {
       context.members.installed(snapshot);
     } else {
-      context.members.restartedAt(snapshot);
+      context.members.resetTo(snapshot);
     }
-    context.commits.installed(snapshot);
+    context.commitTracker.installed(snapshot);
     matchedIndex = Math.max(matchedIndex, snapshot.index());
   }
 
@@ -127,14 +131,14 @@
     context.outbox.send(
         leader,
         new PeerMessage.AppendReply(
-            context.ballot.term(), newestRound, true, acknowledgedIndex, acknowledgedIndex + 1));
+            context.voteStore.term(), newestRound, true, acknowledgedIndex, acknowledgedIndex + 1));
   }
 
   private void reject(long previousIndex) {
     context.outbox.send(
         leader,
         new PeerMessage.AppendReply(
-            context.ballot.term(),
+            context.voteStore.term(),
             newestRound,
             false,
             syncedMatchIndex(),
--- a/core/src/main/java/org/teaseltrail/core/replication/HandOver.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/HandOver.java
@@ -26,7 +26,7 @@
     this.lease = lease;
   }
 
-  boolean isUnderWay() {
+  boolean isInProgress() {
     return successor.isPresent();
   }
 
@@ -35,7 +35,7 @@
   }
 
   /** Selects the most up-to-date eligible voter, or returns empty if there is none. */
-  Optional<MemberId> choose(Optional<MemberId> wanted, Iterable<PeerProgress> peers) {
+  Optional<MemberId> selectSuccessor(Optional<MemberId> wanted, Iterable<PeerProgress> peers) {
     Membership members = context.members.latest();
     Optional<PeerProgress> best = Optional.empty();
     for (PeerProgress peer : peers) {
@@ -49,7 +49,7 @@
 
   private static boolean isMoreUpToDate(PeerProgress one, PeerProgress other) {
     return Comparator.comparingLong(PeerProgress::matchIndex)
-            .thenComparingLong(PeerProgress::answeredRound)
+            .thenComparingLong(PeerProgress::repliedRound)
             .compare(one, other)
         > 0;
   }
@@ -63,13 +63,13 @@
    * Sends TimeoutNow to the successor if it holds the complete log; repeated until the successor
    * starts its election.
    */
-  void advance(PeerProgress peer) {
+  void sendTimeoutNowIfReady(PeerProgress peer) {
     boolean ready =
         successor.map(peer.id()::equals).orElse(false)
             && peer.matchIndex() == context.log.lastIndex();
     if (ready) {
-      lease.giveUp();
-      context.outbox.send(peer.id(), new PeerMessage.TimeoutNow(context.ballot.term()));
+      lease.release();
+      context.outbox.send(peer.id(), new PeerMessage.TimeoutNow(context.voteStore.term()));
     }
   }
 
@@ -78,11 +78,11 @@
    *
    * @return whether the leader must step down because its lease is released
    */
-  boolean expired(long nowNs) {
+  boolean expireIfDue(long nowNs) {
     if (successor.isEmpty() || nowNs < deadlineNs) {
       return false;
     }
     successor = Optional.empty();
-    return lease.isGivenUp();
+    return lease.isReleased();
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/InvalidReplicaSettingsException.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/InvalidReplicaSettingsException.java
@@ -6,7 +6,7 @@
   private static final long serialVersionUID = 1L;
 
   /** Creates an exception for a requirement that isn't met. */
-  public InvalidReplicaSettingsException(String need) {
-    super("replica settings: " + need);
+  public InvalidReplicaSettingsException(String requirement) {
+    super("replica settings: " + requirement);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/LeaderLease.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LeaderLease.java
@@ -11,7 +11,7 @@
 
 /**
  * Tracks the leader's lease. The lease starts when the leader sends a heartbeat round and is
- * granted by a quorum's replies to that round; see {@link VoteGuard}.
+ * granted by a quorum's replies to that round; see {@link LeaseVotePolicy}.
  */
 final class LeaderLease {
 
@@ -34,7 +34,7 @@
   }
 
   /** Starts a heartbeat round; messages sent from now on carry its number. */
-  long beginRound(long nowNs) {
+  long startRound(long nowNs) {
     newestRound++;
     sentNsByRound.put(newestRound, nowNs);
     long retainedSinceNs = nowNs - RETAINED_LEASE_PERIODS * context.settings.leaseNs();
@@ -44,19 +44,19 @@
     return newestRound;
   }
 
-  void answered(MemberId from, long round) {
+  void onReply(MemberId from, long round) {
     Long sendNs = sentNsByRound.get(round);
     if (sendNs != null) {
       repliedSendNsByMember.merge(from, sendNs, Math::max);
     }
   }
 
-  OptionalLong answeredNs(MemberId member) {
+  OptionalLong repliedSendNs(MemberId member) {
     Long sendNs = repliedSendNsByMember.get(member);
     return sendNs == null ? OptionalLong.empty() : OptionalLong.of(sendNs);
   }
 
-  boolean hasAnsweredSince(MemberId member, long sinceNs) {
+  boolean hasRepliedSince(MemberId member, long sinceNs) {
     return repliedSendNsByMember.containsKey(member)
         && repliedSendNsByMember.get(member) >= sinceNs;
   }
@@ -64,15 +64,15 @@
   /**
    * Releases the lease for the rest of the term, so that a successor needn't wait for its expiry.
    */
-  void giveUp() {
+  void release() {
     released = true;
   }
 
-  boolean isGivenUp() {
+  boolean isReleased() {
     return released;
   }
 
-  boolean holds(long nowNs) {
+  boolean isValid(long nowNs) {
     if (released) {
       return false;
     }
@@ -84,7 +84,7 @@
    * Returns when the last message was sent to which a quorum has replied, or the time of the
    * election if that is later.
    */
-  long quorumHeardNs(long nowNs) {
+  long lastQuorumContactNs(long nowNs) {
     return quorumRepliedSendNs(electedNs, nowNs);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/replication/RequestDispatch.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LeaderRequestDispatcher.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /** Dispatches requests to the leader role, or rejects them if this member isn't the leader. */
-final class RequestDispatch {
+final class LeaderRequestDispatcher {
 
   private final Outbox outbox;
 
-  RequestDispatch(Outbox outbox) {
+  LeaderRequestDispatcher(Outbox outbox) {
     this.outbox = outbox;
   }
 
@@ -26,7 +26,7 @@
           role -> role.transfer(transfer, nowNs), () -> rejectProposal(transfer.proposalId()));
     } else if (event instanceof ReplicaEvent.ReadBarrier barrier) {
       leadership.ifPresentOrElse(
-          role -> role.readBarrier(barrier.barrierId(), nowNs),
+          role -> role.onReadBarrier(barrier.barrierId(), nowNs),
           () -> rejectRead(barrier.barrierId()));
     }
   }
--- a/core/src/main/java/org/teaseltrail/core/replication/LeaderRole.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LeaderRole.java
@@ -21,10 +21,10 @@
 
   private final ReplicaContext context;
   private final LeaderLease lease;
-  private final LogShipping replicator;
-  private final ReadBarriers reads;
+  private final LogReplicator replicator;
+  private final ReadBarrierQueue reads;
   private final HandOver handOver;
-  private final MembershipRules changeValidator;
+  private final MembershipChangeValidator changeValidator;
   private final Map<MemberId, PeerProgress> peers = new LinkedHashMap<>();
   private final long firstIndexOfTerm;
   private long uncommittedBytes;
@@ -34,10 +34,10 @@
   LeaderRole(ReplicaContext context, long nowNs) {
     this.context = context;
     this.lease = new LeaderLease(context, nowNs);
-    this.replicator = new LogShipping(context, lease);
-    this.reads = new ReadBarriers(context.outbox);
+    this.replicator = new LogReplicator(context, lease);
+    this.reads = new ReadBarrierQueue(context.outbox);
     this.handOver = new HandOver(context, lease);
-    this.changeValidator = new MembershipRules(context);
+    this.changeValidator = new MembershipChangeValidator(context);
     this.firstIndexOfTerm = context.log.lastIndex() + 1;
     updatePeers(firstIndexOfTerm);
     append(new EntryPayload.Noop());
@@ -49,16 +49,16 @@
     return ready;
   }
 
-  boolean leaseHolds(long nowNs) {
-    return ready && lease.holds(nowNs);
+  boolean isLeaseValid(long nowNs) {
+    return ready && lease.isValid(nowNs);
   }
 
-  OptionalLong answeredNs(MemberId member) {
-    return lease.answeredNs(member);
+  OptionalLong repliedSendNs(MemberId member) {
+    return lease.repliedSendNs(member);
   }
 
   long nextWakeupNs() {
-    return handOver.isUnderWay()
+    return handOver.isInProgress()
         ? Math.min(nextHeartbeatNs, handOver.deadlineNs())
         : nextHeartbeatNs;
   }
@@ -73,7 +73,7 @@
 
   void proposeMembership(long proposalId, MembershipChange change, long nowNs) {
     Optional<ProposalRejection> refusal =
-        refusal().or(() -> changeValidator.refusal(change, progressOf(change), nowNs));
+        refusal().or(() -> changeValidator.validate(change, progressOf(change), nowNs));
     appendOrReject(
         proposalId,
         refusal,
@@ -83,7 +83,7 @@
 
   void transfer(ReplicaEvent.TransferLeadership request, long nowNs) {
     Optional<ProposalRejection> refusal = refusal();
-    Optional<MemberId> chosen = handOver.choose(request.successor(), peers.values());
+    Optional<MemberId> chosen = handOver.selectSuccessor(request.successor(), peers.values());
     if (refusal.isEmpty() && chosen.isEmpty()) {
       refusal = Optional.of(ProposalRejection.NO_SUCCESSOR);
     }
@@ -92,10 +92,10 @@
       return;
     }
     handOver.start(chosen.get(), nowNs);
-    handOver.advance(peers.get(chosen.get()));
+    handOver.sendTimeoutNowIfReady(peers.get(chosen.get()));
   }
 
-  void readBarrier(long barrierId, long nowNs) {
+  void onReadBarrier(long barrierId, long nowNs) {
     if (!ready) {
       context.outbox.add(
           new ReplicaAction.ReadRejected(barrierId, ProposalRejection.LEADER_NOT_READY));
@@ -105,7 +105,7 @@
     startReadRoundIfNeeded(nowNs);
   }
 
-  void appendReply(MemberId from, PeerMessage.AppendReply reply, long nowNs) {
+  void onAppendReply(MemberId from, PeerMessage.AppendReply reply, long nowNs) {
     PeerProgress peer = peers.get(from);
     if (peer == null) {
       return;
@@ -114,23 +114,23 @@
     if (reply.matched()) {
       peer.matched(reply.matchIndex());
       advanceCommit();
-      handOver.advance(peer);
-    } else if (peer.rejected(reply.nextIndex())) {
-      replicator.heartbeat(peer, nowNs);
+      handOver.sendTimeoutNowIfReady(peer);
+    } else if (peer.onRejected(reply.nextIndex())) {
+      replicator.sendHeartbeat(peer, nowNs);
     }
-    replicator.ship(peer, nowNs);
+    replicator.sendEntries(peer, nowNs);
   }
 
-  void snapshotReply(MemberId from, PeerMessage.InstallSnapshotReply reply, long nowNs) {
+  void onSnapshotReply(MemberId from, PeerMessage.InstallSnapshotReply reply, long nowNs) {
     PeerProgress peer = peers.get(from);
     if (peer != null) {
       onPeerReply(peer, reply.round(), nowNs);
-      replicator.snapshotReply(peer, reply, nowNs);
+      replicator.onSnapshotReply(peer, reply, nowNs);
     }
   }
 
   /** Advances the commit index after a sync of this member's own log. */
-  void synced() {
+  void onSynced() {
     advanceCommit();
   }
 
@@ -140,7 +140,7 @@
    * @return whether this member must step down
    */
   boolean tick(long nowNs) {
-    if (handOver.expired(nowNs) || hasLostQuorum(nowNs) || isRemoved()) {
+    if (handOver.expireIfDue(nowNs) || hasLostQuorum(nowNs) || isRemoved()) {
       return true;
     }
     if (nowNs >= nextHeartbeatNs) {
@@ -158,10 +158,11 @@
    * snapshot after another and never catch up. The log is therefore retained from the point at
    * which each responsive member continues.
    */
-  long neededAfterIndex(long nowNs) {
+  long retainAfterIndex(long nowNs) {
     return peers.values().stream()
-        .filter(peer -> lease.hasAnsweredSince(peer.id(), nowNs - context.settings.catchUpNs()))
-        .mapToLong(PeerProgress::servedIndex)
+        .filter(
+            peer -> lease.hasRepliedSince(peer.id(), nowNs - context.settings.maxCatchUpAgeNs()))
+        .mapToLong(PeerProgress::retainAfterIndex)
         .min()
         .orElse(Long.MAX_VALUE);
   }
@@ -178,18 +179,19 @@
    */
   private boolean hasLostQuorum(long nowNs) {
     long limitNs = context.settings.electionTimeoutMinMs() * NANOS_PER_MS;
-    return nowNs - lease.quorumHeardNs(nowNs) >= limitNs;
+    return nowNs - lease.lastQuorumContactNs(nowNs) >= limitNs;
   }
 
   private boolean isRemoved() {
-    return !context.isVoter() && context.members.latestIndex() <= context.commits.commitIndex();
+    return !context.isVoter()
+        && context.members.latestIndex() <= context.commitTracker.commitIndex();
   }
 
   private Optional<ProposalRejection> refusal() {
     if (!ready) {
       return Optional.of(ProposalRejection.LEADER_NOT_READY);
     }
-    return handOver.isUnderWay() ? Optional.of(ProposalRejection.HANDING_OVER) : Optional.empty();
+    return handOver.isInProgress() ? Optional.of(ProposalRejection.HANDING_OVER) : Optional.empty();
   }
 
   private Optional<PeerProgress> progressOf(MembershipChange change) {
@@ -210,12 +212,12 @@
     append(payload.get());
     context.outbox.add(
         new ReplicaAction.ProposalAppended(
-            proposalId, context.log.lastIndex(), context.ballot.term()));
-    peers.values().forEach(peer -> replicator.ship(peer, nowNs));
+            proposalId, context.log.lastIndex(), context.voteStore.term()));
+    peers.values().forEach(peer -> replicator.sendEntries(peer, nowNs));
   }
 
   private void append(EntryPayload payload) {
-    LogEntry entry = new LogEntry(context.log.lastIndex() + 1, context.ballot.term(), payload);
+    LogEntry entry = new LogEntry(context.log.lastIndex() + 1, context.voteStore.term(), payload);
     uncommittedBytes += payload.sizeBytes();
     context.append(List.of(entry));
     if (payload instanceof EntryPayload.MembershipPayload) {
@@ -242,45 +244,45 @@
    */
   private void heartbeat(long nowNs) {
     nextHeartbeatNs = nowNs + context.settings.heartbeatNs();
-    reads.roundBegun(lease.beginRound(nowNs));
-    long targetIndex = Math.max(context.commits.commitIndex(), firstIndexOfTerm);
+    reads.onRoundStarted(lease.startRound(nowNs));
+    long targetIndex = Math.max(context.commitTracker.commitIndex(), firstIndexOfTerm);
     for (PeerProgress peer : peers.values()) {
-      peer.asked(targetIndex, nowNs, context.settings.catchUpNs());
-      replicator.heartbeat(peer, nowNs);
-      handOver.advance(peer);
+      peer.asked(targetIndex, nowNs, context.settings.maxCatchUpAgeNs());
+      replicator.sendHeartbeat(peer, nowNs);
+      handOver.sendTimeoutNowIfReady(peer);
     }
     confirmReads();
   }
 
   private void startReadRoundIfNeeded(long nowNs) {
-    if (reads.wantsRound()) {
+    if (reads.needsRound()) {
       heartbeat(nowNs);
     }
   }
 
   private void onPeerReply(PeerProgress peer, long round, long nowNs) {
-    peer.answered(round);
-    lease.answered(peer.id(), round);
+    peer.onReply(round);
+    lease.onReply(peer.id(), round);
     confirmReads();
     startReadRoundIfNeeded(nowNs);
   }
 
   private void confirmReads() {
-    reads.quorumAnswered(quorumReached(lease.newestRound(), PeerProgress::answeredRound));
+    reads.onQuorumReply(quorumReached(lease.newestRound(), PeerProgress::repliedRound));
   }
 
   private void advanceCommit() {
     long synced = quorumReached(context.log.syncedIndex(), PeerProgress::matchIndex);
-    if (synced <= context.commits.commitIndex()
-        || !context.log.holds(synced, context.ballot.term())) {
+    if (synced <= context.commitTracker.commitIndex()
+        || !context.log.hasEntry(synced, context.voteStore.term())) {
       return;
     }
-    long previousCommitIndex = context.commits.commitIndex();
-    context.commits.advanceTo(synced);
+    long previousCommitIndex = context.commitTracker.commitIndex();
+    context.commitTracker.advanceTo(synced);
     uncommittedBytes -= bytesOf(Math.max(previousCommitIndex + 1, firstIndexOfTerm), synced);
     if (!ready && synced >= firstIndexOfTerm) {
       ready = true;
-      context.outbox.add(new ReplicaAction.BecameLeader(context.ballot.term()));
+      context.outbox.add(new ReplicaAction.BecameLeader(context.voteStore.term()));
     }
   }
 
--- a/core/src/main/java/org/teaseltrail/core/replication/VoteGuard.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LeaseVotePolicy.java
@@ -13,25 +13,25 @@
  * <p>After a restart the time of the last leader contact is unknown. The member therefore refuses
  * its vote until a complete lease has passed since the end of its previous incarnation.
  */
-final class VoteGuard {
+final class LeaseVotePolicy {
 
   private final long leaseNs;
   private final long previousIncarnationEndedNs;
   private long heardNs;
   private boolean heard;
 
-  VoteGuard(ReplicaSettings settings, long lastLifeEndedNs) {
+  LeaseVotePolicy(ReplicaSettings settings, long previousIncarnationEndedNs) {
     this.leaseNs = settings.leaseNs();
-    this.previousIncarnationEndedNs = lastLifeEndedNs;
+    this.previousIncarnationEndedNs = previousIncarnationEndedNs;
   }
 
-  void heardFromLeader(long nowNs) {
+  void onLeaderContact(long nowNs) {
     heard = true;
     heardNs = nowNs;
   }
 
   /** Returns whether a lease may still be in effect from before the restart. */
-  boolean justStarted(long nowNs) {
+  boolean isWithinStartupLease(long nowNs) {
     return nowNs - previousIncarnationEndedNs < leaseNs;
   }
 
@@ -40,8 +40,8 @@
    *
    * @param handOver whether the leader itself has released its lease for this election
    */
-  boolean allows(boolean handOver, long nowNs) {
-    if (justStarted(nowNs)) {
+  boolean canVote(boolean handOver, long nowNs) {
+    if (isWithinStartupLease(nowNs)) {
       return false;
     }
     return handOver || !heard || nowNs - heardNs >= leaseNs;
--- a/core/src/main/java/org/teaseltrail/core/replication/LogShipping.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/LogReplicator.java
@@ -9,20 +9,20 @@
  * up to a window of unacknowledged messages. While the window of a slow member is full, new entries
  * accumulate and are then sent in one batch.
  */
-final class LogShipping {
+final class LogReplicator {
 
   private static final int CHUNK_RESEND_HEARTBEATS = 4;
 
   private final ReplicaContext context;
   private final LeaderLease lease;
 
-  LogShipping(ReplicaContext context, LeaderLease lease) {
+  LogReplicator(ReplicaContext context, LeaderLease lease) {
     this.context = context;
     this.lease = lease;
   }
 
   /** Sends a heartbeat and resends a snapshot chunk that may have been lost. */
-  void heartbeat(PeerProgress peer, long nowNs) {
+  void sendHeartbeat(PeerProgress peer, long nowNs) {
     if (peer.mode() == PeerProgress.Mode.SNAPSHOT) {
       sendAppend(peer, 0, 0, List.of());
       resendChunkIfDue(peer, nowNs);
@@ -37,7 +37,7 @@
   }
 
   /** Sends entries up to the window limit. */
-  void ship(PeerProgress peer, long nowNs) {
+  void sendEntries(PeerProgress peer, long nowNs) {
     while (canSendEntries(peer)) {
       OptionalLong previousTerm = context.log.termAt(peer.nextIndex() - 1);
       if (previousTerm.isEmpty()) {
@@ -50,17 +50,17 @@
               context.settings.maxBatchEntries(),
               context.settings.maxBatchBytes());
       sendAppend(peer, peer.nextIndex() - 1, previousTerm.getAsLong(), batch);
-      peer.sent(batch.get(batch.size() - 1).index());
+      peer.onEntriesSent(batch.get(batch.size() - 1).index());
     }
   }
 
   /** Continues a snapshot at the offset that the member expects next. */
-  void snapshotReply(PeerProgress peer, PeerMessage.InstallSnapshotReply reply, long nowNs) {
-    if (!peer.isSending(reply.snapshotIndex())) {
+  void onSnapshotReply(PeerProgress peer, PeerMessage.InstallSnapshotReply reply, long nowNs) {
+    if (!peer.isSendingSnapshot(reply.snapshotIndex())) {
       return;
     }
     int before = peer.snapshotOffsetBytes();
-    peer.snapshotAnswered(reply.nextOffsetBytes());
+    peer.onSnapshotReply(reply.nextOffsetBytes());
     boolean complete = peer.snapshotOffsetBytes() == peer.snapshot().state().length;
     if (peer.snapshotOffsetBytes() != before && !complete) {
       sendChunk(peer, nowNs);
@@ -68,7 +68,7 @@
   }
 
   private boolean canSendEntries(PeerProgress peer) {
-    return peer.mode() == PeerProgress.Mode.STREAM
+    return peer.mode() == PeerProgress.Mode.REPLICATE
         && peer.nextIndex() <= context.log.lastIndex()
         && peer.inflightMessages() < context.settings.maxInflightMessages();
   }
@@ -78,11 +78,11 @@
     context.outbox.send(
         peer.id(),
         new PeerMessage.Append(
-            context.ballot.term(),
+            context.voteStore.term(),
             previousIndex,
             previousTerm,
             entries,
-            context.commits.commitIndex(),
+            context.commitTracker.commitIndex(),
             lease.newestRound()));
   }
 
@@ -93,7 +93,7 @@
 
   private void resendChunkIfDue(PeerProgress peer, long nowNs) {
     long waitNs = CHUNK_RESEND_HEARTBEATS * context.settings.heartbeatNs();
-    if (nowNs - peer.snapshotSentNs() >= waitNs) {
+    if (nowNs - peer.snapshotChunkSentNs() >= waitNs) {
       sendChunk(peer, nowNs);
     }
   }
@@ -102,11 +102,11 @@
     Snapshot snapshot = peer.snapshot();
     byte[] state = snapshot.state();
     int from = peer.snapshotOffsetBytes();
-    int to = Math.min(state.length, from + context.settings.snapshotPartBytes());
+    int to = Math.min(state.length, from + context.settings.snapshotChunkBytes());
     context.outbox.send(
         peer.id(),
         new PeerMessage.InstallSnapshot(
-            context.ballot.term(),
+            context.voteStore.term(),
             lease.newestRound(),
             snapshot.index(),
             snapshot.term(),
@@ -114,6 +114,6 @@
             from,
             state.length,
             Arrays.copyOfRange(state, from, to)));
-    peer.snapshotSent(nowNs);
+    peer.onSnapshotChunkSent(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/MembershipRules.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/MembershipChangeValidator.java
@@ -18,18 +18,18 @@
  * needs the three other voters, so each of them holds everything that was committed before the lost
  * voter is removed.
  */
-final class MembershipRules {
+final class MembershipChangeValidator {
 
   private final ReplicaContext context;
 
-  MembershipRules(ReplicaContext context) {
+  MembershipChangeValidator(ReplicaContext context) {
     this.context = context;
   }
 
   /** Returns why a change is rejected, or empty if it may be proposed now. */
-  Optional<ProposalRejection> refusal(
+  Optional<ProposalRejection> validate(
       MembershipChange change, Optional<PeerProgress> progress, long nowNs) {
-    if (context.members.latestIndex() > context.commits.commitIndex()) {
+    if (context.members.latestIndex() > context.commitTracker.commitIndex()) {
       return Optional.of(ProposalRejection.MEMBERSHIP_CHANGE_PENDING);
     }
     Membership members = context.members.latest();
@@ -60,8 +60,9 @@
 
   private Optional<ProposalRejection> validatePromotion(
       Optional<PeerProgress> progress, long nowNs) {
-    long patienceNs = context.settings.catchUpNs();
-    boolean caughtUp = progress.map(learner -> learner.isCaughtUp(nowNs, patienceNs)).orElse(false);
+    long patienceNs = context.settings.maxCatchUpAgeNs();
+    boolean caughtUp =
+        progress.map(learner -> learner.hasCaughtUpWithin(nowNs, patienceNs)).orElse(false);
     return caughtUp ? Optional.empty() : Optional.of(ProposalRejection.LEARNER_NOT_CAUGHT_UP);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/replication/MembershipHistory.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/MembershipHistory.java
@@ -38,13 +38,13 @@
     return found.membership();
   }
 
-  void appended(List<LogEntry> entries) {
+  void onAppended(List<LogEntry> entries) {
     long before = latestIndex();
     entries.forEach(this::addStep);
     publishUnlessLatestIs(before);
   }
 
-  void truncatedFrom(long index) {
+  void onTruncatedFrom(long index) {
     long before = latestIndex();
     steps.removeIf(step -> step.index() >= index && step.index() > 0);
     publishUnlessLatestIs(before);
@@ -60,7 +60,7 @@
    * Discards all member sets and starts again with the one of a snapshot; used when the log
    * restarts at the snapshot.
    */
-  void restartedAt(Snapshot snapshot) {
+  void resetTo(Snapshot snapshot) {
     steps.clear();
     installed(snapshot);
   }
--- a/core/src/main/java/org/teaseltrail/core/replication/Outbox.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Outbox.java
@@ -23,7 +23,7 @@
   }
 
   void send(MemberId to, PeerMessage message) {
-    actions.add(new ReplicaAction.SendPeer(new PeerEnvelope(group, self, to, message)));
+    actions.add(new ReplicaAction.SendPeerMessage(new PeerEnvelope(group, self, to, message)));
   }
 
   /** Adds a write with the next number and returns that number. */
--- a/core/src/main/java/org/teaseltrail/core/replication/PeerProgress.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/PeerProgress.java
@@ -12,7 +12,7 @@
     /** Only empty appends, until a reply shows where the two logs match. */
     PROBE,
     /** Pipelined entries, without waiting for each reply. */
-    STREAM,
+    REPLICATE,
     /** Chunks of a snapshot, one at a time. */
     SNAPSHOT
   }
@@ -22,11 +22,11 @@
   private Mode mode = Mode.PROBE;
   private long nextIndex;
   private long matchIndex;
-  private long answeredRound;
+  private long repliedRound;
   private Snapshot snapshot;
   private int snapshotOffsetBytes;
-  private long snapshotSentNs;
-  private CatchUp catchUp = CatchUp.none();
+  private long snapshotChunkSentNs;
+  private CatchUpState catchUp = CatchUpState.none();
 
   PeerProgress(MemberId id, long nextIndex) {
     this.id = id;
@@ -49,26 +49,26 @@
     return matchIndex;
   }
 
-  long answeredRound() {
-    return answeredRound;
+  long repliedRound() {
+    return repliedRound;
   }
 
-  void answered(long round) {
-    answeredRound = Math.max(answeredRound, round);
+  void onReply(long round) {
+    repliedRound = Math.max(repliedRound, round);
   }
 
   /** Sets the commit index at the time of a heartbeat as the catch-up target. */
-  void asked(long commitIndex, long nowNs, long patienceNs) {
-    catchUp = catchUp.asked(commitIndex, nowNs, patienceNs);
+  void asked(long commitIndex, long nowNs, long maxAgeNs) {
+    catchUp = catchUp.asked(commitIndex, nowNs, maxAgeNs);
   }
 
   /** Returns whether the member had recently synced all entries committed at the time. */
-  boolean isCaughtUp(long nowNs, long patienceNs) {
-    return catchUp.isRecent(nowNs, patienceNs);
+  boolean hasCaughtUpWithin(long nowNs, long maxAgeNs) {
+    return catchUp.hasCaughtUpWithin(nowNs, maxAgeNs);
   }
 
   /** Returns the index after which the log must be retained for this member. */
-  long servedIndex() {
+  long retainAfterIndex() {
     return mode == Mode.SNAPSHOT ? snapshot.index() : matchIndex;
   }
 
@@ -77,7 +77,7 @@
   }
 
   /** Records that entries up to an index are in flight. */
-  void sent(long lastIndex) {
+  void onEntriesSent(long lastIndex) {
     inflightLastIndexes.addLast(lastIndex);
     nextIndex = lastIndex + 1;
   }
@@ -85,7 +85,7 @@
   /** Handles a reply that confirms a match of the logs. */
   void matched(long syncedIndex) {
     matchIndex = Math.max(matchIndex, syncedIndex);
-    catchUp = catchUp.holds(matchIndex);
+    catchUp = catchUp.onSynced(matchIndex);
     nextIndex = Math.max(nextIndex, matchIndex + 1);
     while (!inflightLastIndexes.isEmpty() && inflightLastIndexes.getFirst() <= matchIndex) {
       inflightLastIndexes.removeFirst();
@@ -101,7 +101,7 @@
    *
    * @return whether the rejection isn't stale
    */
-  boolean rejected(long resumeIndex) {
+  boolean onRejected(long resumeIndex) {
     boolean stale = resumeIndex >= nextIndex || mode == Mode.SNAPSHOT;
     if (stale) {
       return false;
@@ -116,7 +116,7 @@
     mode = Mode.SNAPSHOT;
     snapshot = started;
     snapshotOffsetBytes = 0;
-    snapshotSentNs = nowNs;
+    snapshotChunkSentNs = nowNs;
     inflightLastIndexes.clear();
   }
 
@@ -128,24 +128,24 @@
     return snapshotOffsetBytes;
   }
 
-  boolean isSending(long snapshotIndex) {
+  boolean isSendingSnapshot(long snapshotIndex) {
     return mode == Mode.SNAPSHOT && snapshot.index() == snapshotIndex;
   }
 
-  void snapshotAnswered(int nextOffsetBytes) {
+  void onSnapshotReply(int nextOffsetBytes) {
     snapshotOffsetBytes = Math.min(nextOffsetBytes, snapshot.state().length);
   }
 
-  void snapshotSent(long nowNs) {
-    snapshotSentNs = nowNs;
+  void onSnapshotChunkSent(long nowNs) {
+    snapshotChunkSentNs = nowNs;
   }
 
-  long snapshotSentNs() {
-    return snapshotSentNs;
+  long snapshotChunkSentNs() {
+    return snapshotChunkSentNs;
   }
 
   private void startReplicating() {
-    mode = Mode.STREAM;
+    mode = Mode.REPLICATE;
     snapshot = null;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/ReadBarriers.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReadBarrierQueue.java
@@ -11,14 +11,14 @@
  * state. Only one round is in flight for reads; barriers that arrive meanwhile share the next
  * round.
  */
-final class ReadBarriers {
+final class ReadBarrierQueue {
 
   private final Outbox outbox;
   private List<Long> confirming = new ArrayList<>();
   private List<Long> waiting = new ArrayList<>();
   private long confirmingRound;
 
-  ReadBarriers(Outbox outbox) {
+  ReadBarrierQueue(Outbox outbox) {
     this.outbox = outbox;
   }
 
@@ -27,12 +27,12 @@
   }
 
   /** Returns whether a new round must start for waiting barriers. */
-  boolean wantsRound() {
+  boolean needsRound() {
     return confirming.isEmpty() && !waiting.isEmpty();
   }
 
-  void roundBegun(long round) {
-    if (!wantsRound()) {
+  void onRoundStarted(long round) {
+    if (!needsRound()) {
       return;
     }
     confirming = waiting;
@@ -41,7 +41,7 @@
   }
 
   /** Confirms the pending barriers if a quorum has replied to their round or to a later one. */
-  void quorumAnswered(long round) {
+  void onQuorumReply(long round) {
     if (confirming.isEmpty() || round < confirmingRound) {
       return;
     }
--- a/core/src/main/java/org/teaseltrail/core/replication/Replica.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/Replica.java
@@ -28,11 +28,11 @@
 
   private final GroupId group;
   private final ReplicaContext context;
-  private final RequestDispatch requests;
-  private final VoteGuard votePolicy;
-  private final Voter voteRequestHandler;
-  private final Candidacy candidate;
-  private Optional<Follower> follower = Optional.empty();
+  private final LeaderRequestDispatcher requests;
+  private final LeaseVotePolicy votePolicy;
+  private final VoteRequestHandler voteRequestHandler;
+  private final CandidateRole candidate;
+  private Optional<FollowerRole> follower = Optional.empty();
   private Optional<LeaderRole> leaderRole = Optional.empty();
 
   /**
@@ -64,8 +64,8 @@
    * @param settings times and sizes
    * @param recovered state recovered from the data folder
    * @param random source of randomness for timeouts and snapshot intervals
-   * @param lastLifeEndedNs a monotonic time at or after the end of the previous incarnation that
-   *     used the disk
+   * @param previousIncarnationEndedNs a monotonic time at or after the end of the previous
+   *     incarnation that used the disk
    * @param nowNs monotonic time in nanoseconds
    */
   public Replica(
@@ -74,14 +74,14 @@
       ReplicaSettings settings,
       RecoveredState recovered,
       RandomGenerator random,
-      long lastLifeEndedNs,
+      long previousIncarnationEndedNs,
       long nowNs) {
     this.group = group;
     this.context = new ReplicaContext(group, self, settings, recovered, random);
-    this.requests = new RequestDispatch(context.outbox);
-    this.votePolicy = new VoteGuard(settings, lastLifeEndedNs);
-    this.voteRequestHandler = new Voter(context, votePolicy);
-    this.candidate = new Candidacy(context, lastLifeEndedNs, nowNs);
+    this.requests = new LeaderRequestDispatcher(context.outbox);
+    this.votePolicy = new LeaseVotePolicy(settings, previousIncarnationEndedNs);
+    this.voteRequestHandler = new VoteRequestHandler(context, votePolicy);
+    this.candidate = new CandidateRole(context, previousIncarnationEndedNs, nowNs);
   }
 
   /**
@@ -92,14 +92,14 @@
    * @return the actions to execute, in order
    */
   public List<ReplicaAction> handle(ReplicaEvent event, long nowNs) {
-    if (event instanceof ReplicaEvent.PeerReceived received) {
+    if (event instanceof ReplicaEvent.PeerMessageReceived received) {
       onMessage(received.envelope(), nowNs);
     } else if (event instanceof ReplicaEvent.Persisted persisted) {
       onPersisted(persisted.writeNumber(), nowNs);
     } else if (event instanceof ReplicaEvent.SnapshotTaken taken) {
       long neededAfterIndex =
-          leaderRole.map(role -> role.neededAfterIndex(nowNs)).orElse(Long.MAX_VALUE);
-      context.commits.snapshotTaken(taken, context.members, neededAfterIndex);
+          leaderRole.map(role -> role.retainAfterIndex(nowNs)).orElse(Long.MAX_VALUE);
+      context.commitTracker.onSnapshotTaken(taken, context.members, neededAfterIndex);
     } else {
       requests.handle(event, leaderRole, nowNs);
     }
@@ -116,7 +116,9 @@
     if (leaderRole.isPresent()) {
       return OptionalLong.of(leaderRole.get().nextWakeupNs());
     }
-    return context.isVoter() ? OptionalLong.of(candidate.deadlineNs()) : OptionalLong.empty();
+    return context.isVoter()
+        ? OptionalLong.of(candidate.electionDeadlineNs())
+        : OptionalLong.empty();
   }
 
   /**
@@ -126,8 +128,8 @@
    * @param nowNs monotonic time in nanoseconds
    * @return true while the lease is valid
    */
-  public boolean leaseHolds(long nowNs) {
-    return leaderRole.map(role -> role.leaseHolds(nowNs)).orElse(false);
+  public boolean isLeaseValid(long nowNs) {
+    return leaderRole.map(role -> role.isLeaseValid(nowNs)).orElse(false);
   }
 
   /**
@@ -137,8 +139,8 @@
    * @param nowNs monotonic time in nanoseconds
    * @return true while it refuses its vote to other members
    */
-  public boolean isVoteBound(long nowNs) {
-    return leaderRole.isPresent() || !votePolicy.allows(false, nowNs);
+  public boolean isVoteWithheld(long nowNs) {
+    return leaderRole.isPresent() || !votePolicy.canVote(false, nowNs);
   }
 
   /**
@@ -147,7 +149,7 @@
    * @return the term
    */
   public long term() {
-    return context.ballot.term();
+    return context.voteStore.term();
   }
 
   /**
@@ -174,7 +176,7 @@
    * @return false while a membership change waits for a quorum
    */
   public boolean isMembershipCommitted() {
-    return context.members.latestIndex() <= context.commits.commitIndex();
+    return context.members.latestIndex() <= context.commitTracker.commitIndex();
   }
 
   /**
@@ -183,7 +185,7 @@
    * @return index of the last entry emitted to be applied
    */
   public long commitIndex() {
-    return context.commits.commitIndex();
+    return context.commitTracker.commitIndex();
   }
 
   /**
@@ -196,7 +198,7 @@
     }
     PeerMessage message = envelope.message();
     if (message instanceof PeerMessage.PreVoteRequest request) {
-      voteRequestHandler.preVote(envelope.from(), request, leaderRole.isPresent(), nowNs);
+      voteRequestHandler.onPreVoteRequest(envelope.from(), request, leaderRole.isPresent(), nowNs);
     } else if (message instanceof PeerMessage.VoteRequest request) {
       onVoteRequest(envelope.from(), request, nowNs);
     } else if (message instanceof PeerMessage.TimeoutNow timeoutNow) {
@@ -214,8 +216,8 @@
    * @param member the member
    * @return monotonic time in nanoseconds, or empty if it hasn't replied in this term
    */
-  public OptionalLong answeredNs(MemberId member) {
-    return leaderRole.map(role -> role.answeredNs(member)).orElse(OptionalLong.empty());
+  public OptionalLong repliedSendNs(MemberId member) {
+    return leaderRole.map(role -> role.repliedSendNs(member)).orElse(OptionalLong.empty());
   }
 
   private static boolean isInstallSnapshot(PeerMessage message) {
@@ -223,20 +225,20 @@
   }
 
   private void onVoteRequest(MemberId from, PeerMessage.VoteRequest request, long nowNs) {
-    if (!voteRequestHandler.mayConsider(request, leaderRole.isPresent(), nowNs)) {
+    if (!voteRequestHandler.canConsider(request, leaderRole.isPresent(), nowNs)) {
       return;
     }
     adoptTerm(request.term(), nowNs);
     if (voteRequestHandler.vote(from, request)) {
-      candidate.restartTimeout(nowNs);
+      candidate.resetElectionTimeout(nowNs);
     }
   }
 
   private void onTimeoutNow(MemberId from, PeerMessage.TimeoutNow message, long nowNs) {
     boolean fromLeader =
         message.term() == term() && follower.map(role -> role.leader().equals(from)).orElse(false);
-    if (fromLeader && context.isVoter() && !votePolicy.justStarted(nowNs)) {
-      candidate.stand(true, nowNs);
+    if (fromLeader && context.isVoter() && !votePolicy.isWithinStartupLease(nowNs)) {
+      candidate.startElection(true, nowNs);
       onCampaignStarted();
     }
   }
@@ -247,25 +249,25 @@
       return;
     }
     adoptTerm(message.term(), nowNs);
-    Follower role = becomeFollower(from, nowNs);
+    FollowerRole role = becomeFollower(from, nowNs);
     if (message instanceof PeerMessage.Append append) {
-      role.append(append);
+      role.onAppend(append);
     } else {
-      role.installSnapshot((PeerMessage.InstallSnapshot) message);
+      role.onInstallSnapshot((PeerMessage.InstallSnapshot) message);
     }
   }
 
-  private Follower becomeFollower(MemberId from, long nowNs) {
+  private FollowerRole becomeFollower(MemberId from, long nowNs) {
     boolean isOnlyLeader =
         leaderRole.isEmpty() && follower.map(role -> role.leader().equals(from)).orElse(true);
     Invariant.check(isOnlyLeader, InvariantName.ONE_LEADER_PER_TERM);
     if (follower.isEmpty()) {
-      follower = Optional.of(new Follower(context, from));
+      follower = Optional.of(new FollowerRole(context, from));
     }
     candidate.end();
-    candidate.restartTimeout(nowNs);
-    votePolicy.heardFromLeader(nowNs);
-    context.leaderIs(Optional.of(from));
+    candidate.resetElectionTimeout(nowNs);
+    votePolicy.onLeaderContact(nowNs);
+    context.setLeader(Optional.of(from));
     return follower.get();
   }
 
@@ -273,18 +275,18 @@
     adoptTerm(message.term(), nowNs);
     if (message instanceof PeerMessage.PreVoteReply reply) {
       long previousTerm = term();
-      candidate.preVoteReply(from, reply, nowNs);
+      candidate.onPreVoteReply(from, reply, nowNs);
       checkCampaignStarted(previousTerm);
     } else if (message.term() < term()) {
       return;
     } else if (message instanceof PeerMessage.VoteReply reply) {
-      if (candidate.voteReply(from, reply)) {
+      if (candidate.onVoteReply(from, reply)) {
         becomeLeader(nowNs);
       }
     } else if (message instanceof PeerMessage.AppendReply reply) {
-      leaderRole.ifPresent(role -> role.appendReply(from, reply, nowNs));
+      leaderRole.ifPresent(role -> role.onAppendReply(from, reply, nowNs));
     } else if (message instanceof PeerMessage.InstallSnapshotReply reply) {
-      leaderRole.ifPresent(role -> role.snapshotReply(from, reply, nowNs));
+      leaderRole.ifPresent(role -> role.onSnapshotReply(from, reply, nowNs));
     }
   }
 
@@ -292,12 +294,12 @@
     Invariant.check(
         writeNumber <= context.outbox.newestWriteNumber(),
         InvariantName.SYNCED_WRITE_WAS_ASKED_FOR);
-    context.log.synced(writeNumber);
-    context.ballot.synced(writeNumber);
-    voteRequestHandler.tellSyncedVote();
-    follower.ifPresent(Follower::synced);
-    leaderRole.ifPresent(LeaderRole::synced);
-    if (candidate.ownVoteMaybeSynced()) {
+    context.log.onSynced(writeNumber);
+    context.voteStore.onSynced(writeNumber);
+    voteRequestHandler.sendVoteReplyIfSynced();
+    follower.ifPresent(FollowerRole::onSynced);
+    leaderRole.ifPresent(LeaderRole::onSynced);
+    if (candidate.requestVotesIfOwnVoteSynced()) {
       becomeLeader(nowNs);
     }
   }
@@ -309,23 +311,23 @@
     stepDown(nowNs);
     candidate.end();
     follower = Optional.empty();
-    voteRequestHandler.termChanged();
-    context.ballot.advanceTo(newTerm);
-    context.leaderIs(Optional.empty());
+    voteRequestHandler.onTermChanged();
+    context.voteStore.advanceTo(newTerm);
+    context.setLeader(Optional.empty());
   }
 
   private void checkTimers(long nowNs) {
     if (leaderRole.isPresent()) {
       if (leaderRole.get().tick(nowNs)) {
         stepDown(nowNs);
-        context.leaderIs(Optional.empty());
+        context.setLeader(Optional.empty());
       }
       return;
     }
-    if (context.isVoter() && nowNs >= candidate.deadlineNs()) {
+    if (context.isVoter() && nowNs >= candidate.electionDeadlineNs()) {
       long previousTerm = term();
-      candidate.askAhead(nowNs);
-      context.leaderIs(Optional.empty());
+      candidate.startPreVote(nowNs);
+      context.setLeader(Optional.empty());
       checkCampaignStarted(previousTerm);
     }
   }
@@ -338,14 +340,14 @@
 
   private void onCampaignStarted() {
     follower = Optional.empty();
-    voteRequestHandler.termChanged();
-    context.leaderIs(Optional.empty());
+    voteRequestHandler.onTermChanged();
+    context.setLeader(Optional.empty());
   }
 
   private void becomeLeader(long nowNs) {
     candidate.end();
     follower = Optional.empty();
-    context.leaderIs(Optional.of(context.self));
+    context.setLeader(Optional.of(context.self));
     leaderRole = Optional.of(new LeaderRole(context, nowNs));
   }
 
@@ -359,6 +361,6 @@
     if (endedRole.isReady()) {
       context.outbox.add(new ReplicaAction.LostLeadership(term()));
     }
-    candidate.restartTimeout(nowNs);
+    candidate.resetElectionTimeout(nowNs);
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaAction.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaAction.java
@@ -52,11 +52,12 @@
    *
    * @param writeNumber the write's number
    * @param snapshot the snapshot
-   * @param keepAfterIndex entries after this index are retained for members that lag slightly
+   * @param retainAfterIndex entries after this index are retained for members that lag slightly
    * @param discardsLog whether the complete log is deleted, because it doesn't have the snapshot's
    *     last entry
    */
-  record SaveSnapshot(long writeNumber, Snapshot snapshot, long keepAfterIndex, boolean discardsLog)
+  record SaveSnapshot(
+      long writeNumber, Snapshot snapshot, long retainAfterIndex, boolean discardsLog)
       implements Write {}
 
   /**
@@ -64,7 +65,7 @@
    *
    * @param envelope the message with its addresses
    */
-  record SendPeer(PeerEnvelope envelope) implements ReplicaAction {}
+  record SendPeerMessage(PeerEnvelope envelope) implements ReplicaAction {}
 
   /**
    * Applies committed entries to the replicated state.
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaContext.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaContext.java
@@ -14,8 +14,8 @@
   final Outbox outbox;
   final ReplicatedLog log;
   final MembershipHistory members;
-  final Ballot ballot;
-  final CommitPoint commits;
+  final VoteStore voteStore;
+  final CommitTracker commitTracker;
   private Optional<MemberId> leader = Optional.empty();
 
   ReplicaContext(
@@ -30,25 +30,26 @@
     this.outbox = new Outbox(group, self);
     this.log = new ReplicatedLog(outbox, recovered);
     this.members = new MembershipHistory(outbox, recovered);
-    this.ballot = new Ballot(outbox, recovered);
-    this.commits = new CommitPoint(outbox, log, new SnapshotSchedule(settings, random), settings);
+    this.voteStore = new VoteStore(outbox, recovered);
+    this.commitTracker =
+        new CommitTracker(outbox, log, new SnapshotScheduler(settings, random), settings);
   }
 
   Optional<MemberId> leader() {
     return leader;
   }
 
-  void leaderIs(Optional<MemberId> changed) {
+  void setLeader(Optional<MemberId> changed) {
     if (!leader.equals(changed)) {
       leader = changed;
-      outbox.add(new ReplicaAction.LeaderChanged(ballot.term(), changed));
+      outbox.add(new ReplicaAction.LeaderChanged(voteStore.term(), changed));
     }
   }
 
   /** Appends entries to the log; a member set among them takes effect immediately. */
   void append(List<LogEntry> entries) {
     log.append(entries);
-    members.appended(entries);
+    members.onAppended(entries);
   }
 
   boolean isVoter() {
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaEvent.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaEvent.java
@@ -11,7 +11,7 @@
    *
    * @param envelope the message with its addresses
    */
-  record PeerReceived(PeerEnvelope envelope) implements ReplicaEvent {}
+  record PeerMessageReceived(PeerEnvelope envelope) implements ReplicaEvent {}
 
   /**
    * A command is proposed.
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicaSettings.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicaSettings.java
@@ -16,12 +16,12 @@
  * @param maxBatchBytes max bytes of commands in one message, unless a single command is larger
  * @param maxInflightMessages max unacknowledged messages with entries per member
  * @param maxUncommittedBytes max bytes of commands that wait for a quorum
- * @param snapshotPartBytes bytes of a snapshot in one message
- * @param snapshotEveryEntries min entries applied since the last snapshot before the next one is
+ * @param snapshotChunkBytes bytes of a snapshot in one message
+ * @param snapshotIntervalEntries min entries applied since the last snapshot before the next one is
  *     taken; up to half as many are added at random, and the commands must be at least as large as
  *     the state in the last snapshot
- * @param keptEntries min entries before the end of a snapshot that are retained for members that
- *     lag slightly
+ * @param retainedEntries min entries before the end of a snapshot that are retained for members
+ *     that lag slightly
  */
 public record ReplicaSettings(
     int heartbeatMs,
@@ -33,9 +33,9 @@
     int maxBatchBytes,
     int maxInflightMessages,
     int maxUncommittedBytes,
-    int snapshotPartBytes,
-    int snapshotEveryEntries,
-    int keptEntries) {
+    int snapshotChunkBytes,
+    int snapshotIntervalEntries,
+    int retainedEntries) {
 
   private static final int MAX_RETAINED_SNAPSHOT_INTERVALS = 4;
 
@@ -77,7 +77,7 @@
   }
 
   /** Returns how long ago a learner may have been up to date to still count as caught up. */
-  long catchUpNs() {
+  long maxCatchUpAgeNs() {
     return electionTimeoutMinMs * 1_000_000L;
   }
 
@@ -85,8 +85,8 @@
    * Returns the max number of entries before the end of a snapshot that are retained for members
    * that lag.
    */
-  long maxKeptEntries() {
-    return MAX_RETAINED_SNAPSHOT_INTERVALS * (long) snapshotEveryEntries;
+  long maxRetainedEntries() {
+    return MAX_RETAINED_SNAPSHOT_INTERVALS * (long) snapshotIntervalEntries;
   }
 
   long leaseNs() {
--- a/core/src/main/java/org/teaseltrail/core/replication/ReplicatedLog.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/ReplicatedLog.java
@@ -15,7 +15,7 @@
 
   private final Outbox outbox;
   private final List<LogEntry> entries;
-  private final SyncMarks syncMarks;
+  private final SyncedIndexTracker syncMarks;
   private Optional<Snapshot> snapshot;
   private long baseIndex;
   private long baseTerm;
@@ -25,7 +25,7 @@
     this.snapshot = recovered.snapshot();
     this.entries = new ArrayList<>(recovered.entries());
     startAtSnapshot();
-    this.syncMarks = new SyncMarks(lastIndex());
+    this.syncMarks = new SyncedIndexTracker(lastIndex());
   }
 
   private void startAtSnapshot() {
@@ -75,7 +75,7 @@
     return OptionalLong.of(entryAt(index).term());
   }
 
-  boolean holds(long index, long term) {
+  boolean hasEntry(long index, long term) {
     OptionalLong held = termAt(index);
     return held.isPresent() && held.getAsLong() == term;
   }
@@ -104,7 +104,7 @@
     Invariant.check(added.get(0).index() == lastIndex() + 1, InvariantName.LOG_WITHOUT_GAP);
     entries.addAll(added);
     long write = outbox.write(number -> new ReplicaAction.AppendToLog(number, added));
-    syncMarks.written(write, lastIndex());
+    syncMarks.onWritten(write, lastIndex());
   }
 
   /**
@@ -112,18 +112,18 @@
    */
   void truncateFrom(long index) {
     entries.subList(position(index), entries.size()).clear();
-    syncMarks.truncatedTo(lastIndex());
+    syncMarks.onTruncatedTo(lastIndex());
     long write = outbox.write(number -> new ReplicaAction.TruncateLog(number, index));
-    syncMarks.written(write, lastIndex());
+    syncMarks.onWritten(write, lastIndex());
   }
 
   /**
    * Saves a snapshot of this member's own state and drops the entries up to an index before its
    * end.
    */
-  void compact(Snapshot taken, long wantedAfterIndex) {
+  void compact(Snapshot taken, long retainAfterIndex) {
     snapshot = Optional.of(taken);
-    long keepAfterIndex = Math.max(baseIndex, wantedAfterIndex);
+    long keepAfterIndex = Math.max(baseIndex, retainAfterIndex);
     outbox.write(number -> new ReplicaAction.SaveSnapshot(number, taken, keepAfterIndex, false));
     removeThrough(keepAfterIndex);
   }
@@ -133,13 +133,13 @@
    * snapshot's last entry; otherwise they may differ from the leader's log.
    */
   void install(Snapshot received) {
-    boolean discardsLog = !holds(received.index(), received.term());
+    boolean discardsLog = !hasEntry(received.index(), received.term());
     snapshot = Optional.of(received);
     if (discardsLog) {
       entries.clear();
       baseIndex = received.index();
       baseTerm = received.term();
-      syncMarks.truncatedTo(0);
+      syncMarks.onTruncatedTo(0);
     } else {
       removeThrough(received.index());
     }
@@ -147,11 +147,11 @@
         outbox.write(
             number ->
                 new ReplicaAction.SaveSnapshot(number, received, received.index(), discardsLog));
-    syncMarks.written(write, lastIndex());
+    syncMarks.onWritten(write, lastIndex());
   }
 
-  void synced(long writeNumber) {
-    syncMarks.synced(writeNumber);
+  void onSynced(long writeNumber) {
+    syncMarks.onSynced(writeNumber);
   }
 
   private void removeThrough(long index) {
--- a/core/src/main/java/org/teaseltrail/core/replication/SnapshotAssembly.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/SnapshotAssembler.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.replication;
 
 /** Assembles a leader's snapshot from its chunks. */
-final class SnapshotAssembly {
+final class SnapshotAssembler {
 
   private final long index;
   private final long term;
@@ -9,14 +9,14 @@
   private final byte[] state;
   private int receivedBytes;
 
-  SnapshotAssembly(PeerMessage.InstallSnapshot first) {
+  SnapshotAssembler(PeerMessage.InstallSnapshot first) {
     this.index = first.snapshotIndex();
     this.term = first.snapshotTerm();
     this.membership = first.membership();
     this.state = new byte[first.totalBytes()];
   }
 
-  boolean isOf(PeerMessage.InstallSnapshot message) {
+  boolean matches(PeerMessage.InstallSnapshot message) {
     return index == message.snapshotIndex()
         && term == message.snapshotTerm()
         && state.length == message.totalBytes();
--- a/core/src/main/java/org/teaseltrail/core/replication/SnapshotSchedule.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/SnapshotScheduler.java
@@ -13,7 +13,7 @@
  * same entries, so with a fixed number all of them would save a snapshot at the same time. A large
  * snapshot stalls syncs, so every claim would be delayed, or the leader lost.
  */
-final class SnapshotSchedule {
+final class SnapshotScheduler {
 
   private final int minEntries;
   private final RandomGenerator random;
@@ -22,19 +22,19 @@
   private long bytes;
   private boolean isRequested;
 
-  SnapshotSchedule(ReplicaSettings settings, RandomGenerator random) {
-    this.minEntries = settings.snapshotEveryEntries();
+  SnapshotScheduler(ReplicaSettings settings, RandomGenerator random) {
+    this.minEntries = settings.snapshotIntervalEntries();
     this.random = random;
     this.entriesThreshold = drawThreshold();
   }
 
   /** Counts committed entries and returns whether a snapshot is due now. */
-  boolean isDue(List<LogEntry> committed, Optional<Snapshot> last) {
+  boolean isDue(List<LogEntry> committed, Optional<Snapshot> lastSnapshot) {
     entries += committed.size();
     for (LogEntry entry : committed) {
       bytes += entry.payload().sizeBytes();
     }
-    long stateBytes = last.map(snapshot -> (long) snapshot.state().length).orElse(0L);
+    long stateBytes = lastSnapshot.map(snapshot -> (long) snapshot.state().length).orElse(0L);
     if (isRequested || entries < entriesThreshold || bytes < stateBytes) {
       return false;
     }
@@ -43,7 +43,7 @@
   }
 
   /** Restarts the counting after a snapshot. */
-  void taken() {
+  void onSnapshotTaken() {
     isRequested = false;
     entries = 0;
     bytes = 0;
--- a/core/src/main/java/org/teaseltrail/core/replication/SyncMarks.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/SyncedIndexTracker.java
@@ -12,14 +12,14 @@
  * An index that was truncated and rewritten counts only with the new write. Otherwise a member
  * could acknowledge entries that a power loss then removes.
  */
-final class SyncMarks {
+final class SyncedIndexTracker {
 
   private record PendingWrite(long writeNumber, long lastIndex) {}
 
   private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
   private long syncedIndex;
 
-  SyncMarks(long syncedIndex) {
+  SyncedIndexTracker(long syncedIndex) {
     this.syncedIndex = syncedIndex;
   }
 
@@ -28,12 +28,12 @@
   }
 
   /** Records the last index of the log after a write. */
-  void written(long writeNumber, long lastIndex) {
+  void onWritten(long writeNumber, long lastIndex) {
     pendingWrites.addLast(new PendingWrite(writeNumber, lastIndex));
   }
 
   /** Records a truncation of the log; earlier writes no longer count beyond the new last index. */
-  void truncatedTo(long lastIndex) {
+  void onTruncatedTo(long lastIndex) {
     syncedIndex = Math.min(syncedIndex, lastIndex);
     List<PendingWrite> limited = new ArrayList<>();
     for (PendingWrite write : pendingWrites) {
@@ -44,7 +44,7 @@
   }
 
   /** Records that all writes up to a number are synced. */
-  void synced(long writeNumber) {
+  void onSynced(long writeNumber) {
     while (!pendingWrites.isEmpty() && pendingWrites.getFirst().writeNumber() <= writeNumber) {
       syncedIndex = pendingWrites.removeFirst().lastIndex();
     }
--- a/core/src/main/java/org/teaseltrail/core/replication/Voter.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/VoteRequestHandler.java
@@ -4,31 +4,32 @@
 import org.teaseltrail.core.id.MemberId;
 
 /** Handles vote requests and pre-vote requests of other members. */
-final class Voter {
+final class VoteRequestHandler {
 
   private final ReplicaContext context;
-  private final VoteGuard votePolicy;
+  private final LeaseVotePolicy votePolicy;
   private Optional<MemberId> pendingVote = Optional.empty();
 
-  Voter(ReplicaContext context, VoteGuard votePolicy) {
+  VoteRequestHandler(ReplicaContext context, LeaseVotePolicy votePolicy) {
     this.context = context;
     this.votePolicy = votePolicy;
   }
 
   /** Replies to a pre-vote request without changing any state. */
-  void preVote(MemberId from, PeerMessage.PreVoteRequest request, boolean leading, long nowNs) {
+  void onPreVoteRequest(
+      MemberId from, PeerMessage.PreVoteRequest request, boolean isLeader, long nowNs) {
     boolean granted =
-        !leading
-            && request.term() > context.ballot.term()
-            && votePolicy.allows(false, nowNs)
+        !isLeader
+            && request.term() > context.voteStore.term()
+            && votePolicy.canVote(false, nowNs)
             && isUpToDate(request.lastIndex(), request.lastTerm());
     context.outbox.send(
-        from, new PeerMessage.PreVoteReply(context.ballot.term(), request.term(), granted));
+        from, new PeerMessage.PreVoteReply(context.voteStore.term(), request.term(), granted));
   }
 
   /** Returns whether a vote request may be processed and its term adopted. */
-  boolean mayConsider(PeerMessage.VoteRequest request, boolean leading, long nowNs) {
-    return votePolicy.allows(request.handOver(), nowNs) && (!leading || request.handOver());
+  boolean canConsider(PeerMessage.VoteRequest request, boolean isLeader, long nowNs) {
+    return votePolicy.canVote(request.handOver(), nowNs) && (!isLeader || request.handOver());
   }
 
   /**
@@ -38,30 +39,31 @@
    */
   boolean vote(MemberId from, PeerMessage.VoteRequest request) {
     boolean granted =
-        request.term() == context.ballot.term()
-            && context.ballot.mayVoteFor(from)
+        request.term() == context.voteStore.term()
+            && context.voteStore.canVoteFor(from)
             && isUpToDate(request.lastIndex(), request.lastTerm());
     if (!granted) {
-      context.outbox.send(from, new PeerMessage.VoteReply(context.ballot.term(), false));
+      context.outbox.send(from, new PeerMessage.VoteReply(context.voteStore.term(), false));
       return false;
     }
-    context.ballot.voteFor(from);
+    context.voteStore.voteFor(from);
     pendingVote = Optional.of(from);
-    tellSyncedVote();
+    sendVoteReplyIfSynced();
     return true;
   }
 
   /** Sends the pending vote to its candidate if the vote is synced. */
-  void tellSyncedVote() {
-    if (pendingVote.isEmpty() || !context.ballot.isSynced()) {
+  void sendVoteReplyIfSynced() {
+    if (pendingVote.isEmpty() || !context.voteStore.isSynced()) {
       return;
     }
-    context.outbox.send(pendingVote.get(), new PeerMessage.VoteReply(context.ballot.term(), true));
+    context.outbox.send(
+        pendingVote.get(), new PeerMessage.VoteReply(context.voteStore.term(), true));
     pendingVote = Optional.empty();
   }
 
   /** Discards the pending vote of the previous term. */
-  void termChanged() {
+  void onTermChanged() {
     pendingVote = Optional.empty();
   }
 
--- a/core/src/main/java/org/teaseltrail/core/replication/Ballot.java
+++ b/core/src/main/java/org/teaseltrail/core/replication/VoteStore.java
@@ -11,14 +11,14 @@
  * <p>A vote is sent to other members, or counted by this member, only after its write is synced.
  * Otherwise a member that restarts after a power loss could vote twice in one term.
  */
-final class Ballot {
+final class VoteStore {
 
   private final Outbox outbox;
   private Vote vote;
   private long newestWriteNumber;
   private long syncedWriteNumber;
 
-  Ballot(Outbox outbox, RecoveredState recovered) {
+  VoteStore(Outbox outbox, RecoveredState recovered) {
     this.outbox = outbox;
     this.vote = recoveredVote(recovered);
   }
@@ -40,11 +40,11 @@
   }
 
   /** Advances to the next term and casts this member's own vote in it. */
-  void standAs(MemberId self) {
+  void voteForSelfInNextTerm(MemberId self) {
     save(new Vote(vote.term() + 1, Optional.of(self)));
   }
 
-  boolean mayVoteFor(MemberId candidate) {
+  boolean canVoteFor(MemberId candidate) {
     return vote.votedFor().map(candidate::equals).orElse(true);
   }
 
@@ -58,7 +58,7 @@
     return syncedWriteNumber >= newestWriteNumber;
   }
 
-  void synced(long writeNumber) {
+  void onSynced(long writeNumber) {
     syncedWriteNumber = Math.max(syncedWriteNumber, writeNumber);
   }
 
--- a/core/src/main/java/org/teaseltrail/core/state/ChangeHistory.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ChangeResultStore.java
@@ -12,19 +12,19 @@
  * result. It is part of the replicated state, so a retry finds the result also on a new leader and
  * after a snapshot.
  */
-final class ChangeHistory {
+final class ChangeResultStore {
 
   /**
    * Sized for 5,100 changes a day, the load expected in two years; retries arrive within minutes.
    */
-  static final int MAX_RECORDS = 6_000;
+  static final int MAX_RESULTS = 6_000;
 
   /** Retention of results: two days of log time. */
   static final long RETENTION_MS = 48L * 3_600_000;
 
   private final Map<ChangeId, ChangeRecord> records = new LinkedHashMap<>();
 
-  ChangeHistory(List<ChangeRecord> kept) {
+  ChangeResultStore(List<ChangeRecord> kept) {
     kept.forEach(one -> records.put(one.change(), one));
   }
 
@@ -45,6 +45,6 @@
   }
 
   private boolean mustDrop(ChangeRecord kept, long nowMs) {
-    return records.size() > MAX_RECORDS || nowMs - kept.logTimeMs() >= RETENTION_MS;
+    return records.size() > MAX_RESULTS || nowMs - kept.logTimeMs() >= RETENTION_MS;
   }
 }
--- a/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
+++ b/core/src/main/java/org/teaseltrail/core/state/ClusterState.java
@@ -46,7 +46,7 @@
   /** Version that is reported when there is no plan; plan versions start at 0. */
   public static final long NO_PLAN = -1;
 
-  private final ChangeHistory changes;
+  private final ChangeResultStore changes;
   private final ClaimStore claims;
   private Configuration configuration;
   private final UpstreamRegistry registry;
@@ -63,7 +63,7 @@
   public ClusterState(ClusterSnapshot snapshot) {
     logTimeMs = snapshot.logTimeMs();
     configuration = snapshot.configuration();
-    changes = new ChangeHistory(snapshot.changes());
+    changes = new ChangeResultStore(snapshot.changes());
     claims = ClaimStore.restore(snapshot.claims(), snapshot.claimLimits());
     ServingState serving = snapshot.serving().orElse(ServingState.empty());
     plan = serving.plan();
@@ -81,33 +81,33 @@
   public CommandResult apply(Command command) {
     logTimeMs = Math.max(logTimeMs, command.logTimeMs());
     if (command instanceof ChangeConfiguration change) {
-      return new CommandResult.OfChange(change(change));
+      return new CommandResult.ChangeOutcome(change(change));
     }
     if (command instanceof OpenClaim open) {
-      return new CommandResult.OfOpen(claims.open(newClaim(open)));
+      return new CommandResult.OpenClaimOutcome(claims.open(newClaim(open)));
     }
     if (command instanceof CompleteClaim complete) {
-      return new CommandResult.OfClaim(
+      return new CommandResult.ClaimOutcome(
           claims.finish(complete.holder(), complete.kind(), logTimeMs));
     }
     if (command instanceof ReleaseClaim release) {
-      return new CommandResult.OfRelease(claims.release(release.holder(), release.attempt()));
+      return new CommandResult.ReleaseOutcome(claims.release(release.holder(), release.attempt()));
     }
     if (command instanceof AdoptClaim adopt) {
-      return new CommandResult.OfClaim(claims.adopt(adopt.holder(), adopt.vm(), logTimeMs));
+      return new CommandResult.ClaimOutcome(claims.adopt(adopt.holder(), adopt.vm(), logTimeMs));
     }
     if (command instanceof ExpireClaims expire) {
-      return new CommandResult.OfExpiry(claims.expire(expire.limits(), logTimeMs));
+      return new CommandResult.ExpiryOutcome(claims.expire(expire.limits(), logTimeMs));
     }
     if (command instanceof OrderRollout ordered) {
-      return new CommandResult.OfRollout(order(ordered.order()));
+      return new CommandResult.RolloutOutcome(order(ordered.order()));
     }
     if (command instanceof TurnRollout turn) {
-      return new CommandResult.OfRollout(turn(turn));
+      return new CommandResult.RolloutOutcome(turn(turn));
     }
     if (command instanceof AccountExposure exposure) {
       rollouts.account(exposure.service(), exposure.orderedMs(), exposure.account());
-      return new CommandResult.OfExposure();
+      return new CommandResult.ExposureOutcome();
     }
     return applyServing((Command.ServingCommand) command);
   }
@@ -128,7 +128,7 @@
     } else if (command instanceof ReleaseRequest release) {
       held.release(release.request());
     }
-    return new CommandResult.OfServing(planVersion(), registry.revision());
+    return new CommandResult.ServingOutcome(planVersion(), registry.revision());
   }
 
   private RolloutOrderResult order(RolloutOrder order) {
--- a/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
+++ b/core/src/main/java/org/teaseltrail/core/state/CommandResult.java
@@ -13,35 +13,35 @@
    *
    * @param result what it came to
    */
-  record OfChange(ChangeResult result) implements CommandResult {}
+  record ChangeOutcome(ChangeResult result) implements CommandResult {}
 
   /**
    * Result of opening a claim.
    *
    * @param result what it came to
    */
-  record OfOpen(OpenClaimResult result) implements CommandResult {}
+  record OpenClaimOutcome(OpenClaimResult result) implements CommandResult {}
 
   /**
    * Result of ending or taking over a claim.
    *
    * @param claim the claim after the command, or empty if the request holds none
    */
-  record OfClaim(Optional<ClaimRecord> claim) implements CommandResult {}
+  record ClaimOutcome(Optional<ClaimRecord> claim) implements CommandResult {}
 
   /**
    * Result of releasing a claim.
    *
    * @param released whether the key is available again
    */
-  record OfRelease(boolean released) implements CommandResult {}
+  record ReleaseOutcome(boolean released) implements CommandResult {}
 
   /**
    * Result of removing old claims.
    *
    * @param count number of claims removed or settled
    */
-  record OfExpiry(int count) implements CommandResult {}
+  record ExpiryOutcome(int count) implements CommandResult {}
 
   /**
    * Result of a change to the state controlled by the external platform.
@@ -49,17 +49,17 @@
    * @param planVersion version of the current plan after the command
    * @param registryRevision revision of the registrations after the command
    */
-  record OfServing(long planVersion, long registryRevision) implements CommandResult {}
+  record ServingOutcome(long planVersion, long registryRevision) implements CommandResult {}
 
   /**
    * Result of a rollout order, or of moving a rollout to another phase.
    *
-   * @param answer the result
+   * @param result the result
    */
-  record OfRollout(RolloutOrderResult answer) implements CommandResult {}
+  record RolloutOutcome(RolloutOrderResult result) implements CommandResult {}
 
   /**
    * Result of recording the requests that a target version may receive; no VM needs to be notified.
    */
-  record OfExposure() implements CommandResult {}
+  record ExposureOutcome() implements CommandResult {}
 }
--- a/core/src/test/java/org/teaseltrail/core/control/AskingEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureEngine.java
@@ -12,7 +12,7 @@
  * Simulated engine that signals backpressure in its answers and counts the requests that it
  * receives from informed VMs nevertheless.
  */
-final class AskingEngine {
+final class BackpressureEngine {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -46,14 +46,14 @@
   private int backoffMs;
   private boolean leaving;
   private final Map<Integer, Long> informedOfLeavingNs = new HashMap<>();
-  private int takenAfterLeaving;
+  private int requestsAfterLeaving;
   private long limitReportedNs = Long.MAX_VALUE;
 
   /** Period in which the engine has asked a VM to send no requests. */
   private record Backoff(long fromNs, long untilNs) {}
 
-  AskingEngine(int site) {
-    places = new BatchEngine(site, 1, TestPlans.ENGINES);
+  BackpressureEngine(int engineIndex) {
+    places = new BatchEngine(engineIndex, 1, TestPlans.ENGINES);
   }
 
   BatchEngine places() {
@@ -78,7 +78,7 @@
   }
 
   /** Records that a VM has received an answer. */
-  void told(int vm, long nowNs) {
+  void recordAnswer(int vm, long nowNs) {
     if (leaving) {
       informedOfLeavingNs.putIfAbsent(vm, nowNs);
     }
@@ -91,8 +91,8 @@
   /**
    * Rejects all requests from now on, each with a backoff time, or accepts them again if it is 0.
    */
-  void turnAway(int askedBackoffMs) {
-    backoffMs = askedBackoffMs;
+  void rejectAll(int newBackoffMs) {
+    backoffMs = newBackoffMs;
   }
 
   int backoffMs() {
@@ -100,13 +100,13 @@
   }
 
   /** Records that a request of a VM was rejected. */
-  void turnedAway(int vm, long nowNs) {
+  void recordRejection(int vm, long nowNs) {
     Backoff backoff = new Backoff(nowNs + KNOWN_AFTER_NS, nowNs + backoffMs * NS_PER_MS);
     backoffs.computeIfAbsent(vm, key -> new ArrayList<>()).add(backoff);
   }
 
   /** Returns the maximum number of requests that one VM sent during one backoff. */
-  long mostInBackoff() {
+  long maxRequestsInBackoff() {
     long max = 0;
     for (Map.Entry<Integer, List<Backoff>> ofVm : backoffs.entrySet()) {
       List<Long> arrivals = arrivalsOfVmNs.getOrDefault(ofVm.getKey(), List.of());
@@ -120,7 +120,7 @@
   }
 
   /** Announces in all answers from now on that it is about to leave. */
-  void leave() {
+  void startLeaving() {
     leaving = true;
   }
 
@@ -132,22 +132,22 @@
    * Returns the number of requests whose callers arrived long after their VM learned that the
    * engine is leaving.
    */
-  int takenAfterLeaving() {
-    return takenAfterLeaving;
+  int requestsAfterLeaving() {
+    return requestsAfterLeaving;
   }
 
   /** Treats a VM as uninformed again. */
-  void excuse(int vm) {
+  void forgetVm(int vm) {
     informedNs.remove(vm);
     informedOfLeavingNs.remove(vm);
     backoffs.remove(vm);
   }
 
-  void arrived(int vm, long calledNs, long nowNs) {
+  void recordArrival(int vm, long callerArrivedNs, long nowNs) {
     arrivalsNs.add(nowNs);
     arrivalsOfVmNs.computeIfAbsent(vm, key -> new ArrayList<>()).add(nowNs);
     long learnedNs = informedOfLeavingNs.getOrDefault(vm, Long.MAX_VALUE);
-    takenAfterLeaving += learnedNs < calledNs - DRAIN_NS ? 1 : 0;
+    requestsAfterLeaving += learnedNs < callerArrivedNs - DRAIN_NS ? 1 : 0;
     boolean isLimitEffective =
         limitReportedNs != Long.MAX_VALUE && nowNs - limitReportedNs >= LIMIT_EFFECTIVE_AFTER_NS;
     boolean isInformed = informedNs.containsKey(vm) && nowNs - informedNs.get(vm) >= KNOWN_AFTER_NS;
@@ -157,7 +157,7 @@
   }
 
   /** Returns the maximum number of requests in any window from VMs that knew the limit. */
-  int mostInWindow() {
+  int maxInWindow() {
     return maxCountInWindow(countedArrivalsNs);
   }
 
@@ -165,7 +165,7 @@
    * Returns the maximum number of requests in any window within the last milliseconds, from all VMs
    * whether informed or not.
    */
-  int mostOfAllInWindow(long lengthMs, long nowNs) {
+  int maxOfAllVmsInWindow(long lengthMs, long nowNs) {
     return maxCountInWindow(
         arrivalsNs.stream().filter(atNs -> nowNs - atNs <= lengthMs * NS_PER_MS).toList());
   }
@@ -187,7 +187,7 @@
    * engine has reported; 0 or less if it was not.
    */
   double excess() {
-    double now = limit.isLimited() ? mostInWindow() - allowedInWindow() : 0;
+    double now = limit.isLimited() ? maxInWindow() - allowedInWindow() : 0;
     return Math.max(previousExcess, now);
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/BackpressureProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureProperties.java
@@ -27,32 +27,32 @@
   private enum Signal {
     LIMIT {
       @Override
-      void applyTo(AskingEngine engine, SplittableRandom random) {
+      void applyTo(BackpressureEngine engine, SplittableRandom random) {
         engine.name(new RateLimit(random.nextDouble(6)));
       }
     },
     BACKOFF {
       @Override
-      void applyTo(AskingEngine engine, SplittableRandom random) {
-        engine.turnAway(500 + random.nextInt(4_000));
+      void applyTo(BackpressureEngine engine, SplittableRandom random) {
+        engine.rejectAll(500 + random.nextInt(4_000));
       }
     },
     NONE {
       @Override
-      void applyTo(AskingEngine engine, SplittableRandom random) {
+      void applyTo(BackpressureEngine engine, SplittableRandom random) {
         engine.name(RateLimit.UNLIMITED);
-        engine.turnAway(0);
+        engine.rejectAll(0);
       }
     };
 
-    abstract void applyTo(AskingEngine engine, SplittableRandom random);
+    abstract void applyTo(BackpressureEngine engine, SplittableRandom random);
   }
 
   /** Fault that may be injected in a step. */
   private enum Fault {
     LEADER_KILLED {
       @Override
-      void inject(BackpressureRun run, SplittableRandom random) {
+      void inject(BackpressureSimulation run, SplittableRandom random) {
         onLeader(
             run,
             leader -> {
@@ -63,85 +63,89 @@
     },
     LEADER_PAUSED {
       @Override
-      void inject(BackpressureRun run, SplittableRandom random) {
+      void inject(BackpressureSimulation run, SplittableRandom random) {
         onLeader(
             run,
             leader -> {
-              leader.freeze();
-              run.group().after(2_000_000_000L, leader::thaw);
+              leader.pause();
+              run.group().after(2_000_000_000L, leader::resume);
             });
       }
     },
     VM_RESTARTED {
       @Override
-      void inject(BackpressureRun run, SplittableRandom random) {
+      void inject(BackpressureSimulation run, SplittableRandom random) {
         run.restartVm(random.nextInt(run.vms().count()));
       }
     },
     VM_PARTITIONED {
       @Override
-      void inject(BackpressureRun run, SplittableRandom random) {
+      void inject(BackpressureSimulation run, SplittableRandom random) {
         int vm = random.nextInt(run.vms().count());
-        run.cutVm(vm, true);
-        run.group().after(2_000_000_000L, () -> run.cutVm(vm, false));
+        run.setVmPartitioned(vm, true);
+        run.group().after(2_000_000_000L, () -> run.setVmPartitioned(vm, false));
       }
     },
     REGISTRATION_EXPIRED {
       @Override
-      void inject(BackpressureRun run, SplittableRandom random) {
-        AskingEngine engine = run.engine(random.nextInt(ENGINES));
-        run.loseHeartbeatsOf(engine, true);
-        run.group().after(17_000_000_000L, () -> run.loseHeartbeatsOf(engine, false));
+      void inject(BackpressureSimulation run, SplittableRandom random) {
+        BackpressureEngine engine = run.engine(random.nextInt(ENGINES));
+        run.dropHeartbeatsOf(engine, true);
+        run.group().after(17_000_000_000L, () -> run.dropHeartbeatsOf(engine, false));
       }
     };
 
-    abstract void inject(BackpressureRun run, SplittableRandom random);
+    abstract void inject(BackpressureSimulation run, SplittableRandom random);
 
-    private static void onLeader(BackpressureRun run, Consumer<FakeControl> action) {
-      run.group().members().stream().filter(FakeControl::isServing).findFirst().ifPresent(action);
+    private static void onLeader(BackpressureSimulation run, Consumer<FakeControlMember> action) {
+      run.group().members().stream()
+          .filter(FakeControlMember::isServing)
+          .findFirst()
+          .ifPresent(action);
     }
   }
 
   @Property(seed = "38", tries = 10)
-  void whatEnginesAskForIsKeptWhateverFails(@ForAll long seed) {
+  void backpressureSignalsAreObeyedUnderFaults(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 500)
-  void whatEnginesAskForIsKeptWhateverFailsForLong(@ForAll long seed) {
+  void backpressureSignalsAreObeyedUnderFaultsWithFreshSeeds(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   private static void run(SplittableRandom random) {
     int vms = 3 + random.nextInt(12);
-    BackpressureRun run = new BackpressureRun(random.split(), vms, ENGINES);
-    run.play(2_000, PER_SECOND);
+    BackpressureSimulation run = new BackpressureSimulation(random.split(), vms, ENGINES);
+    run.simulate(2_000, PER_SECOND);
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(3) == 0) {
-        AskingEngine engine = run.engine(random.nextInt(ENGINES));
+        BackpressureEngine engine = run.engine(random.nextInt(ENGINES));
         Signal.values()[random.nextInt(Signal.values().length)].applyTo(engine, random);
       }
       if (random.nextInt(8) == 0) {
         Fault.values()[random.nextInt(Fault.values().length)].inject(run, random);
       }
       if (step == STEPS / 2) {
-        run.engine(0).leave();
+        run.engine(0).startLeaving();
       }
-      run.play(STEP_MS, random.nextInt(6) == 0 ? 2.5 * PER_SECOND : PER_SECOND);
+      run.simulate(STEP_MS, random.nextInt(6) == 0 ? 2.5 * PER_SECOND : PER_SECOND);
     }
-    for (AskingEngine engine : run.engines()) {
+    for (BackpressureEngine engine : run.engines()) {
       assertThat(engine.excess()).isLessThanOrEqualTo(0);
-      assertThat(engine.mostInBackoff()).isLessThanOrEqualTo(ALLOWED_IN_BACKOFF);
-      assertThat(engine.takenAfterLeaving()).isZero();
+      assertThat(engine.maxRequestsInBackoff()).isLessThanOrEqualTo(ALLOWED_IN_BACKOFF);
+      assertThat(engine.requestsAfterLeaving()).isZero();
     }
     assertAllReceiveTheirShare(run, random);
   }
 
-  private static void assertAllReceiveTheirShare(BackpressureRun run, SplittableRandom random) {
+  private static void assertAllReceiveTheirShare(
+      BackpressureSimulation run, SplittableRandom random) {
     run.engines().forEach(engine -> Signal.NONE.applyTo(engine, random));
-    run.play(20_000, PER_SECOND);
+    run.simulate(20_000, PER_SECOND);
     double equalShare = PER_SECOND / (ENGINES - 1);
     for (int i = 1; i < ENGINES; i++) {
       double perSecond = run.engine(i).perSecond(SETTLE_MS, run.group().nowNs());
--- a/core/src/test/java/org/teaseltrail/core/control/BackpressureRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BackpressureSimulation.java
@@ -24,7 +24,7 @@
  * answers: three control members, entry VMs of which the first has three times as many callers as
  * any other, and engines whose requests take 0.3 s.
  */
-final class BackpressureRun {
+final class BackpressureSimulation {
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int HEARTBEAT_EVERY_MS = 1_200;
@@ -38,7 +38,7 @@
 
   /** Attempt of one incarnation of a VM at an engine. */
   private record Attempt(
-      int vm, long incarnation, long request, AskingEngine engine, long dispatchedNs) {}
+      int vm, long incarnation, long request, BackpressureEngine engine, long dispatchedNs) {}
 
   /** Time of a caller's first try, and whether the caller retries after a refusal. */
   private record FirstCall(long atNs, boolean canRetry) {}
@@ -49,10 +49,10 @@
   private final FakeControlGroup group = new FakeControlGroup(3);
   private final SplittableRandom random;
   private final FakeEntryVms vms;
-  private final List<AskingEngine> engines = new ArrayList<>();
+  private final List<BackpressureEngine> engines = new ArrayList<>();
   private final Map<Long, Attempt> attempts = new HashMap<>();
   private final Map<Long, FirstCall> firstCalls = new HashMap<>();
-  private final Set<AskingEngine> enginesWithoutHeartbeats = new HashSet<>();
+  private final Set<BackpressureEngine> enginesWithoutHeartbeats = new HashSet<>();
   private final Map<Long, Long> callTimesNs = new HashMap<>();
   private final List<Refused> refused = new ArrayList<>();
   private long lastRequest;
@@ -61,14 +61,14 @@
   private int onTime;
   private boolean retryEnabled;
 
-  BackpressureRun(SplittableRandom random, int vmCount, int engineCount) {
+  BackpressureSimulation(SplittableRandom random, int vmCount, int engineCount) {
     this.random = random;
     group.start();
-    group.ask(
+    group.call(
         group.leader(),
         new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int site = 0; site < engineCount; site++) {
-      engines.add(new AskingEngine(site));
+      engines.add(new BackpressureEngine(site));
     }
     vms = new FakeEntryVms(group, vmCount, random, this::execute);
     vms.start();
@@ -78,10 +78,11 @@
   /**
    * Creates a simulation that has already run without faults for a while, with its counters reset.
    */
-  static BackpressureRun inCalm(long seed, int vms, int engines, double perSecond) {
-    BackpressureRun run = new BackpressureRun(new SplittableRandom(seed), vms, engines);
-    run.play(WARM_UP_MS, perSecond);
-    run.countAnew();
+  static BackpressureSimulation createWarmedUp(long seed, int vms, int engines, double perSecond) {
+    BackpressureSimulation run =
+        new BackpressureSimulation(new SplittableRandom(seed), vms, engines);
+    run.simulate(WARM_UP_MS, perSecond);
+    run.resetCounters();
     return run;
   }
 
@@ -93,16 +94,16 @@
     return vms;
   }
 
-  AskingEngine engine(int site) {
-    return engines.get(site);
+  BackpressureEngine engine(int engineIndex) {
+    return engines.get(engineIndex);
   }
 
-  List<AskingEngine> engines() {
+  List<BackpressureEngine> engines() {
     return engines;
   }
 
   /** Advances the time while callers send requests at a rate. */
-  void play(int lengthMs, double perSecond) {
+  void simulate(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
       vms.tick();
@@ -113,7 +114,7 @@
   }
 
   /** Makes refused callers retry once, after the time that the refusal names. */
-  void comeBackOnce() {
+  void retryRefusedOnce() {
     retryEnabled = true;
   }
 
@@ -126,7 +127,7 @@
   }
 
   /** Resets the counters of callers and their outcomes. */
-  void countAnew() {
+  void resetCounters() {
     asked = 0;
     served = 0;
     onTime = 0;
@@ -154,18 +155,18 @@
         removeAttempt(attempt);
       }
     }
-    engines.forEach(engine -> engine.excuse(vm));
+    engines.forEach(engine -> engine.forgetVm(vm));
     vms.restart(vm);
   }
 
   /** Partitions a VM from all members, or reconnects it. */
-  void cutVm(int vm, boolean isCut) {
-    engines.forEach(engine -> engine.excuse(vm));
-    vms.cut(vm, isCut);
+  void setVmPartitioned(int vm, boolean isPartitioned) {
+    engines.forEach(engine -> engine.forgetVm(vm));
+    vms.setPartitioned(vm, isPartitioned);
   }
 
   /** Drops an engine's heartbeats from now on, or delivers them again. */
-  void loseHeartbeatsOf(AskingEngine engine, boolean lost) {
+  void dropHeartbeatsOf(BackpressureEngine engine, boolean lost) {
     if (lost) {
       enginesWithoutHeartbeats.add(engine);
     } else {
@@ -196,7 +197,7 @@
             RequestContent.EMPTY);
     int drawn = random.nextInt(vms.count() + BUSY_VM_WEIGHT - 1);
     int vm = drawn < vms.count() ? drawn : 0;
-    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
+    vms.execute(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void execute(int vm, ForwardAction action) {
@@ -217,24 +218,25 @@
   }
 
   private void dispatch(int vm, ForwardAction.Dispatch dispatch) {
-    AskingEngine engine =
+    BackpressureEngine engine =
         engines.stream()
             .filter(one -> one.registration().id().equals(dispatch.upstream().id()))
             .findFirst()
             .orElseThrow();
-    Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine, group.nowNs());
+    Attempt attempt =
+        new Attempt(vm, vms.incarnation(vm), dispatch.request(), engine, group.nowNs());
     attempts.put(dispatch.request(), attempt);
-    engine.arrived(vm, callTimesNs.get(dispatch.request()), group.nowNs());
+    engine.recordArrival(vm, callTimesNs.get(dispatch.request()), group.nowNs());
     if (engine.backoffMs() > 0) {
       later(REJECTION_AFTER_MS, () -> reject(attempt));
       return;
     }
-    engine.places().take(dispatch.request());
+    engine.places().enqueue(dispatch.request());
     startQueued(engine);
   }
 
-  private void startQueued(AskingEngine engine) {
-    for (long request : engine.places().begin()) {
+  private void startQueued(BackpressureEngine engine) {
+    for (long request : engine.places().startQueued()) {
       Attempt attempt = attempts.get(request);
       later(RESPONSE_START_AFTER_MS, () -> startResponse(attempt));
       later(SERVICE_TIME_MS, () -> end(attempt, AttemptOutcome.ANSWERED));
@@ -247,14 +249,14 @@
       applyBackpressure(attempt);
       long responseStartMs = (group.nowNs() - firstCalls.get(attempt.request()).atNs()) / NS_PER_MS;
       onTime += responseStartMs <= OBJECTIVE_MS ? 1 : 0;
-      vms.carryOut(attempt.vm(), node.onResponseStarted(attempt.request(), group.nowNs()));
+      vms.execute(attempt.vm(), node.onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
   private void reject(Attempt attempt) {
     if (isInFlight(attempt)) {
-      AskingEngine engine = attempt.engine();
-      engine.turnedAway(attempt.vm(), group.nowNs());
+      BackpressureEngine engine = attempt.engine();
+      engine.recordRejection(attempt.vm(), group.nowNs());
       vms.node(attempt.vm())
           .backpressure()
           .startBackoff(
@@ -265,7 +267,7 @@
 
   /** Passes the backpressure signals in the head of an answer to the VM. */
   private void applyBackpressure(Attempt attempt) {
-    AskingEngine engine = attempt.engine();
+    BackpressureEngine engine = attempt.engine();
     ForwardNode node = vms.node(attempt.vm());
     node.backpressure()
         .limit(
@@ -276,34 +278,34 @@
     if (engine.isLeaving()) {
       node.backpressure().leaving(engine.registration().upstreamIncarnation());
     }
-    engine.told(attempt.vm(), group.nowNs());
+    engine.recordAnswer(attempt.vm(), group.nowNs());
   }
 
   private void end(Attempt attempt, AttemptOutcome end) {
     if (isInFlight(attempt)) {
       removeAttempt(attempt);
       int vm = attempt.vm();
-      vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
+      vms.execute(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
     }
   }
 
   private void removeAttempt(Attempt attempt) {
     attempts.remove(attempt.request());
-    attempt.engine().places().forget(attempt.request());
+    attempt.engine().places().removeRequest(attempt.request());
     startQueued(attempt.engine());
   }
 
   private boolean isInFlight(Attempt attempt) {
     return attempts.get(attempt.request()) == attempt
-        && attempt.incarnation() == vms.life(attempt.vm());
+        && attempt.incarnation() == vms.incarnation(attempt.vm());
   }
 
   private void sendHeartbeats() {
-    for (FakeControl member : group.members()) {
+    for (FakeControlMember member : group.members()) {
       if (member.isServing()) {
-        for (AskingEngine engine : engines) {
+        for (BackpressureEngine engine : engines) {
           if (!enginesWithoutHeartbeats.contains(engine)) {
-            group.ask(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
+            group.call(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
           }
         }
       }
--- a/core/src/test/java/org/teaseltrail/core/control/BatchEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/BatchEngine.java
@@ -13,21 +13,21 @@
  */
 final class BatchEngine {
 
-  static final int PLACES = 4;
+  static final int SLOTS = 4;
 
-  private final int site;
+  private final int engineIndex;
   private final Registration registration;
   private final List<Long> running = new ArrayList<>();
   private final List<Long> queued = new ArrayList<>();
 
-  BatchEngine(int site, int life, ServiceId service) {
-    this.site = site;
-    registration = ForwardSamples.upstream("e" + site + "-" + life, service, PLACES);
+  BatchEngine(int engineIndex, int incarnation, ServiceId service) {
+    this.engineIndex = engineIndex;
+    registration = ForwardSamples.upstream("e" + engineIndex + "-" + incarnation, service, SLOTS);
   }
 
   /** Returns the number of the engine, which is the same for all its incarnations. */
-  int site() {
-    return site;
+  int engineIndex() {
+    return engineIndex;
   }
 
   Registration registration() {
@@ -39,19 +39,19 @@
   }
 
   /** Accepts a request, which starts as soon as a slot is free. */
-  void take(long request) {
+  void enqueue(long request) {
     queued.add(request);
   }
 
   /** Removes a request that has ended or was aborted. */
-  void forget(long request) {
+  void removeRequest(long request) {
     running.remove(request);
     queued.remove(request);
   }
 
   /** Moves requests from the queue into free slots; returns those that start now. */
-  List<Long> begin() {
-    int free = Math.max(0, PLACES - running.size());
+  List<Long> startQueued() {
+    int free = Math.max(0, SLOTS - running.size());
     List<Long> started = List.copyOf(queued.subList(0, Math.min(free, queued.size())));
     queued.removeAll(started);
     running.addAll(started);
--- a/core/src/test/java/org/teaseltrail/core/control/ClaimServiceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ClaimCoordinatorTest.java
@@ -21,14 +21,14 @@
 /**
  * Tests that a request with an idempotency key runs at most once while members and entry VMs fail.
  */
-class ClaimServiceTest {
+class ClaimCoordinatorTest {
 
   private static final UpstreamId UPSTREAM = new UpstreamId("u1");
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
-  private FakeControl leader;
-  private FakeEntry vm1;
-  private FakeEntry vm2;
+  private FakeControlMember leader;
+  private RecordingEntryVm vm1;
+  private RecordingEntryVm vm2;
 
   @BeforeEach
   void configure() {
@@ -40,8 +40,8 @@
     announce(leader);
   }
 
-  private void announce(FakeControl member) {
-    vm1.say(member, Samples.seen("u1", "regina-a", 1));
+  private void announce(FakeControlMember member) {
+    vm1.send(member, Samples.seen("u1", "regina-a", 1));
     group.run(10);
   }
 
@@ -50,7 +50,8 @@
         new RequestId(request), UPSTREAM, kind, new Usage(100, 0, 20), 400);
   }
 
-  private void assertClaimExists(FakeEntry vm, String requester, String holder, ClaimState state) {
+  private void assertClaimExists(
+      RecordingEntryVm vm, String requester, String holder, ClaimState state) {
     assertThat(vm.heard(ClaimExists.class))
         .anyMatch(
             message ->
@@ -62,7 +63,7 @@
   /** A request with a key may be granted only after a quorum has synced its claim. */
   @Test
   void grantFollowsTheCommittedClaim() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(3);
     assertThat(vm1.heard(Grant.class)).isEmpty();
     group.run(20);
@@ -77,21 +78,21 @@
    * first one while that is waiting, running and completed.
    */
   @Test
-  void doubledRequestIsToldOfTheFirst() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
-    vm2.say(leader, Samples.offer("r2", "k", "d"));
+  void duplicateRequestLearnsStateOfTheFirst() {
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
+    vm2.send(leader, Samples.offer("r2", "k", "d"));
     group.run(30);
     assertThat(vm1.heard(Grant.class)).hasSize(1);
     assertThat(vm2.heard(Grant.class)).isEmpty();
     assertClaimExists(vm2, "r2", "r1", ClaimState.WAITING);
 
-    vm2.say(leader, Samples.offer("r3", "k", "d"));
+    vm2.send(leader, Samples.offer("r3", "k", "d"));
     group.run(30);
     assertClaimExists(vm2, "r3", "r1", ClaimState.RUNNING);
 
-    vm1.say(leader, ended("r1", EndKind.COMPLETED));
+    vm1.send(leader, ended("r1", EndKind.COMPLETED));
     group.run(30);
-    vm2.say(leader, Samples.offer("r4", "k", "d"));
+    vm2.send(leader, Samples.offer("r4", "k", "d"));
     group.run(30);
     assertClaimExists(vm2, "r4", "r1", ClaimState.COMPLETED);
     assertThat(vm2.heard(Grant.class)).isEmpty();
@@ -100,9 +101,9 @@
   /** A caller that reuses a key for another body made a mistake and must receive a conflict. */
   @Test
   void anotherBodyUnderTheKeyIsConflict() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(30);
-    vm2.say(leader, Samples.offer("r2", "k", "other"));
+    vm2.send(leader, Samples.offer("r2", "k", "other"));
     group.run(30);
     assertThat(vm2.heard(Refused.class))
         .containsExactly(new Refused(new RequestId("r2"), RefusalKind.KEY_CONFLICT, 0));
@@ -115,19 +116,19 @@
    */
   @Test
   void claimOfLostGrantIsGrantedAgainToItsHolder() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(2);
-    vm1.silence(true);
+    vm1.setDisconnected(true);
     group.run(20);
     leader.kill();
-    vm1.silence(false);
+    vm1.setDisconnected(false);
     assertThat(vm1.heard(Grant.class)).isEmpty();
 
-    FakeControl next = group.leader();
+    FakeControlMember next = group.leader();
     group.run(1_000);
     announce(next);
-    vm1.say(next, Samples.offer("r1", "k", "d"));
-    vm2.say(next, Samples.offer("r2", "k", "d"));
+    vm1.send(next, Samples.offer("r1", "k", "d"));
+    vm2.send(next, Samples.offer("r2", "k", "d"));
     group.run(50);
     assertThat(vm1.heard(Grant.class)).hasSize(1);
     assertThat(vm2.heard(Grant.class)).isEmpty();
@@ -140,14 +141,14 @@
    */
   @Test
   void declinedRequestKeepsItsKeyOverTheNextGrant() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(30);
-    vm1.say(
+    vm1.send(
         leader,
         new EntryMessage.Declined(new RequestId("r1"), UPSTREAM, DeclineReason.CONNECT_FAILED));
     group.run(10_000);
     assertThat(vm1.heard(Grant.class)).hasSize(2);
-    vm2.say(leader, Samples.offer("r2", "k", "d"));
+    vm2.send(leader, Samples.offer("r2", "k", "d"));
     group.run(30);
     assertClaimExists(vm2, "r2", "r1", ClaimState.RUNNING);
   }
@@ -158,12 +159,12 @@
    */
   @Test
   void requestWithdrawnDuringItsClaimFreesTheKey() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(2);
-    vm1.say(leader, new EntryMessage.Withdraw(new RequestId("r1"), WithdrawReason.CALLER_GONE));
+    vm1.send(leader, new EntryMessage.Withdraw(new RequestId("r1"), WithdrawReason.CALLER_GONE));
     group.run(50);
     assertThat(vm1.heard(Grant.class)).isEmpty();
-    vm2.say(leader, Samples.offer("r2", "k", "d"));
+    vm2.send(leader, Samples.offer("r2", "k", "d"));
     group.run(50);
     assertThat(vm2.heard(Grant.class)).hasSize(1);
   }
@@ -174,18 +175,18 @@
    * completed.
    */
   @Test
-  void anotherVmAdoptsTheRunningAnswer() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+  void anotherVmTakesOverTheRunningAnswer() {
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(30);
-    vm1.silence(true);
+    vm1.setDisconnected(true);
     group.run(4_000);
-    vm2.say(leader, Samples.offer("r2", "k", "d"));
+    vm2.send(leader, Samples.offer("r2", "k", "d"));
     group.run(30);
     assertClaimExists(vm2, "r2", "r1", ClaimState.RUNNING);
     assertThat(vm2.last(ClaimExists.class).orElseThrow().address()).isPresent();
-    vm2.say(leader, ended("r1", EndKind.COMPLETED));
+    vm2.send(leader, ended("r1", EndKind.COMPLETED));
     group.run(30);
-    vm2.say(leader, Samples.offer("r3", "k", "d"));
+    vm2.send(leader, Samples.offer("r3", "k", "d"));
     group.run(30);
     assertClaimExists(vm2, "r3", "r1", ClaimState.COMPLETED);
   }
@@ -196,15 +197,15 @@
    * longer send the grant.
    */
   @Test
-  void thawedLeaderGrantsNothingForAnOldClaim() {
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+  void resumedLeaderGrantsNothingForAnOldClaim() {
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(2);
-    leader.freeze();
+    leader.pause();
     group.run(5_000);
-    FakeControl next = group.leader();
+    FakeControlMember next = group.leader();
     assertThat(next).isNotSameAs(leader);
     int before = leader.actions().size();
-    leader.thaw();
+    leader.resume();
     group.run(1_000);
     List<ControlAction> late = leader.actions().subList(before, leader.actions().size());
     assertThat(late).noneMatch(ControlAction::requiresLease);
@@ -215,13 +216,13 @@
    * leaders would fill the same upstream; the resumed one must send neither a grant nor a welcome.
    */
   @Test
-  void thawedLeaderTakesNoOfferAndWelcomesNobody() {
-    leader.freeze();
-    vm1.say(leader, Samples.offer("r1", "k", "d"));
+  void resumedLeaderAcceptsNoOfferAndSendsNoWelcome() {
+    leader.pause();
+    vm1.send(leader, Samples.offer("r1", "k", "d"));
     group.run(5_000);
-    vm1.forget();
+    vm1.clearReceived();
     int before = leader.actions().size();
-    leader.thaw();
+    leader.resume();
     group.run(500);
     assertThat(leader.actions().subList(before, leader.actions().size()))
         .noneMatch(ControlAction::requiresLease)
--- a/core/src/test/java/org/teaseltrail/core/control/ConfigurationServiceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ConfigurationServiceTest.java
@@ -39,7 +39,7 @@
   @Test
   void ofTwoChangesWithEqualRevisionsOneWins() {
     FakeControlGroup group = new FakeControlGroup(3).start();
-    FakeControl leader = group.leader();
+    FakeControlMember leader = group.leader();
     assertThat(group.change(leader, "a", 0, Samples.tier(1))).isEqualTo(accepted(1));
 
     assertThat(group.change(leader, "b", 1, Samples.tier(2))).isEqualTo(accepted(2));
@@ -55,10 +55,10 @@
   @Test
   void resendToTheSameLeaderReturnsTheFirstResult() {
     FakeControlGroup group = new FakeControlGroup(3).start();
-    FakeControl leader = group.leader();
-    group.loseReplies(true);
+    FakeControlMember leader = group.leader();
+    group.dropReplies(true);
     assertThat(group.change(leader, "a", 0, Samples.tier(1))).isNull();
-    group.loseReplies(false);
+    group.dropReplies(false);
     group.change(leader, "b", 1, Samples.tier(2));
 
     assertThat(group.change(leader, "a", 0, Samples.tier(1))).isEqualTo(accepted(1));
@@ -73,12 +73,12 @@
   @Test
   void resendToNewLeaderAndAfterSnapshotReturnsTheFirstResult() {
     FakeControlGroup group = new FakeControlGroup(3, snapshotEvery(20)).start();
-    FakeControl first = group.leader();
-    group.loseReplies(true);
+    FakeControlMember first = group.leader();
+    group.dropReplies(true);
     group.change(first, "a", 0, Samples.tier(1));
     first.kill();
-    group.loseReplies(false);
-    FakeControl second = group.leader();
+    group.dropReplies(false);
+    FakeControlMember second = group.leader();
     assertThat(group.change(second, "a", 0, Samples.tier(1))).isEqualTo(accepted(1));
 
     for (int i = 1; i <= 40; i++) {
@@ -86,9 +86,9 @@
     }
     group.run(2_000);
     assertThat(second.disk().hasSnapshot()).isTrue();
-    group.members().forEach(FakeControl::kill);
+    group.members().forEach(FakeControlMember::kill);
     group.members().forEach(group::restart);
-    FakeControl third = group.leader();
+    FakeControlMember third = group.leader();
     assertThat(group.change(third, "a", 0, Samples.tier(1))).isEqualTo(accepted(1));
     assertThat(group.change(third, "a", 0, Samples.tier(2)))
         .isEqualTo(
@@ -102,23 +102,23 @@
   @Test
   void restartAfterThousandChangesServesTheLastConfiguration() {
     FakeControlGroup group = new FakeControlGroup(3, snapshotEvery(100)).start();
-    FakeControl leader = group.leader();
+    FakeControlMember leader = group.leader();
     group.change(leader, "tier", 0, Samples.tier(1));
     List<Long> calls = new ArrayList<>();
     for (int i = 1; i <= 1_000; i++) {
       OperatorRequest.Change change =
           new OperatorRequest.Change(
               new ChangeId("n" + i), Optional.empty(), List.of(Samples.customer("c" + i % 50, 1)));
-      calls.add(group.ask(leader, change, 0));
+      calls.add(group.call(leader, change, 0));
       group.run(i % 20 == 0 ? 20 : 0);
     }
     group.run(500);
     assertThat(calls).allSatisfy(call -> assertThat(group.reply(call)).isNotNull());
 
-    group.members().forEach(FakeControl::kill);
+    group.members().forEach(FakeControlMember::kill);
     group.run(1_000);
     group.members().forEach(group::restart);
-    FakeControl next = group.leader();
+    FakeControlMember next = group.leader();
     assertThat(next.control().configuration().revision()).isEqualTo(new Revision(1_001));
     assertThat(next.control().configuration().customers()).hasSize(50);
   }
@@ -129,18 +129,19 @@
    * then.
    */
   @Test
-  void isInForceOnlyOnceEachSessionAppliesItOrHasLapsed() {
+  void isInForceOnlyOnceEachSessionAppliesItOrHasExpired() {
     FakeControlGroup group = new FakeControlGroup(3).start();
-    FakeControl leader = group.leader();
-    final FakeEntry vm1 = group.entry("e1");
-    FakeEntry vm2 = group.entry("e2");
+    FakeControlMember leader = group.leader();
+    final RecordingEntryVm vm1 = group.entry("e1");
+    RecordingEntryVm vm2 = group.entry("e2");
     group.run(4_000);
-    vm2.silence(true);
+    vm2.setDisconnected(true);
     assertThat(group.change(leader, "a", 0, Samples.tier(1))).isEqualTo(accepted(1));
     assertThat(vm1.applied()).isEqualTo(new Revision(1));
     group.run(600);
 
-    long call = group.ask(leader, new OperatorRequest.AwaitInForce(new Revision(1), 10_000), 2_000);
+    long call =
+        group.call(leader, new OperatorRequest.AwaitInForce(new Revision(1), 10_000), 2_000);
     assertThat(group.reply(call)).isNull();
     group.run(1_500);
     assertThat(group.reply(call))
@@ -153,18 +154,18 @@
    * must expire within 4 s.
    */
   @Test
-  void vmThatNeverAppliesIsNotWelcomedForEver() {
+  void sessionOfVmThatNeverAppliesExpires() {
     FakeControlGroup group = new FakeControlGroup(1).start();
-    FakeControl leader = group.leader();
-    final FakeEntry entry = group.entry("e1");
+    FakeControlMember leader = group.leader();
+    final RecordingEntryVm entry = group.entry("e1");
     entry.ignoreConfigurations();
     group.run(4_000);
     group.change(leader, "a", 0, Samples.tier(1));
     group.run(1_000);
-    entry.forget();
+    entry.clearReceived();
     group.run(10_000);
     assertThat(entry.heard(ControlMessage.Welcome.class)).isEmpty();
-    assertThat(group.ask(leader, new OperatorRequest.AwaitInForce(new Revision(1), 0)))
+    assertThat(group.call(leader, new OperatorRequest.AwaitInForce(new Revision(1), 0)))
         .isEqualTo(new OperatorResult.InForce(new Revision(1), List.of()));
   }
 
@@ -174,14 +175,14 @@
    * from the new leader.
    */
   @Test
-  void restartedVmTakesNoConfigurationFromCutLeader() {
+  void restartedVmAcceptsNoConfigurationFromPartitionedLeader() {
     FakeControlGroup group = new FakeControlGroup(3).start();
-    FakeControl oldLeader = group.leader();
-    final FakeEntry entry = group.entry("e1");
+    FakeControlMember oldLeader = group.leader();
+    final RecordingEntryVm entry = group.entry("e1");
     group.change(oldLeader, "a", 0, Samples.tier(1));
-    oldLeader.cut(true);
+    oldLeader.setPartitioned(true);
     group.run(1_000);
-    FakeControl newLeader = group.leader();
+    FakeControlMember newLeader = group.leader();
     assertThat(newLeader).isNotSameAs(oldLeader);
     assertThat(group.change(newLeader, "b", 1, Samples.tier(2))).isEqualTo(accepted(2));
     entry.restart();
@@ -197,7 +198,7 @@
   @Test
   void refusesToRemoveTierInUse() {
     FakeControlGroup group = new FakeControlGroup(1).start();
-    FakeControl leader = group.leader();
+    FakeControlMember leader = group.leader();
     group.change(leader, "a", 0, Samples.tier(1), Samples.customer("x", 1));
     ConfigurationFailure expected =
         new ConfigurationFailure.InUse(
--- a/core/src/test/java/org/teaseltrail/core/control/ControlFaultProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ControlFaultProperties.java
@@ -19,7 +19,7 @@
   private static final int STEPS = 60;
   private static final int KEYS = 12;
 
-  private final List<RunningVm> vms = new ArrayList<>();
+  private final List<DispatchingEntryVm> vms = new ArrayList<>();
 
   @Property(seed = "51", tries = 12)
   void noKeyRunsTwice(@ForAll long seed) {
@@ -29,17 +29,17 @@
   /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 2_000)
-  void noKeyRunsTwiceForLong(@ForAll long seed) {
+  void noKeyRunsTwiceWithFreshSeeds(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   private void run(SplittableRandom random) {
     FakeControlGroup group = new FakeControlGroup(3).start();
     group.change(group.leader(), "fleet", 0, Samples.fleet(0, "u1"));
-    RunHistory history = new RunHistory();
+    DispatchRecorder history = new DispatchRecorder();
     vms.clear();
     for (int i = 1; i <= 3; i++) {
-      vms.add(new RunningVm(group, history, "e" + i));
+      vms.add(new DispatchingEntryVm(group, history, "e" + i));
     }
     group.run(1_000);
     for (int step = 0; step < STEPS; step++) {
@@ -59,19 +59,19 @@
   }
 
   private void injectFault(FakeControlGroup group, SplittableRandom random) {
-    FakeControl member = group.members().get(random.nextInt(3));
+    FakeControlMember member = group.members().get(random.nextInt(3));
     switch (random.nextInt(6)) {
       case 0 -> {
         member.kill();
         group.after(random.nextLong(2_000_000_000L), () -> group.restart(member));
       }
       case 1 -> {
-        member.freeze();
-        group.after(random.nextLong(4_000_000_000L), member::thaw);
+        member.pause();
+        group.after(random.nextLong(4_000_000_000L), member::resume);
       }
       case 2 -> {
-        member.cut(true);
-        group.after(random.nextLong(4_000_000_000L), () -> member.cut(false));
+        member.setPartitioned(true);
+        group.after(random.nextLong(4_000_000_000L), () -> member.setPartitioned(false));
       }
       case 3 -> vms.get(random.nextInt(3)).restart();
       default -> {}
@@ -80,9 +80,9 @@
 
   private static void recover(FakeControlGroup group) {
     group.run(5_000);
-    for (FakeControl member : group.members()) {
-      member.cut(false);
-      member.thaw();
+    for (FakeControlMember member : group.members()) {
+      member.setPartitioned(false);
+      member.resume();
     }
     group.run(5_000);
   }
--- a/core/src/test/java/org/teaseltrail/core/control/RunHistory.java
+++ b/core/src/test/java/org/teaseltrail/core/control/DispatchRecorder.java
@@ -9,11 +9,11 @@
 import org.teaseltrail.core.message.Ticket;
 
 /** Records which request was dispatched for each idempotency key; fails if a second one is. */
-final class RunHistory {
+final class DispatchRecorder {
 
   private final Map<IdempotencyKey, RequestId> ran = new HashMap<>();
 
-  void dispatched(Ticket ticket) {
+  void recordDispatch(Ticket ticket) {
     IdempotencyKey key = ticket.claim().orElseThrow().key();
     RequestId before = ran.putIfAbsent(key, ticket.request());
     assertThat(before).as("key %s ran twice", key).isNull();
--- a/core/src/test/java/org/teaseltrail/core/control/RunningVm.java
+++ b/core/src/test/java/org/teaseltrail/core/control/DispatchingEntryVm.java
@@ -22,7 +22,7 @@
  * Minimal entry VM that follows the protocol: it dispatches a request once, declines grants of
  * older leaderships, reports its full state to a new leader, and can lose its state.
  */
-final class RunningVm implements FakeControlGroup.Listener {
+final class DispatchingEntryVm implements FakeControlGroup.Listener {
 
   private static final long HELLO_NS = 500_000_000L;
   private static final long RUN_NS = 300_000_000L;
@@ -30,19 +30,19 @@
   private record Running(EntryMessage.Offer offer, Grant grant) {}
 
   private final FakeControlGroup group;
-  private final RunHistory history;
+  private final DispatchRecorder history;
   private final VmId vm;
   private final Map<RequestId, EntryMessage.Offer> waiting = new HashMap<>();
   private final Map<RequestId, Running> running = new HashMap<>();
   private final Set<EntryMessage.Ended> ended = new HashSet<>();
   private Revision applied = new Revision(0);
   private FencingNumber newest = new FencingNumber(0);
-  private FakeControl leader;
+  private FakeControlMember leader;
   private long incarnation = 1;
   private long sequence;
   private int grants;
 
-  RunningVm(FakeControlGroup group, RunHistory history, String name) {
+  DispatchingEntryVm(FakeControlGroup group, DispatchRecorder history, String name) {
     this.group = group;
     this.history = history;
     vm = new VmId(name);
@@ -70,7 +70,7 @@
   }
 
   @Override
-  public void received(FakeControl from, ControlMessage message) {
+  public void received(FakeControlMember from, ControlMessage message) {
     if (message instanceof ControlMessage.Welcome welcome) {
       onWelcome(from, welcome);
     } else if (message instanceof ControlMessage.ConfigurationUpdate update) {
@@ -85,7 +85,7 @@
     }
   }
 
-  private void onWelcome(FakeControl from, ControlMessage.Welcome welcome) {
+  private void onWelcome(FakeControlMember from, ControlMessage.Welcome welcome) {
     if (welcome.fencing().compareTo(newest) < 0) {
       return;
     }
@@ -106,7 +106,7 @@
     }
   }
 
-  private void granted(FakeControl from, Grant grant) {
+  private void granted(FakeControlMember from, Grant grant) {
     EntryMessage.Offer offer = waiting.get(grant.request());
     if (offer == null) {
       if (!running.containsKey(grant.request())) {
@@ -121,7 +121,7 @@
     } else {
       waiting.remove(grant.request());
       running.put(grant.request(), new Running(offer, grant));
-      history.dispatched(offer.ticket());
+      history.recordDispatch(offer.ticket());
       int startedIncarnation = (int) incarnation;
       group.after(RUN_NS, () -> end(startedIncarnation, grant));
     }
@@ -138,13 +138,13 @@
     }
   }
 
-  private void decline(FakeControl from, Grant grant, DeclineReason reason) {
+  private void decline(FakeControlMember from, Grant grant, DeclineReason reason) {
     send(from, new EntryMessage.Declined(grant.request(), grant.upstream(), reason));
   }
 
-  private void send(FakeControl member, EntryMessage message) {
+  private void send(FakeControlMember member, EntryMessage message) {
     if (member != null) {
-      group.say(vm, member, message);
+      group.send(vm, member, message);
     }
   }
 
