--- a/core/src/test/java/org/teaseltrail/core/control/FakeControlGroup.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeControlGroup.java
@@ -48,11 +48,11 @@
           Comparator.comparingLong(ScheduledStep::atNs).thenComparingLong(ScheduledStep::order));
   private final SplittableRandom random = new SplittableRandom(11);
   private final MemoryCodec codec = new MemoryCodec();
-  private final List<FakeControl> members = new ArrayList<>();
+  private final List<FakeControlMember> members = new ArrayList<>();
 
   /** Entry VM that receives the messages of members. */
   interface Listener {
-    void received(FakeControl from, ControlMessage message);
+    void received(FakeControlMember from, ControlMessage message);
   }
 
   /** Entry VM that places requests by itself and receives the replies of members. */
@@ -84,14 +84,14 @@
         new LogEntry(1, 0, new EntryPayload.MembershipPayload(new Membership(voters, List.of())));
     for (Member voter : voters) {
       RecoveredState initial = new RecoveredState(Vote.none(), Optional.empty(), List.of(first));
-      members.add(new FakeControl(this, voter, initial));
+      members.add(new FakeControlMember(this, voter, initial));
     }
   }
 
   /** Starts a member with an empty disk that requests to join the group, as its process does. */
-  FakeControl join(String id, String vm) {
+  FakeControlMember join(String id, String vm) {
     Member member = new Member(new MemberId(id), new VmId(vm));
-    FakeControl joining = new FakeControl(this, member, RecoveredState.empty());
+    FakeControlMember joining = new FakeControlMember(this, member, RecoveredState.empty());
     members.add(joining);
     joining.start(replicaSettings);
     askToJoin(joining);
@@ -102,12 +102,12 @@
    * Sends a join request to all members every 300 ms, since any of them may lead, until the member
    * is killed.
    */
-  private void askToJoin(FakeControl joining) {
+  private void askToJoin(FakeControlMember joining) {
     if (joining.control() == null) {
       return;
     }
-    for (FakeControl member : List.copyOf(members)) {
-      if (member != joining && !member.isCut() && !joining.isCut()) {
+    for (FakeControlMember member : List.copyOf(members)) {
+      if (member != joining && !member.isPartitioned() && !joining.isPartitioned()) {
         member.handle(new ControlEvent.MemberJoins(joining.member()));
       }
     }
@@ -119,7 +119,7 @@
     return this;
   }
 
-  void use(ControlSettings newSettings) {
+  void useSettings(ControlSettings newSettings) {
     settings = newSettings;
   }
 
@@ -139,12 +139,12 @@
     return nowNs;
   }
 
-  List<FakeControl> members() {
+  List<FakeControlMember> members() {
     return members;
   }
 
-  FakeEntry entry(String vm) {
-    FakeEntry entry = new FakeEntry(this, new VmId(vm));
+  RecordingEntryVm entry(String vm) {
+    RecordingEntryVm entry = new RecordingEntryVm(this, new VmId(vm));
     listen(entry.vm(), entry);
     return entry;
   }
@@ -157,7 +157,7 @@
     servingVms.put(vm, listener);
   }
 
-  void restart(FakeControl member) {
+  void restart(FakeControlMember member) {
     member.start(replicaSettings);
   }
 
@@ -176,9 +176,9 @@
   }
 
   /** Runs until one member serves, which must happen within two seconds. */
-  FakeControl leader() {
+  FakeControlMember leader() {
     for (int i = 0; i < 200; i++) {
-      for (FakeControl member : members) {
+      for (FakeControlMember member : members) {
         if (member.isServing()) {
           return member;
         }
@@ -188,29 +188,31 @@
     throw new AssertionError("no leader within two seconds");
   }
 
-  void sendPeer(FakeControl from, PeerEnvelope envelope) {
-    for (FakeControl member : members) {
-      if (member.member().id().equals(envelope.to()) && !from.isCut() && !member.isCut()) {
+  void sendPeer(FakeControlMember from, PeerEnvelope envelope) {
+    for (FakeControlMember member : members) {
+      if (member.member().id().equals(envelope.to())
+          && !from.isPartitioned()
+          && !member.isPartitioned()) {
         after(LATENCY_NS, () -> member.handle(new ControlEvent.FromPeer(envelope)));
       }
     }
   }
 
   /** Delivers a VM's message to a member. */
-  void say(VmId vm, FakeControl member, EntryMessage message) {
+  void send(VmId vm, FakeControlMember member, EntryMessage message) {
     after(LATENCY_NS, () -> member.handle(new ControlEvent.FromEntry(vm, message)));
   }
 
   /** Delivers a message of a VM that places requests by itself to a member. */
-  void say(VmId member, ServingMessage message) {
-    for (FakeControl one : members) {
+  void send(VmId member, ServingMessage message) {
+    for (FakeControlMember one : members) {
       if (one.member().vm().equals(member)) {
         after(LATENCY_NS, () -> one.handle(new ControlEvent.FromServingVm(message)));
       }
     }
   }
 
-  void acted(FakeControl from, ControlAction action) {
+  void onAction(FakeControlMember from, ControlAction action) {
     if (action instanceof ControlAction.SendToEntryVm send) {
       assertThat(from.control().isLeaseValid(nowNs)).isTrue();
       Listener entry = entryVms.get(send.vm());
@@ -227,17 +229,17 @@
     }
   }
 
-  void loseReplies(boolean lost) {
-    repliesLost = lost;
+  void dropReplies(boolean dropped) {
+    repliesLost = dropped;
   }
 
   /** Calls a member and runs for 200 ms; returns null if the member has not replied. */
-  OperatorResult ask(FakeControl member, OperatorRequest request) {
-    long callId = ask(member, request, 200);
+  OperatorResult call(FakeControlMember member, OperatorRequest request) {
+    long callId = call(member, request, 200);
     return replies.get(callId);
   }
 
-  long ask(FakeControl member, OperatorRequest request, long runMs) {
+  long call(FakeControlMember member, OperatorRequest request, long runMs) {
     long callId = ++lastCallId;
     member.handle(new ControlEvent.OperatorCall(callId, request));
     run(runMs);
@@ -249,8 +251,8 @@
   }
 
   OperatorResult change(
-      FakeControl member, String id, long expected, ConfigurationChange... items) {
-    return ask(
+      FakeControlMember member, String id, long expected, ConfigurationChange... items) {
+    return call(
         member,
         new OperatorRequest.Change(
             new ChangeId(id), Optional.of(new Revision(expected)), List.of(items)));
--- a/core/src/test/java/org/teaseltrail/core/control/FakeControl.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeControlMember.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.schedule.SchedulerSettings;
 
 /** Runs one control member on a fake disk; the member can be killed, paused and partitioned. */
-final class FakeControl {
+final class FakeControlMember {
 
   private static final long SYNC_NS = 1_000_000L;
 
@@ -30,7 +30,7 @@
   private long wakeupNs;
   private int incarnation;
 
-  FakeControl(FakeControlGroup group, Member member, RecoveredState initial) {
+  FakeControlMember(FakeControlGroup group, Member member, RecoveredState initial) {
     this.group = group;
     this.member = member;
     disk = new FakeDisk(initial);
@@ -52,7 +52,7 @@
     return control != null && !paused && serving && control.isLeaseValid(group.nowNs());
   }
 
-  boolean isCut() {
+  boolean isPartitioned() {
     return partitioned;
   }
 
@@ -96,12 +96,12 @@
     held.clear();
   }
 
-  void freeze() {
+  void pause() {
     paused = true;
   }
 
   /** Resumes at the current time with the events received during the pause. */
-  void thaw() {
+  void resume() {
     paused = false;
     while (!held.isEmpty()) {
       handle(held.removeFirst());
@@ -109,8 +109,8 @@
     handle(new ControlEvent.Tick());
   }
 
-  void cut(boolean isCut) {
-    partitioned = isCut;
+  void setPartitioned(boolean isPartitioned) {
+    partitioned = isPartitioned;
   }
 
   void handle(ControlEvent event) {
@@ -139,7 +139,7 @@
       group.sendPeer(this, send.envelope());
     } else {
       actions.add(action);
-      group.acted(this, action);
+      group.onAction(this, action);
     }
     if (action instanceof ControlAction.LeadershipChanged changed) {
       serving = changed.serving();
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeEngine.java
@@ -11,33 +11,33 @@
   /** Defines how the engine handles a request. */
   enum State {
     /** Answers in its usual time. */
-    SOUND,
+    HEALTHY,
     /** Refuses connections. */
     GONE,
     /** Accepts requests and never answers. */
-    SILENT,
+    HANGING,
     /** Breaks the connection during an answer. */
-    BREAKING,
+    ABORTING,
     /** Returns errors immediately. */
     FAILING,
     /** Takes three times as long. */
     SLOW
   }
 
-  static final int PLACES = 4;
+  static final int SLOTS = 4;
 
   private static final double BASE_MS = 400;
   private static final double SLOW_FACTOR = 3;
 
   private final Registration registration;
   private final double slowness;
-  private State state = State.SOUND;
+  private State state = State.HEALTHY;
   private int running;
   private int dispatched;
 
-  FakeEngine(String id, double slowness) {
-    registration = ForwardSamples.upstream(id, TestPlans.ENGINES, PLACES);
-    this.slowness = slowness;
+  FakeEngine(String id, double latencyFactor) {
+    registration = ForwardSamples.upstream(id, TestPlans.ENGINES, SLOTS);
+    this.slowness = latencyFactor;
   }
 
   Registration registration() {
@@ -52,17 +52,17 @@
     return state;
   }
 
-  void become(State next) {
+  void setState(State next) {
     state = next;
   }
 
   /** Returns the throughput when all slots are in use, in requests per second. */
   double perSecond() {
-    return PLACES * 1_000 / (BASE_MS * slowness);
+    return SLOTS * 1_000 / (BASE_MS * slowness);
   }
 
   /** Returns the service time of a request while there are no more requests than slots. */
-  long usualMs() {
+  long baseServiceTimeMs() {
     return (long) (BASE_MS * slowness);
   }
 
@@ -70,11 +70,11 @@
    * Starts a request and returns its service time, which grows with the number of requests beyond
    * the slots.
    */
-  long begin() {
+  long startRequest() {
     running++;
     dispatched++;
-    double crowd = Math.max(1, (double) running / PLACES);
-    return (long) (usualMs() * crowd * (state == State.SLOW ? SLOW_FACTOR : 1));
+    double crowd = Math.max(1, (double) running / SLOTS);
+    return (long) (baseServiceTimeMs() * crowd * (state == State.SLOW ? SLOW_FACTOR : 1));
   }
 
   void end() {
@@ -82,14 +82,14 @@
   }
 
   boolean isFull() {
-    return running >= PLACES;
+    return running >= SLOTS;
   }
 
   int running() {
     return running;
   }
 
-  void countAnew() {
+  void resetDispatchCount() {
     dispatched = 0;
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEntryVms.java
+++ b/core/src/test/java/org/teaseltrail/core/control/FakeEntryVms.java
@@ -17,21 +17,22 @@
 final class FakeEntryVms {
 
   /** Executes a VM's actions towards upstreams and callers. */
-  interface Shell {
-    void carryOut(int vm, ForwardAction action);
+  interface ActionExecutor {
+    void execute(int vm, ForwardAction action);
   }
 
   private final FakeControlGroup group;
   private final SplittableRandom random;
-  private final Shell shell;
+  private final ActionExecutor shell;
   private final List<ForwardNode> nodes = new ArrayList<>();
   private final long[] incarnations;
   private final boolean[] partitioned;
 
-  FakeEntryVms(FakeControlGroup group, int count, SplittableRandom random, Shell shell) {
+  FakeEntryVms(
+      FakeControlGroup group, int count, SplittableRandom random, ActionExecutor executor) {
     this.group = group;
     this.random = random;
-    this.shell = shell;
+    this.shell = executor;
     incarnations = new long[count];
     partitioned = new boolean[count];
   }
@@ -53,14 +54,15 @@
   }
 
   /** Returns the incarnation of a VM's process, starting with 1. */
-  long life(int vm) {
+  long incarnation(int vm) {
     return incarnations[vm];
   }
 
   /** Starts a VM without state. */
   void restart(int vm) {
     incarnations[vm]++;
-    List<VmId> members = group.members().stream().map(FakeControl::member).map(Member::vm).toList();
+    List<VmId> members =
+        group.members().stream().map(FakeControlMember::member).map(Member::vm).toList();
     ForwardSettings settings =
         ForwardSamples.settings(name(vm), incarnations[vm], members, random.nextLong());
     nodes.set(vm, new ForwardNode(settings));
@@ -69,32 +71,32 @@
         name(vm),
         reply -> {
           if (incarnation == incarnations[vm] && !partitioned[vm]) {
-            carryOut(vm, nodes.get(vm).onControlMessage(reply, group.nowNs()));
+            execute(vm, nodes.get(vm).onControlMessage(reply, group.nowNs()));
           }
         });
-    carryOut(vm, nodes.get(vm).start());
+    execute(vm, nodes.get(vm).start());
   }
 
   /** Partitions a VM from all members, or reconnects it. */
-  void cut(int vm, boolean isCut) {
-    partitioned[vm] = isCut;
+  void setPartitioned(int vm, boolean isPartitioned) {
+    partitioned[vm] = isPartitioned;
   }
 
   /** Runs the VMs whose wake-up time has come. */
   void tick() {
     for (int vm = 0; vm < incarnations.length; vm++) {
       if (group.nowNs() >= nodes.get(vm).nextWakeupNs()) {
-        carryOut(vm, nodes.get(vm).tick(group.nowNs()));
+        execute(vm, nodes.get(vm).tick(group.nowNs()));
       }
     }
   }
 
-  void carryOut(int vm, List<ForwardAction> actions) {
+  void execute(int vm, List<ForwardAction> actions) {
     for (ForwardAction action : actions) {
       if (!(action instanceof ForwardAction.SendControl send)) {
-        shell.carryOut(vm, action);
+        shell.execute(vm, action);
       } else if (!partitioned[vm]) {
-        group.say(send.member(), send.message());
+        group.send(send.member(), send.message());
       }
     }
   }
--- a/core/src/test/java/org/teaseltrail/core/control/PlanAnswerTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/InstallPlanReplyTest.java
@@ -18,15 +18,15 @@
  * is committed within milliseconds, pushes it to all entry VMs one after the other before it
  * replies.
  */
-class PlanAnswerTest {
+class InstallPlanReplyTest {
 
   private static final int VMS = 60;
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
 
   @Test
-  void operatorIsAnsweredBeforeThePlanIsBroughtToTheVms() {
-    FakeControl leader = group.leader();
+  void operatorReceivesReplyBeforePlanIsPushed() {
+    FakeControlMember leader = group.leader();
     group.run(500);
     for (int i = 0; i < VMS; i++) {
       leader.handle(
@@ -43,12 +43,12 @@
                   List.of())));
     }
     leader.actions().clear();
-    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
+    group.call(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     List<ControlAction> actions = leader.actions();
     int replyIndex = index(actions, ControlAction.Reply.class);
     int pushIndex =
         actions.indexOf(
-            actions.stream().filter(PlanAnswerTest::pushesPlan).findFirst().orElseThrow());
+            actions.stream().filter(InstallPlanReplyTest::pushesPlan).findFirst().orElseThrow());
     assertThat(replyIndex).isLessThan(pushIndex);
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/LeavingUpstreamTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/LeavingUpstreamTest.java
@@ -15,18 +15,19 @@
 
   private static final int LEAVING_MS = 8_000;
 
-  private static int requestsAfterLeaving(BackpressureRun run) {
-    return run.engines().stream().mapToInt(AskingEngine::takenAfterLeaving).sum();
+  private static int requestsAfterLeaving(BackpressureSimulation run) {
+    return run.engines().stream().mapToInt(BackpressureEngine::requestsAfterLeaving).sum();
   }
 
   /** A VM learns from an answer that the upstream is leaving; it must not keep sending to it. */
   @ParameterizedTest
   @CsvSource({"1, 9, 8, 50", "2, 62, 98, 500"})
-  void othersServeOnceVmKnows(long seed, int vms, int engines, double perSecond) {
-    BackpressureRun run = BackpressureRun.inCalm(seed, vms, engines, perSecond);
-    run.engine(0).leave();
-    run.engine(1).leave();
-    run.play(LEAVING_MS, perSecond);
+  void otherUpstreamsServeOnceVmIsInformed(long seed, int vms, int engines, double perSecond) {
+    BackpressureSimulation run =
+        BackpressureSimulation.createWarmedUp(seed, vms, engines, perSecond);
+    run.engine(0).startLeaving();
+    run.engine(1).startLeaving();
+    run.simulate(LEAVING_MS, perSecond);
     assertThat(requestsAfterLeaving(run)).isZero();
     assertThat(run.servedShare()).isGreaterThan(0.97);
   }
@@ -37,11 +38,11 @@
    */
   @Test
   void grantsOfLeavingUpstreamAreNotUsed() {
-    double overload = 1.3 * 8 * BatchEngine.PLACES / 0.3;
-    BackpressureRun run = BackpressureRun.inCalm(3, 9, 8, overload);
-    run.engine(0).leave();
-    run.engine(1).leave();
-    run.play(LEAVING_MS, overload);
+    double overload = 1.3 * 8 * BatchEngine.SLOTS / 0.3;
+    BackpressureSimulation run = BackpressureSimulation.createWarmedUp(3, 9, 8, overload);
+    run.engine(0).startLeaving();
+    run.engine(1).startLeaving();
+    run.simulate(LEAVING_MS, overload);
     assertThat(requestsAfterLeaving(run)).isZero();
   }
 
@@ -49,14 +50,14 @@
    * The registration expires and is renewed; the VM must still know that the upstream is leaving.
    */
   @Test
-  void leavingOutlivesTheRegistration() {
-    BackpressureRun run = BackpressureRun.inCalm(4, 9, 8, 50);
-    run.engine(0).leave();
-    run.play(2_000, 50);
-    run.loseHeartbeatsOf(run.engine(0), true);
-    run.play(20_000, 50);
-    run.loseHeartbeatsOf(run.engine(0), false);
-    run.play(8_000, 50);
+  void leavingStateSurvivesExpiredRegistration() {
+    BackpressureSimulation run = BackpressureSimulation.createWarmedUp(4, 9, 8, 50);
+    run.engine(0).startLeaving();
+    run.simulate(2_000, 50);
+    run.dropHeartbeatsOf(run.engine(0), true);
+    run.simulate(20_000, 50);
+    run.dropHeartbeatsOf(run.engine(0), false);
+    run.simulate(8_000, 50);
     assertThat(requestsAfterLeaving(run)).isZero();
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/MembershipKeeperTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/MembershipReconcilerTest.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.replication.Membership;
 
 /** Tests that a group forms and repairs itself without an operator's command. */
-class MembershipKeeperTest {
+class MembershipReconcilerTest {
 
   /** Time that deployments give a new member to become a voter. */
   private static final long CATCH_UP_MS = 4_000;
@@ -22,7 +22,7 @@
 
   private void start() {
     ControlSettings standard = ControlSettings.DEFAULT;
-    group.use(
+    group.useSettings(
         new ControlSettings(
             standard.sessions(),
             standard.claims(),
@@ -43,18 +43,18 @@
   }
 
   private Membership membership() {
-    FakeControl leader = group.leader();
-    StatusOf status = new StatusOf(group.ask(leader, new OperatorRequest.ReadStatus()));
+    FakeControlMember leader = group.leader();
+    StatusOf status = new StatusOf(group.call(leader, new OperatorRequest.ReadStatus()));
     return status.membership();
   }
 
   private OperatorResult install(long version) {
     InstalledPlan installed = new InstalledPlan(TestPlans.plan(version), "text of " + version);
-    return group.ask(group.leader(), new OperatorRequest.InstallPlan(installed));
+    return group.call(group.leader(), new OperatorRequest.InstallPlan(installed));
   }
 
   private long readVersion() {
-    OperatorResult result = group.ask(group.leader(), new OperatorRequest.ReadPlan());
+    OperatorResult result = group.call(group.leader(), new OperatorRequest.ReadPlan());
     return ((OperatorResult.PlanRead) result).installed().orElseThrow().plan().version();
   }
 
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void takesInWhoAsks() {
+  void addsJoiningMembers() {
     startFiveMembers();
     assertThat(voters()).containsExactlyInAnyOrder("c1", "c2", "c3", "c4", "c5");
   }
@@ -80,13 +80,13 @@
   void replacesMemberThatIsGone() {
     startFiveMembers();
     install(7);
-    FakeControl gone = anotherMember(group.leader());
+    FakeControlMember gone = anotherMember(group.leader());
     gone.kill();
     group.run(1_000);
     group.join("c6", "control-6");
     group.run(CATCH_UP_MS);
     assertThat(voters()).hasSize(5).contains("c6").doesNotContain(gone.member().id().value());
-    FakeControl leader = group.leader();
+    FakeControlMember leader = group.leader();
     leader.kill();
     anotherMember(leader).kill();
     group.run(3_000);
@@ -101,7 +101,7 @@
   void replacesMemberThatLostItsDisk() {
     startFiveMembers();
     install(7);
-    FakeControl wiped = anotherMember(group.leader());
+    FakeControlMember wiped = anotherMember(group.leader());
     wiped.kill();
     group.join("c7", wiped.member().vm().value());
     group.run(CATCH_UP_MS);
@@ -116,7 +116,7 @@
   @Test
   void keepsSilentMemberWithoutSuccessor() {
     startFiveMembers();
-    FakeControl down = anotherMember(group.leader());
+    FakeControlMember down = anotherMember(group.leader());
     down.kill();
     group.run(CATCH_UP_MS);
     assertThat(voters()).contains(down.member().id().value());
@@ -138,16 +138,16 @@
    * previous plan.
    */
   @Test
-  void cutLeaderAnswersNoRead() {
+  void partitionedLeaderServesNoRead() {
     startFiveMembers();
     install(7);
-    FakeControl old = group.leader();
-    old.cut(true);
-    OperatorResult stale = group.ask(old, new OperatorRequest.ReadPlan());
+    FakeControlMember old = group.leader();
+    old.setPartitioned(true);
+    OperatorResult stale = group.call(old, new OperatorRequest.ReadPlan());
     assertThat(stale instanceof OperatorResult.PlanRead).isFalse();
   }
 
-  private FakeControl anotherMember(FakeControl excluded) {
+  private FakeControlMember anotherMember(FakeControlMember excluded) {
     return group.members().stream()
         .filter(member -> member != excluded && member.control() != null)
         .findFirst()
--- a/core/src/test/java/org/teaseltrail/core/control/NewLeaderPlacesTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/NewLeaderSlotsTest.java
@@ -19,22 +19,22 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /** Tests that a new leader reports and grants slots only once it knows which of them are in use. */
-class NewLeaderPlacesTest {
+class NewLeaderSlotsTest {
 
   private static final VmId VM_1 = new VmId("entry-1");
   private static final UpstreamId ENGINE = new UpstreamId("e1");
   private static final int REPORTS_COMPLETE_MS = 300;
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
-  private FakeControl leader;
+  private FakeControlMember leader;
   private long sequence;
 
   @BeforeEach
   void changeLeader() {
-    FakeControl first = group.leader();
+    FakeControlMember first = group.leader();
     group.run(500);
-    group.ask(first, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
-    group.ask(
+    group.call(first, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
+    group.call(
         first,
         new OperatorRequest.Heartbeat(
             ForwardSamples.upstream(ENGINE.value(), TestPlans.ENGINES, 4)));
@@ -83,14 +83,14 @@
    * be delayed by a second and more.
    */
   @Test
-  void newLeaderTellsNothingOfPlacesBeforeAllVmsCanHaveTold() {
+  void newLeaderReportsNoSlotsBeforeAllVmsCanReport() {
     assertThat(reportedSlots()).isEqualTo(UpstreamSlots.NONE);
     group.run(REPORTS_COMPLETE_MS);
     assertThat(reportedSlots().ownParts()).containsExactly(4);
   }
 
   @Test
-  void newLeaderHandsOutNoPlaceBeforeAllVmsCanHaveTold() {
+  void newLeaderGrantsNoSlotBeforeAllVmsCanReport() {
     reportedSlots();
     assertThat(grantsAfterQueueReport()).isZero();
     group.run(REPORTS_COMPLETE_MS);
--- a/core/src/test/java/org/teaseltrail/core/control/CutOffLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PartitionedLeaderTest.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.message.EntryMessage;
 
 /** Tests what a leader does between the end of its lease and its stepping down. */
-class CutOffLeaderTest {
+class PartitionedLeaderTest {
 
   /**
    * The leader is partitioned while a request waits. Its lease ends, but it steps down only later.
@@ -16,15 +16,15 @@
    * would take memory.
    */
   @Test
-  void withoutTheLeaseNoWakeUpLiesInThePast() {
+  void wakeupIsNeverInThePastWithoutLease() {
     FakeControlGroup group = new FakeControlGroup(3).start();
-    FakeControl leader = group.leader();
-    FakeEntry entry = group.entry("e1");
+    FakeControlMember leader = group.leader();
+    RecordingEntryVm entry = group.entry("e1");
     group.change(leader, "fleet", 0, Samples.fleet(0, "u1"));
     group.run(1_000);
-    entry.say(leader, new EntryMessage.Offer(Samples.ticket("r1", Optional.empty())));
+    entry.send(leader, new EntryMessage.Offer(Samples.ticket("r1", Optional.empty())));
     group.run(100);
-    leader.cut(true);
+    leader.setPartitioned(true);
     int withoutLease = 0;
     for (int ms = 0; ms < 2_000; ms++) {
       group.run(1);
--- a/core/src/test/java/org/teaseltrail/core/control/PlacementTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PlacementTest.java
@@ -12,22 +12,22 @@
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
 
-  private FakeEntry fleetWithOneCopy(FakeControl leader) {
+  private RecordingEntryVm fleetWithOneCopy(FakeControlMember leader) {
     group.change(leader, "fleet", 0, Samples.fleet(3, "u1", "u2", "u3", "u4"));
-    FakeEntry entry = group.entry("e1");
+    RecordingEntryVm entry = group.entry("e1");
     group.run(1_000);
     announce(entry, leader);
     return entry;
   }
 
-  private void announce(FakeEntry entry, FakeControl leader) {
-    entry.say(leader, Samples.seen("u1", "regina-a", 1));
-    entry.say(leader, Samples.seen("u2", "regina-a", 1, List.of()));
-    entry.say(leader, Samples.seen("u3", "regina-b", 1, List.of()));
-    entry.say(leader, Samples.seen("u4", "winnipeg", 1, List.of()));
+  private void announce(RecordingEntryVm entry, FakeControlMember leader) {
+    entry.send(leader, Samples.seen("u1", "regina-a", 1));
+    entry.send(leader, Samples.seen("u2", "regina-a", 1, List.of()));
+    entry.send(leader, Samples.seen("u3", "regina-b", 1, List.of()));
+    entry.send(leader, Samples.seen("u4", "winnipeg", 1, List.of()));
   }
 
-  private static List<EngineOrder> orders(FakeControl member) {
+  private static List<EngineOrder> orders(FakeControlMember member) {
     return member.actions().stream()
         .filter(ControlAction.SendOrder.class::isInstance)
         .map(action -> ((ControlAction.SendOrder) action).order())
@@ -40,7 +40,7 @@
    */
   @Test
   void missingCopiesAreLoadedOneByOneOverDataCentres() {
-    FakeControl leader = group.leader();
+    FakeControlMember leader = group.leader();
     fleetWithOneCopy(leader);
     group.run(4_000);
     assertThat(orders(leader)).hasSize(1);
@@ -60,17 +60,17 @@
    * use a greater fencing number.
    */
   @Test
-  void thawedLeaderOrdersNothing() {
-    FakeControl oldLeader = group.leader();
-    final FakeEntry entry = fleetWithOneCopy(oldLeader);
+  void resumedLeaderSendsNoOrder() {
+    FakeControlMember oldLeader = group.leader();
+    final RecordingEntryVm entry = fleetWithOneCopy(oldLeader);
     group.run(1_000);
-    oldLeader.freeze();
+    oldLeader.pause();
     group.run(2_000);
-    FakeControl next = group.leader();
+    FakeControlMember next = group.leader();
     announce(entry, next);
     group.run(10_000);
     int before = orders(oldLeader).size();
-    oldLeader.thaw();
+    oldLeader.resume();
     group.run(5_000);
     assertThat(orders(oldLeader)).hasSize(before);
     assertThat(orders(next)).isNotEmpty();
--- a/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PoisonRequestSimulation.java
@@ -23,7 +23,7 @@
  * after a crash, callers with different requests, one popular content that is requested often, and
  * callers that retry poison requests under new ids at any VM.
  */
-final class DeadlyRequestRun {
+final class PoisonRequestSimulation {
 
   /** Kind of route that a request takes. */
   enum Kind {
@@ -42,13 +42,13 @@
   }
 
   /** Time after which all connected VMs must know of an event, in milliseconds. */
-  static final int CONTACT_MS = 3_000;
+  static final int PROPAGATION_MS = 3_000;
 
   /**
    * Number of upstreams crashed by one request after which it must become known as a poison
    * request.
    */
-  static final int ENDS_UNTIL_KNOWN = 3;
+  static final int CRASHES_UNTIL_KNOWN = 3;
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int HEARTBEAT_EVERY_MS = 1_200;
@@ -71,30 +71,30 @@
    */
   private record Attempt(int vm, long incarnation, long request, Optional<BatchEngine> engine) {
     void removeFromEngine() {
-      engine.ifPresent(current -> current.forget(request));
+      engine.ifPresent(current -> current.removeRequest(request));
     }
   }
 
   /** Counts the crashes that one poison content has caused. */
-  static final class Harm {
+  static final class CrashStats {
     private final List<Long> crashTimesNs = new ArrayList<>();
-    private int sendsOnceKnown;
+    private int sendsAfterDetection;
 
-    int ends() {
+    int crashes() {
       return crashTimesNs.size();
     }
 
     /** Returns the number of dispatches later than the propagation time after the third crash. */
-    int sendsOnceKnown() {
-      return sendsOnceKnown;
+    int sendsAfterDetection() {
+      return sendsAfterDetection;
     }
 
     private void recordDispatch(long nowNs, long disturbedNs) {
       boolean isKnown =
-          crashTimesNs.size() >= ENDS_UNTIL_KNOWN
-              && nowNs - crashTimesNs.get(ENDS_UNTIL_KNOWN - 1) > CONTACT_MS * NS_PER_MS
-              && nowNs - disturbedNs > CONTACT_MS * NS_PER_MS;
-      sendsOnceKnown += isKnown ? 1 : 0;
+          crashTimesNs.size() >= CRASHES_UNTIL_KNOWN
+              && nowNs - crashTimesNs.get(CRASHES_UNTIL_KNOWN - 1) > PROPAGATION_MS * NS_PER_MS
+              && nowNs - disturbedNs > PROPAGATION_MS * NS_PER_MS;
+      sendsAfterDetection += isKnown ? 1 : 0;
     }
   }
 
@@ -104,8 +104,8 @@
   private final List<BatchEngine> engines = new ArrayList<>();
   private final Map<Long, Call> calls = new HashMap<>();
   private final Map<Long, Attempt> attempts = new HashMap<>();
-  private final Map<String, Harm> harm = new HashMap<>();
-  private final Map<RefusalReason, Integer> innocentRefused = new HashMap<>();
+  private final Map<String, CrashStats> crashStats = new HashMap<>();
+  private final Map<RefusalReason, Integer> harmlessRefused = new HashMap<>();
   private final Map<RefusalReason, Integer> popularRefused = new HashMap<>();
   private Optional<Kind> poisonKind = Optional.empty();
   private int poisonContents;
@@ -118,10 +118,10 @@
   private int asked;
   private int served;
 
-  DeadlyRequestRun(SplittableRandom random, int vmCount, int engineCount) {
+  PoisonRequestSimulation(SplittableRandom random, int vmCount, int engineCount) {
     this.random = random;
     group.start();
-    group.ask(
+    group.call(
         group.leader(),
         new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int site = 0; site < engineCount; site++) {
@@ -144,35 +144,35 @@
   /**
    * Makes callers request poison contents of a kind, each content once a second with two retries.
    */
-  void askForDeadly(Kind kind, int contents) {
+  void startPoisonRequests(Kind kind, int contents) {
     poisonKind = Optional.of(kind);
     poisonContents = contents;
   }
 
-  void stopAskingForDeadly() {
+  void stopPoisonRequests() {
     poisonKind = Optional.empty();
   }
 
   /** Makes callers request one harmless content at this interval; 0 for never. */
-  void askForPopular(int everyMs) {
-    popularIntervalMs = everyMs;
+  void startPopularRequests(int intervalMs) {
+    popularIntervalMs = intervalMs;
   }
 
   /**
    * Makes the popular content a poison content or a harmless one, as if engines had a defect that
    * is fixed later.
    */
-  void askForDeadlyPopular(boolean poisonous) {
+  void setPopularPoisonous(boolean poisonous) {
     popularIsPoisonous = poisonous;
   }
 
   /** Crashes a random engine at this interval; 0 for never. */
-  void endAtRandom(int everyMs) {
-    crashIntervalMs = everyMs;
+  void crashEnginesAtRandom(int intervalMs) {
+    crashIntervalMs = intervalMs;
   }
 
   /** Drops all heartbeats, as in a partition between the engines and the members. */
-  void loseHeartbeats(boolean lost) {
+  void dropHeartbeats(boolean lost) {
     heartbeatsLost = lost;
   }
 
@@ -180,7 +180,7 @@
    * Breaks the connections of a fraction of the running requests without stopping any engine, as a
    * network failure does.
    */
-  void breakOff(double share) {
+  void breakConnections(double share) {
     for (Attempt attempt : List.copyOf(attempts.values())) {
       if (random.nextDouble() < share) {
         end(attempt, AttemptOutcome.BROKEN);
@@ -193,7 +193,7 @@
    * content.
    */
   void losePower() {
-    group.members().forEach(FakeControl::kill);
+    group.members().forEach(FakeControlMember::kill);
     for (int vm = 0; vm < vms.count(); vm++) {
       restartVm(vm);
     }
@@ -211,15 +211,15 @@
   }
 
   /** Records that members or VMs are disturbed now, which restarts the propagation time. */
-  void disturbed() {
+  void recordDisturbance() {
     disturbedNs = group.nowNs();
   }
 
   /** Resets the counters of harmless requests. */
-  void countAnew() {
+  void resetCounters() {
     asked = 0;
     served = 0;
-    innocentRefused.clear();
+    harmlessRefused.clear();
     popularRefused.clear();
   }
 
@@ -233,8 +233,8 @@
   }
 
   /** Returns the number of refused harmless requests by reason. */
-  Map<RefusalReason, Integer> innocentRefused() {
-    return innocentRefused;
+  Map<RefusalReason, Integer> harmlessRefused() {
+    return harmlessRefused;
   }
 
   /** Returns the number of refused requests for the popular content by reason. */
@@ -243,20 +243,20 @@
   }
 
   /** Returns the crash counts by poison content. */
-  Map<String, Harm> harm() {
-    return harm;
+  Map<String, CrashStats> crashStats() {
+    return crashStats;
   }
 
-  int ends() {
-    return harm.values().stream().mapToInt(Harm::ends).sum();
+  int crashes() {
+    return crashStats.values().stream().mapToInt(CrashStats::crashes).sum();
   }
 
-  int sendsOnceKnown() {
-    return harm.values().stream().mapToInt(Harm::sendsOnceKnown).sum();
+  int sendsAfterDetection() {
+    return crashStats.values().stream().mapToInt(CrashStats::sendsAfterDetection).sum();
   }
 
   /** Advances the time while callers send requests with different contents at a rate. */
-  void play(int lengthMs, double perSecond) {
+  void simulate(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
       vms.tick();
@@ -307,7 +307,7 @@
             List.of(),
             content);
     int vm = random.nextInt(vms.count());
-    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
+    vms.execute(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void execute(int vm, ForwardAction action) {
@@ -333,7 +333,7 @@
   private void onRefused(ForwardAction.Refuse refuse) {
     Call call = calls.remove(refuse.request());
     if (!call.poisonous()) {
-      innocentRefused.merge(refuse.refusalReason(), 1, Integer::sum);
+      harmlessRefused.merge(refuse.refusalReason(), 1, Integer::sum);
     }
     if (call.content().equals(POPULAR)) {
       popularRefused.merge(refuse.refusalReason(), 1, Integer::sum);
@@ -350,7 +350,7 @@
     Call call = calls.get(dispatch.request());
     Optional<BatchEngine> engine =
         engines.stream().filter(one -> one.id().equals(dispatch.upstream().id())).findFirst();
-    Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
+    Attempt attempt = new Attempt(vm, vms.incarnation(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     if (engine.isEmpty()) {
       later(FAILURE_DELAY_MS, () -> end(attempt, AttemptOutcome.NOT_CONNECTED));
@@ -359,12 +359,12 @@
     if (call.poisonous()) {
       crashStatsOf(call).recordDispatch(group.nowNs(), disturbedNs);
     }
-    engine.get().take(dispatch.request());
+    engine.get().enqueue(dispatch.request());
     startQueued(engine.get());
   }
 
   private void startQueued(BatchEngine engine) {
-    for (long request : engine.begin()) {
+    for (long request : engine.startQueued()) {
       Attempt attempt = attempts.get(request);
       boolean sendsFirstEvent = !calls.get(request).poisonous() || random.nextInt(3) == 0;
       if (sendsFirstEvent && calls.get(request).kind() != Kind.SAFE) {
@@ -381,7 +381,7 @@
   private void firstEvent(Attempt attempt) {
     if (isInFlight(attempt)) {
       int vm = attempt.vm();
-      vms.carryOut(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
+      vms.execute(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
@@ -400,7 +400,8 @@
     }
     engines.remove(engine);
     int incarnation = Math.toIntExact(group.nowNs() / NS_PER_MS);
-    BatchEngine next = new BatchEngine(engine.site(), incarnation, engine.registration().service());
+    BatchEngine next =
+        new BatchEngine(engine.engineIndex(), incarnation, engine.registration().service());
     later(
         RESTART_DELAY_MS,
         () -> {
@@ -417,16 +418,16 @@
     attempt.removeFromEngine();
     attempt.engine().ifPresent(this::startQueued);
     int vm = attempt.vm();
-    vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
+    vms.execute(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
   }
 
   private boolean isInFlight(Attempt attempt) {
     return attempts.get(attempt.request()) == attempt
-        && attempt.incarnation() == vms.life(attempt.vm());
+        && attempt.incarnation() == vms.incarnation(attempt.vm());
   }
 
-  private Harm crashStatsOf(Call call) {
-    return harm.computeIfAbsent(call.content(), content -> new Harm());
+  private CrashStats crashStatsOf(Call call) {
+    return crashStats.computeIfAbsent(call.content(), content -> new CrashStats());
   }
 
   private void sendHeartbeats() {
@@ -438,9 +439,9 @@
     if (heartbeatsLost) {
       return;
     }
-    for (FakeControl member : group.members()) {
+    for (FakeControlMember member : group.members()) {
       if (member.isServing()) {
-        group.ask(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
+        group.call(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
       }
     }
   }
--- a/core/src/test/java/org/teaseltrail/core/control/DeadlyRequestTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/PoisonRequestTest.java
@@ -15,7 +15,7 @@
  * remembered and shared between VMs, three engines crash and nothing is sent afterwards; without
  * either the memory or the sharing, this test fails.
  */
-class DeadlyRequestTest {
+class PoisonRequestTest {
 
   /**
    * Dispatches that the requirements allow after three upstreams have crashed and all VMs had time
@@ -26,9 +26,9 @@
   private static final int FEW_VMS = 6;
   private static final double LOAD_PER_SECOND = 20;
 
-  private static DeadlyRequestRun run(long seed, int vms) {
-    DeadlyRequestRun run = new DeadlyRequestRun(new SplittableRandom(seed), vms, 8);
-    run.play(2_000, LOAD_PER_SECOND);
+  private static PoisonRequestSimulation run(long seed, int vms) {
+    PoisonRequestSimulation run = new PoisonRequestSimulation(new SplittableRandom(seed), vms, 8);
+    run.simulate(2_000, LOAD_PER_SECOND);
     return run;
   }
 
@@ -45,11 +45,12 @@
     "STREAM, 20, 5",
     "SAFE, 60, 6"
   })
-  void requestThatEndsUpstreamsIsStopped(DeadlyRequestRun.Kind kind, int vms, long seed) {
-    DeadlyRequestRun run = run(seed, vms);
-    run.askForDeadly(kind, 1);
-    run.play(20_000, LOAD_PER_SECOND);
-    assertThat(run.sendsOnceKnown()).isLessThanOrEqualTo(ALLOWED_SENDS);
+  void requestThatCrashesUpstreamsIsQuarantined(
+      PoisonRequestSimulation.Kind kind, int vms, long seed) {
+    PoisonRequestSimulation run = run(seed, vms);
+    run.startPoisonRequests(kind, 1);
+    run.simulate(20_000, LOAD_PER_SECOND);
+    assertThat(run.sendsAfterDetection()).isLessThanOrEqualTo(ALLOWED_SENDS);
   }
 
   /**
@@ -57,30 +58,30 @@
    * without their state.
    */
   @Test
-  void itStaysStoppedWhenLeaderAndVmsStartAnew() {
-    DeadlyRequestRun run = run(7, FEW_VMS);
-    run.askForDeadly(DeadlyRequestRun.Kind.STREAM, 1);
-    run.play(6_000, LOAD_PER_SECOND);
-    FakeControl first = run.group().leader();
+  void quarantineSurvivesRestartOfLeaderAndVms() {
+    PoisonRequestSimulation run = run(7, FEW_VMS);
+    run.startPoisonRequests(PoisonRequestSimulation.Kind.STREAM, 1);
+    run.simulate(6_000, LOAD_PER_SECOND);
+    FakeControlMember first = run.group().leader();
     first.kill();
-    run.play(6_000, LOAD_PER_SECOND);
+    run.simulate(6_000, LOAD_PER_SECOND);
     run.group().restart(first);
     for (int vm = 0; vm < FEW_VMS; vm++) {
       run.restartVm(vm);
-      run.play(1_000, LOAD_PER_SECOND);
+      run.simulate(1_000, LOAD_PER_SECOND);
     }
-    run.play(4_000, LOAD_PER_SECOND);
-    assertThat(run.sendsOnceKnown()).isLessThanOrEqualTo(ALLOWED_SENDS);
+    run.simulate(4_000, LOAD_PER_SECOND);
+    assertThat(run.sendsAfterDetection()).isLessThanOrEqualTo(ALLOWED_SENDS);
   }
 
   /** A power loss restarts all components, which removes the observations held in memory. */
   @Test
-  void itStaysStoppedWhenAllLosePower() {
-    DeadlyRequestRun run = run(8, FEW_VMS);
-    run.askForDeadly(DeadlyRequestRun.Kind.STREAM, 1);
-    run.play(8_000, LOAD_PER_SECOND);
+  void quarantineSurvivesPowerLoss() {
+    PoisonRequestSimulation run = run(8, FEW_VMS);
+    run.startPoisonRequests(PoisonRequestSimulation.Kind.STREAM, 1);
+    run.simulate(8_000, LOAD_PER_SECOND);
     run.losePower();
-    run.play(12_000, LOAD_PER_SECOND);
-    assertThat(run.sendsOnceKnown()).isLessThanOrEqualTo(ALLOWED_SENDS);
+    run.simulate(12_000, LOAD_PER_SECOND);
+    assertThat(run.sendsAfterDetection()).isLessThanOrEqualTo(ALLOWED_SENDS);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineCoordinatorTest.java
@@ -22,7 +22,7 @@
  * Tests which requests the leader quarantines, from the reports of VMs and the heartbeats of
  * upstreams.
  */
-class QuarantineDeskTest {
+class QuarantineCoordinatorTest {
 
   private static final VmId VM_1 = new VmId("entry-1");
   private static final VmId VM_2 = new VmId("entry-2");
@@ -32,7 +32,7 @@
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
   private final List<Registration> engines = new ArrayList<>();
-  private FakeControl leader;
+  private FakeControlMember leader;
   private long sequence;
 
   @BeforeEach
@@ -46,7 +46,7 @@
   }
 
   private void sendHeartbeats() {
-    engines.forEach(engine -> group.ask(leader, new OperatorRequest.Heartbeat(engine), 0));
+    engines.forEach(engine -> group.call(leader, new OperatorRequest.Heartbeat(engine), 0));
   }
 
   private void reportLosses(VmId vm, int... engineIndexes) {
@@ -99,7 +99,7 @@
    * A data centre fails: three upstreams are lost simultaneously while they run the same content.
    */
   @Test
-  void upstreamsLostAtOneMomentCountOnce() {
+  void simultaneousLossesCountOnce() {
     List<Loss> losses =
         engines.stream()
             .map(engine -> new Loss(POISON, Optional.empty(), engine.upstreamIncarnation(), 0))
@@ -119,7 +119,7 @@
 
   /** Connections break, but all three upstreams keep running and sending heartbeats. */
   @Test
-  void heartbeatsTakeLossesBack() {
+  void heartbeatsRevokeLosses() {
     reportLosses(VM_1, 0, 1, 2);
     assertThat(held()).containsExactly(POISON);
     for (int i = 0; i < 2; i++) {
@@ -138,7 +138,7 @@
    * alive.
    */
   @Test
-  void heartbeatOnItsWayTakesNothingBack() {
+  void heartbeatInFlightRevokesNoLoss() {
     reportLosses(VM_1, 0, 1, 2);
     group.run(500);
     sendHeartbeats();
@@ -147,7 +147,7 @@
 
   /** Another incarnation sends heartbeats under the id of the one that ended. */
   @Test
-  void heartbeatOfTheNextLifeTakesNothingBack() {
+  void heartbeatOfNextIncarnationRevokesNoLoss() {
     reportLosses(VM_1, 0, 1, 2);
     group.run(2 * HEARTBEAT_INTERVAL_MS);
     for (Registration ended : engines) {
@@ -163,14 +163,14 @@
               1,
               ended.version(),
               0);
-      group.ask(leader, new OperatorRequest.Heartbeat(next), 0);
+      group.call(leader, new OperatorRequest.Heartbeat(next), 0);
     }
     assertThat(held()).containsExactly(POISON);
   }
 
   /** The leader and all VMs that knew of the losses are gone; the next leader has only the log. */
   @Test
-  void nextLeaderHoldsWhatHasStood() {
+  void nextLeaderRestoresQuarantine() {
     reportLosses(VM_1, 0, 1, 2);
     group.run(5_000);
     leader.kill();
--- a/core/src/test/java/org/teaseltrail/core/control/QuarantineProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuarantineProperties.java
@@ -26,7 +26,7 @@
   private static final int CRASH_INTERVAL_MS = 700;
 
   @Property(seed = "29", tries = 25)
-  void deadlyRequestsAreStoppedAndNoOthers(@ForAll long seed) {
+  void onlyPoisonRequestsAreQuarantined(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
@@ -35,7 +35,7 @@
    * follows.
    */
   @Test
-  void breaksAtOneMomentHoldNothing() {
+  void simultaneousBreaksCauseNoQuarantine() {
     run(new SplittableRandom(-6));
   }
 
@@ -49,81 +49,81 @@
   /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 1_000)
-  void deadlyRequestsAreStoppedAndNoOthersForLong(@ForAll long seed) {
+  void onlyPoisonRequestsAreQuarantinedWithFreshSeeds(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   private static void run(SplittableRandom random) {
     int vms = 3 + random.nextInt(18);
     int engines = 8 + random.nextInt(9);
-    DeadlyRequestRun run = new DeadlyRequestRun(random.split(), vms, engines);
-    run.askForPopular(POPULAR_INTERVAL_MS);
-    run.play(1_000, LOAD_PER_SECOND);
-    DeadlyRequestRun.Kind[] kinds = DeadlyRequestRun.Kind.values();
-    run.askForDeadly(kinds[random.nextInt(kinds.length)], 1 + random.nextInt(3));
+    PoisonRequestSimulation run = new PoisonRequestSimulation(random.split(), vms, engines);
+    run.startPopularRequests(POPULAR_INTERVAL_MS);
+    run.simulate(1_000, LOAD_PER_SECOND);
+    PoisonRequestSimulation.Kind[] kinds = PoisonRequestSimulation.Kind.values();
+    run.startPoisonRequests(kinds[random.nextInt(kinds.length)], 1 + random.nextInt(3));
     for (int step = 0; step < STEPS; step++) {
       injectFault(run, random);
-      run.play(STEP_MS, LOAD_PER_SECOND);
+      run.simulate(STEP_MS, LOAD_PER_SECOND);
     }
     recover(run);
-    run.play(SETTLE_MS, LOAD_PER_SECOND);
-    run.countAnew();
-    run.play(OBSERVATION_MS, LOAD_PER_SECOND);
-    assertThat(run.harm().values())
+    run.simulate(SETTLE_MS, LOAD_PER_SECOND);
+    run.resetCounters();
+    run.simulate(OBSERVATION_MS, LOAD_PER_SECOND);
+    assertThat(run.crashStats().values())
         .as("dispatches of each poison request after it must be known")
-        .allMatch(stats -> stats.sendsOnceKnown() <= ALLOWED_SENDS);
-    assertThat(run.innocentRefused())
+        .allMatch(stats -> stats.sendsAfterDetection() <= ALLOWED_SENDS);
+    assertThat(run.harmlessRefused())
         .as("harmless requests quarantined after recovery")
         .doesNotContainKey(RefusalReason.QUARANTINED);
   }
 
-  private static void injectFault(DeadlyRequestRun run, SplittableRandom random) {
-    FakeControl member = run.group().members().get(random.nextInt(3));
+  private static void injectFault(PoisonRequestSimulation run, SplittableRandom random) {
+    FakeControlMember member = run.group().members().get(random.nextInt(3));
     int vm = random.nextInt(run.vms().count());
     switch (random.nextInt(14)) {
       case 0 -> {
         run.restartVm(vm);
-        run.disturbed();
+        run.recordDisturbance();
       }
       case 1 -> {
         member.kill();
-        run.disturbed();
+        run.recordDisturbance();
       }
       case 2 -> {
         run.group().members().forEach(run.group()::restart);
-        run.disturbed();
+        run.recordDisturbance();
       }
       case 3 -> {
-        run.vms().cut(vm, true);
-        run.disturbed();
+        run.vms().setPartitioned(vm, true);
+        run.recordDisturbance();
       }
       case 4 -> join(run);
       case 5 -> {
         run.losePower();
-        run.disturbed();
+        run.recordDisturbance();
       }
-      case 6 -> run.loseHeartbeats(true);
-      case 7 -> run.loseHeartbeats(false);
-      case 8 -> run.breakOff(0.5);
-      case 9 -> run.endAtRandom(CRASH_INTERVAL_MS);
-      case 10 -> run.endAtRandom(0);
+      case 6 -> run.dropHeartbeats(true);
+      case 7 -> run.dropHeartbeats(false);
+      case 8 -> run.breakConnections(0.5);
+      case 9 -> run.crashEnginesAtRandom(CRASH_INTERVAL_MS);
+      case 10 -> run.crashEnginesAtRandom(0);
       default -> {
         // No fault is injected in this step.
       }
     }
   }
 
-  private static void join(DeadlyRequestRun run) {
+  private static void join(PoisonRequestSimulation run) {
     for (int vm = 0; vm < run.vms().count(); vm++) {
-      run.vms().cut(vm, false);
+      run.vms().setPartitioned(vm, false);
     }
-    run.disturbed();
+    run.recordDisturbance();
   }
 
-  private static void recover(DeadlyRequestRun run) {
+  private static void recover(PoisonRequestSimulation run) {
     run.group().members().forEach(run.group()::restart);
     join(run);
-    run.loseHeartbeats(false);
-    run.endAtRandom(0);
+    run.dropHeartbeats(false);
+    run.crashEnginesAtRandom(0);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaInCutTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaFaultsTest.java
@@ -8,7 +8,7 @@
  * Tests that a customer's quota holds over all entry VMs while some of them are partitioned or
  * restarted.
  */
-class QuotaInCutTest extends QuotaCase {
+class QuotaFaultsTest extends QuotaTestBase {
 
   /**
    * Two of six entry VMs are partitioned from the control members, and a customer sends many times
@@ -17,7 +17,7 @@
    * their last report.
    */
   @Test
-  void vmsCutOffAndTheOthersKeepToOneQuota() {
+  void partitionedAndConnectedVmsShareOneQuota() {
     for (int i = 0; i < VMS; i++) {
       nodes.add(node(i));
     }
@@ -25,11 +25,11 @@
     for (long ms = 0; ms < 4_000; ms += 10) {
       boolean partitioned = ms >= 1_000;
       for (int i = 0; i < VMS; i++) {
-        if (!(partitioned && i < CUT_OFF)) {
+        if (!(partitioned && i < PARTITIONED_VMS)) {
           used += sync(nodes.get(i), ms * MS);
         }
         boolean isSending = partitioned || ms % 500 == 0;
-        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
+        used += isSending ? sendRequest(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(used).isBetween(0.8 * LIMIT, 1.1 * LIMIT);
@@ -41,7 +41,7 @@
    * quota to the others.
    */
   @Test
-  void newLeaderSetsAsideWhatDeadVmsHeld() {
+  void newLeaderReservesAllowanceOfDeadVms() {
     for (int i = 0; i < VMS; i++) {
       nodes.add(node(i));
     }
@@ -51,10 +51,10 @@
       if (ms == 1_000) {
         leaderChanges(ms * MS);
       }
-      for (int i = dead ? CUT_OFF : 0; i < VMS; i++) {
+      for (int i = dead ? PARTITIONED_VMS : 0; i < VMS; i++) {
         used += sync(nodes.get(i), ms * MS);
         boolean isSending = ms >= 500;
-        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
+        used += isSending ? sendRequest(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(used).isBetween(0.8 * LIMIT, 1.1 * LIMIT);
@@ -74,10 +74,10 @@
     for (long ms = 0; ms < 4_000; ms += 10) {
       boolean lost = ms >= 500;
       for (int i = 0; i < VMS; i++) {
-        boolean losesReplies = lost && i < CUT_OFF;
+        boolean losesReplies = lost && i < PARTITIONED_VMS;
         used += sync(nodes.get(i), !losesReplies, ms * MS);
         boolean isSending = losesReplies ? ms >= 2_000 : lost;
-        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
+        used += isSending ? sendRequest(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(used).isBetween(0.8 * LIMIT, 1.1 * LIMIT);
@@ -88,7 +88,7 @@
    * incarnation started with an empty account, the customer would get several times its quota.
    */
   @Test
-  void restartsGiveNoQuotaAnew() {
+  void restartsGrantNoAdditionalQuota() {
     for (int i = 0; i < VMS; i++) {
       nodes.add(node(i));
     }
@@ -99,7 +99,7 @@
       }
       for (int i = 0; i < VMS; i++) {
         used += sync(nodes.get(i), ms * MS);
-        used += i == 0 ? ask(nodes.get(i), ms * MS) : 0;
+        used += i == 0 ? sendRequest(nodes.get(i), ms * MS) : 0;
       }
     }
     assertThat(used).isBetween(0.6 * LIMIT, 1.1 * LIMIT);
@@ -112,7 +112,7 @@
    * up.
    */
   @Test
-  void callersWithinTheirQuotaAreServedWhileNobodyLeads() {
+  void callersWithinQuotaAreServedWithoutLeader() {
     for (int i = 0; i < VMS; i++) {
       nodes.add(node(i));
     }
@@ -125,7 +125,7 @@
           sync(nodes.get(i), ms * MS);
         }
         boolean isSending = (ms / 10 + i) % 26 == 0;
-        double ran = isSending ? ask(nodes.get(i), ms * MS) : 0;
+        double ran = isSending ? sendRequest(nodes.get(i), ms * MS) : 0;
         asked += isSending && !hasLeader ? TOKENS : 0;
         used += hasLeader ? 0 : ran;
       }
@@ -141,7 +141,7 @@
    */
   @Test
   void callersAreServedAtOnceAfterAllWereRestarted() {
-    kept = LIMIT / 30;
+    reserved = LIMIT / 30;
     for (int i = 0; i < VMS; i++) {
       nodes.add(node(i));
     }
@@ -152,10 +152,10 @@
         used += sync(nodes.get(i), ms * MS);
         boolean isSending = ms >= 100 && (ms / 10 + i) % 26 == 0;
         asked += isSending ? TOKENS : 0;
-        used += isSending ? ask(nodes.get(i), ms * MS) : 0;
+        used += isSending ? sendRequest(nodes.get(i), ms * MS) : 0;
       }
     }
-    assertThat(asked).isBetween(0.4 * kept, kept);
+    assertThat(asked).isBetween(0.4 * reserved, reserved);
     assertThat(used).isGreaterThanOrEqualTo(0.8 * asked);
   }
 
@@ -164,8 +164,8 @@
    * reported.
    */
   @Test
-  void whatIsKeptIsNotHandedOutWhileSomeoneRemembers() {
-    kept = LIMIT / 30;
+  void reserveIsNotAllocatedWhileAnyVmHasState() {
+    reserved = LIMIT / 30;
     nodes.add(node(0));
     nodes.add(node(1));
     for (long ms = 0; ms < 1_000; ms += 10) {
@@ -176,7 +176,7 @@
     for (long ms = 1_000; ms < 1_400; ms += 10) {
       sync(nodes.get(0), ms * MS);
       boolean otherReports = ms >= 1_250;
-      used += otherReports ? sync(nodes.get(1), ms * MS) + ask(nodes.get(1), ms * MS) : 0;
+      used += otherReports ? sync(nodes.get(1), ms * MS) + sendRequest(nodes.get(1), ms * MS) : 0;
     }
     assertThat(used).isZero();
   }
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
@@ -131,7 +131,7 @@
                     1,
                     VMS,
                     List.of(QuotaSamples.MEMBER),
-                    QuotaSamples.PLACES,
+                    QuotaSamples.UNLIMITED_SLOTS,
                     List.of(),
                     grants),
                 nowNs),
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaProperties.java
@@ -162,7 +162,7 @@
               1,
               vms.size(),
               List.of(QuotaSamples.MEMBER),
-              QuotaSamples.PLACES,
+              QuotaSamples.UNLIMITED_SLOTS,
               List.of(),
               allocator.allocate(
                   sync.vm(),
@@ -200,7 +200,7 @@
    * allocate the difference a second time.
    */
   @Example
-  void growthThatNobodySawIsNotAllowedTwice() {
+  void unreportedGrowthIsNotAllocatedTwice() {
     new Simulation(-17152251684280L).run();
   }
 
@@ -210,7 +210,7 @@
    * VM's last report.
    */
   @Example
-  void whatCutOffVmUsesAgainIsCounted() {
+  void renewedUsageOfPartitionedVmIsCounted() {
     new Simulation(-994217602L).run();
   }
 
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaPaceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaRateTest.java
@@ -9,7 +9,7 @@
  * then three times its quota for nine, evenly at all VMs. There are six VMs, and the load is that
  * of a customer at six times its usual load whose quota is 1.8 times that.
  */
-class QuotaPaceTest extends QuotaCase {
+class QuotaRateTest extends QuotaTestBase {
 
   private static final int USUAL_INTERVAL_STEPS = 26;
   private static final int OVERLOAD_INTERVAL_STEPS = 4;
@@ -20,7 +20,7 @@
       for (int i = 0; i < VMS; i++) {
         ran += sync(nodes.get(i), ms * MS);
         boolean isSending = (ms / 10 + i) % intervalSteps == 0;
-        ran += isSending ? ask(nodes.get(i), ms * MS) : 0;
+        ran += isSending ? sendRequest(nodes.get(i), ms * MS) : 0;
       }
     }
     return ran;
@@ -32,8 +32,8 @@
    * rate would be refused.
    */
   @Test
-  void rushGetsTheQuotasRateInEachSecond() {
-    atOnce = RATE;
+  void overloadedCustomerGetsItsRateInEachSecond() {
+    burstCapacity = RATE;
     for (int i = 0; i < VMS; i++) {
       nodes.add(node(i));
     }
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaSamples.java
@@ -25,7 +25,7 @@
   private static final int UNLIMITED = 1_000_000;
 
   /** Slots that the leader reports for the upstream: enough for all requests of a VM. */
-  static final UpstreamSlots PLACES = new UpstreamSlots(List.of(0), List.of(UNLIMITED));
+  static final UpstreamSlots UNLIMITED_SLOTS = new UpstreamSlots(List.of(0), List.of(UNLIMITED));
 
   private static final FencingNumber TERM = new FencingNumber(1);
 
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaCase.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaTestBase.java
@@ -17,21 +17,21 @@
  * Base class for tests of a customer's quota: several entry VMs with one customer, and their
  * leader.
  */
-abstract class QuotaCase {
+abstract class QuotaTestBase {
 
   static final long MS = 1_000_000L;
   static final int VMS = 6;
-  static final int CUT_OFF = 2;
+  static final int PARTITIONED_VMS = 2;
   static final double RATE = 50_000;
   static final double LIMIT = RATE * 9;
   static final int TOKENS = 1_100;
   private static final FencingNumber TERM = new FencingNumber(1);
 
-  QuotaAllocator ledger = new QuotaAllocator(8_000, 3_000, 0);
+  QuotaAllocator allocator = new QuotaAllocator(8_000, 3_000, 0);
   final List<ForwardNode> nodes = new ArrayList<>();
   FencingNumber term = TERM;
-  double kept;
-  double atOnce = LIMIT;
+  double reserved;
+  double burstCapacity = LIMIT;
   private long lastNumber;
 
   static ForwardNode node(int number) {
@@ -55,11 +55,11 @@
     for (ForwardAction action : node.tick(nowNs)) {
       if (action instanceof ForwardAction.SendControl send) {
         ServingMessage.Sync sync = (ServingMessage.Sync) send.message();
-        ledger.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
+        allocator.recordReport(sync.vm(), sync.incarnation(), sync.quotas(), nowNs);
         List<QuotaGrant> grants =
-            ledger.allocate(
+            allocator.allocate(
                 sync.vm(),
-                Map.of(TestPlans.CUSTOMER, new QuotaLimit(LIMIT, RATE, atOnce, kept)),
+                Map.of(TestPlans.CUSTOMER, new QuotaLimit(LIMIT, RATE, burstCapacity, reserved)),
                 nowNs);
         ServingReply.Confirmed reply =
             new ServingReply.Confirmed(
@@ -69,7 +69,7 @@
                 1,
                 VMS,
                 List.of(QuotaSamples.MEMBER),
-                QuotaSamples.PLACES,
+                QuotaSamples.UNLIMITED_SLOTS,
                 List.of(),
                 grants);
         runs += replyArrives ? running(node.onControlMessage(reply, nowNs)) : 0;
@@ -84,10 +84,10 @@
 
   void leaderChanges(long nowNs) {
     term = new FencingNumber(term.value() + 1);
-    ledger = new QuotaAllocator(8_000, 3_000, nowNs);
+    allocator = new QuotaAllocator(8_000, 3_000, nowNs);
   }
 
-  double ask(ForwardNode node, long nowNs) {
+  double sendRequest(ForwardNode node, long nowNs) {
     lastNumber++;
     ForwardRequest request = QuotaSamples.request(lastNumber, TOKENS);
     return running(node.onRequest(request, nowNs));
--- a/core/src/test/java/org/teaseltrail/core/control/FakeEntry.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RecordingEntryVm.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.message.EntryMessage;
 
 /** Entry VM that sends a Hello message twice a second and records the messages that it receives. */
-final class FakeEntry implements FakeControlGroup.Listener {
+final class RecordingEntryVm implements FakeControlGroup.Listener {
 
   private static final long HELLO_NS = 500_000_000L;
 
@@ -27,7 +27,7 @@
   private long sequence;
   private long incarnation = 1;
 
-  FakeEntry(FakeControlGroup group, VmId vm) {
+  RecordingEntryVm(FakeControlGroup group, VmId vm) {
     this.group = group;
     this.vm = vm;
     sendHello();
@@ -41,8 +41,8 @@
     return applied;
   }
 
-  void silence(boolean isSilent) {
-    disconnected = isSilent;
+  void setDisconnected(boolean isDisconnected) {
+    disconnected = isDisconnected;
   }
 
   /**
@@ -59,12 +59,12 @@
     heard.clear();
   }
 
-  void say(FakeControl member, EntryMessage message) {
-    group.say(vm, member, message);
+  void send(FakeControlMember member, EntryMessage message) {
+    group.send(vm, member, message);
   }
 
   @Override
-  public void received(FakeControl from, ControlMessage message) {
+  public void received(FakeControlMember from, ControlMessage message) {
     if (disconnected) {
       return;
     }
@@ -72,7 +72,7 @@
     if (message instanceof ControlMessage.ConfigurationUpdate update && !ignoresConfigurations) {
       apply(update.configuration());
     } else if (message instanceof ControlMessage.Welcome welcome && welcome.reportsWanted()) {
-      say(from, new EntryMessage.ReportsComplete(vm, welcome.fencing()));
+      send(from, new EntryMessage.ReportsComplete(vm, welcome.fencing()));
     }
   }
 
@@ -85,7 +85,7 @@
     return all.isEmpty() ? Optional.empty() : Optional.of(all.get(all.size() - 1));
   }
 
-  void forget() {
+  void clearReceived() {
     heard.clear();
   }
 
@@ -101,7 +101,7 @@
       EntryMessage.Hello hello =
           new EntryMessage.Hello(
               vm, new Incarnation(incarnation), new DataCenterId("dc"), applied, ++sequence);
-      group.members().forEach(member -> say(member, hello));
+      group.members().forEach(member -> send(member, hello));
     }
     group.after(HELLO_NS, this::sendHello);
   }
--- a/core/src/test/java/org/teaseltrail/core/control/CalmAfterTroubleProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RecoveryProperties.java
@@ -16,7 +16,7 @@
  * left and their answers take two seconds, the backlog occupies all slots for some more seconds;
  * nothing may be refused once it is processed.
  */
-class CalmAfterTroubleProperties {
+class RecoveryProperties {
 
   private static final int FAULT_STEPS = 24;
   private static final int STEP_MS = 500;
@@ -39,76 +39,78 @@
   private static final int MIN_ENGINES = 3;
 
   @Property(seed = "73", tries = 25)
-  void calmEndsRefusals(@ForAll long seed) {
+  void refusalsEndAfterRecovery(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 1_000)
-  void calmEndsRefusalsForLong(@ForAll long seed) {
+  void refusalsEndAfterRecoveryWithFreshSeeds(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   private static void run(SplittableRandom random) {
-    ServingRun run = trouble(random);
+    ServingSimulation run = simulateFaults(random);
     double normalRate = NORMAL_LOAD * run.perSecond();
-    run.play(SETTLE_MS, normalRate);
-    run.countAnew();
-    run.play(OBSERVATION_MS, normalRate);
-    assertThat(run.refusedWithRoom()).as("refusals while engines have spare capacity").isEmpty();
+    run.simulate(SETTLE_MS, normalRate);
+    run.resetCounters();
+    run.simulate(OBSERVATION_MS, normalRate);
+    assertThat(run.refusedWithSpareCapacity())
+        .as("refusals while engines have spare capacity")
+        .isEmpty();
     assertThat(run.engines())
         .as("every healthy engine is used")
         .allMatch(engine -> engine.dispatched() > 0);
-    run.countAnew();
-    run.play(OBSERVATION_MS, LIGHT_LOAD * run.perSecond());
+    run.resetCounters();
+    run.simulate(OBSERVATION_MS, LIGHT_LOAD * run.perSecond());
     assertThat(run.refused()).as("refusals once the backlog is processed").isEmpty();
   }
 
   /** Injects random faults and then repairs all of them. */
-  static ServingRun trouble(SplittableRandom random) {
-    ServingRun run = new ServingRun(random.split());
-    run.play(1_000, NORMAL_LOAD * run.perSecond());
+  static ServingSimulation simulateFaults(SplittableRandom random) {
+    ServingSimulation run = new ServingSimulation(random.split());
+    run.simulate(1_000, NORMAL_LOAD * run.perSecond());
     for (int step = 0; step < FAULT_STEPS; step++) {
       injectFault(run, random);
-      run.play(STEP_MS, (random.nextBoolean() ? OVERLOAD : NORMAL_LOAD) * run.perSecond());
+      run.simulate(STEP_MS, (random.nextBoolean() ? OVERLOAD : NORMAL_LOAD) * run.perSecond());
     }
     recover(run);
     return run;
   }
 
-  private static void injectFault(ServingRun run, SplittableRandom random) {
-    FakeControl member = run.group().members().get(random.nextInt(3));
+  private static void injectFault(ServingSimulation run, SplittableRandom random) {
+    FakeControlMember member = run.group().members().get(random.nextInt(3));
     switch (random.nextInt(8)) {
       case 0 -> run.restartVm(random.nextInt(run.vms()));
       case 1 -> member.kill();
-      case 2 -> member.freeze();
+      case 2 -> member.pause();
       case 3 -> recoverMembers(run);
       case 4 -> {
         if (run.engines().size() > MIN_ENGINES) {
-          run.leave(run.engines().get(random.nextInt(run.engines().size())));
+          run.deregister(run.engines().get(random.nextInt(run.engines().size())));
         }
       }
       default -> {
         FakeEngine.State[] states = FakeEngine.State.values();
         run.engines()
             .get(random.nextInt(run.engines().size()))
-            .become(states[random.nextInt(states.length)]);
+            .setState(states[random.nextInt(states.length)]);
       }
     }
   }
 
-  private static void recover(ServingRun run) {
+  private static void recover(ServingSimulation run) {
     run.recoverEngines();
     recoverMembers(run);
   }
 
-  private static void recoverMembers(ServingRun run) {
-    for (FakeControl member : run.group().members()) {
+  private static void recoverMembers(ServingSimulation run) {
+    for (FakeControlMember member : run.group().members()) {
       if (member.control() == null) {
         run.group().restart(member);
       }
-      member.thaw();
+      member.resume();
     }
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutFaults.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutFaultInjector.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 
 /** Injects random faults during a rollout. */
-final class RolloutFaults {
+final class RolloutFaultInjector {
 
   private static final int STEPS = 24;
 
@@ -12,28 +12,28 @@
   private enum Fault {
     NONE {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {}
+      void inject(RolloutSimulation run, SplittableRandom random) {}
     },
     UPSTREAM_CRASHES {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {
-        run.crashAtRandom();
+      void inject(RolloutSimulation run, SplittableRandom random) {
+        run.crashRandomEngine();
       }
     },
     CRASH_WAVE {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutSimulation run, SplittableRandom random) {
         for (int i = 0; i < 6; i++) {
-          run.crashAtRandom();
+          run.crashRandomEngine();
         }
       }
     },
     LEADER_KILLED {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {
-        List<FakeControl> members = run.group().members();
+      void inject(RolloutSimulation run, SplittableRandom random) {
+        List<FakeControlMember> members = run.group().members();
         members.stream()
-            .filter(FakeControl::isServing)
+            .filter(FakeControlMember::isServing)
             .findFirst()
             .ifPresent(
                 leader -> {
@@ -44,47 +44,47 @@
     },
     LEADER_PAUSED {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutSimulation run, SplittableRandom random) {
         run.group().members().stream()
-            .filter(FakeControl::isServing)
+            .filter(FakeControlMember::isServing)
             .findFirst()
             .ifPresent(
                 leader -> {
-                  leader.freeze();
-                  run.group().after(2_000_000_000L, leader::thaw);
+                  leader.pause();
+                  run.group().after(2_000_000_000L, leader::resume);
                 });
       }
     },
     VM_RESTARTED {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutSimulation run, SplittableRandom random) {
         run.restartVm(random.nextInt(run.vms().count()));
       }
     },
     VM_PARTITIONED {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutSimulation run, SplittableRandom random) {
         int vm = random.nextInt(run.vms().count());
-        run.vms().cut(vm, true);
-        run.group().after(2_000_000_000L, () -> run.vms().cut(vm, false));
+        run.vms().setPartitioned(vm, true);
+        run.group().after(2_000_000_000L, () -> run.vms().setPartitioned(vm, false));
       }
     },
     POWER_LOST {
       @Override
-      void inject(RolloutRun run, SplittableRandom random) {
+      void inject(RolloutSimulation run, SplittableRandom random) {
         if (random.nextInt(4) == 0) {
           run.losePower();
         }
       }
     };
 
-    abstract void inject(RolloutRun run, SplittableRandom random);
+    abstract void inject(RolloutSimulation run, SplittableRandom random);
   }
 
-  private final RolloutRun run;
+  private final RolloutSimulation run;
   private final SplittableRandom random;
 
-  RolloutFaults(RolloutRun run, SplittableRandom random) {
+  RolloutFaultInjector(RolloutSimulation run, SplittableRandom random) {
     this.run = run;
     this.random = random;
   }
@@ -93,14 +93,14 @@
    * Advances the time; in a third of the steps, a random fault (or none) is injected, and the load
    * may double.
    */
-  void play(int lengthMs, double perSecond) {
+  void simulate(int lengthMs, double perSecond) {
     Fault[] faults = Fault.values();
     for (int step = 0; step < STEPS; step++) {
       if (random.nextInt(3) == 0) {
         faults[random.nextInt(faults.length)].inject(run, random);
       }
       double rate = random.nextInt(6) == 0 ? 2 * perSecond : perSecond;
-      run.play(lengthMs / STEPS, rate);
+      run.simulate(lengthMs / STEPS, rate);
     }
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutProperties.java
@@ -23,29 +23,30 @@
   private static final double PER_SECOND = 90;
 
   @Property(seed = "32", tries = 8)
-  void failingVersionHarmsFewRequestsWhateverElseFails(@ForAll long seed) {
+  void failingVersionIsContainedUnderFaults(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   /** Runs with a fresh seed each time; jqwik prints the seed of a failure. */
   @Tag("long-run")
   @Property(tries = 300)
-  void failingVersionHarmsFewRequestsWhateverElseFailsForLong(@ForAll long seed) {
+  void failingVersionIsContainedUnderFaultsWithFreshSeeds(@ForAll long seed) {
     run(new SplittableRandom(seed));
   }
 
   private static void run(SplittableRandom random) {
-    RolloutRun run = new RolloutRun(random.split(), BadVersion.FAILS, 12, 14, DURATION_MS);
-    run.play(2_000, PER_SECOND);
+    RolloutSimulation run =
+        new RolloutSimulation(random.split(), VersionBehavior.FAILS, 12, 14, DURATION_MS);
+    run.simulate(2_000, PER_SECOND);
     run.order();
-    new RolloutFaults(run, random).play(DURATION_MS, PER_SECOND);
-    run.play(SETTLE_MS, PER_SECOND);
+    new RolloutFaultInjector(run, random).simulate(DURATION_MS, PER_SECOND);
+    run.simulate(SETTLE_MS, PER_SECOND);
     assertThat((double) run.exposed()).isLessThanOrEqualTo(run.allowed());
-    assertThat(run.sentAfterCountedMs()).isLessThanOrEqualTo(STOP_WITHIN_MS);
+    assertThat(run.exposureAfterDetectionMs()).isLessThanOrEqualTo(STOP_WITHIN_MS);
     Rollout ended = run.rollout();
     assertThat(ended.phase()).isEqualTo(RolloutPhase.ROLLED_BACK);
     run.losePower();
-    run.play(SETTLE_MS, PER_SECOND);
+    run.simulate(SETTLE_MS, PER_SECOND);
     assertThat(run.rollout()).isEqualTo(ended);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutSimulation.java
@@ -24,7 +24,7 @@
  * entry VMs, engines of the previous version, and engines of the target version that start in
  * addition. The speeds of engines differ by a factor of five.
  */
-final class RolloutRun {
+final class RolloutSimulation {
 
   static final UpstreamVersion OLD = new UpstreamVersion("v1");
   static final UpstreamVersion ORDERED = new UpstreamVersion("v2");
@@ -33,7 +33,7 @@
    * Number of bad answers after which the time starts within which a bad version must stop
    * receiving requests.
    */
-  static final int BAD_UNTIL_COUNTED = 50;
+  static final int BAD_ANSWERS_UNTIL_KNOWN = 50;
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int HEARTBEAT_EVERY_MS = 1_200;
@@ -53,13 +53,13 @@
    */
   private record Attempt(int vm, long incarnation, long request, Optional<VersionedEngine> engine) {
     void removeFromEngine() {
-      engine.ifPresent(current -> current.forget(request));
+      engine.ifPresent(current -> current.removeRequest(request));
     }
   }
 
   private final FakeControlGroup group = new FakeControlGroup(3);
   private final SplittableRandom random;
-  private final BadVersion behavior;
+  private final VersionBehavior behavior;
   private final int durationMs;
   private final int enginesPerVersion;
   private final FakeEntryVms vms;
@@ -74,17 +74,21 @@
   private long lastExposedNs;
   private int served;
   private int refused;
-  private int lost;
+  private int lostRequests;
   private int incarnations;
 
-  RolloutRun(
-      SplittableRandom random, BadVersion behavior, int vmCount, int engineCount, int durationMs) {
+  RolloutSimulation(
+      SplittableRandom random,
+      VersionBehavior behavior,
+      int vmCount,
+      int engineCount,
+      int durationMs) {
     this.random = random;
     this.behavior = behavior;
     this.durationMs = durationMs;
     enginesPerVersion = engineCount;
     group.start();
-    group.ask(
+    group.call(
         group.leader(),
         new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     startEngines(OLD);
@@ -106,26 +110,26 @@
    * later.
    */
   OperatorResult order() {
-    OperatorResult answer = orderAgain();
+    OperatorResult answer = startRollout();
     orderedNs = group.nowNs();
     later(ENGINES_START_AFTER_MS, () -> startEngines(ORDERED));
     return answer;
   }
 
-  OperatorResult orderAgain() {
+  OperatorResult startRollout() {
     RolloutOrder order = new RolloutOrder(TestPlans.ENGINES, ORDERED, durationMs);
-    return group.ask(group.leader(), new OperatorRequest.StartRollout(order));
+    return group.call(group.leader(), new OperatorRequest.StartRollout(order));
   }
 
   /** Returns the rollout as recorded by the current leader. */
   Rollout rollout() {
     OperatorResult result =
-        group.ask(group.leader(), new OperatorRequest.ReadRollout(TestPlans.ENGINES));
+        group.call(group.leader(), new OperatorRequest.ReadRollout(TestPlans.ENGINES));
     return ((OperatorResult.RolloutRead) result).rollout().orElseThrow();
   }
 
   /** Advances the time while callers send requests at a rate. */
-  void play(int lengthMs, double perSecond) {
+  void simulate(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
       vms.tick();
@@ -136,14 +140,14 @@
   }
 
   /** Crashes a random engine with all its requests; its next incarnation has another id. */
-  void crashAtRandom() {
+  void crashRandomEngine() {
     if (!engines.isEmpty()) {
       crash(engines.get(random.nextInt(engines.size())));
     }
   }
 
   /** Stops all engines of a version at once without announcement, as after a completed rollout. */
-  void endAll(UpstreamVersion version) {
+  void stopAll(UpstreamVersion version) {
     List.copyOf(engines).stream()
         .filter(engine -> engine.version().equals(version))
         .forEach(this::end);
@@ -154,7 +158,7 @@
    * content.
    */
   void losePower() {
-    group.members().forEach(FakeControl::kill);
+    group.members().forEach(FakeControlMember::kill);
     for (int vm = 0; vm < vms.count(); vm++) {
       restartVm(vm);
     }
@@ -192,14 +196,14 @@
   }
 
   /**
-   * Returns how long the target version received requests after {@link #BAD_UNTIL_COUNTED} bad
-   * answers, in milliseconds; 0 or less if it received none later.
+   * Returns how long the target version received requests after {@link #BAD_ANSWERS_UNTIL_KNOWN}
+   * bad answers, in milliseconds; 0 or less if it received none later.
    */
-  long sentAfterCountedMs() {
-    if (badAnswersNs.size() < BAD_UNTIL_COUNTED) {
+  long exposureAfterDetectionMs() {
+    if (badAnswersNs.size() < BAD_ANSWERS_UNTIL_KNOWN) {
       return 0;
     }
-    return (lastExposedNs - badAnswersNs.get(BAD_UNTIL_COUNTED - 1)) / NS_PER_MS;
+    return (lastExposedNs - badAnswersNs.get(BAD_ANSWERS_UNTIL_KNOWN - 1)) / NS_PER_MS;
   }
 
   /** Returns when the target version received its last request, in milliseconds after the order. */
@@ -218,8 +222,8 @@
   }
 
   /** Returns the number of requests that were lost because their engine crashed or was stopped. */
-  int lost() {
-    return lost;
+  int lostRequests() {
+    return lostRequests;
   }
 
   private void startEngines(UpstreamVersion version) {
@@ -256,7 +260,7 @@
             List.of(),
             content);
     int vm = random.nextInt(vms.count());
-    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
+    vms.execute(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void execute(int vm, ForwardAction action) {
@@ -283,14 +287,14 @@
   private void dispatch(int vm, ForwardAction.Dispatch dispatch) {
     Optional<VersionedEngine> engine =
         engines.stream().filter(one -> one.id().equals(dispatch.upstream().id())).findFirst();
-    Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
+    Attempt attempt = new Attempt(vm, vms.incarnation(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     if (engine.isEmpty()) {
       later(1, () -> end(attempt, AttemptOutcome.NOT_CONNECTED));
       return;
     }
     count(engine.get());
-    engine.get().take(dispatch.request());
+    engine.get().enqueue(dispatch.request());
     startQueued(engine.get());
   }
 
@@ -307,10 +311,10 @@
   }
 
   private void startQueued(VersionedEngine engine) {
-    for (long request : engine.begin()) {
+    for (long request : engine.startQueued()) {
       Attempt attempt = attempts.get(request);
       boolean isBad = isBad(engine, routes.get(request));
-      double latencyFactor = engine.slowness() * (isBad ? behavior.times() : 1);
+      double latencyFactor = engine.latencyFactor() * (isBad ? behavior.latencyFactor() : 1);
       boolean fails = isBad && !behavior.isSlow();
       if (!fails) {
         later((int) (FIRST_EVENT_MS * latencyFactor), () -> firstEvent(attempt));
@@ -324,14 +328,14 @@
   private boolean isBad(VersionedEngine engine, String route) {
     double elapsedFraction = (group.nowNs() - orderedNs) / (double) (durationMs * NS_PER_MS);
     double share =
-        behavior.shareAt(elapsedFraction, engine.isLoaded(), route.equals("/resumable/"));
+        behavior.badShareAt(elapsedFraction, engine.isLoaded(), route.equals("/resumable/"));
     return engine.version().equals(ORDERED) && random.nextDouble() < share;
   }
 
   private void firstEvent(Attempt attempt) {
     if (isInFlight(attempt)) {
       int vm = attempt.vm();
-      vms.carryOut(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
+      vms.execute(vm, vms.node(vm).onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
@@ -360,7 +364,7 @@
     engines.remove(engine);
     for (long request : engine.end()) {
       Attempt attempt = attempts.get(request);
-      lost++;
+      lostRequests++;
       later(1, () -> end(attempt, AttemptOutcome.BROKEN));
     }
   }
@@ -373,12 +377,12 @@
     attempt.removeFromEngine();
     attempt.engine().ifPresent(this::startQueued);
     int vm = attempt.vm();
-    vms.carryOut(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
+    vms.execute(vm, vms.node(vm).onAttemptEnded(attempt.request(), end, group.nowNs()));
   }
 
   private boolean isInFlight(Attempt attempt) {
     return attempts.get(attempt.request()) == attempt
-        && attempt.incarnation() == vms.life(attempt.vm());
+        && attempt.incarnation() == vms.incarnation(attempt.vm());
   }
 
   private void sendHeartbeats() {
@@ -387,9 +391,9 @@
   }
 
   private void sendHeartbeat(VersionedEngine engine) {
-    for (FakeControl member : group.members()) {
+    for (FakeControlMember member : group.members()) {
       if (member.isServing()) {
-        group.ask(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
+        group.call(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
       }
     }
   }
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutStudyTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutStudyTest.java
@@ -35,8 +35,8 @@
   private double servedShare;
 
   @ParameterizedTest
-  @EnumSource(BadVersion.class)
-  void study(BadVersion bad) {
+  @EnumSource(VersionBehavior.class)
+  void study(VersionBehavior bad) {
     Assumptions.assumeTrue(ONLY.isEmpty() || ONLY.contains(bad.name()));
     for (int seed = 0; seed < SEEDS; seed++) {
       play(bad, seed);
@@ -61,17 +61,17 @@
         servedShare / SEEDS);
   }
 
-  private void play(BadVersion bad, int seed) {
+  private void play(VersionBehavior bad, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    RolloutRun run = new RolloutRun(random.split(), bad, VMS, ENGINES, DURATION_MS);
-    run.play(WARM_UP_MS, RATE);
+    RolloutSimulation run = new RolloutSimulation(random.split(), bad, VMS, ENGINES, DURATION_MS);
+    run.simulate(WARM_UP_MS, RATE);
     run.order();
     if (FAULTS) {
-      new RolloutFaults(run, random).play(DURATION_MS, RATE);
+      new RolloutFaultInjector(run, random).simulate(DURATION_MS, RATE);
     } else {
-      run.play(DURATION_MS, RATE);
+      run.simulate(DURATION_MS, RATE);
     }
-    run.play(AFTERWARDS_MS, RATE);
+    run.simulate(AFTERWARDS_MS, RATE);
     Rollout rollout = run.rollout();
     ends.merge(rollout.phase(), 1, Integer::sum);
     boolean over = bad.isBad() && run.exposed() > run.allowed();
@@ -93,7 +93,7 @@
               + ", bad "
               + run.badAnswers());
     }
-    sentAfterMs.add(run.sentAfterCountedMs());
+    sentAfterMs.add(run.exposureAfterDetectionMs());
     lastSentMs.add(run.lastExposedMs());
     servedShare += run.servedShare();
   }
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutBesideFaultsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutUnderLoadTest.java
@@ -14,7 +14,7 @@
  * to be slow.
  */
 @Tag("known-red")
-class RolloutBesideFaultsTest {
+class RolloutUnderLoadTest {
 
   private static final int DURATION_MS = 12_000;
   private static final int WARM_UP_MS = 2_000;
@@ -27,11 +27,12 @@
   @ValueSource(longs = {3, 11})
   void goodVersionIsCompletedThoughTheLoadDoublesWhileAllTurnToIt(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    RolloutRun run = new RolloutRun(random.split(), BadVersion.GOOD, VMS, ENGINES, DURATION_MS);
-    run.play(WARM_UP_MS, PER_SECOND);
+    RolloutSimulation run =
+        new RolloutSimulation(random.split(), VersionBehavior.GOOD, VMS, ENGINES, DURATION_MS);
+    run.simulate(WARM_UP_MS, PER_SECOND);
     run.order();
-    new RolloutFaults(run, random).play(DURATION_MS, PER_SECOND);
-    run.play(AFTERWARDS_MS, PER_SECOND);
+    new RolloutFaultInjector(run, random).simulate(DURATION_MS, PER_SECOND);
+    run.simulate(AFTERWARDS_MS, PER_SECOND);
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.COMPLETED);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutPushTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutUpdateTest.java
@@ -16,23 +16,23 @@
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 
-class RolloutPushTest {
+class RolloutUpdateTest {
 
   private static final VmId VM = new VmId("entry");
   private static final int SYNC_MS = 250;
   private static final int RESEND_INTERVAL_MS = 1_100;
 
   private final FakeControlGroup group = new FakeControlGroup(3).start();
-  private FakeControl leader;
+  private FakeControlMember leader;
   private long sequence;
 
   @BeforeEach
   void order() {
     leader = group.leader();
-    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
+    group.call(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     sync(0, 0);
     RolloutOrder order = new RolloutOrder(TestPlans.ENGINES, new UpstreamVersion("v2"), 12_000);
-    group.ask(leader, new OperatorRequest.StartRollout(order));
+    group.call(leader, new OperatorRequest.StartRollout(order));
   }
 
   private void sync(long registryRevision, long rolloutRevision) {
@@ -54,7 +54,7 @@
 
   private void registerUpstream() {
     leader.actions().clear();
-    group.ask(
+    group.call(
         leader, new OperatorRequest.Heartbeat(ForwardSamples.upstream("e1", TestPlans.ENGINES, 4)));
   }
 
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void lostRolloutsAreToldAgainWithTheRegistrations() {
+  void lostRolloutUpdateIsResentWithTheRegistrations() {
     registerUpstream();
     group.run(RESEND_INTERVAL_MS);
     sync(0, 0);
--- a/core/src/test/java/org/teaseltrail/core/control/RolloutAtSmallServiceTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/RolloutWithFewRequestsTest.java
@@ -14,7 +14,7 @@
  * shift.
  */
 @Tag("known-red")
-class RolloutAtSmallServiceTest {
+class RolloutWithFewRequestsTest {
 
   private static final int DURATION_MS = 12_000;
   private static final int WARM_UP_MS = 2_000;
@@ -31,12 +31,12 @@
     "SLOW_ON_ONE_ROUTE,10",
     "SLOW_ON_ONE_ROUTE,23"
   })
-  void badVersionIsRolledBackWithinItsBounds(BadVersion bad, long seed) {
+  void badVersionIsRolledBackWithinItsBounds(VersionBehavior bad, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    RolloutRun run = new RolloutRun(random.split(), bad, VMS, ENGINES, DURATION_MS);
-    run.play(WARM_UP_MS, PER_SECOND);
+    RolloutSimulation run = new RolloutSimulation(random.split(), bad, VMS, ENGINES, DURATION_MS);
+    run.simulate(WARM_UP_MS, PER_SECOND);
     run.order();
-    run.play(DURATION_MS + AFTERWARDS_MS, PER_SECOND);
+    run.simulate(DURATION_MS + AFTERWARDS_MS, PER_SECOND);
     assertThat(run.rollout().phase()).isEqualTo(RolloutPhase.ROLLED_BACK);
     assertThat((double) run.exposed()).isLessThanOrEqualTo(run.allowed());
   }
--- a/core/src/test/java/org/teaseltrail/core/control/ServingRun.java
+++ b/core/src/test/java/org/teaseltrail/core/control/ServingSimulation.java
@@ -22,7 +22,7 @@
  * Simulates the serving components, in virtual time: three control members, several entry VMs and
  * engines whose speeds differ by a factor of five, with callers that retry once after a refusal.
  */
-final class ServingRun {
+final class ServingSimulation {
 
   private static final long NS_PER_MS = 1_000_000L;
   private static final int VMS = 6;
@@ -44,16 +44,16 @@
   private final List<FakeEngine> engines = new ArrayList<>();
   private final Map<Long, Attempt> attempts = new HashMap<>();
   private final Map<RefusalReason, Integer> refused = new HashMap<>();
-  private final Map<RefusalReason, Integer> refusedWithRoom = new HashMap<>();
+  private final Map<RefusalReason, Integer> refusedWithSpareCapacity = new HashMap<>();
   private long lastFullNs;
   private long lastRequest;
   private long firstCounted;
 
-  ServingRun(SplittableRandom random) {
+  ServingSimulation(SplittableRandom random) {
     this.random = random;
     group.start();
-    FakeControl leader = group.leader();
-    group.ask(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
+    FakeControlMember leader = group.leader();
+    group.call(leader, new OperatorRequest.InstallPlan(new InstalledPlan(TestPlans.plan(1), "{}")));
     for (int i = 0; i < LATENCY_FACTORS.length; i++) {
       engines.add(new FakeEngine("e" + i, LATENCY_FACTORS[i]));
     }
@@ -80,11 +80,11 @@
   }
 
   /** Resets the counters; only requests sent from now on are counted. */
-  void countAnew() {
+  void resetCounters() {
     refused.clear();
-    refusedWithRoom.clear();
+    refusedWithSpareCapacity.clear();
     firstCounted = lastRequest + 1;
-    engines.forEach(FakeEngine::countAnew);
+    engines.forEach(FakeEngine::resetDispatchCount);
   }
 
   /** Returns the counted refusals by reason. */
@@ -96,12 +96,12 @@
    * Returns the counted refusals, by reason, that occurred while some engine had had a free slot
    * for a while.
    */
-  Map<RefusalReason, Integer> refusedWithRoom() {
-    return refusedWithRoom;
+  Map<RefusalReason, Integer> refusedWithSpareCapacity() {
+    return refusedWithSpareCapacity;
   }
 
   /** Advances the time while callers send requests at a rate. */
-  void play(int lengthMs, double perSecond) {
+  void simulate(int lengthMs, double perSecond) {
     for (int ms = 0; ms < lengthMs; ms++) {
       group.run(1);
       if (engines.stream().allMatch(FakeEngine::isFull)) {
@@ -130,16 +130,16 @@
   }
 
   /** Removes an engine for good if a leader can receive its deregistration. */
-  void leave(FakeEngine engine) {
+  void deregister(FakeEngine engine) {
     group.members().stream()
-        .filter(FakeControl::isServing)
+        .filter(FakeControlMember::isServing)
         .findFirst()
         .ifPresent(
             leader -> {
               engines.remove(engine);
-              engine.become(FakeEngine.State.GONE);
+              engine.setState(FakeEngine.State.GONE);
               UpstreamId id = engine.id();
-              group.ask(leader, new OperatorRequest.Leave(id, OptionalLong.empty()), 0);
+              group.call(leader, new OperatorRequest.Leave(id, OptionalLong.empty()), 0);
             });
   }
 
@@ -149,20 +149,20 @@
    */
   void recoverEngines() {
     for (Attempt attempt : List.copyOf(attempts.values())) {
-      if (attempt.engine().state() == FakeEngine.State.SILENT) {
+      if (attempt.engine().state() == FakeEngine.State.HANGING) {
         endLater(attempt, AttemptOutcome.BROKEN, FAILURE_DELAY_MS);
       } else if (attempt.engine().state() == FakeEngine.State.SLOW) {
-        endLater(attempt, AttemptOutcome.ANSWERED, attempt.engine().usualMs());
+        endLater(attempt, AttemptOutcome.ANSWERED, attempt.engine().baseServiceTimeMs());
       }
     }
-    engines.forEach(engine -> engine.become(FakeEngine.State.SOUND));
+    engines.forEach(engine -> engine.setState(FakeEngine.State.HEALTHY));
   }
 
   private void sendHeartbeats() {
-    for (FakeControl member : group.members()) {
+    for (FakeControlMember member : group.members()) {
       if (member.isServing()) {
         for (FakeEngine engine : engines) {
-          group.ask(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
+          group.call(member, new OperatorRequest.Heartbeat(engine.registration()), 0);
         }
       }
     }
@@ -185,7 +185,7 @@
             OptionalInt.of(100),
             List.of(),
             RequestContent.EMPTY);
-    vms.carryOut(vm, vms.node(vm).onRequest(request, group.nowNs()));
+    vms.execute(vm, vms.node(vm).onRequest(request, group.nowNs()));
   }
 
   private void execute(int vm, ForwardAction action) {
@@ -208,7 +208,7 @@
     }
     refused.merge(refuse.refusalReason(), 1, Integer::sum);
     if (group.nowNs() - lastFullNs > ALLOCATION_DELAY_NS) {
-      refusedWithRoom.merge(refuse.refusalReason(), 1, Integer::sum);
+      refusedWithSpareCapacity.merge(refuse.refusalReason(), 1, Integer::sum);
     }
   }
 
@@ -217,17 +217,22 @@
     FakeEngine engine =
         engines.stream().filter(one -> one.id().equals(id)).findFirst().orElse(null);
     if (engine == null) {
-      end(vm, vms.life(vm), dispatch.request(), AttemptOutcome.NOT_CONNECTED, FAILURE_DELAY_MS);
+      end(
+          vm,
+          vms.incarnation(vm),
+          dispatch.request(),
+          AttemptOutcome.NOT_CONNECTED,
+          FAILURE_DELAY_MS);
       return;
     }
-    long serviceTimeMs = engine.begin();
-    Attempt attempt = new Attempt(vm, vms.life(vm), dispatch.request(), engine);
+    long serviceTimeMs = engine.startRequest();
+    Attempt attempt = new Attempt(vm, vms.incarnation(vm), dispatch.request(), engine);
     attempts.put(dispatch.request(), attempt);
     switch (engine.state()) {
       case GONE -> endLater(attempt, AttemptOutcome.NOT_CONNECTED, FAILURE_DELAY_MS);
-      case BREAKING -> endLater(attempt, AttemptOutcome.BROKEN, BREAK_MS);
+      case ABORTING -> endLater(attempt, AttemptOutcome.BROKEN, BREAK_MS);
       case FAILING -> endLater(attempt, AttemptOutcome.FAILED_ANSWER, BREAK_MS);
-      case SILENT -> {}
+      case HANGING -> {}
       default -> {
         later((long) (FIRST_EVENT_FRACTION * serviceTimeMs), () -> reportResponseStarted(attempt));
         endLater(attempt, AttemptOutcome.ANSWERED, serviceTimeMs);
@@ -240,7 +245,7 @@
     if (attempts.get(attempt.request()) == attempt) {
       ForwardNode node = vms.node(attempt.vm());
       node.onLoadReport(attempt.engine().id(), attempt.engine().running(), group.nowNs());
-      vms.carryOut(attempt.vm(), node.onResponseStarted(attempt.request(), group.nowNs()));
+      vms.execute(attempt.vm(), node.onResponseStarted(attempt.request(), group.nowNs()));
     }
   }
 
@@ -266,8 +271,8 @@
     later(
         afterMs,
         () -> {
-          if (incarnation == vms.life(vm)) {
-            vms.carryOut(vm, vms.node(vm).onAttemptEnded(request, end, group.nowNs()));
+          if (incarnation == vms.incarnation(vm)) {
+            vms.execute(vm, vms.node(vm).onAttemptEnded(request, end, group.nowNs()));
           }
         });
   }
--- a/core/src/test/java/org/teaseltrail/core/control/SlotDeskTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/SlotAllocatorTest.java
@@ -19,7 +19,7 @@
 import org.teaseltrail.core.serving.Urgency;
 
 /** Tests the allocation of free slots over all entry VMs. */
-class SlotDeskTest {
+class SlotAllocatorTest {
 
   private static final long MS = 1_000_000L;
   private static final VmId VM_1 = new VmId("entry-1");
@@ -70,7 +70,7 @@
    * the same customer, waits at another VM and would miss its objective.
    */
   @Test
-  void theMostUrgentOfAllVmsGoesFirst() {
+  void mostUrgentRequestOfAllVmsIsGrantedFirst() {
     report(VM_1, 0, 1, LESS_URGENT, 3);
     report(VM_2, 0, 0, URGENT, 1);
     assertThat(granted(0, ENGINE)).containsExactly(VM_2);
@@ -81,7 +81,7 @@
    * requests there, they would far exceed its slots.
    */
   @Test
-  void handsOutNoMorePlacesThanThereAre() {
+  void grantsNoMoreSlotsThanExist() {
     report(VM_1, 0, 0, LESS_URGENT, 5);
     report(VM_2, 0, 0, LESS_URGENT, 5);
     assertThat(granted(0, ENGINE)).hasSize(2);
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void lostGrantIsHandedOutAgain() {
+  void lostGrantIsReallocated() {
     report(VM_1, 0, 0, LESS_URGENT, 2);
     assertThat(granted(0, ENGINE)).hasSize(2);
     assertThat(granted(301, ENGINE)).hasSize(2);
@@ -109,7 +109,7 @@
    * wait.
    */
   @Test
-  void vmThatIsCutOffGetsNoPlaces() {
+  void partitionedVmGetsNoSlots() {
     report(VM_1, 0, 0, URGENT, 2);
     assertThat(granted(0, ENGINE)).containsExactly(VM_1, VM_1);
     allocator.heard(VM_2, Map.of(), 700 * MS);
@@ -131,7 +131,7 @@
   }
 
   @Test
-  void goesToTheNextVmIfOneCannotUseThePlace() {
+  void slotGoesToTheNextVmIfOneCannotUseIt() {
     report(VM_1, 0, 0, URGENT, 1, List.of(ENGINE.id()));
     report(VM_2, 0, 1, LESS_URGENT, 1);
     assertThat(granted(0, ENGINE)).containsExactly(VM_2);
@@ -149,7 +149,7 @@
    * needs few of the slots.
    */
   @Test
-  void oneOfSomePlacesGoesToTheLeastUrgentKind() {
+  void everyFourthSlotGoesToTheLeastUrgentKind() {
     int leastUrgentGrants = 0;
     for (int i = 0; i < 20; i++) {
       report(VM_1, i, 1, URGENT, 9);
@@ -160,7 +160,7 @@
   }
 
   @Test
-  void lateRequestsGiveWayWhateverTheirKind() {
+  void lateRequestsYieldWhateverTheirKind() {
     Urgency late = new Urgency(1, true, 0);
     for (int i = 0; i < 8; i++) {
       report(VM_1, i, 1, late, 9);
@@ -174,7 +174,7 @@
    * urgent requests, the VM whose name sorts first got every slot.
    */
   @Test
-  void equallyUrgentRequestsGoInTheOrderInWhichTheyCame() {
+  void equallyUrgentRequestsAreServedInArrivalOrder() {
     report(VM_1, 0, 1, new QueueState.WaitTimes(LESS_URGENT, List.of(30L, 10L)), List.of());
     report(VM_2, 0, 0, new QueueState.WaitTimes(LESS_URGENT, List.of(90L, 20L)), List.of());
     assertThat(granted(0, ENGINE)).containsExactly(VM_2);
@@ -206,7 +206,7 @@
    * stream, 0.3 and 1.2 s.
    */
   @Test
-  void leastUrgentKindDoesNotComeToHoldMostPlaces() {
+  void leastUrgentKindDoesNotOccupyMostSlots() {
     Registration engine = engine("e1", RegistrationPhase.READY, 20);
     List<Long> urgentEndsMs = new ArrayList<>();
     List<Long> longEndsMs = new ArrayList<>();
--- a/core/src/test/java/org/teaseltrail/core/control/PlacesWithoutLeaderTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/SlotsWithoutLeaderTest.java
@@ -36,7 +36,7 @@
  * most frequent kind; and there are 500 requests a second, almost twice what the 91 slots of the
  * engines can serve, of which the first VM receives as many as three others.
  */
-class PlacesWithoutLeaderTest {
+class SlotsWithoutLeaderTest {
 
   private static final long MS = 1_000_000L;
   private static final int VMS = 9;
@@ -174,7 +174,7 @@
    * three times their slots, and each first event would be late.
    */
   @Test
-  void vmsNeverFillAnEngineBeyondItsPlaces() {
+  void vmsNeverExceedSlotsOfAnEngine() {
     simulate(0, 2_000, 100, true);
     simulate(2_000, 2_500, 100, false);
     maxAtOneEngine = 0;
@@ -199,7 +199,7 @@
   }
 
   @Test
-  void eachVmGetsPlacesByWhatItWantsAndOneAtLeast() {
+  void eachVmGetsSlotsByDemandAndAtLeastOne() {
     for (int i = 0; i < 40; i++) {
       shares.heard(vm(0), Map.of(TestPlans.ENGINES, 60));
       shares.heard(vm(1), Map.of(TestPlans.ENGINES, 20));
--- a/core/src/test/java/org/teaseltrail/core/control/UpstreamBackoffTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/UpstreamBackoffTest.java
@@ -32,13 +32,13 @@
   /** Time in which each VM has sent a request to each engine once. */
   private static final int ALL_INFORMED_MS = 3_500;
 
-  private static BackpressureRun run(long seed) {
-    return BackpressureRun.inCalm(seed, VMS, ENGINES, LOAD_PER_SECOND);
+  private static BackpressureSimulation run(long seed) {
+    return BackpressureSimulation.createWarmedUp(seed, VMS, ENGINES, LOAD_PER_SECOND);
   }
 
-  private static void assertBackoffsAreObeyed(BackpressureRun run) {
-    for (AskingEngine engine : run.engines()) {
-      assertThat(engine.mostInBackoff()).isLessThanOrEqualTo(ALLOWED_IN_BACKOFF);
+  private static void assertBackoffsAreObeyed(BackpressureSimulation run) {
+    for (BackpressureEngine engine : run.engines()) {
+      assertThat(engine.maxRequestsInBackoff()).isLessThanOrEqualTo(ALLOWED_IN_BACKOFF);
     }
   }
 
@@ -48,26 +48,27 @@
    */
   @ParameterizedTest
   @CsvSource({"1, 9, 8, 50, 3000", "2, 9, 8, 50, 1000", "3, 62, 98, 500, 3000"})
-  void othersServeWhileSomeBackOff(
+  void otherEnginesServeDuringBackoff(
       long seed, int vms, int engines, double perSecond, int backoffMs) {
-    BackpressureRun run = BackpressureRun.inCalm(seed, vms, engines, perSecond);
-    run.engine(0).turnAway(backoffMs);
-    run.engine(1).turnAway(backoffMs);
-    run.play(REJECTING_MS, perSecond);
+    BackpressureSimulation run =
+        BackpressureSimulation.createWarmedUp(seed, vms, engines, perSecond);
+    run.engine(0).rejectAll(backoffMs);
+    run.engine(1).rejectAll(backoffMs);
+    run.simulate(REJECTING_MS, perSecond);
     assertBackoffsAreObeyed(run);
     assertThat(run.servedShare()).isGreaterThan(0.95);
   }
 
   /** Requests wait for slots, and the leader grants slots of an engine in backoff. */
   @Test
-  void backoffIsKeptWhileLeaderHandsOutPlaces() {
-    double overload = 1.3 * ENGINES * BatchEngine.PLACES / 0.3;
-    BackpressureRun run = BackpressureRun.inCalm(4, VMS, ENGINES, overload);
-    run.engine(0).turnAway(BACKOFF_MS);
-    run.engine(1).turnAway(BACKOFF_MS);
-    run.play(REJECTING_MS, overload);
+  void backoffIsObeyedWhileLeaderGrantsSlots() {
+    double overload = 1.3 * ENGINES * BatchEngine.SLOTS / 0.3;
+    BackpressureSimulation run = BackpressureSimulation.createWarmedUp(4, VMS, ENGINES, overload);
+    run.engine(0).rejectAll(BACKOFF_MS);
+    run.engine(1).rejectAll(BACKOFF_MS);
+    run.simulate(REJECTING_MS, overload);
     assertBackoffsAreObeyed(run);
-    double servedBySix = 6.0 * BatchEngine.PLACES / 0.3;
+    double servedBySix = 6.0 * BatchEngine.SLOTS / 0.3;
     assertThat(run.served() / 9.0).isGreaterThan(0.85 * servedBySix);
   }
 
@@ -76,14 +77,14 @@
    * backoff.
    */
   @Test
-  void backoffOutlivesTheRegistration() {
-    BackpressureRun run = run(5);
-    run.engine(0).turnAway(40_000);
-    run.play(2_000, LOAD_PER_SECOND);
-    run.loseHeartbeatsOf(run.engine(0), true);
-    run.play(20_000, LOAD_PER_SECOND);
-    run.loseHeartbeatsOf(run.engine(0), false);
-    run.play(8_000, LOAD_PER_SECOND);
+  void backoffSurvivesExpiredRegistration() {
+    BackpressureSimulation run = run(5);
+    run.engine(0).rejectAll(40_000);
+    run.simulate(2_000, LOAD_PER_SECOND);
+    run.dropHeartbeatsOf(run.engine(0), true);
+    run.simulate(20_000, LOAD_PER_SECOND);
+    run.dropHeartbeatsOf(run.engine(0), false);
+    run.simulate(8_000, LOAD_PER_SECOND);
     assertBackoffsAreObeyed(run);
   }
 
@@ -91,13 +92,13 @@
    * An engine must not be excluded for good after its backoff, nor be filled at once by all VMs.
    */
   @Test
-  void engineIsBackAfterItsBackoff() {
-    BackpressureRun run = run(6);
-    AskingEngine engine = run.engine(0);
-    engine.turnAway(BACKOFF_MS);
-    run.play(REJECTING_MS, LOAD_PER_SECOND);
-    engine.turnAway(0);
-    run.play(6_000, LOAD_PER_SECOND);
+  void engineRecoversItsShareAfterBackoff() {
+    BackpressureSimulation run = run(6);
+    BackpressureEngine engine = run.engine(0);
+    engine.rejectAll(BACKOFF_MS);
+    run.simulate(REJECTING_MS, LOAD_PER_SECOND);
+    engine.rejectAll(0);
+    run.simulate(6_000, LOAD_PER_SECOND);
     double equalShare = LOAD_PER_SECOND / ENGINES;
     assertThat(engine.perSecond(2_000, run.group().nowNs())).isGreaterThan(0.5 * equalShare);
   }
@@ -108,16 +109,16 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {21, 22, 23})
-  void turnedAwayCallersAreServedOnTimeByOthers(long seed) {
-    BackpressureRun run = run(seed);
-    run.comeBackOnce();
+  void rejectedCallersAreServedOnTimeByOtherEngines(long seed) {
+    BackpressureSimulation run = run(seed);
+    run.retryRefusedOnce();
     for (int round = 0; round < 3; round++) {
-      run.engine(2 * round).turnAway(BACKOFF_MS);
-      run.engine(2 * round + 1).turnAway(BACKOFF_MS);
-      run.play(4_000, LOAD_PER_SECOND);
-      run.engine(2 * round).turnAway(0);
-      run.engine(2 * round + 1).turnAway(0);
-      run.play(4_000, LOAD_PER_SECOND);
+      run.engine(2 * round).rejectAll(BACKOFF_MS);
+      run.engine(2 * round + 1).rejectAll(BACKOFF_MS);
+      run.simulate(4_000, LOAD_PER_SECOND);
+      run.engine(2 * round).rejectAll(0);
+      run.engine(2 * round + 1).rejectAll(0);
+      run.simulate(4_000, LOAD_PER_SECOND);
     }
     assertThat(run.onTimeShare()).isGreaterThan(0.97);
     assertThat(run.refused())
@@ -130,12 +131,12 @@
    * receive a retry time that is too short.
    */
   @Test
-  void callersHearAtOnceWhenAllBackOff() {
-    BackpressureRun run = run(7);
-    run.engines().forEach(engine -> engine.turnAway(20_000));
-    run.play(ALL_INFORMED_MS, LOAD_PER_SECOND);
-    run.countAnew();
-    run.play(2_000, LOAD_PER_SECOND);
+  void callersAreRefusedAtOnceWhenAllBackOff() {
+    BackpressureSimulation run = run(7);
+    run.engines().forEach(engine -> engine.rejectAll(20_000));
+    run.simulate(ALL_INFORMED_MS, LOAD_PER_SECOND);
+    run.resetCounters();
+    run.simulate(2_000, LOAD_PER_SECOND);
     assertBackoffsAreObeyed(run);
     assertThat(run.refused()).isNotEmpty();
     assertThat(run.refused())
--- a/core/src/test/java/org/teaseltrail/core/control/LimitedUpstreamTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/UpstreamRateLimitTest.java
@@ -14,7 +14,7 @@
  * it over all VMs. Each request to a rate-limited engine requires a permit of the leader, so that
  * the limit holds for any number of VMs.
  */
-class LimitedUpstreamTest {
+class UpstreamRateLimitTest {
 
   private static final int VMS = 9;
   private static final int ENGINES = 8;
@@ -22,13 +22,13 @@
   private static final int LIMITED_MS = 16_000;
   private static final RateLimit LIMIT = new RateLimit(1.6);
 
-  private static BackpressureRun run(long seed) {
-    return BackpressureRun.inCalm(seed, VMS, ENGINES, LOAD_PER_SECOND);
+  private static BackpressureSimulation run(long seed) {
+    return BackpressureSimulation.createWarmedUp(seed, VMS, ENGINES, LOAD_PER_SECOND);
   }
 
-  private static void assertWithinLimits(BackpressureRun run) {
-    for (AskingEngine engine : run.engines()) {
-      assertThat((double) engine.mostInWindow()).isLessThanOrEqualTo(engine.allowedInWindow());
+  private static void assertWithinLimits(BackpressureSimulation run) {
+    for (BackpressureEngine engine : run.engines()) {
+      assertThat((double) engine.maxInWindow()).isLessThanOrEqualTo(engine.allowedInWindow());
     }
   }
 
@@ -45,10 +45,11 @@
     "5, 1.6, 62, 98, 500"
   })
   void limitHoldsOverAllVms(long seed, double limit, int vms, int engines, double perSecond) {
-    BackpressureRun run = BackpressureRun.inCalm(seed, vms, engines, perSecond);
+    BackpressureSimulation run =
+        BackpressureSimulation.createWarmedUp(seed, vms, engines, perSecond);
     run.engine(0).name(new RateLimit(limit));
     run.engine(1).name(new RateLimit(limit));
-    run.play(LIMITED_MS, perSecond);
+    run.simulate(LIMITED_MS, perSecond);
     assertWithinLimits(run);
     assertThat(run.servedShare()).isGreaterThan(0.97);
   }
@@ -57,22 +58,22 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void limitHoldsWhileVmsAndLeaderChange(long seed) {
-    BackpressureRun run = run(seed);
+    BackpressureSimulation run = run(seed);
     run.engine(0).name(LIMIT);
     run.engine(1).name(LIMIT);
-    run.play(4_000, LOAD_PER_SECOND);
+    run.simulate(4_000, LOAD_PER_SECOND);
     run.restartVm(1);
-    run.play(1_000, LOAD_PER_SECOND);
-    FakeControl first = run.group().leader();
+    run.simulate(1_000, LOAD_PER_SECOND);
+    FakeControlMember first = run.group().leader();
     first.kill();
-    run.play(4_000, LOAD_PER_SECOND);
+    run.simulate(4_000, LOAD_PER_SECOND);
     run.group().restart(first);
-    run.cutVm(2, true);
-    run.play(3_000, LOAD_PER_SECOND);
-    run.cutVm(2, false);
+    run.setVmPartitioned(2, true);
+    run.simulate(3_000, LOAD_PER_SECOND);
+    run.setVmPartitioned(2, false);
     run.restartVm(0);
-    run.group().leader().freeze();
-    run.play(4_000, LOAD_PER_SECOND);
+    run.group().leader().pause();
+    run.simulate(4_000, LOAD_PER_SECOND);
     assertWithinLimits(run);
   }
 
@@ -81,15 +82,15 @@
    * slots.
    */
   @Test
-  void engineGetsWhatItTakesAndIsBackAfterItsNeed() {
-    BackpressureRun run = run(6);
-    AskingEngine engine = run.engine(0);
+  void rateLimitedEngineIsUsedAndRecoversFullShare() {
+    BackpressureSimulation run = run(6);
+    BackpressureEngine engine = run.engine(0);
     engine.name(LIMIT);
-    run.play(LIMITED_MS, LOAD_PER_SECOND);
+    run.simulate(LIMITED_MS, LOAD_PER_SECOND);
     assertThat(engine.perSecond(10_000, run.group().nowNs()))
         .isBetween(0.5 * LIMIT.perSecond(), 1.2 * LIMIT.perSecond());
     engine.name(RateLimit.UNLIMITED);
-    run.play(5_000, LOAD_PER_SECOND);
+    run.simulate(5_000, LOAD_PER_SECOND);
     double equalShare = LOAD_PER_SECOND / ENGINES;
     assertThat(engine.perSecond(2_000, run.group().nowNs())).isGreaterThan(0.5 * equalShare);
   }
@@ -99,14 +100,14 @@
    * in a burst.
    */
   @Test
-  void permitsFromCalmTimesAreNotAllSentInBurst() {
+  void unusedPermitsAreNotAllSpentInBurst() {
     int vms = 62;
-    BackpressureRun run = BackpressureRun.inCalm(9, vms, 12, 20);
-    AskingEngine engine = run.engine(0);
+    BackpressureSimulation run = BackpressureSimulation.createWarmedUp(9, vms, 12, 20);
+    BackpressureEngine engine = run.engine(0);
     engine.name(new RateLimit(6));
-    run.play(20_000, 20);
-    run.play(1_500, 500);
-    assertThat((double) engine.mostOfAllInWindow(10_000, run.group().nowNs()))
+    run.simulate(20_000, 20);
+    run.simulate(1_500, 500);
+    assertThat((double) engine.maxOfAllVmsInWindow(10_000, run.group().nowNs()))
         .isLessThanOrEqualTo(engine.allowedInWindow());
   }
 
@@ -115,25 +116,25 @@
    * it.
    */
   @Test
-  void engineThatTookNothingIsBackAfterItsNeed() {
-    BackpressureRun run = run(7);
-    AskingEngine engine = run.engine(0);
+  void engineWithZeroLimitRecoversItsShare() {
+    BackpressureSimulation run = run(7);
+    BackpressureEngine engine = run.engine(0);
     engine.name(new RateLimit(0));
-    run.play(LIMITED_MS, LOAD_PER_SECOND);
+    run.simulate(LIMITED_MS, LOAD_PER_SECOND);
     engine.name(RateLimit.UNLIMITED);
-    run.play(8_000, LOAD_PER_SECOND);
+    run.simulate(8_000, LOAD_PER_SECOND);
     double equalShare = LOAD_PER_SECOND / ENGINES;
     assertThat(engine.perSecond(2_000, run.group().nowNs())).isGreaterThan(0.5 * equalShare);
   }
 
   /** All engines are rate-limited at once; the rate that they still accept must be used. */
   @Test
-  void whatAllEnginesStillTakeIsUsed() {
-    BackpressureRun run = run(8);
+  void capacityIsUsedWhenAllEnginesAreRateLimited() {
+    BackpressureSimulation run = run(8);
     run.engines().forEach(engine -> engine.name(new RateLimit(2)));
-    run.play(5_000, LOAD_PER_SECOND);
-    run.countAnew();
-    run.play(10_000, LOAD_PER_SECOND);
+    run.simulate(5_000, LOAD_PER_SECOND);
+    run.resetCounters();
+    run.simulate(10_000, LOAD_PER_SECOND);
     assertWithinLimits(run);
     double accepted = 2.0 * ENGINES;
     assertThat(run.served() / 10.0).isGreaterThan(0.7 * accepted);
--- a/core/src/test/java/org/teaseltrail/core/control/BadVersion.java
+++ b/core/src/test/java/org/teaseltrail/core/control/VersionBehavior.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.core.control;
 
 /** Behavior of the target version of a rollout. */
-enum BadVersion {
+enum VersionBehavior {
   /** Answers correctly and in the usual time. */
   GOOD(0, 1, 0, false, false),
   /** 40 % of its answers fail. */
@@ -22,15 +22,19 @@
   SLOW_ON_ONE_ROUTE(0.5, 4, 0, false, true);
 
   private final double share;
-  private final double times;
+  private final double latencyFactor;
   private final double startFraction;
   private final boolean underLoad;
   private final boolean oneRoute;
 
-  BadVersion(
-      double share, double times, double startFraction, boolean underLoad, boolean oneRoute) {
+  VersionBehavior(
+      double share,
+      double latencyFactor,
+      double startFraction,
+      boolean underLoad,
+      boolean oneRoute) {
     this.share = share;
-    this.times = times;
+    this.latencyFactor = latencyFactor;
     this.startFraction = startFraction;
     this.underLoad = underLoad;
     this.oneRoute = oneRoute;
@@ -43,18 +47,20 @@
 
   /** Returns whether bad answers are slow instead of failing. */
   boolean isSlow() {
-    return times > 1;
+    return latencyFactor > 1;
   }
 
   /** Returns how many times longer a bad answer takes. */
-  double times() {
-    return times;
+  double latencyFactor() {
+    return latencyFactor;
   }
 
   /** Returns the fraction of bad answers at a given time of the rollout. */
-  double shareAt(double passedPart, boolean loaded, boolean onThatRoute) {
+  double badShareAt(double elapsedFraction, boolean loaded, boolean onAffectedRoute) {
     boolean isAffected =
-        passedPart >= startFraction && (loaded || !underLoad) && (onThatRoute || !oneRoute);
+        elapsedFraction >= startFraction
+            && (loaded || !underLoad)
+            && (onAffectedRoute || !oneRoute);
     return isAffected ? share : 0;
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/control/VersionedEngine.java
+++ b/core/src/test/java/org/teaseltrail/core/control/VersionedEngine.java
@@ -12,15 +12,15 @@
 /** Simulated engine of one version with a given speed that runs several requests concurrently. */
 final class VersionedEngine {
 
-  static final int PLACES = 4;
+  static final int SLOTS = 4;
 
   private final Registration registration;
-  private final double slowness;
+  private final double latencyFactor;
   private final List<Long> running = new ArrayList<>();
   private final List<Long> queued = new ArrayList<>();
 
-  VersionedEngine(String id, ServiceId service, UpstreamVersion version, double slowness) {
-    Registration template = ForwardSamples.upstream(id, service, PLACES);
+  VersionedEngine(String id, ServiceId service, UpstreamVersion version, double latencyFactor) {
+    Registration template = ForwardSamples.upstream(id, service, SLOTS);
     registration =
         new Registration(
             template.id(),
@@ -33,7 +33,7 @@
             template.sequence(),
             Optional.of(version),
             0);
-    this.slowness = slowness;
+    this.latencyFactor = latencyFactor;
   }
 
   UpstreamId id() {
@@ -49,27 +49,27 @@
   }
 
   /** Returns how many times longer it takes than a typical engine. */
-  double slowness() {
-    return slowness;
+  double latencyFactor() {
+    return latencyFactor;
   }
 
   /** Returns whether almost all its slots are in use. */
   boolean isLoaded() {
-    return running.size() >= PLACES - 1;
+    return running.size() >= SLOTS - 1;
   }
 
-  void take(long request) {
+  void enqueue(long request) {
     queued.add(request);
   }
 
-  void forget(long request) {
+  void removeRequest(long request) {
     running.remove(request);
     queued.remove(request);
   }
 
   /** Moves requests from the queue into free slots; returns those that start now. */
-  List<Long> begin() {
-    int free = Math.max(0, PLACES - running.size());
+  List<Long> startQueued() {
+    int free = Math.max(0, SLOTS - running.size());
     List<Long> started = List.copyOf(queued.subList(0, Math.min(free, queued.size())));
     queued.removeAll(started);
     running.addAll(started);
--- a/core/src/test/java/org/teaseltrail/core/entry/EntryDeadlyRequestTest.java
+++ b/core/src/test/java/org/teaseltrail/core/entry/EntryPoisonRequestTest.java
@@ -12,7 +12,7 @@
  * engines which run it is offered and dispatched again whenever its caller retries.
  */
 @Tag("known-red")
-class EntryDeadlyRequestTest {
+class EntryPoisonRequestTest {
 
   private static final int TRIES = 10;
   private static final int LOST_UNTIL_KNOWN = 3;
--- a/core/src/test/java/org/teaseltrail/core/replication/CrashPointTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/CrashPointTest.java
@@ -18,17 +18,17 @@
   private static final int SCRIPT_STEPS = 40;
 
   @Test
-  void leaderMayDieAtAnyStep() {
+  void groupSurvivesLeaderCrashAtAnyStep() {
     crashAtEveryStep(LEADER);
   }
 
   @Test
-  void followerMayDieAtAnyStep() {
+  void groupSurvivesFollowerCrashAtAnyStep() {
     crashAtEveryStep(FOLLOWER);
   }
 
   @Test
-  void learnerMayDieAtAnyStep() {
+  void groupSurvivesLearnerCrashAtAnyStep() {
     crashAtEveryStep(LEARNER);
   }
 
@@ -43,13 +43,13 @@
   /** Runs the script and returns whether it was long enough for the crash to happen. */
   private static boolean crashes(int role, int step) {
     FakeGroup group = new FakeGroup(step, 3);
-    FakeMember leader = group.elect();
-    FakeMember lost = group.otherThan(leader);
+    FakeMember leader = group.awaitLeader();
+    FakeMember lost = group.anyExcept(leader);
     group.destroy(lost);
     FakeMember learner =
         group.start(group.newMember(lost.member().vm().value()), RecoveredState.empty());
     FakeMember target =
-        role == LEADER ? leader : role == LEARNER ? learner : group.otherThan(leader, learner);
+        role == LEADER ? leader : role == LEARNER ? learner : group.anyExcept(leader, learner);
     target.crashAfterActions(step);
     for (int i = 0; i < SCRIPT_STEPS; i++) {
       group.leader().ifPresent(group::propose);
@@ -58,12 +58,12 @@
     }
     final boolean crashed = target.hasCrashed();
     target.crashAfterActions(-1);
-    group.settle();
+    group.convergeAndCheck();
     for (int i = 0; i < SCRIPT_STEPS; i++) {
-      FaultRun.repair(group.elect(), lost, learner);
+      FaultRun.repair(group.awaitLeader(), lost, learner);
       group.run(20 * FakeGroup.MS);
     }
-    assertThat(FaultRun.repair(group.elect(), lost, learner)).isTrue();
+    assertThat(FaultRun.repair(group.awaitLeader(), lost, learner)).isTrue();
     return crashed;
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/replication/ElectionTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/ElectionTest.java
@@ -14,9 +14,9 @@
   private final FakeGroup group = new FakeGroup(7, 3);
 
   @Test
-  void founderOfOneElectsItselfAndCommits() {
+  void singleVoterElectsItselfAndCommits() {
     FakeGroup alone = new FakeGroup(1, 1);
-    FakeMember founder = alone.elect();
+    FakeMember founder = alone.awaitLeader();
     alone.propose(founder);
     alone.run(20 * FakeGroup.MS);
     assertThat(founder.appliedIndex()).isEqualTo(3);
@@ -27,15 +27,15 @@
    * depose the leader, and scheduling would stop for an election.
    */
   @Test
-  void returnOfAnIsolatedMemberLeavesTheLeader() {
-    FakeMember leader = group.elect();
+  void returningIsolatedMemberDoesNotDeposeLeader() {
+    FakeMember leader = group.awaitLeader();
     final long term = leader.replica().term();
-    FakeMember other = group.otherThan(leader);
+    FakeMember other = group.anyExcept(leader);
     group.isolate(other);
     group.run(10_000 * FakeGroup.MS);
     group.heal();
     group.run(3_000 * FakeGroup.MS);
-    assertThat(group.elect()).isSameAs(leader);
+    assertThat(group.awaitLeader()).isSameAs(leader);
     assertThat(leader.replica().term()).isEqualTo(term);
   }
 
@@ -45,11 +45,11 @@
    * committed until an operator repairs the link.
    */
   @Test
-  void deafLeaderStepsDown() {
-    FakeMember leader = group.elect();
-    group.members().forEach(other -> group.cut(other, leader));
+  void leaderWithoutInboundLinksStepsDown() {
+    FakeMember leader = group.awaitLeader();
+    group.members().forEach(other -> group.cutLink(other, leader));
     group.run(3_000 * FakeGroup.MS);
-    assertThat(group.elect()).isNotSameAs(leader);
+    assertThat(group.awaitLeader()).isNotSameAs(leader);
   }
 
   /**
@@ -57,10 +57,10 @@
    * allows.
    */
   @Test
-  void nextLeaderWithinTwoSecondsOfKill() {
+  void newLeaderWithinTwoSecondsOfCrash() {
     for (int seed = 0; seed < 50; seed++) {
       FakeGroup killed = new FakeGroup(seed, 3);
-      killed.elect().crash();
+      killed.awaitLeader().crash();
       killed.run(2_000 * FakeGroup.MS);
       assertThat(killed.leader()).as("seed %d", seed).isPresent();
     }
@@ -73,19 +73,19 @@
    * requests would be rejected meanwhile.
    */
   @Test
-  void leaderSoonAfterAllMembersWereRestarted() {
+  void leaderElectedSoonAfterFullRestart() {
     long totalNs = 0;
     for (int seed = 0; seed < 50; seed++) {
       FakeGroup restarted = new FakeGroup(seed, 5);
-      restarted.elect();
+      restarted.awaitLeader();
       List<FakeMember> members = List.copyOf(restarted.members());
       members.forEach(FakeMember::crash);
       restarted.run(1_000 * FakeGroup.MS);
       for (int i = 0; i < members.size(); i++) {
-        restarted.after(i * 50 * FakeGroup.MS, members.get(i)::start);
+        restarted.runAfter(i * 50 * FakeGroup.MS, members.get(i)::start);
       }
       long startedNs = restarted.nowNs();
-      restarted.elect();
+      restarted.awaitLeader();
       totalNs += restarted.nowNs() - startedNs;
     }
     assertThat(totalNs / 50).isLessThan(700 * FakeGroup.MS);
@@ -97,7 +97,7 @@
    * before the member runs; this time counts towards the lease.
    */
   @Test
-  void voteIsFreeOneLeaseAfterTheLastLife() {
+  void votesOneLeaseAfterPreviousIncarnationEnded() {
     long leaseMs = FakeGroup.SETTINGS.leaseMs();
     assertThat(grantsVote(leaseMs - 200, 199)).isFalse();
     assertThat(grantsVote(leaseMs - 200, 201)).isTrue();
@@ -121,7 +121,7 @@
     PeerEnvelope envelope =
         new PeerEnvelope(FakeGroup.ID, new MemberId("other-1"), founder.id(), request);
     long nowNs = startNs + afterStartMs * FakeGroup.MS;
-    return replica.handle(new ReplicaEvent.PeerReceived(envelope), nowNs).stream()
+    return replica.handle(new ReplicaEvent.PeerMessageReceived(envelope), nowNs).stream()
         .anyMatch(
             action ->
                 action instanceof ReplicaAction.SaveVote saved
@@ -133,13 +133,13 @@
    * to expire.
    */
   @Test
-  void handOverNeedsNoWait() {
-    FakeMember leader = group.elect();
+  void leadershipTransferDoesNotWaitForLease() {
+    FakeMember leader = group.awaitLeader();
     leader.handle(new ReplicaEvent.TransferLeadership(0, Optional.empty()));
-    assertThat(leader.leaseHolds()).isFalse();
+    assertThat(leader.isLeaseValid()).isFalse();
     group.run(100 * FakeGroup.MS);
     assertThat(group.leader()).isPresent();
-    assertThat(group.elect()).isNotSameAs(leader);
+    assertThat(group.awaitLeader()).isNotSameAs(leader);
   }
 
   /**
@@ -160,7 +160,7 @@
     PeerMessage request = new PeerMessage.VoteRequest(5, 0, 0, false);
     PeerEnvelope envelope = new PeerEnvelope(FakeGroup.ID, new MemberId("c8-1"), empty, request);
     long nowNs = 10_000 * FakeGroup.MS;
-    assertThat(replica.handle(new ReplicaEvent.PeerReceived(envelope), nowNs))
+    assertThat(replica.handle(new ReplicaEvent.PeerMessageReceived(envelope), nowNs))
         .noneMatch(
             action ->
                 action instanceof ReplicaAction.SaveVote saved
@@ -172,8 +172,8 @@
    * operators change members concurrently: two quorums without a common voter could decide.
    */
   @Test
-  void memberChangesFollowOneAnother() {
-    FakeMember leader = group.elect();
+  void onlyOneMembershipChangeAtOnce() {
+    FakeMember leader = group.awaitLeader();
     assertThat(refusal(leader, add("n1"))).isEmpty();
     assertThat(refusal(leader, add("n2"))).contains(ProposalRejection.MEMBERSHIP_CHANGE_PENDING);
     group.run(100 * FakeGroup.MS);
--- a/core/src/test/java/org/teaseltrail/core/replication/FakeDisk.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FakeDisk.java
@@ -31,7 +31,7 @@
     return unsynced.isEmpty();
   }
 
-  long newestWrite() {
+  long newestWriteNumber() {
     return unsynced.getLast().writeNumber();
   }
 
@@ -42,8 +42,8 @@
   }
 
   /** Simulates a power loss: only the given number of unsynced writes, in order, reach the disk. */
-  void crash(int arrivingWrites) {
-    for (int i = 0; i < arrivingWrites && !unsynced.isEmpty(); i++) {
+  void crash(int survivingWrites) {
+    for (int i = 0; i < survivingWrites && !unsynced.isEmpty(); i++) {
       apply(unsynced.removeFirst());
     }
     unsynced.clear();
@@ -58,7 +58,7 @@
   }
 
   /** Returns whether the entry would survive a power loss now. */
-  boolean keeps(LogEntry entry) {
+  boolean isDurable(LogEntry entry) {
     return snapshot.map(Snapshot::index).orElse(0L) >= entry.index() || entries.contains(entry);
   }
 
@@ -97,7 +97,7 @@
       vote = saved.vote();
     } else if (write instanceof ReplicaAction.SaveSnapshot saved) {
       snapshot = Optional.of(saved.snapshot());
-      entries.removeIf(entry -> saved.discardsLog() || entry.index() <= saved.keepAfterIndex());
+      entries.removeIf(entry -> saved.discardsLog() || entry.index() <= saved.retainAfterIndex());
     }
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/replication/FakeGroup.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FakeGroup.java
@@ -30,7 +30,7 @@
   private record Link(MemberId from, MemberId to) {}
 
   private final SplittableRandom random;
-  private final GroupHistory history = new GroupHistory();
+  private final GroupHistoryChecker history = new GroupHistoryChecker();
   private final PriorityQueue<ScheduledTask> queue =
       new PriorityQueue<>(
           (a, b) ->
@@ -38,7 +38,7 @@
                   ? Long.compare(a.atNs(), b.atNs())
                   : Long.compare(a.sequence(), b.sequence()));
   private final Map<MemberId, FakeMember> members = new LinkedHashMap<>();
-  private final List<FakeMember> everStarted = new ArrayList<>();
+  private final List<FakeMember> allStarted = new ArrayList<>();
   private final Set<Link> cutLinks = new HashSet<>();
   private long nowNs;
   private long sequence;
@@ -68,7 +68,7 @@
   FakeMember start(Member member, RecoveredState initial) {
     FakeMember started = new FakeMember(this, member, initial);
     members.put(member.id(), started);
-    everStarted.add(started);
+    allStarted.add(started);
     return started;
   }
 
@@ -82,7 +82,7 @@
     return random;
   }
 
-  GroupHistory history() {
+  GroupHistoryChecker history() {
     return history;
   }
 
@@ -94,15 +94,15 @@
    * Returns all members ever started, including those whose disks are lost, because they were part
    * of earlier quorums.
    */
-  Collection<FakeMember> everStarted() {
-    return everStarted;
+  Collection<FakeMember> allStarted() {
+    return allStarted;
   }
 
   FakeMember member(int position) {
     return new ArrayList<>(members.values()).get(position);
   }
 
-  FakeMember otherThan(FakeMember... excluded) {
+  FakeMember anyExcept(FakeMember... excluded) {
     return members.values().stream()
         .filter(member -> !List.of(excluded).contains(member))
         .findFirst()
@@ -114,18 +114,18 @@
   }
 
   Optional<FakeMember> leader() {
-    return members.values().stream().filter(FakeMember::leaseHolds).findFirst();
+    return members.values().stream().filter(FakeMember::isLeaseValid).findFirst();
   }
 
   long nowNs() {
     return nowNs;
   }
 
-  void loses(int percent) {
+  void setLossPercent(int percent) {
     lossPercent = percent;
   }
 
-  void stateTakes(int bytes) {
+  void setStateBytes(int bytes) {
     stateBytes = bytes;
   }
 
@@ -134,18 +134,18 @@
   }
 
   /** Adds latency to all messages from and to a member. */
-  void delay(FakeMember member, long extraNs) {
+  void setExtraDelay(FakeMember member, long extraNs) {
     extraDelaysNs.put(member.id(), extraNs);
   }
 
-  void cut(FakeMember from, FakeMember to) {
+  void cutLink(FakeMember from, FakeMember to) {
     cutLinks.add(new Link(from.id(), to.id()));
   }
 
   void isolate(FakeMember member) {
     for (FakeMember other : members.values()) {
-      cut(member, other);
-      cut(other, member);
+      cutLink(member, other);
+      cutLink(other, member);
     }
   }
 
@@ -153,7 +153,7 @@
     cutLinks.clear();
   }
 
-  void after(long delayNs, Runnable task) {
+  void runAfter(long delayNs, Runnable task) {
     queue.add(new ScheduledTask(nowNs + delayNs, sequence++, task));
   }
 
@@ -182,7 +182,7 @@
   }
 
   /** Runs until there is a leader with a valid lease. */
-  FakeMember elect() {
+  FakeMember awaitLeader() {
     for (int i = 0; i < 1_000 && leader().isEmpty(); i++) {
       run(10 * MS);
     }
@@ -199,17 +199,17 @@
    * Ends all faults and checks that the group commits again and all members converge to the same
    * state.
    */
-  void settle() {
+  void convergeAndCheck() {
     heal();
     lossPercent = 0;
     for (FakeMember member : new ArrayList<>(members.values())) {
-      member.thaw();
+      member.resume();
       member.start();
     }
     run(4_000 * MS);
-    propose(elect());
+    propose(awaitLeader());
     run(2_000 * MS);
-    FakeMember leader = elect();
+    FakeMember leader = awaitLeader();
     for (FakeMember member : members.values()) {
       if (leader.membership().contains(member.id())
           && member.appliedIndex() != history.committedIndex()) {
@@ -225,10 +225,10 @@
         extraDelaysNs.getOrDefault(envelope.from(), 0L)
             + extraDelaysNs.getOrDefault(envelope.to(), 0L);
     long delayNs = extraNs + random.nextLong(slow ? 300 * MS : 4 * MS);
-    after(
+    runAfter(
         delayNs,
         () -> {
-          ReplicaEvent received = new ReplicaEvent.PeerReceived(envelope);
+          ReplicaEvent received = new ReplicaEvent.PeerMessageReceived(envelope);
           memberOn(vmOf(envelope.to())).ifPresent(member -> member.handle(received));
         });
   }
--- a/core/src/test/java/org/teaseltrail/core/replication/FakeMember.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FakeMember.java
@@ -61,16 +61,16 @@
     return replica != null;
   }
 
-  boolean leads() {
+  boolean isLeader() {
     return isUp() && replica.leader().map(id()::equals).orElse(false);
   }
 
-  boolean leaseHolds() {
-    return isUp() && replica.leaseHolds(localNs());
+  boolean isLeaseValid() {
+    return isUp() && replica.isLeaseValid(localNs());
   }
 
-  boolean isVoteFree() {
-    return isUp() && !replica.isVoteBound(localNs());
+  boolean canVote() {
+    return isUp() && !replica.isVoteWithheld(localNs());
   }
 
   Membership membership() {
@@ -124,14 +124,14 @@
     barriers.clear();
   }
 
-  void freeze() {
+  void pause() {
     paused = true;
   }
 
   /** Resumes with a read, followed by all events that arrived during the pause. */
-  void thaw() {
+  void resume() {
     paused = false;
-    if (leads()) {
+    if (isLeader()) {
       readsAfterPause--;
       read(readsAfterPause);
     }
@@ -176,13 +176,13 @@
     if (actionsUntilCrash == 0) {
       actionsUntilCrash = -1;
       crash();
-      group.after(50_000_000L, this::start);
+      group.runAfter(50_000_000L, this::start);
       return;
     }
     actionsUntilCrash--;
     if (action instanceof ReplicaAction.Write write) {
       disk.write(write);
-    } else if (action instanceof ReplicaAction.SendPeer send) {
+    } else if (action instanceof ReplicaAction.SendPeerMessage send) {
       checkDurable(send.envelope());
       group.send(send.envelope());
     } else if (action instanceof ReplicaAction.Apply apply) {
@@ -192,7 +192,7 @@
     } else if (action instanceof ReplicaAction.TakeSnapshot) {
       handle(new ReplicaEvent.SnapshotTaken(appliedIndex, state()));
     } else if (action instanceof ReplicaAction.BecameLeader became) {
-      group.history().leads(this, became.term());
+      group.history().onBecameLeader(this, became.term());
     } else if (action instanceof ReplicaAction.ReadReady ready) {
       assertThat(appliedIndex).isGreaterThanOrEqualTo(barriers.remove(ready.barrierId()));
     }
@@ -211,14 +211,14 @@
   }
 
   private void checkReceiver(ReplicaEvent event, List<ReplicaAction> actions) {
-    if (event instanceof ReplicaEvent.PeerReceived received
+    if (event instanceof ReplicaEvent.PeerMessageReceived received
         && !received.envelope().to().equals(id())) {
       assertThat(actions).noneMatch(FakeMember::isReply);
     }
   }
 
   private static boolean isReply(ReplicaAction action) {
-    return action instanceof ReplicaAction.SendPeer send
+    return action instanceof ReplicaAction.SendPeerMessage send
         && send.envelope().message().getClass().getSimpleName().endsWith("Reply");
   }
 
@@ -237,7 +237,7 @@
   private void apply(LogEntry entry) {
     assertThat(entry.index()).isEqualTo(appliedIndex + 1);
     appliedIndex = entry.index();
-    stateHash = group.history().applied(this, entry, group.everStarted());
+    stateHash = group.history().applied(this, entry, group.allStarted());
   }
 
   private byte[] state() {
@@ -249,7 +249,7 @@
     appliedIndex = state.getLong();
     stateHash = state.getLong();
     assertThat(appliedIndex).isEqualTo(snapshot.index());
-    group.history().restored(this, appliedIndex, stateHash);
+    group.history().onRestored(this, appliedIndex, stateHash);
   }
 
   private void startSync() {
@@ -257,9 +257,9 @@
       return;
     }
     syncing = true;
-    long writeNumber = disk.newestWrite();
+    long writeNumber = disk.newestWriteNumber();
     int expected = incarnation;
-    group.after(
+    group.runAfter(
         group.random().nextLong(MAX_SYNC_NS),
         () -> {
           if (incarnation == expected) {
@@ -278,7 +278,7 @@
     wakeupNs = wanted.getAsLong();
     int expected = incarnation;
     long delayNs = Math.max(0, (long) ((wakeupNs - localNs()) / rate)) + 1_000;
-    group.after(delayNs, () -> onWakeup(expected));
+    group.runAfter(delayNs, () -> onWakeup(expected));
   }
 
   private void onWakeup(int expected) {
--- a/core/src/test/java/org/teaseltrail/core/replication/Fault.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/Fault.java
@@ -8,34 +8,34 @@
 enum Fault {
   CRASH {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       FakeMember member = group.anyMember();
       if (member.isUp()) {
         member.crash();
-        group.after(group.random().nextLong(2_000) * FakeGroup.MS, member::start);
+        group.runAfter(group.random().nextLong(2_000) * FakeGroup.MS, member::start);
       }
     }
   },
-  FREEZE {
+  PAUSE {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       FakeMember member = group.anyMember();
-      member.freeze();
-      group.after(group.random().nextLong(2_000) * FakeGroup.MS, member::thaw);
+      member.pause();
+      group.runAfter(group.random().nextLong(2_000) * FakeGroup.MS, member::resume);
     }
   },
-  FREEZE_LEADER {
+  PAUSE_LEADER {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       Optional<FakeMember> leader = group.leader();
-      leader.ifPresent(FakeMember::freeze);
+      leader.ifPresent(FakeMember::pause);
       leader.ifPresent(
-          member -> group.after(group.random().nextLong(2_000) * FakeGroup.MS, member::thaw));
+          member -> group.runAfter(group.random().nextLong(2_000) * FakeGroup.MS, member::resume));
     }
   },
-  RESTART_AT_ONCE {
+  RESTART_IMMEDIATELY {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       FakeMember member = group.anyMember();
       if (member.isUp()) {
         member.crash();
@@ -45,79 +45,79 @@
   },
   CUT_FROM_LEADER {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       FakeMember member = group.anyMember();
-      group.leader().ifPresent(leader -> group.cut(leader, member));
-      group.leader().ifPresent(leader -> group.cut(member, leader));
+      group.leader().ifPresent(leader -> group.cutLink(leader, member));
+      group.leader().ifPresent(leader -> group.cutLink(member, leader));
     }
   },
   CUT_ONE_WAY {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
-      group.cut(group.anyMember(), group.anyMember());
+    void inject(FaultRun run, FakeGroup group) {
+      group.cutLink(group.anyMember(), group.anyMember());
     }
   },
   ISOLATE {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       group.isolate(group.anyMember());
     }
   },
   ISOLATE_LEADER {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       group.leader().ifPresent(group::isolate);
     }
   },
-  MUTE_LEADER {
+  CUT_LEADER_OUTBOUND {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       group
           .leader()
-          .ifPresent(leader -> group.members().forEach(other -> group.cut(leader, other)));
+          .ifPresent(leader -> group.members().forEach(other -> group.cutLink(leader, other)));
     }
   },
-  DEAFEN_LEADER {
+  CUT_LEADER_INBOUND {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       group
           .leader()
-          .ifPresent(leader -> group.members().forEach(other -> group.cut(other, leader)));
+          .ifPresent(leader -> group.members().forEach(other -> group.cutLink(other, leader)));
     }
   },
   HEAL {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       group.heal();
     }
   },
-  HEAL_AND_LOSE {
+  HEAL_AND_DROP_MESSAGES {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       group.heal();
-      group.loses(group.random().nextInt(20));
+      group.setLossPercent(group.random().nextInt(20));
     }
   },
-  HAND_OVER {
+  TRANSFER_LEADERSHIP {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       group.anyMember().handle(new ReplicaEvent.TransferLeadership(0, Optional.empty()));
     }
   },
   LOSE_DISK {
     @Override
-    void happen(FaultRun run, FakeGroup group) {
+    void inject(FaultRun run, FakeGroup group) {
       run.loseDisk();
     }
   };
 
   private static final VmId NEVER = new VmId("never");
 
-  abstract void happen(FaultRun run, FakeGroup group);
+  abstract void inject(FaultRun run, FakeGroup group);
 
   private static void proposeToLeaders(FakeGroup group, MembershipChange change) {
     for (FakeMember member : List.copyOf(group.members())) {
-      if (member.leads()) {
+      if (member.isLeader()) {
         member.handle(new ReplicaEvent.ProposeMembership(0, change));
       }
     }
--- a/core/src/test/java/org/teaseltrail/core/replication/FaultRun.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FaultRun.java
@@ -26,12 +26,12 @@
       load();
       if (group.random().nextInt(12) == 0) {
         Fault[] faults = Fault.values();
-        faults[group.random().nextInt(faults.length)].happen(this, group);
+        faults[group.random().nextInt(faults.length)].inject(this, group);
       }
       repair();
       group.run(STEP_NS);
     }
-    group.settle();
+    group.convergeAndCheck();
   }
 
   /**
@@ -53,7 +53,7 @@
 
   private void load() {
     for (FakeMember member : group.members().toArray(FakeMember[]::new)) {
-      if (member.leads()) {
+      if (member.isLeader()) {
         group.propose(member);
         member.read(reads++);
       }
--- a/core/src/test/java/org/teaseltrail/core/replication/FaultRunLongTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FaultRunLongTest.java
@@ -16,7 +16,7 @@
   private static final int STEPS = 500;
 
   @Test
-  void keepsItsPromisesWithFreshSeeds() {
+  void staysConsistentWithFreshSeeds() {
     Long repeated = Long.getLong("longRunSeed");
     if (repeated != null) {
       run(repeated);
--- a/core/src/test/java/org/teaseltrail/core/replication/FaultRunProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/FaultRunProperties.java
@@ -13,7 +13,7 @@
 class FaultRunProperties {
 
   @Property(seed = "4711", tries = 40, shrinking = ShrinkingMode.OFF)
-  void keepsItsPromisesUnderFaults(@ForAll long seed) {
+  void staysConsistentUnderFaults(@ForAll long seed) {
     new FaultRun(seed).run(500);
   }
 }
--- a/core/src/test/java/org/teaseltrail/core/replication/GroupHistory.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/GroupHistoryChecker.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.id.MemberId;
 
 /** Checks at each step that all members of a group act consistently. */
-final class GroupHistory {
+final class GroupHistoryChecker {
 
   private final List<LogEntry> committed = new ArrayList<>();
   private final List<Long> prefixHashes = new ArrayList<>(List.of(0L));
@@ -39,13 +39,13 @@
     return prefixHashes.get((int) entry.index());
   }
 
-  void restored(FakeMember member, long index, long hash) {
+  void onRestored(FakeMember member, long index, long hash) {
     assertThat(hash)
         .as("snapshot restored by member %s", member.id())
         .isEqualTo(prefixHashes.get((int) index));
   }
 
-  void leads(FakeMember member, long term) {
+  void onBecameLeader(FakeMember member, long term) {
     MemberId other = leaders.putIfAbsent(term, member.id());
     assertThat(other).as("another leader in term %d", term).isIn(null, member.id());
     assertThat(member.appliedIndex())
@@ -55,13 +55,13 @@
 
   /** Checks that no member can be elected while a lease is valid. */
   void checkLeases(Collection<FakeMember> members) {
-    List<FakeMember> holders = members.stream().filter(FakeMember::leaseHolds).toList();
+    List<FakeMember> holders = members.stream().filter(FakeMember::isLeaseValid).toList();
     assertThat(holders).as("leaders with a valid lease").hasSizeLessThan(2);
     for (FakeMember holder : holders) {
       Membership membership = holder.membership();
       long availableVotes =
           members.stream()
-              .filter(member -> membership.isVoter(member.id()) && member.isVoteFree())
+              .filter(member -> membership.isVoter(member.id()) && member.canVote())
               .count();
       assertThat(availableVotes)
           .as("voters that can vote while a lease is valid")
@@ -71,13 +71,13 @@
 
   private static void checkQuorumHolds(
       FakeMember member, LogEntry entry, Collection<FakeMember> all) {
-    if (!member.leads()) {
+    if (!member.isLeader()) {
       return;
     }
     Membership membership = member.membership();
     long durableVoters =
         all.stream()
-            .filter(other -> membership.isVoter(other.id()) && other.disk().keeps(entry))
+            .filter(other -> membership.isVoter(other.id()) && other.disk().isDurable(entry))
             .count();
     assertThat(durableVoters)
         .as("voters on which %s survives a power loss", entry)
--- a/core/src/test/java/org/teaseltrail/core/replication/RepairTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/RepairTest.java
@@ -15,14 +15,14 @@
   private static final int MAX_STEPS = 5_000;
 
   @Test
-  void secondLossRightAfterTheRepairLosesNothing() {
+  void secondDiskLossAfterRepairLosesNoCommittedEntry() {
     for (int seed = 0; seed < 30; seed++) {
       FakeGroup group = new FakeGroup(seed, 3);
-      loseAndRepair(group, group.otherThan(group.elect()));
-      FakeMember leader = group.elect();
+      loseAndRepair(group, group.anyExcept(group.awaitLeader()));
+      FakeMember leader = group.awaitLeader();
       long committedIndex = group.history().committedIndex();
-      loseAndRepair(group, seed % 2 == 0 ? leader : group.otherThan(leader));
-      group.settle();
+      loseAndRepair(group, seed % 2 == 0 ? leader : group.anyExcept(leader));
+      group.convergeAndCheck();
       assertThat(group.history().committedIndex()).isGreaterThan(committedIndex);
     }
   }
@@ -35,7 +35,7 @@
   @Test
   void learnerCatchesUpWhileSnapshotsAreTaken() {
     FakeGroup group = new FakeGroup(3, 3);
-    group.stateTakes(150);
+    group.setStateBytes(150);
     FakeMember learner = addLearner(group);
     load(group, 3_000);
     assertThat(group.history().committedIndex() - learner.appliedIndex()).isLessThan(30);
@@ -49,11 +49,11 @@
   void distantLearnerIsPromotedUnderLoad() {
     FakeGroup group = new FakeGroup(4, 3);
     FakeMember learner = addLearner(group);
-    group.delay(learner, 5 * FakeGroup.MS);
+    group.setExtraDelay(learner, 5 * FakeGroup.MS);
     load(group, 2_000);
-    group.elect().handle(promotion(learner));
+    group.awaitLeader().handle(promotion(learner));
     load(group, 100);
-    assertThat(group.elect().membership().isVoter(learner.id())).isTrue();
+    assertThat(group.awaitLeader().membership().isVoter(learner.id())).isTrue();
   }
 
   private static ReplicaEvent promotion(FakeMember learner) {
@@ -61,7 +61,7 @@
   }
 
   private static FakeMember addLearner(FakeGroup group) {
-    FakeMember leader = group.elect();
+    FakeMember leader = group.awaitLeader();
     load(group, 200);
     FakeMember learner = group.start(group.newMember("c9"), RecoveredState.empty());
     MembershipChange add = new MembershipChange.AddLearner(learner.member());
@@ -71,7 +71,7 @@
 
   private static void load(FakeGroup group, int durationMs) {
     for (int i = 0; i < durationMs; i += 2) {
-      group.propose(group.elect());
+      group.propose(group.awaitLeader());
       group.run(2 * FakeGroup.MS);
     }
   }
--- a/core/src/test/java/org/teaseltrail/core/replication/SnapshotScheduleTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/SnapshotScheduleTest.java
@@ -20,8 +20,8 @@
    * and delay claims.
    */
   @Test
-  void waitsUntilCommandsAreAsLargeAsTheState() {
-    SnapshotSchedule schedule = new SnapshotSchedule(FakeGroup.SETTINGS, new SplittableRandom(1));
+  void notDueBeforeCommandsAreAsLargeAsState() {
+    SnapshotScheduler schedule = new SnapshotScheduler(FakeGroup.SETTINGS, new SplittableRandom(1));
     Snapshot large = new Snapshot(1, 1, Membership.empty(), new byte[1_000]);
     assertThat(schedule.isDue(entries(99), Optional.of(large))).isFalse();
     assertThat(schedule.isDue(entries(1), Optional.of(large))).isTrue();
@@ -35,11 +35,11 @@
    * at the same time and delay every claim.
    */
   @Test
-  void membersDrawMomentsOfTheirOwn() {
+  void membersTakeSnapshotsAtDifferentIndexes() {
     Set<Integer> indexes = new HashSet<>();
     for (int member = 0; member < 20; member++) {
-      SnapshotSchedule schedule =
-          new SnapshotSchedule(FakeGroup.SETTINGS, new SplittableRandom(member));
+      SnapshotScheduler schedule =
+          new SnapshotScheduler(FakeGroup.SETTINGS, new SplittableRandom(member));
       int index = 1;
       while (!schedule.isDue(entries(1), Optional.empty())) {
         index++;
--- a/core/src/test/java/org/teaseltrail/core/replication/SyncBeforeReplyTest.java
+++ b/core/src/test/java/org/teaseltrail/core/replication/SyncBeforeReplyTest.java
@@ -40,7 +40,7 @@
 
   /** The sync of a truncated entry must not count for the new entry that replaced it. */
   @Test
-  void syncOfEntriesCutOffCountsForNothing() {
+  void syncOfTruncatedEntriesIsNotAcknowledged() {
     receive(LEADER, append(2, 3, 1, LongStream.of(2, 2, 2)));
     long oldWriteNumber = newestWriteNumber();
     receive(OTHER, append(3, 3, 1, LongStream.of(3, 3, 3)));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void tellsOnlySyncedVotes() {
+  void sendsVoteReplyOnlyAfterSync() {
     receive(OTHER, new PeerMessage.VoteRequest(2, 9, 1, false));
     assertThat(sent(PeerMessage.VoteReply.class)).isEmpty();
     persisted(newestWriteNumber());
@@ -61,7 +61,7 @@
    * with a different log.
    */
   @Test
-  void asksForVotesOnlyOnceItsOwnIsSynced() {
+  void requestsVotesOnlyAfterOwnVoteIsSynced() {
     receive(LEADER, append(2, 3, 1, LongStream.of(2)));
     final long oldWriteNumber = newestWriteNumber();
     nowNs += 2_000 * MS;
@@ -78,7 +78,7 @@
    * (Ongaro, section 3.6.2), so it is committed only by an entry of the leader's own term.
    */
   @Test
-  void commitsOldEntriesOnlyByOneOfItsOwnTerm() {
+  void commitsOldEntriesOnlyWithEntryOfOwnTerm() {
     becomeLeader();
     receive(OTHER, new PeerMessage.AppendReply(2, 1, true, 3, 4));
     assertThat(actions).noneMatch(ReplicaAction.Apply.class::isInstance);
@@ -138,7 +138,8 @@
   }
 
   private void receive(MemberId from, PeerMessage message) {
-    handle(new ReplicaEvent.PeerReceived(new PeerEnvelope(FakeGroup.ID, from, SELF, message)));
+    handle(
+        new ReplicaEvent.PeerMessageReceived(new PeerEnvelope(FakeGroup.ID, from, SELF, message)));
   }
 
   private void persisted(long writeNumber) {
@@ -159,8 +160,8 @@
 
   private <T extends PeerMessage> List<T> sent(Class<T> type) {
     return actions.stream()
-        .filter(ReplicaAction.SendPeer.class::isInstance)
-        .map(action -> ((ReplicaAction.SendPeer) action).envelope().message())
+        .filter(ReplicaAction.SendPeerMessage.class::isInstance)
+        .map(action -> ((ReplicaAction.SendPeerMessage) action).envelope().message())
         .filter(type::isInstance)
         .map(type::cast)
         .toList();
--- a/core/src/test/java/org/teaseltrail/core/state/ClusterStateProperties.java
+++ b/core/src/test/java/org/teaseltrail/core/state/ClusterStateProperties.java
@@ -44,7 +44,7 @@
    * snapshot after each command.
    */
   @Property(seed = "41", tries = 300)
-  void membersAgreeWhateverSnapshotsTheyTake(@ForAll("logs") List<Command> log) {
+  void statesAgreeAfterSnapshotAndRestore(@ForAll("logs") List<Command> log) {
     ClusterState plain = new ClusterState(ClusterSnapshot.empty());
     ClusterState restored = new ClusterState(ClusterSnapshot.empty());
     Revision last = new Revision(0);
@@ -62,7 +62,7 @@
    * change the configuration.
    */
   @Property(seed = "42", tries = 300)
-  void changeIdAlwaysGivesItsFirstResult(@ForAll("logs") List<Command> log) {
+  void resentChangeReturnsFirstResult(@ForAll("logs") List<Command> log) {
     ClusterState state = new ClusterState(ClusterSnapshot.empty());
     Map<ChangeConfiguration, CommandResult> first = new HashMap<>();
     for (Command command : log) {
@@ -89,7 +89,7 @@
       CommandResult result = state.apply(command);
       holders.keySet().removeIf(key -> state.claims().find(key).isEmpty());
       if (command instanceof OpenClaim open
-          && ((CommandResult.OfOpen) result).result() instanceof OpenClaimResult.Opened) {
+          && ((CommandResult.OpenClaimOutcome) result).result() instanceof OpenClaimResult.Opened) {
         RequestId before = holders.put(open.key(), open.holder());
         assertThat(before == null || before.equals(open.holder())).isTrue();
       }
--- a/entry/src/main/java/org/teaseltrail/entry/ActionExecutor.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ActionExecutor.java
@@ -8,20 +8,20 @@
 /** Executes the actions that the node returns. Runs on the node thread. */
 final class ActionExecutor implements Consumer<EntryAction> {
 
-  private final Exchanges exchanges;
-  private final UpstreamCalls calls;
-  private final ControlConnections control;
-  private final UpstreamAnswers upstreamAnswers;
-  private final DecisionLines decisions;
+  private final ExchangeRegistry exchanges;
+  private final UpstreamCallFactory calls;
+  private final ControlConnectionManager control;
+  private final PendingVerdictRegistry upstreamAnswers;
+  private final DecisionLogger decisions;
   private final EntryMetrics metrics;
-  private final Shutdown shutdown;
+  private final ShutdownCoordinator shutdown;
 
-  ActionExecutor(EntryParts parts) {
+  ActionExecutor(DaemonComponents parts) {
     this.exchanges = parts.exchanges();
     this.calls = parts.calls();
     this.control = parts.control();
-    this.upstreamAnswers = parts.upstreamAnswers();
-    this.decisions = new DecisionLines();
+    this.upstreamAnswers = parts.pendingVerdicts();
+    this.decisions = new DecisionLogger();
     this.metrics = parts.metrics();
     this.shutdown = parts.shutdown();
   }
@@ -37,7 +37,7 @@
     } else if (action instanceof EntryAction.Conclude conclude) {
       conclude(conclude.request(), conclude.outcome());
     } else if (action instanceof EntryAction.AnswerUpstream answer) {
-      upstreamAnswers.answer(answer.exchange(), answer.verdict());
+      upstreamAnswers.complete(answer.exchange(), answer.verdict());
     } else if (action instanceof EntryAction.Log log) {
       decisions.write(log.decision());
     } else {
@@ -50,33 +50,33 @@
       exchanges.find(connect.request()).ifPresent(e -> connect(e, connect));
     } else if (action instanceof EntryAction.Transmit transmit) {
       exchanges
-          .call(transmit.request())
+          .findCall(transmit.request())
           .filter(DispatchCall.class::isInstance)
           .map(DispatchCall.class::cast)
           .ifPresent(DispatchCall::transmit);
     } else if (action instanceof EntryAction.Resume resume) {
       exchanges
           .find(resume.request())
-          .ifPresent(e -> exchanges.connected(resume.request(), calls.resume(e, resume)));
+          .ifPresent(e -> exchanges.replaceCall(resume.request(), calls.startResume(e, resume)));
     } else if (action instanceof EntryAction.CloseUpstream close) {
-      exchanges.close(close.request());
+      exchanges.closeCall(close.request());
     } else if (action instanceof EntryAction.CancelUpstream cancel) {
       cancel(cancel);
     } else if (action instanceof EntryAction.CloseListener) {
       shutdown.closeListener();
     } else if (action instanceof EntryAction.Exit) {
-      shutdown.finished();
+      shutdown.markFinished();
     }
   }
 
   private void connect(CallerExchange exchange, EntryAction.Connect connect) {
-    DispatchCall call = exchange.call(calls, connect.attempt(), connect.asked());
-    exchanges.connected(connect.request(), call);
+    DispatchCall call = exchange.createCall(calls, connect.attempt(), connect.asked());
+    exchanges.replaceCall(connect.request(), call);
     call.connect(connect.target());
   }
 
   private void cancel(EntryAction.CancelUpstream cancel) {
-    exchanges.close(cancel.request());
+    exchanges.closeCall(cancel.request());
     exchanges
         .find(cancel.request())
         .filter(GenerationExchange.class::isInstance)
@@ -84,12 +84,12 @@
   }
 
   private void conclude(RequestId request, Outcome outcome) {
-    metrics.ended(outcome);
+    metrics.countOutcome(outcome);
     exchanges.remove(request).ifPresent(exchange -> exchange.conclude(outcome));
     if (outcome instanceof Outcome.Completed) {
       exchanges.completed(request);
     } else {
-      exchanges.close(request);
+      exchanges.closeCall(request);
     }
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/AnnouncementParser.java
+++ b/entry/src/main/java/org/teaseltrail/entry/AnnouncementParser.java
@@ -33,7 +33,7 @@
    * @throws RefusedRequestException if a field is missing or has a wrong type or value
    */
   static Announcement announcement(byte[] body) {
-    JsonFields fields = fields(body);
+    JsonObjectReader fields = fields(body);
     return new Announcement(
         fields.id("upstream", UpstreamId::new),
         incarnation(fields),
@@ -56,7 +56,7 @@
    * @throws RefusedRequestException if a field is missing or has a wrong type or value
    */
   static CacheEvent cacheEvent(byte[] body) {
-    JsonFields fields = fields(body);
+    JsonObjectReader fields = fields(body);
     return new CacheEvent(
         fields.id("upstream", UpstreamId::new),
         incarnation(fields),
@@ -65,28 +65,29 @@
         fields.numbers("removed_blocks"));
   }
 
-  private static JsonFields fields(byte[] body) {
+  private static JsonObjectReader fields(byte[] body) {
     try {
-      return new JsonFields(Json.readObject(body));
+      return new JsonObjectReader(JsonCodec.readObject(body));
     } catch (IOException e) {
       throw new RefusedRequestException(
           ProblemKind.MALFORMED_REQUEST, "the body is not one JSON object");
     }
   }
 
-  private static Incarnation incarnation(JsonFields fields) {
+  private static Incarnation incarnation(JsonObjectReader fields) {
     return new Incarnation(count(fields, "incarnation"));
   }
 
-  private static long count(JsonFields fields, String name) {
+  private static long count(JsonObjectReader fields, String name) {
     return fields.number(name, 0, Long.MAX_VALUE);
   }
 
-  private static SocketAddress address(JsonFields fields) {
+  private static SocketAddress address(JsonObjectReader fields) {
     return new SocketAddress(fields.text("host"), (int) fields.number("port", 1, MAX_PORT));
   }
 
-  private static <E extends Enum<E>> E enumConstant(JsonFields fields, String name, Class<E> type) {
+  private static <E extends Enum<E>> E enumConstant(
+      JsonObjectReader fields, String name, Class<E> type) {
     String text = fields.text(name).toUpperCase(Locale.ROOT);
     try {
       return Enum.valueOf(type, text);
@@ -97,14 +98,14 @@
     }
   }
 
-  private static ServedModel model(JsonFields fields) {
+  private static ServedModel model(JsonObjectReader fields) {
     Set<AdapterId> adapters = new HashSet<>();
     fields.texts("adapters").forEach(text -> adapters.add(new AdapterId(text)));
     return new ServedModel(
         fields.id("model", ModelId::new), fields.id("version", ModelVersion::new), adapters);
   }
 
-  private static LoadReport load(JsonFields fields) {
+  private static LoadReport load(JsonObjectReader fields) {
     return new LoadReport(
         (int) fields.number("running_requests", 0, Integer.MAX_VALUE),
         (int) fields.number("queued_requests", 0, Integer.MAX_VALUE),
--- a/entry/src/main/java/org/teaseltrail/entry/WholeExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/BufferedExchange.java
@@ -13,14 +13,15 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /** An exchange that buffers the response and returns it as one JSON document. */
-final class WholeExchange extends GenerationExchange {
+final class BufferedExchange extends GenerationExchange {
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final int maxAnswerBytes;
   private final StringBuilder text = new StringBuilder();
   private final Sinks.One<Outcome> outcome = Sinks.one();
 
-  WholeExchange(RequestId request, GenerateBody body, NodeLoop loop, int maxAnswerBytes) {
+  BufferedExchange(
+      RequestId request, GenerateRequest body, NodeEventLoop loop, int maxAnswerBytes) {
     super(request, body);
     this.loop = loop;
     this.maxAnswerBytes = maxAnswerBytes;
@@ -28,23 +29,23 @@
 
   @Override
   public Publisher<Void> respond(HttpServerResponse response) {
-    return ConnectionThread.of(response, outcome.asMono())
+    return ConnectionScheduler.publishOnEventLoop(response, outcome.asMono())
         .flatMap(end -> Mono.from(writeResponse(response, end)));
   }
 
   private Publisher<Void> writeResponse(HttpServerResponse response, Outcome end) {
     if (!(end instanceof Outcome.Completed completed)) {
-      return Problem.of(request(), end).send(response);
+      return ProblemDetails.of(request(), end).send(response);
     }
-    ObjectNode json = Json.object();
+    ObjectNode json = JsonCodec.createObject();
     json.put("request_id", request().value());
     json.put("text", text.toString());
-    json.set("usage", CallerJson.usage(completed.usage()));
+    json.set("usage", ResponseSerializer.usage(completed.usage()));
     json.put("outcome", "completed");
-    byte[] body = Json.bytes(json);
-    response.header(HttpHeaderNames.CONTENT_TYPE, HttpNames.JSON);
+    byte[] body = JsonCodec.bytes(json);
+    response.header(HttpHeaderNames.CONTENT_TYPE, HttpConstants.JSON);
     response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(body.length));
-    response.header(HttpNames.REQUEST_ID, request().value());
+    response.header(HttpConstants.REQUEST_ID, request().value());
     return response.sendObject(Unpooled.wrappedBuffer(body));
   }
 
@@ -68,7 +69,7 @@
   }
 
   @Override
-  public boolean isFull(Runnable whenRoom) {
+  public boolean isBufferFull(Runnable onCapacity) {
     return false;
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/CallerExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerExchange.java
@@ -20,7 +20,7 @@
   Publisher<Void> respond(HttpServerResponse response);
 
   /** Creates the call that sends the request to the granted upstream. */
-  DispatchCall call(UpstreamCalls calls, int attempt, RouteTarget asked);
+  DispatchCall createCall(UpstreamCallFactory calls, int attempt, RouteTarget asked);
 
   /** Accepts the next token frame of the response. */
   void deliver(StreamFrame.Text frame);
@@ -38,7 +38,7 @@
    * Returns whether the buffer for the caller is full, so that the upstream must not be read for
    * now.
    *
-   * @param whenRoom runs once the upstream may be read again; unused if the buffer isn't full
+   * @param onCapacity runs once the upstream may be read again; unused if the buffer isn't full
    */
-  boolean isFull(Runnable whenRoom);
+  boolean isBufferFull(Runnable onCapacity);
 }
--- a/entry/src/main/java/org/teaseltrail/entry/CallerHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerHandler.java
@@ -18,22 +18,22 @@
 final class CallerHandler {
 
   /** Path prefix of plain services. */
-  static final String SERVICES = "/v1/services/";
+  static final String SERVICES_PATH = "/v1/services/";
 
   private final EntryOptions options;
-  private final NodeLoop loop;
-  private final Exchanges exchanges;
+  private final NodeEventLoop loop;
+  private final ExchangeRegistry exchanges;
   private final BodyReader bodies;
-  private final RequestIds ids;
-  private final OpenResponses responses;
+  private final RequestIdGenerator ids;
+  private final OpenResponseTracker responses;
 
-  CallerHandler(EntryOptions options, EntryParts parts, BodyReader bodies) {
+  CallerHandler(EntryOptions options, DaemonComponents parts, BodyReader bodies) {
     this.options = options;
     this.loop = parts.loop();
     this.exchanges = parts.exchanges();
     this.bodies = bodies;
     this.responses = parts.responses();
-    this.ids = new RequestIds(options.node().vm(), options.node().incarnation());
+    this.ids = new RequestIdGenerator(options.node().vm(), options.node().incarnation());
   }
 
   Publisher<Void> generate(HttpServerRequest request, HttpServerResponse response) {
@@ -43,19 +43,19 @@
         .defaultIfEmpty(new byte[0])
         .flatMap(
             bytes -> {
-              GenerateBody body = GenerateBody.parse(bytes, options.limits());
+              GenerateRequest body = GenerateRequest.parse(bytes, options.limits());
               return serve(createExchange(body), generateCall(headers, body), response);
             });
   }
 
-  private CallerExchange createExchange(GenerateBody body) {
+  private CallerExchange createExchange(GenerateRequest body) {
     return body.stream()
-        ? new StreamedExchange(
+        ? new StreamingExchange(
             ids.next(), body, loop, options.bufferFrames(), options.stallTimeoutMs())
-        : new WholeExchange(ids.next(), body, loop, options.limits().maxAnswerBytes());
+        : new BufferedExchange(ids.next(), body, loop, options.limits().maxAnswerBytes());
   }
 
-  private static CallerCall generateCall(HttpHeaders headers, GenerateBody body) {
+  private static CallerCall generateCall(HttpHeaders headers, GenerateRequest body) {
     CallTarget target =
         new CallTarget.Generation(
             body.model(),
@@ -75,7 +75,7 @@
 
   Publisher<Void> service(HttpServerRequest request, HttpServerResponse response) {
     HttpHeaders headers = request.requestHeaders().copy();
-    String serviceAndPath = request.uri().substring(SERVICES.length());
+    String serviceAndPath = request.uri().substring(SERVICES_PATH.length());
     String name = serviceAndPath.split("[/?]", 2)[0];
     String path = serviceAndPath.substring(name.length());
     ServiceId service = serviceId(name);
@@ -122,7 +122,7 @@
           exchanges.add(exchange);
           loop.handle(new EntryEvent.RequestArrived(id, call));
         });
-    return responses.count(
+    return responses.track(
         Mono.from(exchange.respond(response))
             .doOnCancel(() -> onDisconnect(exchange))
             .doOnError(failure -> onDisconnect(exchange)));
--- a/entry/src/main/java/org/teaseltrail/entry/CallerHeaders.java
+++ b/entry/src/main/java/org/teaseltrail/entry/CallerHeaders.java
@@ -33,19 +33,20 @@
         .filter(value -> value.regionMatches(true, 0, BEARER, 0, BEARER.length()))
         .map(value -> value.substring(BEARER.length()).trim())
         .filter(key -> !key.isEmpty())
-        .map(Sha256Text::ofText);
+        .map(Sha256Hex::ofText);
   }
 
   static Optional<IdempotencyKey> idempotencyKey(HttpHeaders headers) {
     try {
-      return Optional.ofNullable(headers.get(HttpNames.IDEMPOTENCY_KEY)).map(IdempotencyKey::new);
+      return Optional.ofNullable(headers.get(HttpConstants.IDEMPOTENCY_KEY))
+          .map(IdempotencyKey::new);
     } catch (InvalidIdException e) {
       throw new RefusedRequestException(ProblemKind.MALFORMED_REQUEST, e.getMessage());
     }
   }
 
   static Optional<Long> lastEventId(HttpHeaders headers) {
-    String text = headers.get(HttpNames.LAST_EVENT_ID);
+    String text = headers.get(HttpConstants.LAST_EVENT_ID);
     if (text == null || text.isEmpty()) {
       return Optional.empty();
     }
--- a/entry/src/main/java/org/teaseltrail/entry/ConnectionThread.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ConnectionScheduler.java
@@ -13,12 +13,12 @@
  * end of the request. Rarely, on a busy machine, the next request on that connection is then never
  * read. Running both on one thread rules out the overlap.
  */
-final class ConnectionThread {
+final class ConnectionScheduler {
 
-  private ConnectionThread() {}
+  private ConnectionScheduler() {}
 
   /** Publishes the value on the event loop of the response's connection. */
-  static <T> Mono<T> of(HttpServerResponse response, Mono<T> value) {
+  static <T> Mono<T> publishOnEventLoop(HttpServerResponse response, Mono<T> value) {
     AtomicReference<Executor> eventLoop = new AtomicReference<>();
     response.withConnection(connection -> eventLoop.set(connection.channel().eventLoop()));
     return value.publishOn(Schedulers.fromExecutor(eventLoop.get()));
--- a/entry/src/main/java/org/teaseltrail/entry/ControlConnections.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ControlConnectionManager.java
@@ -20,16 +20,16 @@
 import org.teaseltrail.wire.SpeakerKind;
 
 /** Maintains one connection to each control member. */
-final class ControlConnections implements AutoCloseable {
+final class ControlConnectionManager implements AutoCloseable {
 
   private static final long MIN_BACKOFF_MS = 50;
   private static final long MAX_BACKOFF_MS = 1_000;
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final MessageCodec codec = new MessageCodec();
   private final Map<MemberId, FrameClient<ControlMessage, EntryMessage>> clients = new HashMap<>();
 
-  ControlConnections(NodeLoop loop) {
+  ControlConnectionManager(NodeEventLoop loop) {
     this.loop = loop;
   }
 
--- a/entry/src/main/java/org/teaseltrail/entry/EntryParts.java
+++ b/entry/src/main/java/org/teaseltrail/entry/DaemonComponents.java
@@ -7,17 +7,17 @@
  * @param exchanges live requests
  * @param calls factory of upstream calls
  * @param control connections to control members
- * @param upstreamAnswers announcements and cache events that wait for the node's verdict
+ * @param pendingVerdicts announcements and cache events that wait for the node's verdict
  * @param metrics the metrics
  * @param shutdown coordinates the shutdown
  * @param responses responses that are being written
  */
-record EntryParts(
-    NodeLoop loop,
-    Exchanges exchanges,
-    UpstreamCalls calls,
-    ControlConnections control,
-    UpstreamAnswers upstreamAnswers,
+record DaemonComponents(
+    NodeEventLoop loop,
+    ExchangeRegistry exchanges,
+    UpstreamCallFactory calls,
+    ControlConnectionManager control,
+    PendingVerdictRegistry pendingVerdicts,
     EntryMetrics metrics,
-    Shutdown shutdown,
-    OpenResponses responses) {}
+    ShutdownCoordinator shutdown,
+    OpenResponseTracker responses) {}
--- a/entry/src/main/java/org/teaseltrail/entry/DecisionLines.java
+++ b/entry/src/main/java/org/teaseltrail/entry/DecisionLogger.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.runtime.log.PartLogger;
 
 /** Writes the node's decisions to the decision log. */
-final class DecisionLines {
+final class DecisionLogger {
 
   private final DecisionLog log = new DecisionLog(new PartLogger("entry"));
 
--- a/entry/src/main/java/org/teaseltrail/entry/DispatchCall.java
+++ b/entry/src/main/java/org/teaseltrail/entry/DispatchCall.java
@@ -20,7 +20,7 @@
  */
 abstract class DispatchCall implements UpstreamCall {
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final RequestId request;
   private final int attempt;
   private final Sinks.Empty<Void> transmitSignal = Sinks.empty();
@@ -28,7 +28,7 @@
   private boolean transmitted;
   private boolean closed;
 
-  DispatchCall(NodeLoop loop, RequestId request, int attempt) {
+  DispatchCall(NodeEventLoop loop, RequestId request, int attempt) {
     this.loop = loop;
     this.request = request;
     this.attempt = attempt;
@@ -37,12 +37,12 @@
   /** Opens the connection to the upstream. */
   abstract void connect(UpstreamTarget target);
 
-  final void subscribed(Disposable call) {
+  final void setSubscription(Disposable call) {
     subscription.update(call);
   }
 
   /** Reports the established connection to the node and writes the body after {@link #transmit}. */
-  final Publisher<Void> sendWhenPermitted(NettyOutbound out, byte[] body) {
+  final Publisher<Void> sendAfterTransmit(NettyOutbound out, byte[] body) {
     loop.submit(new EntryEvent.UpstreamConnected(request, attempt));
     return transmitSignal.asMono().then(Mono.defer(() -> write(out, body)));
   }
@@ -68,7 +68,7 @@
   }
 
   /** Submits an event of this call to the node, unless the call has been closed. */
-  final void tell(EntryEvent event) {
+  final void submitEvent(EntryEvent event) {
     loop.run(() -> handle(event));
   }
 
--- a/entry/src/main/java/org/teaseltrail/entry/EngineCall.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineCall.java
@@ -9,13 +9,13 @@
 final class EngineCall extends DispatchCall {
 
   /** Path under which an engine serves its streams. */
-  static final String STREAMS = "/v1/streams";
+  static final String STREAMS_PATH = "/v1/streams";
 
-  private final UpstreamCalls calls;
+  private final UpstreamCallFactory calls;
   private final CallerExchange exchange;
   private final byte[] body;
 
-  EngineCall(UpstreamCalls calls, CallerExchange exchange, int attempt, byte[] body) {
+  EngineCall(UpstreamCallFactory calls, CallerExchange exchange, int attempt, byte[] body) {
     super(calls.loop(), exchange.request(), attempt);
     this.calls = calls;
     this.exchange = exchange;
@@ -24,28 +24,29 @@
 
   @Override
   void connect(UpstreamTarget target) {
-    EngineLines lines = new EngineLines(calls.loop(), exchange, attempt(), this::onStreamEnd);
-    subscribed(lines::close);
+    EngineStreamSubscriber lines =
+        new EngineStreamSubscriber(calls.loop(), exchange, attempt(), this::onStreamEnd);
+    setSubscription(lines::close);
     calls
         .client(target)
         .headers(
             headers ->
                 headers
-                    .set(HttpNames.REQUEST_ID, request().value())
-                    .set(HttpHeaderNames.CONTENT_TYPE, HttpNames.JSON)
+                    .set(HttpConstants.REQUEST_ID, request().value())
+                    .set(HttpHeaderNames.CONTENT_TYPE, HttpConstants.JSON)
                     .set(HttpHeaderNames.CONTENT_LENGTH, body.length))
         .post()
-        .uri(STREAMS)
-        .send((head, out) -> sendWhenPermitted(out, body))
-        .responseConnection(EngineLines::read)
+        .uri(STREAMS_PATH)
+        .send((head, out) -> sendAfterTransmit(out, body))
+        .responseConnection(EngineStreamSubscriber::readLines)
         .subscribe(lines);
   }
 
-  private void onStreamEnd(EngineAnswer answer) {
+  private void onStreamEnd(EngineStreamOutcome answer) {
     switch (answer) {
-      case REFUSED -> tell(new EntryEvent.UpstreamRefused(request(), attempt()));
+      case REFUSED -> submitEvent(new EntryEvent.UpstreamRefused(request(), attempt()));
       case UNKNOWN, REJECTED ->
-          tell(
+          submitEvent(
               new EntryEvent.UpstreamFailed(request(), attempt(), FailureReason.UPSTREAM_PROTOCOL));
       default -> broken();
     }
--- a/entry/src/main/java/org/teaseltrail/entry/EngineResume.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineResumeCall.java
@@ -8,36 +8,36 @@
  * Requests the rest of a stream from an engine, which resends the frames that it has generated and
  * runs nothing again.
  */
-final class EngineResume implements UpstreamCall {
+final class EngineResumeCall implements UpstreamCall {
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final RequestId request;
   private final int attempt;
-  private final EngineLines lines;
+  private final EngineStreamSubscriber lines;
   private boolean closed;
 
-  private EngineResume(NodeLoop loop, CallerExchange exchange, int attempt) {
+  private EngineResumeCall(NodeEventLoop loop, CallerExchange exchange, int attempt) {
     this.loop = loop;
     this.request = exchange.request();
     this.attempt = attempt;
-    this.lines = new EngineLines(loop, exchange, attempt, this::onStreamEnd);
+    this.lines = new EngineStreamSubscriber(loop, exchange, attempt, this::onStreamEnd);
   }
 
-  static EngineResume start(
-      UpstreamCalls calls, CallerExchange exchange, EntryAction.Resume resume) {
-    EngineResume call = new EngineResume(calls.loop(), exchange, resume.attempt());
+  static EngineResumeCall start(
+      UpstreamCallFactory calls, CallerExchange exchange, EntryAction.Resume resume) {
+    EngineResumeCall call = new EngineResumeCall(calls.loop(), exchange, resume.attempt());
     calls
         .client(resume.target())
         .get()
-        .uri(EngineCall.STREAMS + "/" + resume.stream() + "?from=" + resume.fromSequence())
-        .responseConnection(EngineLines::read)
+        .uri(EngineCall.STREAMS_PATH + "/" + resume.stream() + "?from=" + resume.fromSequence())
+        .responseConnection(EngineStreamSubscriber::readLines)
         .subscribe(call.lines);
     return call;
   }
 
-  private void onStreamEnd(EngineAnswer answer) {
+  private void onStreamEnd(EngineStreamOutcome answer) {
     EntryEvent event =
-        answer == EngineAnswer.UNKNOWN
+        answer == EngineStreamOutcome.UNKNOWN
             ? new EntryEvent.StreamUnknown(request, attempt)
             : new EntryEvent.StreamBroken(request, attempt);
     loop.run(() -> handleUnlessClosed(event));
--- a/entry/src/main/java/org/teaseltrail/entry/EngineAnswer.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineStreamOutcome.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.entry;
 
 /** The way in which the response of an engine ended. */
-enum EngineAnswer {
+enum EngineStreamOutcome {
   /**
    * The connection ended or failed; only the received frames show whether the stream was complete.
    */
--- a/entry/src/main/java/org/teaseltrail/entry/EngineLines.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EngineStreamSubscriber.java
@@ -13,30 +13,34 @@
 import reactor.netty.http.client.HttpClientResponse;
 
 /** Subscribes to the lines of an engine's stream, with backpressure from the caller. */
-final class EngineLines extends BaseSubscriber<String> {
+final class EngineStreamSubscriber extends BaseSubscriber<String> {
 
   /** Maximum number of lines in flight to the node thread. */
   private static final int MAX_IN_FLIGHT_LINES = 32;
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final CallerExchange exchange;
   private final int attempt;
-  private final Consumer<EngineAnswer> onEnd;
+  private final Consumer<EngineStreamOutcome> onEnd;
   private long processedLines;
   private boolean closed;
 
-  EngineLines(NodeLoop loop, CallerExchange exchange, int attempt, Consumer<EngineAnswer> onEnd) {
+  EngineStreamSubscriber(
+      NodeEventLoop loop,
+      CallerExchange exchange,
+      int attempt,
+      Consumer<EngineStreamOutcome> onOutcome) {
     this.loop = loop;
     this.exchange = exchange;
     this.attempt = attempt;
-    this.onEnd = onEnd;
+    this.onEnd = onOutcome;
   }
 
   /**
-   * Returns the lines of a response, or fails with an {@link EngineAnswerException} if the status
+   * Returns the lines of a response, or fails with an {@link EngineStatusException} if the status
    * isn't 200.
    */
-  static Publisher<String> read(HttpClientResponse response, Connection connection) {
+  static Publisher<String> readLines(HttpClientResponse response, Connection connection) {
     HttpResponseStatus status = response.status();
     if (status.equals(HttpResponseStatus.OK)) {
       LineSplitter splitter = new LineSplitter();
@@ -49,21 +53,21 @@
           .aggregate()
           .asString()
           .defaultIfEmpty("")
-          .flatMapMany(body -> Flux.error(new EngineAnswerException(parseRefusal(body))));
+          .flatMapMany(body -> Flux.error(new EngineStatusException(parseRefusal(body))));
     }
     return Flux.error(
-        new EngineAnswerException(
+        new EngineStatusException(
             status.equals(HttpResponseStatus.NOT_FOUND)
-                ? EngineAnswer.UNKNOWN
-                : EngineAnswer.REJECTED));
+                ? EngineStreamOutcome.UNKNOWN
+                : EngineStreamOutcome.REJECTED));
   }
 
-  private static EngineAnswer parseRefusal(String body) {
+  private static EngineStreamOutcome parseRefusal(String body) {
     try {
-      boolean notRun = Json.readObject(body).path("not_run").asBoolean(false);
-      return notRun ? EngineAnswer.REFUSED : EngineAnswer.REJECTED;
+      boolean notRun = JsonCodec.readObject(body).path("not_run").asBoolean(false);
+      return notRun ? EngineStreamOutcome.REFUSED : EngineStreamOutcome.REJECTED;
     } catch (IOException e) {
-      return EngineAnswer.REJECTED;
+      return EngineStreamOutcome.REJECTED;
     }
   }
 
@@ -79,7 +83,7 @@
       frame = FrameParser.parse(line);
     } catch (MalformedFrameException e) {
       cancel();
-      onEnd.accept(EngineAnswer.BROKEN);
+      onEnd.accept(EngineStreamOutcome.BROKEN);
       return;
     }
     loop.run(() -> handleFrame(frame));
@@ -91,7 +95,7 @@
     }
     loop.handle(new EntryEvent.FrameReceived(exchange.request(), attempt, frame));
     processedLines++;
-    if (!exchange.isFull(this::requestMore)) {
+    if (!exchange.isBufferFull(this::requestMore)) {
       requestMore();
     }
   }
@@ -115,12 +119,14 @@
 
   @Override
   protected void hookOnComplete() {
-    onEnd.accept(EngineAnswer.BROKEN);
+    onEnd.accept(EngineStreamOutcome.BROKEN);
   }
 
   @Override
   protected void hookOnError(Throwable failure) {
     onEnd.accept(
-        failure instanceof EngineAnswerException answer ? answer.answer() : EngineAnswer.BROKEN);
+        failure instanceof EngineStatusException answer
+            ? answer.streamOutcome()
+            : EngineStreamOutcome.BROKEN);
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
@@ -15,16 +15,16 @@
 
   private static final PartLogger LOGGER = new PartLogger("entry");
 
-  private final EntryParts parts;
+  private final DaemonComponents parts;
   private final long stallTimeoutMs;
   private final DisposableServer server;
   private final AtomicBoolean closing = new AtomicBoolean();
   private final CompletableFuture<ExitCode> ended = new CompletableFuture<>();
 
-  private EntryDaemon(EntryOptions options, EntryParts parts) {
+  private EntryDaemon(EntryOptions options, DaemonComponents parts) {
     this.parts = parts;
     this.stallTimeoutMs = options.stallTimeoutMs();
-    this.server = new EntryHttp(options, parts).listen();
+    this.server = new EntryHttpServer(options, parts).listen();
   }
 
   /**
@@ -33,26 +33,26 @@
    * @throws reactor.netty.ChannelBindException if the address can't be bound
    */
   static EntryDaemon start(EntryOptions options) {
-    NodeLoop loop = new NodeLoop(new EntryNode(options.node()));
-    EntryParts parts =
-        new EntryParts(
+    NodeEventLoop loop = new NodeEventLoop(new EntryNode(options.node()));
+    DaemonComponents parts =
+        new DaemonComponents(
             loop,
-            new Exchanges(),
-            new UpstreamCalls(loop, options.connectTimeoutMs(), options.readTimeoutMs()),
-            new ControlConnections(loop),
-            new UpstreamAnswers(loop),
+            new ExchangeRegistry(),
+            new UpstreamCallFactory(loop, options.connectTimeoutMs(), options.readTimeoutMs()),
+            new ControlConnectionManager(loop),
+            new PendingVerdictRegistry(loop),
             new EntryMetrics(),
-            new Shutdown(),
-            new OpenResponses());
+            new ShutdownCoordinator(),
+            new OpenResponseTracker());
     EntryDaemon daemon = new EntryDaemon(options, parts);
     daemon.run(options);
     return daemon;
   }
 
   private void run(EntryOptions options) {
-    parts.loop().onActions(new ActionExecutor(parts));
-    parts.metrics().watch(parts.loop()::status, parts.exchanges()::callCount);
-    parts.shutdown().onCloseListener(() -> server.dispose());
+    parts.loop().setActionExecutor(new ActionExecutor(parts));
+    parts.metrics().registerGauges(parts.loop()::status, parts.exchanges()::callCount);
+    parts.shutdown().setListenerCloser(() -> server.dispose());
     parts.control().open(options.node().vm(), options.members());
     LOGGER.info("Listens on " + address() + ".");
   }
@@ -75,7 +75,7 @@
     }
     parts.loop().submit(new EntryEvent.DrainRequested());
     parts.shutdown().whenFinished().join();
-    if (!parts.responses().awaitNone(stallTimeoutMs)) {
+    if (!parts.responses().awaitAllWritten(stallTimeoutMs)) {
       LOGGER.warn(
           "Closing the connections of callers that have not read their complete responses.");
     }
--- a/entry/src/main/java/org/teaseltrail/entry/EntryHttp.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryHttpServer.java
@@ -13,7 +13,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /** The HTTP server for callers and upstreams, which routes each request to its handler. */
-final class EntryHttp {
+final class EntryHttpServer {
 
   private static final PartLogger LOGGER = new PartLogger("entry");
 
@@ -30,11 +30,11 @@
   private final UpstreamHandler upstreams;
   private final StatusHandler status;
 
-  EntryHttp(EntryOptions options, EntryParts parts) {
+  EntryHttpServer(EntryOptions options, DaemonComponents parts) {
     BodyReader bodies = new BodyReader(options.limits().maxBodyBytes(), options.bodyTimeoutMs());
     this.options = options;
     this.callers = new CallerHandler(options, parts, bodies);
-    this.upstreams = new UpstreamHandler(bodies, parts.upstreamAnswers());
+    this.upstreams = new UpstreamHandler(bodies, parts.pendingVerdicts());
     this.status = new StatusHandler(parts);
   }
 
@@ -58,10 +58,10 @@
   private Publisher<Void> route(HttpServerRequest request, HttpServerResponse response) {
     CallerHeaders.checkSize(request, options.limits().maxHeaderBytes());
     String uri = request.uri();
-    if (uri.startsWith(CallerHandler.SERVICES)) {
+    if (uri.startsWith(CallerHandler.SERVICES_PATH)) {
       return callers.service(request, response);
     }
-    if (uri.startsWith(StatusHandler.REQUESTS)) {
+    if (uri.startsWith(StatusHandler.REQUESTS_PATH)) {
       requireMethod(request, HttpMethod.GET);
       return status.request(request, response);
     }
@@ -100,10 +100,10 @@
       if (leavesBodyUnread(refused.kind())) {
         response.header(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
       }
-      return Problem.of(refused.kind(), refused.getMessage()).send(response);
+      return ProblemDetails.of(refused.kind(), refused.getMessage()).send(response);
     }
     LOGGER.warn("A request failed: " + failure + ".");
-    return Problem.of(ProblemKind.INTERNAL, "see the VM's log").send(response);
+    return ProblemDetails.of(ProblemKind.INTERNAL, "see the VM's log").send(response);
   }
 
   private static boolean leavesBodyUnread(ProblemKind kind) {
--- a/entry/src/main/java/org/teaseltrail/entry/EntryMetrics.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryMetrics.java
@@ -12,7 +12,7 @@
   private final Metrics metrics = new Metrics("teaseltrail-entry");
 
   /** Registers the gauges of the node's status and the upstream calls. */
-  void watch(Supplier<EntryStatus> status, Supplier<Number> upstreamCalls) {
+  void registerGauges(Supplier<EntryStatus> status, Supplier<Number> upstreamCalls) {
     gauge("teaseltrail.entry.upstream.calls", upstreamCalls);
     gauge("teaseltrail.entry.waiting.requests", () -> status.get().waitingRequests());
     gauge("teaseltrail.entry.running.requests", () -> status.get().runningRequests());
@@ -28,13 +28,13 @@
   }
 
   /** Counts a finished request by its outcome. */
-  void ended(Outcome outcome) {
+  void countOutcome(Outcome outcome) {
     metrics
         .registry()
         .counter(
             "teaseltrail.entry.requests.ended",
             "outcome",
-            CallerJson.name(outcome),
+            ResponseSerializer.name(outcome),
             "reason",
             reason(outcome))
         .increment();
--- a/entry/src/main/java/org/teaseltrail/entry/Exchanges.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ExchangeRegistry.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.RequestId;
 
 /** Registry of the exchanges and upstream calls of live requests. Used on the node thread only. */
-final class Exchanges {
+final class ExchangeRegistry {
 
   private final Map<RequestId, CallerExchange> exchanges = new HashMap<>();
   private final Map<RequestId, UpstreamCall> calls = new HashMap<>();
@@ -25,17 +25,17 @@
   }
 
   /** Registers the latest call of a request and closes the previous one. */
-  void connected(RequestId request, UpstreamCall call) {
-    close(request);
+  void replaceCall(RequestId request, UpstreamCall call) {
+    closeCall(request);
     calls.put(request, call);
     callCount = calls.size();
   }
 
-  Optional<UpstreamCall> call(RequestId request) {
+  Optional<UpstreamCall> findCall(RequestId request) {
     return Optional.ofNullable(calls.get(request));
   }
 
-  void close(RequestId request) {
+  void closeCall(RequestId request) {
     UpstreamCall call = calls.remove(request);
     callCount = calls.size();
     if (call != null) {
--- a/entry/src/main/java/org/teaseltrail/entry/ForwardedHeaders.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ForwardedHeaderFilter.java
@@ -12,7 +12,7 @@
 /**
  * Copies headers to be forwarded, except hop-by-hop headers and those meant for this system only.
  */
-final class ForwardedHeaders {
+final class ForwardedHeaderFilter {
 
   private static final Set<String> NOT_FORWARDED =
       Set.of(
@@ -30,13 +30,13 @@
           "authorization",
           "x-request-id");
 
-  private ForwardedHeaders() {}
+  private ForwardedHeaderFilter() {}
 
   /**
    * Copies the headers that are forwarded, leaving out those that the {@code Connection} header
    * lists.
    */
-  static void copy(HttpHeaders from, BiConsumer<String, String> to) {
+  static void copyForwarded(HttpHeaders from, BiConsumer<String, String> to) {
     String connection = from.get(HttpHeaderNames.CONNECTION, "").toLowerCase(Locale.ROOT);
     Set<String> named = new HashSet<>(Arrays.asList(connection.split("\\s*,\\s*")));
     for (Map.Entry<String, String> header : from) {
--- a/entry/src/main/java/org/teaseltrail/entry/FrameParser.java
+++ b/entry/src/main/java/org/teaseltrail/entry/FrameParser.java
@@ -17,13 +17,13 @@
    */
   static StreamFrame parse(String line) {
     try {
-      return frame(new JsonFields(Json.readObject(line)));
+      return frame(new JsonObjectReader(JsonCodec.readObject(line)));
     } catch (IOException | RefusedRequestException e) {
       throw new MalformedFrameException(e.getMessage());
     }
   }
 
-  private static StreamFrame frame(JsonFields fields) {
+  private static StreamFrame frame(JsonObjectReader fields) {
     RequestId stream = fields.id("request_id", RequestId::new);
     long sequence = fields.number("seq", 0, Long.MAX_VALUE);
     if (fields.flag("end", false)) {
@@ -34,14 +34,14 @@
         : new StreamFrame.Text(stream, sequence, fields.text("text"));
   }
 
-  private static Usage usage(JsonFields fields) {
+  private static Usage usage(JsonObjectReader fields) {
     return new Usage(
         tokens(fields, "prompt_tokens"),
         tokens(fields, "cached_tokens"),
         tokens(fields, "output_tokens"));
   }
 
-  private static int tokens(JsonFields fields, String name) {
+  private static int tokens(JsonObjectReader fields, String name) {
     return (int) fields.number(name, 0, Integer.MAX_VALUE);
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/GenerateBody.java
+++ b/entry/src/main/java/org/teaseltrail/entry/GenerateRequest.java
@@ -23,7 +23,7 @@
  * @param deadlineMs time until the caller's deadline; zero if it has none
  * @param stream whether the response is streamed
  */
-record GenerateBody(
+record GenerateRequest(
     ModelId model,
     Optional<ModelVersion> version,
     Optional<AdapterId> adapter,
@@ -50,15 +50,15 @@
    *
    * @throws RefusedRequestException if the body or a field is invalid
    */
-  static GenerateBody parse(byte[] body, CallerLimits limits) {
-    JsonFields fields = new JsonFields(parseObject(body)).onlyKnown(FIELDS);
+  static GenerateRequest parse(byte[] body, CallerLimits limits) {
+    JsonObjectReader fields = new JsonObjectReader(parseObject(body)).requireKnownFields(FIELDS);
     String prompt = fields.text("prompt");
     if (prompt.getBytes(StandardCharsets.UTF_8).length > limits.maxPromptBytes()) {
       throw new RefusedRequestException(
           ProblemKind.PROMPT_TOO_LARGE,
           "the prompt is longer than " + limits.maxPromptBytes() + " bytes");
     }
-    return new GenerateBody(
+    return new GenerateRequest(
         fields.id("model", ModelId::new),
         fields.optionalId("version", ModelVersion::new),
         fields.optionalId("adapter", AdapterId::new),
@@ -71,7 +71,7 @@
 
   private static ObjectNode parseObject(byte[] body) {
     try {
-      return Json.readObject(body);
+      return JsonCodec.readObject(body);
     } catch (IOException e) {
       throw new RefusedRequestException(
           ProblemKind.MALFORMED_REQUEST, "the body is not one JSON object");
@@ -91,18 +91,18 @@
             adapter.map(AdapterId::value).orElse(""),
             Integer.toString(maxTokens),
             Boolean.toString(idempotent));
-    return Sha256Text.ofParts(head, prompt.getBytes(StandardCharsets.UTF_8));
+    return Sha256Hex.ofParts(head, prompt.getBytes(StandardCharsets.UTF_8));
   }
 
   /** Returns the body of the request to the engine. */
-  byte[] toEngine(RequestId request, ModelTarget asked) {
-    ObjectNode json = Json.object();
+  byte[] toEngineBody(RequestId request, ModelTarget asked) {
+    ObjectNode json = JsonCodec.createObject();
     json.put("request_id", request.value());
     json.put("model", asked.model().value());
     json.put("version", asked.version().value());
     asked.adapter().ifPresent(id -> json.put("adapter", id.value()));
     json.put("prompt", prompt);
     json.put("max_tokens", maxTokens);
-    return Json.bytes(json);
+    return JsonCodec.bytes(json);
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/GenerationExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/GenerationExchange.java
@@ -8,9 +8,9 @@
 abstract class GenerationExchange implements CallerExchange {
 
   private final RequestId request;
-  private final GenerateBody body;
+  private final GenerateRequest body;
 
-  GenerationExchange(RequestId request, GenerateBody body) {
+  GenerationExchange(RequestId request, GenerateRequest body) {
     this.request = request;
     this.body = body;
   }
@@ -21,7 +21,7 @@
   }
 
   @Override
-  public final DispatchCall call(UpstreamCalls calls, int attempt, RouteTarget asked) {
-    return calls.engine(this, attempt, body.toEngine(request, (ModelTarget) asked));
+  public final DispatchCall createCall(UpstreamCallFactory calls, int attempt, RouteTarget asked) {
+    return calls.engine(this, attempt, body.toEngineBody(request, (ModelTarget) asked));
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/HttpNames.java
+++ b/entry/src/main/java/org/teaseltrail/entry/HttpConstants.java
@@ -3,7 +3,7 @@
 import io.netty.util.AsciiString;
 
 /** Names of the headers and content types that the project's protocols use. */
-final class HttpNames {
+final class HttpConstants {
 
   static final AsciiString REQUEST_ID = AsciiString.cached("X-Request-Id");
   static final AsciiString IDEMPOTENCY_KEY = AsciiString.cached("Idempotency-Key");
@@ -12,5 +12,5 @@
   static final AsciiString UPSTREAM_SECRET = AsciiString.cached("X-Upstream-Secret");
   static final String JSON = "application/json";
 
-  private HttpNames() {}
+  private HttpConstants() {}
 }
--- a/entry/src/main/java/org/teaseltrail/entry/HolderState.java
+++ b/entry/src/main/java/org/teaseltrail/entry/IdempotencyConflict.java
@@ -6,7 +6,7 @@
  * The response to a caller whose idempotency key is in use by an earlier request, by that request's
  * state.
  */
-enum HolderState {
+enum IdempotencyConflict {
   WAITING("key-waiting", "An earlier request under this key waits.", 1_000),
   RUNNING("key-running", "An earlier request under this key runs.", 1_000),
   COMPLETED("key-completed", "An earlier request under this key has completed.", 0),
@@ -16,13 +16,13 @@
   private final String title;
   private final long retryAfterMs;
 
-  HolderState(String problemName, String title, long retryAfterMs) {
+  IdempotencyConflict(String problemName, String title, long retryAfterMs) {
     this.problemName = problemName;
     this.title = title;
     this.retryAfterMs = retryAfterMs;
   }
 
-  static HolderState of(ClaimState state) {
+  static IdempotencyConflict of(ClaimState state) {
     return switch (state) {
       case WAITING -> WAITING;
       case RUNNING -> RUNNING;
--- a/entry/src/main/java/org/teaseltrail/entry/Json.java
+++ b/entry/src/main/java/org/teaseltrail/entry/JsonCodec.java
@@ -12,14 +12,14 @@
 import java.io.UncheckedIOException;
 
 /** Parses and serializes JSON. */
-final class Json {
+final class JsonCodec {
 
   /** Maximum nesting depth when parsing; the protocols need three. */
   private static final int MAX_DEPTH = 32;
 
   private static final ObjectMapper MAPPER = mapper();
 
-  private Json() {}
+  private JsonCodec() {}
 
   private static ObjectMapper mapper() {
     JsonMapper mapper =
@@ -37,7 +37,7 @@
     return mapper;
   }
 
-  static ObjectNode object() {
+  static ObjectNode createObject() {
     return MAPPER.createObjectNode();
   }
 
