--- a/entry/src/main/java/org/teaseltrail/entry/JsonFields.java
+++ b/entry/src/main/java/org/teaseltrail/entry/JsonObjectReader.java
@@ -15,10 +15,10 @@
  *
  * @param object the object
  */
-record JsonFields(ObjectNode object) {
+record JsonObjectReader(ObjectNode object) {
 
   /** Refuses unknown fields, so that a misspelled field name isn't ignored silently. */
-  JsonFields onlyKnown(Set<String> known) {
+  JsonObjectReader requireKnownFields(Set<String> known) {
     Iterator<String> names = object.fieldNames();
     while (names.hasNext()) {
       if (!known.contains(names.next())) {
@@ -61,12 +61,13 @@
     return node.map(JsonNode::booleanValue).orElse(fallback);
   }
 
-  long number(String name, long least, long greatest) {
-    return optionalNumber(name, least, greatest).orElseThrow(() -> refused(name + " is missing"));
+  long number(String name, long minValue, long maxValue) {
+    return optionalNumber(name, minValue, maxValue)
+        .orElseThrow(() -> refused(name + " is missing"));
   }
 
-  Optional<Long> optionalNumber(String name, long least, long greatest) {
-    return value(name).map(node -> numberOf(name, node, least, greatest));
+  Optional<Long> optionalNumber(String name, long minValue, long maxValue) {
+    return value(name).map(node -> numberOf(name, node, minValue, maxValue));
   }
 
   private static long numberOf(String name, JsonNode node, long least, long greatest) {
@@ -85,20 +86,20 @@
     return node.doubleValue();
   }
 
-  JsonFields fields(String name) {
+  JsonObjectReader fields(String name) {
     JsonNode node = value(name).orElseThrow(() -> refused(name + " is missing"));
     return fieldsOf(name, node);
   }
 
-  private static JsonFields fieldsOf(String name, JsonNode node) {
+  private static JsonObjectReader fieldsOf(String name, JsonNode node) {
     if (node instanceof ObjectNode nested) {
-      return new JsonFields(nested);
+      return new JsonObjectReader(nested);
     }
     throw refused(name + " must be an object");
   }
 
-  List<JsonFields> objects(String name) {
-    List<JsonFields> objects = new ArrayList<>();
+  List<JsonObjectReader> objects(String name) {
+    List<JsonObjectReader> objects = new ArrayList<>();
     elements(name).forEach(node -> objects.add(fieldsOf(name, node)));
     return objects;
   }
--- a/entry/src/main/java/org/teaseltrail/entry/NodeLoop.java
+++ b/entry/src/main/java/org/teaseltrail/entry/NodeEventLoop.java
@@ -16,7 +16,7 @@
 import reactor.core.scheduler.Schedulers;
 
 /** The event loop that owns the node and the only thread that may use it. */
-final class NodeLoop implements AutoCloseable {
+final class NodeEventLoop implements AutoCloseable {
 
   private static final PartLogger LOGGER = new PartLogger("entry");
 
@@ -29,14 +29,14 @@
   private Disposable wakeup;
   private long wakeupNs = Long.MAX_VALUE;
 
-  NodeLoop(EntryNode node) {
+  NodeEventLoop(EntryNode node) {
     this.node = node;
     this.status = node.status();
   }
 
   /** Sets the executor of the node's actions. Must be called before the first event. */
-  void onActions(Consumer<EntryAction> carriesOut) {
-    executor = carriesOut;
+  void setActionExecutor(Consumer<EntryAction> actionExecutor) {
+    executor = actionExecutor;
   }
 
   /** Submits an event to the node. */
@@ -52,15 +52,15 @@
   }
 
   /** Runs a task on the node thread after a delay. */
-  void later(Runnable task, long delayMs) {
+  void scheduleAfter(Runnable task, long delayMs) {
     if (!closed) {
       thread.schedule(() -> runLoggingErrors(task), delayMs, TimeUnit.MILLISECONDS);
     }
   }
 
   /** Evaluates a query on the node thread. */
-  <T> Mono<T> ask(Callable<T> question) {
-    return Mono.fromCallable(question).subscribeOn(thread);
+  <T> Mono<T> query(Callable<T> callable) {
+    return Mono.fromCallable(callable).subscribeOn(thread);
   }
 
   private void runLoggingErrors(Runnable task) {
--- a/entry/src/main/java/org/teaseltrail/entry/OpenResponses.java
+++ b/entry/src/main/java/org/teaseltrail/entry/OpenResponseTracker.java
@@ -11,14 +11,14 @@
  * <p>A shutdown waits for them: the node may have received a complete response that a slow caller
  * hasn't read yet, and the end of it would otherwise be lost.
  */
-final class OpenResponses {
+final class OpenResponseTracker {
 
   private final ReentrantLock lock = new ReentrantLock();
   private final Condition noneOpen = lock.newCondition();
   private int openCount;
 
   /** Tracks a response from its subscription until it is written or its caller has disconnected. */
-  Mono<Void> count(Mono<Void> response) {
+  Mono<Void> track(Mono<Void> response) {
     return Mono.defer(
         () -> {
           add(1);
@@ -43,7 +43,7 @@
    *
    * @return whether all responses were finished within the timeout
    */
-  boolean awaitNone(long timeoutMs) {
+  boolean awaitAllWritten(long timeoutMs) {
     long remainingNs = TimeUnit.MILLISECONDS.toNanos(timeoutMs);
     lock.lock();
     try {
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamAnswers.java
+++ b/entry/src/main/java/org/teaseltrail/entry/PendingVerdictRegistry.java
@@ -10,18 +10,18 @@
 import reactor.core.publisher.Sinks;
 
 /** Correlates upstreams' announcements and cache events with the node's verdicts. */
-final class UpstreamAnswers {
+final class PendingVerdictRegistry {
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final AtomicLong lastExchange = new AtomicLong();
   private final Map<Long, Sinks.One<UpstreamVerdict>> waiting = new ConcurrentHashMap<>();
 
-  UpstreamAnswers(NodeLoop loop) {
+  PendingVerdictRegistry(NodeEventLoop loop) {
     this.loop = loop;
   }
 
   /** Submits an event that carries an exchange number, and returns the node's verdict on it. */
-  Mono<UpstreamVerdict> ask(LongFunction<EntryEvent> event) {
+  Mono<UpstreamVerdict> submit(LongFunction<EntryEvent> event) {
     long number = lastExchange.incrementAndGet();
     Sinks.One<UpstreamVerdict> verdictSink = Sinks.one();
     waiting.put(number, verdictSink);
@@ -29,7 +29,7 @@
     return verdictSink.asMono().doFinally(end -> waiting.remove(number));
   }
 
-  void answer(long number, UpstreamVerdict verdict) {
+  void complete(long number, UpstreamVerdict verdict) {
     Sinks.One<UpstreamVerdict> verdictSink = waiting.get(number);
     if (verdictSink != null) {
       verdictSink.tryEmitValue(verdict);
--- a/entry/src/main/java/org/teaseltrail/entry/Problem.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ProblemDetails.java
@@ -22,7 +22,7 @@
  * @param request the request, if it has an id
  * @param retryAfterMs time after which the caller may retry; zero if a retry is of no use
  */
-record Problem(
+record ProblemDetails(
     int httpStatus,
     String name,
     String title,
@@ -37,8 +37,8 @@
   private static final int BAD_GATEWAY = 502;
   private static final long MILLIS_PER_SECOND = 1_000;
 
-  static Problem of(ProblemKind kind, String detail) {
-    return new Problem(
+  static ProblemDetails of(ProblemKind kind, String detail) {
+    return new ProblemDetails(
         kind.httpStatus(),
         kind.problemName(),
         kind.title(),
@@ -49,10 +49,10 @@
   }
 
   /** Returns the problem details of an outcome other than completed. */
-  static Problem of(RequestId request, Outcome outcome) {
+  static ProblemDetails of(RequestId request, Outcome outcome) {
     if (outcome instanceof Outcome.NotRun notRun) {
       NotRunReason reason = notRun.reason();
-      return new Problem(
+      return new ProblemDetails(
           reason.httpStatus(),
           reason.problemName(),
           reason.title(),
@@ -65,7 +65,7 @@
       return heldByEarlier(request, held);
     }
     Outcome.MayHaveRun failed = (Outcome.MayHaveRun) outcome;
-    return new Problem(
+    return new ProblemDetails(
         BAD_GATEWAY,
         failed.reason().problemName(),
         failed.reason().title(),
@@ -75,9 +75,9 @@
         0);
   }
 
-  private static Problem heldByEarlier(RequestId request, Outcome.HeldByEarlier held) {
-    HolderState state = HolderState.of(held.state());
-    return new Problem(
+  private static ProblemDetails heldByEarlier(RequestId request, Outcome.HeldByEarlier held) {
+    IdempotencyConflict state = IdempotencyConflict.of(held.state());
+    return new ProblemDetails(
         CONFLICT,
         state.problemName(),
         state.title(),
@@ -95,18 +95,18 @@
   /** Sends the problem as the response. */
   Publisher<Void> send(HttpServerResponse response) {
     response.status(httpStatus).header(HttpHeaderNames.CONTENT_TYPE, CONTENT_TYPE);
-    request.ifPresent(id -> response.header(HttpNames.REQUEST_ID, id.value()));
+    request.ifPresent(id -> response.header(HttpConstants.REQUEST_ID, id.value()));
     if (retryAfterMs > 0) {
       long retryAfterSeconds = (retryAfterMs + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
       response.header(HttpHeaderNames.RETRY_AFTER, Long.toString(retryAfterSeconds));
     }
-    byte[] body = Json.bytes(json());
+    byte[] body = JsonCodec.bytes(json());
     response.header(HttpHeaderNames.CONTENT_LENGTH, Integer.toString(body.length));
     return response.sendObject(Unpooled.wrappedBuffer(body));
   }
 
   private ObjectNode json() {
-    ObjectNode json = Json.object();
+    ObjectNode json = JsonCodec.createObject();
     json.put("type", type());
     json.put("title", title);
     json.put("status", httpStatus);
--- a/entry/src/main/java/org/teaseltrail/entry/RequestIds.java
+++ b/entry/src/main/java/org/teaseltrail/entry/RequestIdGenerator.java
@@ -9,12 +9,12 @@
  * Generates request ids that are unique across all VMs and their restarts, from the VM, its
  * incarnation and a counter.
  */
-final class RequestIds {
+final class RequestIdGenerator {
 
   private final String prefix;
   private final AtomicLong counter = new AtomicLong();
 
-  RequestIds(VmId vm, Incarnation incarnation) {
+  RequestIdGenerator(VmId vm, Incarnation incarnation) {
     prefix = vm + "-" + Long.toString(incarnation.value(), Character.MAX_RADIX) + "-";
   }
 
--- a/entry/src/main/java/org/teaseltrail/entry/CallerJson.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ResponseSerializer.java
@@ -8,12 +8,12 @@
 import org.teaseltrail.core.request.StreamFrame;
 
 /** Serializes generation outcomes and server-sent events for callers. */
-final class CallerJson {
+final class ResponseSerializer {
 
-  private CallerJson() {}
+  private ResponseSerializer() {}
 
   static ObjectNode usage(Usage usage) {
-    ObjectNode json = Json.object();
+    ObjectNode json = JsonCodec.createObject();
     json.put("prompt_tokens", usage.promptTokens());
     json.put("cached_tokens", usage.cachedTokens());
     json.put("output_tokens", usage.outputTokens());
@@ -30,7 +30,7 @@
 
   /** Returns the server-sent event for a token frame. */
   static byte[] tokenEvent(StreamFrame.Text frame) {
-    ObjectNode json = Json.object();
+    ObjectNode json = JsonCodec.createObject();
     json.put("seq", frame.sequence());
     json.put("text", frame.text());
     return event("event: token\nid: " + frame.sequence() + "\ndata: ", json);
@@ -38,14 +38,14 @@
 
   /** Returns the server-sent event for the outcome, which is the last event of a stream. */
   static byte[] outcomeEvent(RequestId request, Outcome outcome) {
-    ObjectNode json = Json.object();
+    ObjectNode json = JsonCodec.createObject();
     json.put("request_id", request.value());
     json.put("outcome", name(outcome));
     json.put("ran", outcome.ran().text());
     if (outcome instanceof Outcome.Completed completed) {
       json.set("usage", usage(completed.usage()));
     } else {
-      Problem problem = Problem.of(request, outcome);
+      ProblemDetails problem = ProblemDetails.of(request, outcome);
       json.put("type", problem.type());
       if (problem.retryAfterMs() > 0) {
         json.put("retry_after_ms", problem.retryAfterMs());
@@ -55,7 +55,7 @@
   }
 
   private static byte[] event(String head, ObjectNode json) {
-    byte[] data = Json.bytes(json);
+    byte[] data = JsonCodec.bytes(json);
     byte[] prefix = head.getBytes(StandardCharsets.US_ASCII);
     byte[] event = new byte[prefix.length + data.length + 2];
     System.arraycopy(prefix, 0, event, 0, prefix.length);
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceExchange.java
@@ -20,7 +20,7 @@
   private final RequestId request;
   private final ServiceRequest asked;
   private final Sinks.One<Publisher<Void>> responseWriter = Sinks.one();
-  private final AtomicReference<ServiceAnswer> unforwardedResponse = new AtomicReference<>();
+  private final AtomicReference<ServiceResponse> unforwardedResponse = new AtomicReference<>();
   private final HttpServerResponse response;
   private volatile boolean abandoned;
 
@@ -41,11 +41,12 @@
 
   @Override
   public Publisher<Void> respond(HttpServerResponse sameResponse) {
-    return ConnectionThread.of(response, responseWriter.asMono()).flatMap(Mono::from);
+    return ConnectionScheduler.publishOnEventLoop(response, responseWriter.asMono())
+        .flatMap(Mono::from);
   }
 
   @Override
-  public DispatchCall call(UpstreamCalls calls, int attempt, RouteTarget target) {
+  public DispatchCall createCall(UpstreamCallFactory calls, int attempt, RouteTarget target) {
     return calls.service(this, attempt);
   }
 
@@ -53,7 +54,7 @@
    * Accepts the service's response. Runs on the event loop of the upstream connection, before the
    * node handles the event.
    */
-  void answer(ServiceAnswer service) {
+  void onResponse(ServiceResponse service) {
     unforwardedResponse.set(service);
     responseWriter.tryEmitValue(Mono.defer(() -> Mono.from(forward(service))));
     if (abandoned) {
@@ -66,19 +67,19 @@
    * completed.
    */
   private void drain() {
-    ServiceAnswer unconsumed = unforwardedResponse.getAndSet(null);
+    ServiceResponse unconsumed = unforwardedResponse.getAndSet(null);
     if (unconsumed != null) {
       unconsumed.body().subscribe(ByteBuf::release, failure -> {});
     }
   }
 
-  private Publisher<Void> forward(ServiceAnswer service) {
+  private Publisher<Void> forward(ServiceResponse service) {
     if (unforwardedResponse.getAndSet(null) == null) {
       return Mono.empty();
     }
     response.status(service.httpStatus());
-    ForwardedHeaders.copy(service.headers(), response::addHeader);
-    response.header(HttpNames.REQUEST_ID, request.value());
+    ForwardedHeaderFilter.copyForwarded(service.headers(), response::addHeader);
+    response.header(HttpConstants.REQUEST_ID, request.value());
     return response.send(service.body());
   }
 
@@ -91,7 +92,7 @@
   public void conclude(Outcome outcome) {
     if (!(outcome instanceof Outcome.Completed)) {
       responseWriter.tryEmitValue(
-          Mono.defer(() -> Mono.from(Problem.of(request, outcome).send(response))));
+          Mono.defer(() -> Mono.from(ProblemDetails.of(request, outcome).send(response))));
     }
   }
 
@@ -103,7 +104,7 @@
   }
 
   @Override
-  public boolean isFull(Runnable whenRoom) {
+  public boolean isBufferFull(Runnable onCapacity) {
     return false;
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceForward.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceForwardCall.java
@@ -12,12 +12,12 @@
 import reactor.netty.http.client.HttpClientResponse;
 
 /** Forwards a request to a plain service and relays the response. */
-final class ServiceForward extends DispatchCall {
+final class ServiceForwardCall extends DispatchCall {
 
-  private final UpstreamCalls calls;
+  private final UpstreamCallFactory calls;
   private final ServiceExchange exchange;
 
-  ServiceForward(UpstreamCalls calls, ServiceExchange exchange, int attempt) {
+  ServiceForwardCall(UpstreamCallFactory calls, ServiceExchange exchange, int attempt) {
     super(calls.loop(), exchange.request(), attempt);
     this.calls = calls;
     this.exchange = exchange;
@@ -26,20 +26,20 @@
   @Override
   void connect(UpstreamTarget target) {
     ServiceRequest asked = exchange.asked();
-    subscribed(
+    setSubscription(
         calls
             .client(target)
             .headers(this::writeHeaders)
             .request(asked.method())
             .uri(asked.pathAndQuery())
-            .send((head, out) -> sendWhenPermitted(out, asked.body()))
+            .send((head, out) -> sendAfterTransmit(out, asked.body()))
             .responseConnection(this::relayResponse)
             .subscribe(ignored -> {}, failure -> broken()));
   }
 
   private void writeHeaders(HttpHeaders headers) {
-    ForwardedHeaders.copy(exchange.asked().headers(), headers::add);
-    headers.set(HttpNames.REQUEST_ID, request().value());
+    ForwardedHeaderFilter.copyForwarded(exchange.asked().headers(), headers::add);
+    headers.set(HttpConstants.REQUEST_ID, request().value());
     headers.remove(HttpHeaderNames.CONTENT_LENGTH);
     if (exchange.asked().body().length > 0) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, exchange.asked().body().length);
@@ -56,14 +56,14 @@
             .doOnComplete(() -> completed(relayed))
             .doOnError(relayed::tryEmitError)
             .doOnCancel(() -> onCancelled(relayed));
-    tell(new EntryEvent.ServiceAnswering(request(), attempt()));
-    exchange.answer(
-        new ServiceAnswer(response.status().code(), response.responseHeaders().copy(), body));
+    submitEvent(new EntryEvent.ServiceAnswering(request(), attempt()));
+    exchange.onResponse(
+        new ServiceResponse(response.status().code(), response.responseHeaders().copy(), body));
     return relayed.asMono();
   }
 
   private void completed(Sinks.Empty<Void> relayed) {
-    tell(new EntryEvent.ServiceCompleted(request(), attempt()));
+    submitEvent(new EntryEvent.ServiceCompleted(request(), attempt()));
     relayed.tryEmitEmpty();
   }
 
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceRequest.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceRequest.java
@@ -18,6 +18,6 @@
 
   /** Returns the digest that identifies equal requests. */
   String digest() {
-    return Sha256Text.ofParts(method + "\n" + service + "\n" + pathAndQuery, body);
+    return Sha256Hex.ofParts(method + "\n" + service + "\n" + pathAndQuery, body);
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/ServiceAnswer.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ServiceResponse.java
@@ -11,4 +11,4 @@
  * @param headers the headers
  * @param body the body, read at the pace of the caller
  */
-record ServiceAnswer(int httpStatus, HttpHeaders headers, Flux<ByteBuf> body) {}
+record ServiceResponse(int httpStatus, HttpHeaders headers, Flux<ByteBuf> body) {}
--- a/entry/src/main/java/org/teaseltrail/entry/Sha256Text.java
+++ b/entry/src/main/java/org/teaseltrail/entry/Sha256Hex.java
@@ -6,11 +6,11 @@
 import org.teaseltrail.core.digest.Sha256;
 
 /** Computes SHA-256 digests in lower-case hexadecimal. */
-final class Sha256Text {
+final class Sha256Hex {
 
   private static final byte SEPARATOR = 0;
 
-  private Sha256Text() {}
+  private Sha256Hex() {}
 
   static String ofText(String text) {
     return HexFormat.of().formatHex(Sha256.create().digest(text.getBytes(StandardCharsets.UTF_8)));
--- a/entry/src/main/java/org/teaseltrail/entry/Shutdown.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ShutdownCoordinator.java
@@ -6,24 +6,24 @@
  * Coordinates the shutdown: the node decides when the listener closes and when all requests have
  * finished.
  */
-final class Shutdown {
+final class ShutdownCoordinator {
 
-  private final CompletableFuture<Void> finished = new CompletableFuture<>();
+  private final CompletableFuture<Void> markFinished = new CompletableFuture<>();
   private volatile Runnable closeListener = () -> {};
 
-  void onCloseListener(Runnable closes) {
-    closeListener = closes;
+  void setListenerCloser(Runnable listenerCloser) {
+    closeListener = listenerCloser;
   }
 
   void closeListener() {
     closeListener.run();
   }
 
-  void finished() {
-    finished.complete(null);
+  void markFinished() {
+    markFinished.complete(null);
   }
 
   CompletableFuture<Void> whenFinished() {
-    return finished;
+    return markFinished;
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/StatusHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/StatusHandler.java
@@ -17,29 +17,29 @@
 final class StatusHandler {
 
   /** Path prefix of request statuses. */
-  static final String REQUESTS = "/v1/requests/";
+  static final String REQUESTS_PATH = "/v1/requests/";
 
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final EntryMetrics metrics;
 
-  StatusHandler(EntryParts parts) {
+  StatusHandler(DaemonComponents parts) {
     this.loop = parts.loop();
     this.metrics = parts.metrics();
   }
 
   Publisher<Void> request(HttpServerRequest request, HttpServerResponse response) {
     Optional<String> keyHash = CallerHeaders.keyHash(request.requestHeaders());
-    RequestId id = requestId(request.uri().substring(REQUESTS.length()));
-    return ConnectionThread.of(response, loop.ask(() -> state(id, keyHash)))
+    RequestId id = requestId(request.uri().substring(REQUESTS_PATH.length()));
+    return ConnectionScheduler.publishOnEventLoop(response, loop.query(() -> state(id, keyHash)))
         .flatMap(
             state ->
                 response
-                    .header(HttpHeaderNames.CONTENT_TYPE, HttpNames.JSON)
-                    .header(HttpNames.REQUEST_ID, id.value())
-                    .sendByteArray(Mono.just(Json.bytes(state)))
+                    .header(HttpHeaderNames.CONTENT_TYPE, HttpConstants.JSON)
+                    .header(HttpConstants.REQUEST_ID, id.value())
+                    .sendByteArray(Mono.just(JsonCodec.bytes(state)))
                     .then());
   }
 
@@ -62,10 +62,10 @@
                 () ->
                     new RefusedRequestException(
                         ProblemKind.UNKNOWN_REQUEST, "ask the VM that took the request"));
-    ObjectNode json = Json.object();
+    ObjectNode json = JsonCodec.createObject();
     json.put("request_id", id.value());
     json.put("state", request.state().name().toLowerCase(Locale.ROOT));
-    request.outcome().ifPresent(outcome -> json.put("outcome", CallerJson.name(outcome)));
+    request.outcome().ifPresent(outcome -> json.put("outcome", ResponseSerializer.name(outcome)));
     request.upstream().ifPresent(upstream -> json.put("upstream", upstream.value()));
     return json;
   }
@@ -75,7 +75,8 @@
   }
 
   Publisher<Void> ready(HttpServerRequest request, HttpServerResponse response) {
-    return ConnectionThread.of(response, loop.ask(() -> loop.node().isReady(loop.nowNs())))
+    return ConnectionScheduler.publishOnEventLoop(
+            response, loop.query(() -> loop.node().isReady(loop.nowNs())))
         .flatMap(
             ready ->
                 response
--- a/entry/src/main/java/org/teaseltrail/entry/StreamedExchange.java
+++ b/entry/src/main/java/org/teaseltrail/entry/StreamingExchange.java
@@ -19,12 +19,12 @@
  * reaches the maximum, reading from the upstream pauses, and a caller that then reads nothing for
  * the stall timeout is disconnected.
  */
-final class StreamedExchange extends GenerationExchange {
+final class StreamingExchange extends GenerationExchange {
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final int bufferFrames;
   private final long stallTimeoutMs;
-  private final Sinks.One<Optional<Problem>> responseStart = Sinks.one();
+  private final Sinks.One<Optional<ProblemDetails>> responseStart = Sinks.one();
   private final Sinks.Many<byte[]> events = Sinks.many().unicast().onBackpressureBuffer();
   private final AtomicInteger unwrittenEvents = new AtomicInteger();
   private volatile int writtenEvents;
@@ -33,8 +33,12 @@
   private boolean responseStarted;
   private boolean abandoned;
 
-  StreamedExchange(
-      RequestId request, GenerateBody body, NodeLoop loop, int bufferFrames, long stallTimeoutMs) {
+  StreamingExchange(
+      RequestId request,
+      GenerateRequest body,
+      NodeEventLoop loop,
+      int bufferFrames,
+      long stallTimeoutMs) {
     super(request, body);
     this.loop = loop;
     this.bufferFrames = bufferFrames;
@@ -43,15 +47,16 @@
 
   @Override
   public Publisher<Void> respond(HttpServerResponse response) {
-    return ConnectionThread.of(response, responseStart.asMono())
+    return ConnectionScheduler.publishOnEventLoop(response, responseStart.asMono())
         .flatMap(problem -> Mono.from(writeResponse(response, problem)));
   }
 
-  private Publisher<Void> writeResponse(HttpServerResponse response, Optional<Problem> problem) {
+  private Publisher<Void> writeResponse(
+      HttpServerResponse response, Optional<ProblemDetails> problem) {
     if (problem.isPresent()) {
       return problem.get().send(response);
     }
-    response.header(HttpNames.REQUEST_ID, request().value());
+    response.header(HttpConstants.REQUEST_ID, request().value());
     return response
         .sse()
         .send(
@@ -82,7 +87,7 @@
       return;
     }
     startResponse(Optional.empty());
-    emit(CallerJson.tokenEvent(frame));
+    emit(ResponseSerializer.tokenEvent(frame));
   }
 
   private void emit(byte[] event) {
@@ -90,7 +95,7 @@
     events.tryEmitNext(event);
   }
 
-  private void startResponse(Optional<Problem> problem) {
+  private void startResponse(Optional<ProblemDetails> problem) {
     if (!responseStarted) {
       responseStarted = true;
       responseStart.tryEmitValue(problem);
@@ -100,11 +105,11 @@
   @Override
   public void conclude(Outcome outcome) {
     if (!responseStarted && !(outcome instanceof Outcome.Completed)) {
-      startResponse(Optional.of(Problem.of(request(), outcome)));
+      startResponse(Optional.of(ProblemDetails.of(request(), outcome)));
       return;
     }
     startResponse(Optional.empty());
-    emit(CallerJson.outcomeEvent(request(), outcome));
+    emit(ResponseSerializer.outcomeEvent(request(), outcome));
     events.tryEmitComplete();
   }
 
@@ -116,7 +121,7 @@
   }
 
   @Override
-  public boolean isFull(Runnable task) {
+  public boolean isBufferFull(Runnable task) {
     if (abandoned || unwrittenEvents.get() < bufferFrames) {
       return false;
     }
@@ -132,7 +137,7 @@
   }
 
   private void scheduleStallCheck(int writtenBefore) {
-    loop.later(
+    loop.scheduleAfter(
         () -> {
           if (paused && writtenEvents == writtenBefore) {
             loop.handle(new EntryEvent.CallerGone(request()));
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamCalls.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamCallFactory.java
@@ -16,15 +16,15 @@
  * the meantime: the request would be written and lost, and it would be unknown whether it ran.
  * Retries and redirects are disabled, since either would send a request twice.
  */
-final class UpstreamCalls {
+final class UpstreamCallFactory {
 
   private static final PartLogger LOGGER = new PartLogger("entry");
   private static final String HTTP = "http://";
 
-  private final NodeLoop loop;
+  private final NodeEventLoop loop;
   private final HttpClient client;
 
-  UpstreamCalls(NodeLoop loop, int connectTimeoutMs, long readTimeoutMs) {
+  UpstreamCallFactory(NodeEventLoop loop, int connectTimeoutMs, long readTimeoutMs) {
     this.loop = loop;
     this.client =
         HttpClient.create(ConnectionProvider.newConnection())
@@ -40,7 +40,7 @@
     return client.baseUrl(HTTP + target.address().host() + ":" + target.address().port());
   }
 
-  NodeLoop loop() {
+  NodeEventLoop loop() {
     return loop;
   }
 
@@ -51,12 +51,12 @@
 
   /** Creates a call that forwards a request to a plain service. */
   DispatchCall service(ServiceExchange exchange, int attempt) {
-    return new ServiceForward(this, exchange, attempt);
+    return new ServiceForwardCall(this, exchange, attempt);
   }
 
   /** Starts a call that requests the rest of a stream from an engine. */
-  UpstreamCall resume(CallerExchange exchange, EntryAction.Resume resume) {
-    return EngineResume.start(this, exchange, resume);
+  UpstreamCall startResume(CallerExchange exchange, EntryAction.Resume resume) {
+    return EngineResumeCall.start(this, exchange, resume);
   }
 
   /**
@@ -66,7 +66,7 @@
   void cancel(RequestId request, UpstreamTarget target) {
     client(target)
         .delete()
-        .uri(EngineCall.STREAMS + "/" + request)
+        .uri(EngineCall.STREAMS_PATH + "/" + request)
         .response()
         .subscribe(
             response -> {},
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamHandler.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamHandler.java
@@ -16,9 +16,9 @@
 final class UpstreamHandler {
 
   private final BodyReader bodies;
-  private final UpstreamAnswers answers;
+  private final PendingVerdictRegistry answers;
 
-  UpstreamHandler(BodyReader bodies, UpstreamAnswers answers) {
+  UpstreamHandler(BodyReader bodies, PendingVerdictRegistry answers) {
     this.bodies = bodies;
     this.answers = answers;
   }
@@ -32,7 +32,7 @@
       HttpServerRequest request, String secretHash, byte[] body) {
     Announcement announcement = AnnouncementParser.announcement(body);
     requireMatchingUpstreamId(request, announcement.upstream());
-    return answers.ask(
+    return answers.submit(
         number -> new EntryEvent.AnnouncementReceived(number, announcement, secretHash));
   }
 
@@ -45,25 +45,25 @@
       HttpServerRequest request, String secretHash, byte[] body) {
     CacheEvent event = AnnouncementParser.cacheEvent(body);
     requireMatchingUpstreamId(request, event.upstream());
-    return answers.ask(number -> new EntryEvent.CacheEventReceived(number, event, secretHash));
+    return answers.submit(number -> new EntryEvent.CacheEventReceived(number, event, secretHash));
   }
 
   private Mono<Void> handle(
       HttpServerRequest request,
       HttpServerResponse response,
       Function<byte[], Mono<UpstreamVerdict>> submitter) {
-    return ConnectionThread.of(response, bodies.read(request).flatMap(submitter))
+    return ConnectionScheduler.publishOnEventLoop(response, bodies.read(request).flatMap(submitter))
         .flatMap(verdict -> response.status(verdict.httpStatus()).send().then());
   }
 
   private static String secretHash(HttpServerRequest request) {
-    return Optional.ofNullable(request.requestHeaders().get(HttpNames.UPSTREAM_SECRET))
-        .map(Sha256Text::ofText)
+    return Optional.ofNullable(request.requestHeaders().get(HttpConstants.UPSTREAM_SECRET))
+        .map(Sha256Hex::ofText)
         .orElse("");
   }
 
   private static void requireMatchingUpstreamId(HttpServerRequest request, UpstreamId announced) {
-    if (!announced.value().equals(request.requestHeaders().get(HttpNames.UPSTREAM_ID))) {
+    if (!announced.value().equals(request.requestHeaders().get(HttpConstants.UPSTREAM_ID))) {
       throw new RefusedRequestException(
           ProblemKind.MALFORMED_REQUEST, "X-Upstream-Id is missing or differs from the body");
     }
--- a/entry/src/test/java/org/teaseltrail/entry/EntryBadInputTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryBadInputTest.java
@@ -21,11 +21,11 @@
   private static final String REQUEST_PREFIX =
       "{\"model\":\"tutor-llm\",\"prompt\":\"When?\",\"max_tokens\":8,\"stream\":false";
 
-  private static EntryWorld world;
+  private static EntryTestEnvironment world;
 
   @BeforeAll
   static void open() {
-    world = new EntryWorld();
+    world = new EntryTestEnvironment();
   }
 
   @AfterAll
@@ -35,7 +35,7 @@
 
   /** Checks that the same process still serves requests after each invalid input. */
   @AfterEach
-  void stillServes() {
+  void assertStillServing() {
     assertThat(world.generate(REQUEST_PREFIX + "}").statusCode()).isEqualTo(200);
   }
 
@@ -149,7 +149,7 @@
             "/v1/services/portal-app/certificates",
             request ->
                 request
-                    .header("Authorization", "Bearer " + EntryWorld.KEY)
+                    .header("Authorization", "Bearer " + EntryTestEnvironment.KEY)
                     .POST(HttpRequest.BodyPublishers.noBody())),
         400,
         "key-required");
@@ -174,19 +174,19 @@
     assertProblem(
         world.send(
             "/v1/services/other/x",
-            request -> request.header("Authorization", "Bearer " + EntryWorld.KEY)),
+            request -> request.header("Authorization", "Bearer " + EntryTestEnvironment.KEY)),
         404,
         "unknown-service");
     assertProblem(
         world.send(
             "/v1/requests/r-1",
-            request -> request.header("Authorization", "Bearer " + EntryWorld.KEY)),
+            request -> request.header("Authorization", "Bearer " + EntryTestEnvironment.KEY)),
         404,
         "unknown-request");
   }
 
   @Test
-  void brokenHttpLeavesProcessUnharmed() throws IOException {
+  void malformedHttpIsRejected() throws IOException {
     try (Socket socket = new Socket("127.0.0.1", world.entry.address().getPort())) {
       socket.getOutputStream().write("\0\1nonsense\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       byte[] answer = socket.getInputStream().readNBytes(12);
@@ -195,7 +195,7 @@
   }
 
   @Test
-  void announcementsNeedTheirSecret() {
+  void announcementRequiresUpstreamSecret() {
     String body =
         "{\"upstream\":\"tutor-llm-1\",\"incarnation\":1,\"sequence\":1,"
             + "\"address\":{\"host\":\"127.0.0.1\",\"port\":9000},\"data_center\":\"regina-a\","
@@ -206,11 +206,11 @@
             + "\"age_ms\":100},\"lifetime_ms\":3000}";
     String other = body.replace("tutor-llm-1", "tutor-llm-2");
 
-    assertThat(announce("tutor-llm-1", EntryWorld.SECRET, body)).isEqualTo(204);
+    assertThat(announce("tutor-llm-1", EntryTestEnvironment.SECRET, body)).isEqualTo(204);
     assertThat(announce("tutor-llm-1", "wrong", body)).isEqualTo(401);
-    assertThat(announce("tutor-llm-2", EntryWorld.SECRET, other)).isEqualTo(403);
-    assertThat(announce("tutor-llm-2", EntryWorld.SECRET, body)).isEqualTo(400);
-    assertThat(announce("tutor-llm-1", EntryWorld.SECRET, "{}")).isEqualTo(400);
+    assertThat(announce("tutor-llm-2", EntryTestEnvironment.SECRET, other)).isEqualTo(403);
+    assertThat(announce("tutor-llm-2", EntryTestEnvironment.SECRET, body)).isEqualTo(400);
+    assertThat(announce("tutor-llm-1", EntryTestEnvironment.SECRET, "{}")).isEqualTo(400);
     assertThat(world.control.heard(EntryMessage.UpstreamSeen.class)).hasSize(1);
   }
 
--- a/entry/src/test/java/org/teaseltrail/entry/EntryDaemonTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryDaemonTest.java
@@ -13,7 +13,7 @@
   private static final String REQUEST_PREFIX =
       "{\"model\":\"tutor-llm\",\"prompt\":\"When is recess?\",\"max_tokens\":8";
 
-  private final EntryWorld world = new EntryWorld();
+  private final EntryTestEnvironment world = new EntryTestEnvironment();
 
   @AfterEach
   void close() {
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void streamsAnAnswerWithItsOutcome() {
+  void streamsTokensFollowedByOutcome() {
     HttpResponse<String> answer = world.generate(REQUEST_PREFIX + "}");
 
     assertThat(answer.statusCode()).isEqualTo(200);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void givesAnAnswerInOnePiece() {
+  void returnsNonStreamedResponse() {
     HttpResponse<String> answer = world.generate(REQUEST_PREFIX + ",\"stream\":false}");
 
     assertThat(answer.statusCode()).isEqualTo(200);
@@ -46,7 +46,7 @@
     HttpResponse<String> state =
         world.send(
             "/v1/requests/" + id,
-            request -> request.header("Authorization", "Bearer " + EntryWorld.KEY));
+            request -> request.header("Authorization", "Bearer " + EntryTestEnvironment.KEY));
     assertThat(state.body())
         .contains("\"state\":\"ended\"", "\"outcome\":\"completed\"", "tutor-llm-1");
     assertThat(world.send("/v1/requests/" + id, request -> request).statusCode()).isEqualTo(401);
@@ -57,7 +57,7 @@
   @Test
   void resumesStreamAfterBrokenConnection() {
     world.engine.frames = 6;
-    world.engine.cutAfterFrames = 2;
+    world.engine.disconnectAfterFrames = 2;
 
     HttpResponse<String> answer = world.generate(REQUEST_PREFIX + ",\"stream\":false}");
 
@@ -67,8 +67,8 @@
   }
 
   @Test
-  void tellsThatRefusedRequestDidNotRun() {
-    world.engine.refuses = true;
+  void reportsRefusedRequestAsNotRun() {
+    world.engine.rejectsRequests = true;
 
     HttpResponse<String> answer = world.generate(REQUEST_PREFIX + "}");
 
@@ -86,7 +86,7 @@
             "/v1/services/portal-app/certificates",
             request ->
                 request
-                    .header("Authorization", "Bearer " + EntryWorld.KEY)
+                    .header("Authorization", "Bearer " + EntryTestEnvironment.KEY)
                     .header("Idempotency-Key", "k-1")
                     .POST(HttpRequest.BodyPublishers.ofString("board")));
 
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void tellsSchedulerHowRequestEnded() {
+  void reportsRequestEndToScheduler() {
     world.generate(REQUEST_PREFIX + ",\"stream\":false}");
     world.entry.close();
 
--- a/entry/src/test/java/org/teaseltrail/entry/EntryFlowTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryFlowControlTest.java
@@ -15,14 +15,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class EntryFlowTest {
+class EntryFlowControlTest {
 
   private static final String REQUEST_BODY =
       "{\"model\":\"tutor-llm\",\"prompt\":\"When is recess?\",\"max_tokens\":8}";
   private static final int LONG_FRAMES = 24_000;
   private static final long LINES_PER_SHORT_RESPONSE = 4;
 
-  private final EntryWorld world = new EntryWorld();
+  private final EntryTestEnvironment world = new EntryTestEnvironment();
   private final List<InputStream> openStreams = new ArrayList<>();
 
   @AfterEach
@@ -30,12 +30,12 @@
     for (InputStream unread : openStreams) {
       unread.close();
     }
-    world.engine.release();
+    world.engine.resumePausedStreams();
     world.close();
   }
 
   private HttpResponse<InputStream> open() {
-    HttpResponse<InputStream> answer = world.open(REQUEST_BODY);
+    HttpResponse<InputStream> answer = world.openStream(REQUEST_BODY);
     openStreams.add(answer.body());
     return answer;
   }
@@ -43,7 +43,7 @@
   private static List<String> eventIds(HttpResponse<InputStream> answer) throws IOException {
     try (BufferedReader lines =
         new BufferedReader(new InputStreamReader(answer.body(), StandardCharsets.UTF_8))) {
-      return lines.lines().filter(EntryFlowTest::isIdOrOutcome).toList();
+      return lines.lines().filter(EntryFlowControlTest::isIdOrOutcome).toList();
     }
   }
 
@@ -55,7 +55,7 @@
   // exchanges reachable. After some 30,000 responses the heap was full, the VM collected garbage
   // continuously and admitted no more requests.
   @Test
-  void completedRequestLeavesNoConnectionBehind() {
+  void completedRequestReleasesItsUpstreamCall() {
     world.engine.frames = 3;
     assertThat(world.generate(REQUEST_BODY).statusCode()).isEqualTo(200);
     world.await(() -> metrics().contains("upstream_calls{program=\"teaseltrail-entry\"} 0.0"));
@@ -69,7 +69,7 @@
   // engine's stream, and must still serve other callers. Once the caller reads, it gets the
   // complete response.
   @Test
-  void slowCallerHoldsUpNeitherOthersNorMemory() throws IOException {
+  void slowCallerNeitherDelaysOthersNorGrowsMemory() throws IOException {
     world.engine.frames = LONG_FRAMES;
     world.engine.padding = "x".repeat(1_000);
     final HttpResponse<InputStream> slow = open();
@@ -79,7 +79,7 @@
     for (int others = 1; unchanged < 30; others++) {
       assertThat(world.generate(REQUEST_BODY).statusCode()).isEqualTo(200);
       long before = made;
-      made = world.engine.linesMade.get() - others * LINES_PER_SHORT_RESPONSE;
+      made = world.engine.generatedLines.get() - others * LINES_PER_SHORT_RESPONSE;
       unchanged = made == before ? unchanged + 1 : 0;
     }
     assertThat(made).isLessThan(LONG_FRAMES);
@@ -93,8 +93,8 @@
   // Guards against an engine that goes on generating after its caller has disconnected: the VM must
   // cancel the engine's stream.
   @Test
-  void engineIsToldThatCallerIsGone() throws IOException {
-    world.engine.holdAfterFrames = 1;
+  void engineStreamIsCancelledWhenCallerDisconnects() throws IOException {
+    world.engine.pauseAfterFrames = 1;
     HttpResponse<InputStream> answer = open();
     assertThat(answer.body().read()).isEqualTo('e');
     answer.body().close();
@@ -105,14 +105,14 @@
   // Guards against a shutdown that truncates a response being streamed. The listener closes, the
   // caller still gets the remaining frames and the outcome, and only then does the daemon end.
   @Test
-  void shutdownLetsRunningAnswerFinish() throws IOException {
-    world.engine.holdAfterFrames = 1;
+  void shutdownWaitsForRunningResponse() throws IOException {
+    world.engine.pauseAfterFrames = 1;
     final HttpResponse<InputStream> answer = open();
     CompletableFuture<Void> closed = CompletableFuture.runAsync(world.entry::close);
     world.awaitListenerClosed();
     assertThat(closed).isNotDone();
 
-    world.engine.release();
+    world.engine.resumePausedStreams();
     assertThat(eventIds(answer)).hasSize(4).last().asString().contains("\"completed\"");
     closed.join();
     assertThat(world.engine.count("GET")).isZero();
--- a/entry/src/test/java/org/teaseltrail/entry/EntryMetricsTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryMetricsTest.java
@@ -13,7 +13,7 @@
    * garbage-collected.
    */
   @Test
-  void gaugesOutliveTheCollector() {
+  void gaugesSurviveGarbageCollection() {
     try (EntryMetrics metrics = new EntryMetrics()) {
       watch(metrics);
 
@@ -27,6 +27,6 @@
 
   private static void watch(EntryMetrics metrics) {
     EntryStatus status = new EntryStatus(7, 2, 13, 1, 2_500);
-    metrics.watch(() -> status, () -> 3);
+    metrics.registerGauges(() -> status, () -> 3);
   }
 }
--- a/entry/src/test/java/org/teaseltrail/entry/EntryWorld.java
+++ b/entry/src/test/java/org/teaseltrail/entry/EntryTestEnvironment.java
@@ -37,7 +37,7 @@
 import org.teaseltrail.core.id.VmId;
 
 /** An entry VM on loopback between a caller, a fake control member and a fake engine. */
-final class EntryWorld implements AutoCloseable {
+final class EntryTestEnvironment implements AutoCloseable {
 
   static final String KEY = "gopherfield-key";
   static final String SECRET = "engine-secret";
@@ -50,7 +50,7 @@
   final EntryDaemon entry;
   private final HttpClient client = HttpClient.newHttpClient();
 
-  EntryWorld() {
+  EntryTestEnvironment() {
     EntrySettings defaults =
         EntrySettings.defaults(
             new VmId("entry-1"), new Incarnation(1), new DataCenterId("regina-a"));
@@ -89,7 +89,7 @@
     return new Configuration(
         new Revision(5),
         Map.of(tier, new TierDefinition(tier, "first")),
-        Map.of(customer, new Customer(customer, tier, List.of(Sha256Text.ofText(KEY)), 0, 0, 1)),
+        Map.of(customer, new Customer(customer, tier, List.of(Sha256Hex.ofText(KEY)), 0, 0, 1)),
         Map.of(pool, new Pool(pool, 1_000, 0)),
         Map.of(
             new RouteId("tutor"),
@@ -103,7 +103,7 @@
                 new ServiceTarget(new ServiceId("portal-app"), Set.of("POST")),
                 pool)),
         Map.of(
-            UPSTREAM, new AllowedUpstream(UPSTREAM, pool, Sha256Text.ofText(SECRET), false, true)));
+            UPSTREAM, new AllowedUpstream(UPSTREAM, pool, Sha256Hex.ofText(SECRET), false, true)));
   }
 
   /**
@@ -137,7 +137,7 @@
   }
 
   /** Requests a streamed response and returns it unread. */
-  HttpResponse<InputStream> open(String body) {
+  HttpResponse<InputStream> openStream(String body) {
     HttpRequest request =
         HttpRequest.newBuilder(uri("/v1/generate"))
             .header("Authorization", "Bearer " + KEY)
@@ -165,10 +165,10 @@
         });
   }
 
-  HttpResponse<String> send(String path, UnaryOperator<HttpRequest.Builder> shape) {
+  HttpResponse<String> send(String path, UnaryOperator<HttpRequest.Builder> customizer) {
     try {
       return client.send(
-          shape.apply(HttpRequest.newBuilder(uri(path))).build(),
+          customizer.apply(HttpRequest.newBuilder(uri(path))).build(),
           HttpResponse.BodyHandlers.ofString());
     } catch (IOException | InterruptedException e) {
       throw new IllegalStateException(e);
--- a/entry/src/test/java/org/teaseltrail/entry/FakeEngine.java
+++ b/entry/src/test/java/org/teaseltrail/entry/FakeEngine.java
@@ -19,11 +19,11 @@
 
   final Queue<String> calls = new ConcurrentLinkedQueue<>();
   volatile long frames = 3;
-  volatile long cutAfterFrames = Long.MAX_VALUE;
-  volatile boolean refuses;
+  volatile long disconnectAfterFrames = Long.MAX_VALUE;
+  volatile boolean rejectsRequests;
   volatile String padding = "";
-  volatile long holdAfterFrames = Long.MAX_VALUE;
-  final AtomicLong linesMade = new AtomicLong();
+  volatile long pauseAfterFrames = Long.MAX_VALUE;
+  final AtomicLong generatedLines = new AtomicLong();
   private final Sinks.Empty<Void> resumeSignal = Sinks.empty();
   private final DisposableServer server;
 
@@ -58,15 +58,15 @@
   }
 
   private Publisher<Void> answer(String id, HttpServerResponse response) {
-    if (refuses) {
+    if (rejectsRequests) {
       return response.status(503).sendString(Mono.just("{\"not_run\":true}"));
     }
-    if (holdAfterFrames <= frames) {
+    if (pauseAfterFrames <= frames) {
       Flux<String> rest =
-          resumeSignal.asMono().thenMany(Flux.defer(() -> lines(id, holdAfterFrames, frames + 1)));
-      return response.sendString(lines(id, 0, holdAfterFrames).concatWith(rest));
+          resumeSignal.asMono().thenMany(Flux.defer(() -> lines(id, pauseAfterFrames, frames + 1)));
+      return response.sendString(lines(id, 0, pauseAfterFrames).concatWith(rest));
     }
-    long endSequence = Math.min(frames + 1, cutAfterFrames);
+    long endSequence = Math.min(frames + 1, disconnectAfterFrames);
     boolean disconnects = endSequence <= frames;
     Flux<String> lines = lines(id, 0, endSequence);
     return response.sendString(
@@ -74,7 +74,7 @@
   }
 
   /** Resumes paused streams. */
-  void release() {
+  void resumePausedStreams() {
     resumeSignal.tryEmitEmpty();
   }
 
@@ -106,7 +106,7 @@
   }
 
   private String line(String id, long sequence, long total) {
-    linesMade.incrementAndGet();
+    generatedLines.incrementAndGet();
     String head = "{\"request_id\":\"" + id + "\",\"seq\":" + sequence;
     return sequence < total
         ? head + ",\"text\":\"w" + sequence + " " + padding + "\"}\n"
--- a/entry/src/test/java/org/teaseltrail/entry/KeptConnectionTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/KeepAliveConnectionTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-class KeptConnectionTest {
+class KeepAliveConnectionTest {
 
   private static final int CALLS = 2_000;
 
@@ -19,7 +19,7 @@
   @Test
   @Timeout(30)
   void eachCallOnOneConnectionIsAnswered() throws Exception {
-    try (EntryWorld world = new EntryWorld()) {
+    try (EntryTestEnvironment world = new EntryTestEnvironment()) {
       for (int call = 0; call < CALLS; call++) {
         String path = call % 2 == 0 ? "/readyz" : "/healthz";
         assertThat(world.send(path, HttpRequest.Builder::GET).statusCode()).isEqualTo(200);
--- a/entry/src/test/java/org/teaseltrail/entry/SettingsPagesTest.java
+++ b/entry/src/test/java/org/teaseltrail/entry/SettingsPagesTest.java
@@ -20,13 +20,13 @@
   private final SettingsSpec spec = new EntryProgram().spec();
 
   @Test
-  void exampleFileShowsTheDeclarations() throws Exception {
+  void exampleFileMatchesDeclarations() throws Exception {
     assertThat(EXAMPLE).hasContent(ExampleFile.print(spec));
     assertThat(new SettingsReader(spec).read(EXAMPLE)).isNotNull();
   }
 
   @Test
-  void pageShowsTheDeclarations() throws IOException {
+  void settingsPageMatchesDeclarations() throws IOException {
     assertThat(Files.readString(PAGE)).contains(SettingsTable.print(spec));
   }
 }
--- a/forward/src/main/java/org/teaseltrail/forward/SideServer.java
+++ b/forward/src/main/java/org/teaseltrail/forward/AdminServer.java
@@ -10,21 +10,21 @@
 import reactor.netty.resources.LoopResources;
 
 /** An HTTP server with a single endpoint about the process: its readiness or its metrics. */
-final class SideServer implements AutoCloseable {
+final class AdminServer implements AutoCloseable {
 
   private static final int OK = 200;
   private static final int UNAVAILABLE = 503;
 
   private final DisposableServer server;
 
-  private SideServer(DisposableServer server) {
+  private AdminServer(DisposableServer server) {
     this.server = server;
   }
 
   /** Starts a server that reports whether the VM is ready for callers. */
-  static SideServer readiness(
+  static AdminServer readiness(
       LoopResources loops, InetSocketAddress address, String path, BooleanSupplier ready) {
-    return new SideServer(
+    return new AdminServer(
         HttpServer.create()
             .runOn(loops)
             .bindAddress(() -> address)
@@ -38,9 +38,9 @@
   }
 
   /** Starts a server that exposes metrics. */
-  static SideServer metrics(
+  static AdminServer metrics(
       LoopResources loops, InetSocketAddress address, Supplier<String> metrics) {
-    return new SideServer(
+    return new AdminServer(
         HttpServer.create()
             .runOn(loops)
             .bindAddress(() -> address)
--- a/forward/src/main/java/org/teaseltrail/forward/ReceivedContent.java
+++ b/forward/src/main/java/org/teaseltrail/forward/BufferedRequestContent.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /** The content of a completely received request whose body is still buffered. */
-record ReceivedContent(FullHttpRequest received) implements RequestContent {
+record BufferedRequestContent(FullHttpRequest received) implements RequestContent {
 
   private static final byte LINE_END = '\n';
 
--- a/forward/src/main/java/org/teaseltrail/forward/CallerConnection.java
+++ b/forward/src/main/java/org/teaseltrail/forward/CallerConnection.java
@@ -44,11 +44,11 @@
   @Override
   public void channelActive(ChannelHandlerContext context) {
     channel = context.channel();
-    server.opened(this);
+    server.onCallerConnected(this);
   }
 
   /** Records that bytes were received, before they are decoded. */
-  void bytesCame() {
+  void onBytesReceived() {
     if (current == null && !midRequest) {
       midRequest = true;
       lastActiveNs = System.nanoTime();
@@ -81,7 +81,7 @@
   @Override
   public void channelWritabilityChanged(ChannelHandlerContext context) {
     if (current != null) {
-      current.callerWritable(channel.isWritable());
+      current.onCallerWritabilityChanged(channel.isWritable());
     }
   }
 
@@ -92,13 +92,13 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    server.closed(this);
+    server.onCallerConnectionClosed(this);
     pipelined.forEach(ReferenceCountUtil::release);
     pipelined.clear();
     if (current != null) {
       Exchange left = current;
       current = null;
-      server.callerLeft(left);
+      server.onCallerDisconnected(left);
     }
   }
 
@@ -119,7 +119,7 @@
   }
 
   /** Starts the next request after the response of the current one is complete. */
-  void answered(Exchange exchange) {
+  void onResponseCompleted(Exchange exchange) {
     if (current != exchange) {
       return;
     }
@@ -134,7 +134,7 @@
   }
 
   /** Closes the connection in the middle of a response, so that it can't look complete. */
-  void breakOff() {
+  void abort() {
     channel.close();
   }
 
@@ -161,13 +161,13 @@
 
   private void startExchange(FullHttpRequest request) {
     try {
-      current = server.exchange(this, request);
+      current = server.createExchange(this, request);
     } catch (MalformedRequestException e) {
       request.release();
       refuse(HttpResponseStatus.BAD_REQUEST, e.getMessage());
       return;
     }
-    server.arrived(current);
+    server.onRequest(current);
   }
 
   private void refuseMalformed(Throwable cause) {
@@ -190,7 +190,7 @@
       return;
     }
     closing = true;
-    var answer = OwnAnswer.of(server.dialect(), status, reason, "", 0);
+    var answer = LocalReplyFactory.create(server.headerCodec(), status, reason, "", 0);
     HttpUtil.setKeepAlive(answer, false);
     channel.writeAndFlush(answer).addListener(done -> lingerThenClose());
   }
--- a/forward/src/main/java/org/teaseltrail/forward/CallerListener.java
+++ b/forward/src/main/java/org/teaseltrail/forward/CallerListener.java
@@ -47,7 +47,7 @@
       throws InterruptedException {
     return new ServerBootstrap()
         .group(sharedLoop.loop())
-        .channelFactory(() -> sharedLoop.channel(ServerSocketChannel.class))
+        .channelFactory(() -> sharedLoop.newChannel(ServerSocketChannel.class))
         .option(ChannelOption.SO_BACKLOG, BACKLOG)
         .option(ChannelOption.SO_REUSEADDR, true)
         .childOption(ChannelOption.TCP_NODELAY, true)
@@ -86,7 +86,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-      caller.bytesCame();
+      caller.onBytesReceived();
       context.fireChannelRead(message);
     }
   }
--- a/forward/src/main/java/org/teaseltrail/forward/ControlLinks.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ControlConnectionManager.java
@@ -23,7 +23,8 @@
 import reactor.netty.resources.LoopResources;
 
 /** Maintains the connections to the control members, whose VM ids are their addresses. */
-final class ControlLinks implements AutoCloseable, FrameListener<ServingReply, ServingMessage> {
+final class ControlConnectionManager
+    implements AutoCloseable, FrameListener<ServingReply, ServingMessage> {
 
   private static final long MIN_BACKOFF_MS = 50;
 
@@ -53,7 +54,7 @@
   private final RandomGenerator random;
   private final Consumer<ServingReply> replies;
 
-  ControlLinks(
+  ControlConnectionManager(
       LoopResources loops, VmId self, RandomGenerator random, Consumer<ServingReply> replies) {
     this.loops = loops;
     this.self = self;
@@ -62,7 +63,7 @@
   }
 
   /** Connects to the given members and closes the connections to all others. */
-  void keep(List<VmId> members) {
+  void setMembers(List<VmId> members) {
     Set<VmId> removed = new HashSet<>(clients.keySet());
     members.forEach(removed::remove);
     removed.forEach(vm -> clients.remove(vm).close());
--- a/forward/src/main/java/org/teaseltrail/forward/Exchange.java
+++ b/forward/src/main/java/org/teaseltrail/forward/Exchange.java
@@ -48,7 +48,7 @@
   private final ForwardRequest request;
   private final FullHttpRequest received;
   private final boolean keepAlive;
-  private final EventBlocks events = new EventBlocks();
+  private final SseEventFramer events = new SseEventFramer();
   private Optional<Attempt> attempt = Optional.empty();
   private HttpResponse responseHead;
   private ByteBuf responseBody = Unpooled.EMPTY_BUFFER;
@@ -79,17 +79,17 @@
     return keepAlive;
   }
 
-  boolean hasBegun() {
+  boolean hasResponseStarted() {
     return headSent;
   }
 
   /** Returns the status of the buffered or started response, 0 if there is none, for the log. */
-  int answerStatus() {
+  int responseStatus() {
     return responseHead == null ? 0 : responseHead.status().code();
   }
 
   /** Returns the longest time between two reads of events, in milliseconds, for the log. */
-  long longestPauseMs() {
+  long maxEventGapMs() {
     return (long) (maxEventGapNs / NS_PER_MS);
   }
 
@@ -98,8 +98,8 @@
     Attempt next = new Attempt(dispatch);
     attempt = Optional.of(next);
     discardResponse();
-    events.dropPart();
-    server.pool().connect(dispatch.upstream(), next::onConnected, next::onConnectFailed);
+    events.discardPartialEvent();
+    server.pool().acquire(dispatch.upstream(), next::onConnected, next::onConnectFailed);
   }
 
   /** Aborts the current attempt, if any. */
@@ -118,25 +118,26 @@
       DefaultFullHttpResponse response =
           new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, responseHead.status(), body);
       response.headers().set(responseHead.headers());
-      HopHeaders.remove(response.headers());
+      HopByHopHeaders.remove(response.headers());
       boolean bodiless = responseHead.status().code() == HttpResponseStatus.NO_CONTENT.code();
       if (!bodiless && !received.method().equals(HttpMethod.HEAD)) {
         HttpUtil.setContentLength(response, body.readableBytes());
       }
       caller.write(response);
     }
-    caller.answered(this);
+    caller.onResponseCompleted(this);
   }
 
   /** Refuses the request with a local reply, or aborts the connection if a stream was started. */
   void refuse(HttpResponseStatus status, String reason, long retryAfterMs) {
     if (headSent) {
       // A broken stream must not look complete; without the last chunk it does not.
-      caller.breakOff();
+      caller.abort();
       return;
     }
-    caller.write(OwnAnswer.of(server.dialect(), status, reason, request.id(), retryAfterMs));
-    caller.answered(this);
+    caller.write(
+        LocalReplyFactory.create(server.headerCodec(), status, reason, request.id(), retryAfterMs));
+    caller.onResponseCompleted(this);
   }
 
   /** Aborts the current attempt and releases the buffers. */
@@ -147,7 +148,7 @@
   }
 
   /** Resumes or pauses reading from the upstream, so that it does not outpace the caller. */
-  void callerWritable(boolean writable) {
+  void onCallerWritabilityChanged(boolean writable) {
     attempt.ifPresent(current -> current.setCallerWritable(writable));
   }
 
@@ -158,7 +159,7 @@
 
   private void keep(ByteBuf part) {
     if (responseBody == Unpooled.EMPTY_BUFFER) {
-      responseBody = server.allocate();
+      responseBody = server.allocateBuffer();
     }
     responseBody.writeBytes(part);
   }
@@ -166,7 +167,7 @@
   private void startStream() {
     DefaultHttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, responseHead.status());
     head.headers().set(responseHead.headers());
-    HopHeaders.remove(head.headers());
+    HopByHopHeaders.remove(head.headers());
     head.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
     HttpUtil.setTransferEncodingChunked(head, true);
     caller.write(head);
@@ -174,12 +175,12 @@
   }
 
   /** One attempt of the request at one upstream. */
-  private final class Attempt implements UpstreamCall {
+  private final class Attempt implements UpstreamResponseListener {
 
     private final ForwardAction.Dispatch dispatch;
-    private final long dispatchedNs = server.signals().nowNs();
+    private final long dispatchedNs = server.signalHandler().nowNs();
     private UpstreamConnection connection;
-    private AnswerHead head;
+    private ResponseHead head;
     private int status;
     private boolean forwardsEvents;
     private boolean ended;
@@ -195,11 +196,11 @@
 
     void onConnected(UpstreamConnection made) {
       if (ended) {
-        server.pool().idle(made);
+        server.pool().release(made);
         return;
       }
-      if (!server.signals().allowSending(dispatch.upstream().upstreamIncarnation())) {
-        server.pool().idle(made);
+      if (!server.signalHandler().canSend(dispatch.upstream().upstreamIncarnation())) {
+        server.pool().release(made);
         end(AttemptOutcome.WITHHELD);
         return;
       }
@@ -215,13 +216,13 @@
     void abort() {
       ended = true;
       if (connection != null) {
-        connection.abandon();
+        connection.abort();
       }
     }
 
     void setCallerWritable(boolean writable) {
       if (connection != null && !ended) {
-        connection.readMore(writable);
+        connection.setCallerWritable(writable);
       }
     }
 
@@ -231,14 +232,14 @@
     }
 
     @Override
-    public void head(HttpResponse response, AnswerHead read) {
+    public void headReceived(HttpResponse response, ResponseHead read) {
       head = read;
       status = response.status().code();
       boolean success = response.status().codeClass() == HttpStatusClass.SUCCESS;
       forwardsEvents = success && read.signed() && read.eventStream();
-      read.load().ifPresent(load -> server.told(dispatch.upstream().id(), load));
+      read.load().ifPresent(load -> server.onLoadReport(dispatch.upstream().id(), load));
       if (status != MISDIRECTED_REQUEST) {
-        server.signals().heard(dispatch.upstream(), read, dispatchedNs);
+        server.signalHandler().heard(dispatch.upstream(), read, dispatchedNs);
       }
       if (!headSent) {
         responseHead = response;
@@ -246,7 +247,7 @@
     }
 
     @Override
-    public void body(ByteBuf part) {
+    public void bodyReceived(ByteBuf part) {
       if (!forwardsEvents) {
         bufferBounded(part);
         return;
@@ -254,23 +255,23 @@
       byte[] bytes = new byte[part.readableBytes()];
       part.readBytes(bytes);
       try {
-        collect(events.take(bytes));
-      } catch (EventBlocks.OversizedEventException e) {
-        connection.abandon();
+        collect(events.decode(bytes));
+      } catch (SseEventFramer.OversizedEventException e) {
+        connection.abort();
         end(AttemptOutcome.BROKEN);
       }
     }
 
     @Override
-    public void partsRead() {
+    public void readCompleted() {
       forwardPendingEvents();
       if (firstEventNs > 0 && !ended) {
-        server.eventHold().hold(connection, System.nanoTime() - firstEventNs);
+        server.readCoalescer().hold(connection, System.nanoTime() - firstEventNs);
       }
     }
 
     @Override
-    public void complete() {
+    public void completed() {
       forwardPendingEvents();
       reportLatency();
       end(outcomeOfCompleteResponse());
@@ -289,16 +290,16 @@
               received.uri(),
               received.content().retainedDuplicate());
       call.headers().set(received.headers());
-      HopHeaders.remove(call.headers());
+      HopByHopHeaders.remove(call.headers());
       server
-          .dialect()
-          .writeCall(
+          .headerCodec()
+          .writeUpstreamHeaders(
               call.headers(),
-              new CallHeaders(
+              new UpstreamCallMetadata(
                   dispatch.upstream().id(),
                   dispatch.customer(),
                   dispatch.remainingMs(),
-                  events.lastId()));
+                  events.lastEventId()));
       call.headers().remove(HttpHeaderNames.CONTENT_LENGTH);
       boolean carriesBody =
           received.content().isReadable() || !received.method().equals(HttpMethod.GET);
@@ -310,7 +311,7 @@
 
     private void collect(byte[] completeEvents) {
       if (completeEvents.length > 0) {
-        pendingEvents = pendingEvents.isReadable() ? pendingEvents : server.allocate();
+        pendingEvents = pendingEvents.isReadable() ? pendingEvents : server.allocateBuffer();
         pendingEvents.writeBytes(completeEvents);
       }
     }
@@ -328,11 +329,11 @@
         startStream();
       }
       if (first) {
-        server.begun(Exchange.this);
+        server.onResponseStarted(Exchange.this);
       }
       caller.write(new DefaultHttpContent(completeEvents));
       if (!caller.isWritable()) {
-        connection.readMore(false);
+        connection.setCallerWritable(false);
       }
     }
 
@@ -340,7 +341,7 @@
       long nowNs = System.nanoTime();
       if (firstEventNs == 0) {
         firstEventNs = nowNs;
-        eventsInFirstRead = events.passedOn();
+        eventsInFirstRead = events.forwardedEvents();
       } else {
         maxEventGapNs = Math.max(maxEventGapNs, nowNs - lastEventNs);
       }
@@ -349,18 +350,19 @@
 
     /** Reports the mean interval between events, or the latency of a response without events. */
     private void reportLatency() {
-      long laterEvents = events.passedOn() - eventsInFirstRead;
+      long laterEvents = events.forwardedEvents() - eventsInFirstRead;
       if (firstEventNs > 0 && laterEvents > 0) {
         double intervalMs = (lastEventNs - firstEventNs) / NS_PER_MS / laterEvents;
-        server.streamPace(Exchange.this, dispatch.upstream().id(), intervalMs);
+        server.recordEventInterval(Exchange.this, dispatch.upstream().id(), intervalMs);
       } else if (!forwardsEvents) {
-        server.pace(dispatch.upstream().id(), (System.nanoTime() - sentNs) / NS_PER_MS);
+        server.recordEventLatency(
+            dispatch.upstream().id(), (System.nanoTime() - sentNs) / NS_PER_MS);
       }
     }
 
     private void bufferBounded(ByteBuf part) {
       if (responseBody.readableBytes() + part.readableBytes() > MAX_RESPONSE_BYTES) {
-        connection.abandon();
+        connection.abort();
         end(AttemptOutcome.BROKEN);
       } else if (!headSent) {
         keep(part);
@@ -380,7 +382,7 @@
         return AttemptOutcome.REFUSED;
       }
       if (forwardsEvents) {
-        return events.isBetweenEvents() ? AttemptOutcome.ANSWERED : AttemptOutcome.BROKEN;
+        return events.isAtEventBoundary() ? AttemptOutcome.ANSWERED : AttemptOutcome.BROKEN;
       }
       boolean success = status >= HttpResponseStatus.OK.code() && status < 300;
       if (NOT_RUN_STATUSES.contains(status) || (success && !head.signed()) || headSent) {
@@ -396,7 +398,7 @@
       forwardPendingEvents();
       ended = true;
       attempt = Optional.empty();
-      server.attemptEnded(Exchange.this, end);
+      server.onAttemptEnded(Exchange.this, end);
     }
   }
 }
--- a/forward/src/main/java/org/teaseltrail/forward/ForwardMetrics.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ForwardMetrics.java
@@ -39,7 +39,7 @@
     for (AttemptOutcome end : AttemptOutcome.values()) {
       attempts.put(end, registry.counter("teaseltrail.attempts", "end", end.name()));
     }
-    registry.gauge("teaseltrail.requests.open", server, ForwardServer::open);
+    registry.gauge("teaseltrail.requests.open", server, ForwardServer::openRequests);
     registry.gauge("teaseltrail.plan.version", server, ForwardServer::planVersion);
     registry.gauge("teaseltrail.session.valid", server, node -> node.isSessionValid() ? 1 : 0);
     registry.gauge("teaseltrail.log.lines.dropped", log, EventLog::droppedInAll);
--- a/forward/src/main/java/org/teaseltrail/forward/ForwardOptions.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ForwardOptions.java
@@ -12,7 +12,7 @@
  * @param readyPath path of the readiness probe
  * @param listenMetrics address for metrics, if they are served
  * @param graceMs time between the termination signal and the kill, in milliseconds
- * @param eventHoldMs maximum time for which an event of a long stream may wait to be forwarded
+ * @param maxEventDelayMs maximum time for which an event of a long stream may wait to be forwarded
  *     together with the next ones, in milliseconds; 0 disables delays
  * @param node settings of the forwarding decisions
  */
@@ -22,5 +22,5 @@
     String readyPath,
     Optional<InetSocketAddress> listenMetrics,
     long graceMs,
-    long eventHoldMs,
+    long maxEventDelayMs,
     ForwardSettings node) {}
--- a/forward/src/main/java/org/teaseltrail/forward/ForwardServer.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ForwardServer.java
@@ -70,50 +70,50 @@
   private static final long DRAIN_POLL_MS = 50;
 
   private final ForwardOptions options;
-  private final HeaderDialect dialect;
+  private final HeaderCodec headerCodec;
   private final EventLog log;
   private final SuspendAwareClock clock = new SuspendAwareClock();
   private final SharedEventLoop sharedLoop = new SharedEventLoop();
   private final EventLoop loop = sharedLoop.loop();
   private final ForwardNode node;
-  private final UpstreamPool pool;
-  private final SignalListener signals;
-  private final EventHold eventHold;
-  private final ControlLinks controlConnections;
+  private final UpstreamConnectionPool pool;
+  private final UpstreamSignalHandler signalHandler;
+  private final ReadCoalescer readCoalescer;
+  private final ControlConnectionManager controlConnections;
   private final ForwardMetrics metrics;
-  private final SideServer readiness;
-  private final Optional<SideServer> metricsServer;
+  private final AdminServer readiness;
+  private final Optional<AdminServer> metricsServer;
   private final Channel listener;
   private final CompletableFuture<ExitCode> ended = new CompletableFuture<>();
   private final Map<Long, Exchange> exchanges = new HashMap<>();
-  private final Map<Long, RequestStory> requestLoggers = new HashMap<>();
+  private final Map<Long, RequestLogger> requestLoggers = new HashMap<>();
   private final Set<CallerConnection> callers = new HashSet<>();
   private long lastNumber;
   private long wakeupNs = Long.MAX_VALUE;
   private Future<?> wakeup;
   private volatile boolean draining;
   private volatile boolean ready;
-  private volatile int open;
+  private volatile int openRequests;
   private volatile long planVersion = -1;
 
-  private ForwardServer(ForwardOptions options, HeaderDialect dialect, EventLog log)
+  private ForwardServer(ForwardOptions options, HeaderCodec dialect, EventLog log)
       throws InterruptedException {
     this.options = options;
-    this.dialect = dialect;
+    this.headerCodec = dialect;
     this.log = log;
     node = new ForwardNode(options.node());
-    pool = new UpstreamPool(sharedLoop, dialect);
-    signals = new SignalListener(node.backpressure(), clock, log);
-    eventHold = new EventHold(loop, options.eventHoldMs());
+    pool = new UpstreamConnectionPool(sharedLoop, dialect);
+    signalHandler = new UpstreamSignalHandler(node.backpressure(), clock, log);
+    readCoalescer = new ReadCoalescer(loop, options.maxEventDelayMs());
     controlConnections =
-        new ControlLinks(
+        new ControlConnectionManager(
             sharedLoop.resources(),
             options.node().vm(),
             new SplittableRandom(options.node().seed()),
             reply -> loop.execute(() -> onControlReply(reply)));
     metrics = new ForwardMetrics(this, log);
     readiness =
-        SideServer.readiness(
+        AdminServer.readiness(
             sharedLoop.resources(),
             options.listenReady(),
             options.readyPath(),
@@ -121,7 +121,7 @@
     metricsServer =
         options
             .listenMetrics()
-            .map(address -> SideServer.metrics(sharedLoop.resources(), address, metrics::scrape));
+            .map(address -> AdminServer.metrics(sharedLoop.resources(), address, metrics::scrape));
     listener = CallerListener.bind(this, sharedLoop, options.listen());
     loop.execute(() -> run(node.start()));
     loop.scheduleWithFixedDelay(
@@ -132,14 +132,14 @@
    * Starts a server.
    *
    * @param options the settings
-   * @param dialect codec for the headers of the external platform
+   * @param headerCodec codec for the headers of the external platform
    * @param log log that receives a line for each request
    * @return the running server
    * @throws InterruptedException if the thread is interrupted while it waits for the port
    */
-  public static ForwardServer start(ForwardOptions options, HeaderDialect dialect, EventLog log)
+  public static ForwardServer start(ForwardOptions options, HeaderCodec headerCodec, EventLog log)
       throws InterruptedException {
-    return new ForwardServer(options, dialect, log);
+    return new ForwardServer(options, headerCodec, log);
   }
 
   @Override
@@ -163,7 +163,7 @@
    */
   @Override
   public void close() {
-    log.line(LogEvent.DRAIN_BEGIN).with(LogField.OPEN, open).write();
+    log.line(LogEvent.DRAIN_BEGIN).with(LogField.OPEN, openRequests).write();
     draining = true;
     ready = false;
     long startNs = System.nanoTime();
@@ -175,42 +175,42 @@
         loop.execute(this::stopAccepting);
         stoppedAccepting = true;
       }
-      if (sinceSignalMs > MIN_DRAIN_MS && open == 0) {
+      if (sinceSignalMs > MIN_DRAIN_MS && openRequests == 0) {
         break;
       }
       pause();
     }
-    log.line(LogEvent.DRAIN_END).with(LogField.OPEN, open).write();
+    log.line(LogEvent.DRAIN_END).with(LogField.OPEN, openRequests).write();
     listener.close();
     controlConnections.close();
     readiness.close();
-    metricsServer.ifPresent(SideServer::close);
+    metricsServer.ifPresent(AdminServer::close);
     metrics.close();
     sharedLoop.end(Duration.ofMillis(DRAIN_POLL_MS));
   }
 
-  SignalListener signals() {
-    return signals;
+  UpstreamSignalHandler signalHandler() {
+    return signalHandler;
   }
 
-  UpstreamPool pool() {
+  UpstreamConnectionPool pool() {
     return pool;
   }
 
-  EventHold eventHold() {
-    return eventHold;
+  ReadCoalescer readCoalescer() {
+    return readCoalescer;
   }
 
-  HeaderDialect dialect() {
-    return dialect;
+  HeaderCodec headerCodec() {
+    return headerCodec;
   }
 
   boolean isDraining() {
     return draining;
   }
 
-  int open() {
-    return open;
+  int openRequests() {
+    return openRequests;
   }
 
   long planVersion() {
@@ -221,78 +221,79 @@
     return ready;
   }
 
-  ByteBuf allocate() {
+  ByteBuf allocateBuffer() {
     return UnpooledByteBufAllocator.DEFAULT.heapBuffer();
   }
 
-  void opened(CallerConnection caller) {
+  void onCallerConnected(CallerConnection caller) {
     callers.add(caller);
   }
 
-  void closed(CallerConnection caller) {
+  void onCallerConnectionClosed(CallerConnection caller) {
     callers.remove(caller);
   }
 
-  Exchange exchange(CallerConnection caller, FullHttpRequest received)
+  Exchange createExchange(CallerConnection caller, FullHttpRequest received)
       throws MalformedRequestException {
     lastNumber++;
-    RequestContent content = new ReceivedContent(received);
-    return new Exchange(this, caller, dialect.readRequest(lastNumber, received, content), received);
+    RequestContent content = new BufferedRequestContent(received);
+    return new Exchange(
+        this, caller, headerCodec.readRequest(lastNumber, received, content), received);
   }
 
-  void arrived(Exchange exchange) {
+  void onRequest(Exchange exchange) {
     long number = exchange.request().number();
     long nowNs = clock.nowNs();
     exchanges.put(number, exchange);
-    requestLoggers.put(number, new RequestStory(exchange.request(), nowNs));
-    open = exchanges.size();
+    requestLoggers.put(number, new RequestLogger(exchange.request(), nowNs));
+    openRequests = exchanges.size();
     run(node.onRequest(exchange.request(), nowNs));
   }
 
   /** Handles the first forwarded events of the current attempt. */
-  void begun(Exchange exchange) {
+  void onResponseStarted(Exchange exchange) {
     long number = exchange.request().number();
     run(node.onResponseStarted(number, clock.nowNs()));
-    RequestStory requestLogger = requestLoggers.get(number);
-    if (requestLogger != null && !requestLogger.hasBegun()) {
-      metrics.firstEvent(requestLogger.begun(clock.nowNs()));
+    RequestLogger requestLogger = requestLoggers.get(number);
+    if (requestLogger != null && !requestLogger.hasResponseStarted()) {
+      metrics.firstEvent(requestLogger.responseStarted(clock.nowNs()));
     }
   }
 
-  void attemptEnded(Exchange exchange, AttemptOutcome end) {
+  void onAttemptEnded(Exchange exchange, AttemptOutcome end) {
     long number = exchange.request().number();
     metrics.attempt(end);
-    RequestStory requestLogger = requestLoggers.get(number);
+    RequestLogger requestLogger = requestLoggers.get(number);
     if (requestLogger != null && end != AttemptOutcome.ANSWERED) {
-      requestLogger.attemptEnded(log, end, exchange.answerStatus(), clock.nowNs());
+      requestLogger.attemptEnded(log, end, exchange.responseStatus(), clock.nowNs());
     }
     run(node.onAttemptEnded(number, end, clock.nowNs()));
   }
 
-  void callerLeft(Exchange exchange) {
+  void onCallerDisconnected(Exchange exchange) {
     long number = exchange.request().number();
     long nowNs = clock.nowNs();
     run(node.onCallerDisconnected(number, nowNs));
-    RequestStory requestLogger = requestLoggers.remove(number);
+    RequestLogger requestLogger = requestLoggers.remove(number);
     if (requestLogger != null) {
-      requestLogger.callerLeft(log, exchange.hasBegun(), nowNs);
+      requestLogger.callerDisconnected(log, exchange.hasResponseStarted(), nowNs);
     }
     removeExchange(number);
     exchange.release();
   }
 
-  void told(UpstreamId upstream, AnswerHead.ToldLoad load) {
+  void onLoadReport(UpstreamId upstream, ResponseHead.ReportedLoad load) {
     node.onLoadReport(upstream, load.running() + load.waiting(), clock.nowNs());
   }
 
-  void pace(UpstreamId upstream, double elapsedMs) {
+  void recordEventLatency(UpstreamId upstream, double elapsedMs) {
     node.recordEventLatency(upstream, elapsedMs, clock.nowNs());
   }
 
   /** Records the mean interval between the events of a stream. */
-  void streamPace(Exchange exchange, UpstreamId upstream, double elapsedMs) {
+  void recordEventInterval(Exchange exchange, UpstreamId upstream, double elapsedMs) {
     node.recordEventInterval(exchange.request().number(), elapsedMs);
-    pace(upstream, elapsedMs);
+    recordEventLatency(upstream, elapsedMs);
   }
 
   private boolean acceptsCallers() {
@@ -318,7 +319,7 @@
     if (action instanceof ForwardAction.SendControl send) {
       controlConnections.send(send.member(), send.message());
     } else if (action instanceof ForwardAction.ConnectToMembers keep) {
-      controlConnections.keep(keep.members());
+      controlConnections.setMembers(keep.members());
     } else if (action instanceof ForwardAction.Dispatch dispatch) {
       requestLoggers.get(dispatch.request()).dispatched(dispatch, clock.nowNs());
       exchanges.get(dispatch.request()).dispatch(dispatch);
@@ -333,10 +334,10 @@
 
   private void deliver(ForwardAction.Deliver deliver) {
     Exchange exchange = exchanges.get(deliver.request());
-    RequestStory requestLogger = requestLoggers.remove(deliver.request());
+    RequestLogger requestLogger = requestLoggers.remove(deliver.request());
     long nowNs = clock.nowNs();
     metrics.delivered(requestLogger.elapsedNs(nowNs));
-    requestLogger.delivered(log, exchange.answerStatus(), exchange.longestPauseMs(), nowNs);
+    requestLogger.delivered(log, exchange.responseStatus(), exchange.maxEventGapMs(), nowNs);
     removeExchange(deliver.request());
     exchange.deliver();
   }
@@ -352,7 +353,7 @@
 
   private void removeExchange(long number) {
     exchanges.remove(number);
-    open = exchanges.size();
+    openRequests = exchanges.size();
   }
 
   private void updateReadiness() {
--- a/forward/src/main/java/org/teaseltrail/forward/HeaderDialect.java
+++ b/forward/src/main/java/org/teaseltrail/forward/HeaderCodec.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.quarantine.RequestContent;
 
 /** Translates between the HTTP headers of an external platform and the types of this program. */
-public interface HeaderDialect {
+public interface HeaderCodec {
 
   /**
    * Reads the head of a caller's request.
@@ -27,7 +27,7 @@
    * @param headers the caller's headers, modified in place
    * @param call the metadata for the upstream
    */
-  void writeCall(HttpHeaders headers, CallHeaders call);
+  void writeUpstreamHeaders(HttpHeaders headers, UpstreamCallMetadata call);
 
   /**
    * Reads the head of an upstream's response.
@@ -35,7 +35,7 @@
    * @param head the head
    * @return the properties by which the response is handled
    */
-  AnswerHead readAnswer(HttpResponse head);
+  ResponseHead readResponseHead(HttpResponse head);
 
   /**
    * Writes the headers of a local reply that refuses a request.
@@ -44,5 +44,5 @@
    * @param requestId id that the caller gave to the request, empty if there is none
    * @param retryAfterMs time after which the caller may retry, in milliseconds; 0 if it is unknown
    */
-  void writeRefusal(HttpHeaders headers, String requestId, long retryAfterMs);
+  void writeRefusalHeaders(HttpHeaders headers, String requestId, long retryAfterMs);
 }
--- a/forward/src/main/java/org/teaseltrail/forward/HopHeaders.java
+++ b/forward/src/main/java/org/teaseltrail/forward/HopByHopHeaders.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /** Removes hop-by-hop headers, which apply to a single connection and must not be forwarded. */
-final class HopHeaders {
+final class HopByHopHeaders {
 
   private static final List<String> NAMES =
       List.of(
@@ -20,7 +20,7 @@
           "upgrade",
           "expect");
 
-  private HopHeaders() {}
+  private HopByHopHeaders() {}
 
   static void remove(HttpHeaders headers) {
     List<String> connectionHeaders = headers.getAll(HttpHeaderNames.CONNECTION);
--- a/forward/src/main/java/org/teaseltrail/forward/OwnAnswer.java
+++ b/forward/src/main/java/org/teaseltrail/forward/LocalReplyFactory.java
@@ -10,19 +10,19 @@
 import java.nio.charset.StandardCharsets;
 
 /** Creates local replies: responses that this system generates instead of an upstream. */
-final class OwnAnswer {
+final class LocalReplyFactory {
 
-  private OwnAnswer() {}
+  private LocalReplyFactory() {}
 
   /**
    * Creates a reply with an error reason in its JSON body.
    *
-   * @param dialect writes the platform's headers
+   * @param headerCodec writes the platform's headers
    * @param requestId id that the caller gave to the request, empty if there is none
    * @param retryAfterMs time after which the caller may retry, in milliseconds; 0 if it is unknown
    */
-  static FullHttpResponse of(
-      HeaderDialect dialect,
+  static FullHttpResponse create(
+      HeaderCodec headerCodec,
       HttpResponseStatus status,
       String reason,
       String requestId,
@@ -32,7 +32,7 @@
         new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, Unpooled.wrappedBuffer(body));
     answer.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/json");
     HttpUtil.setContentLength(answer, body.length);
-    dialect.writeRefusal(answer.headers(), requestId, retryAfterMs);
+    headerCodec.writeRefusalHeaders(answer.headers(), requestId, retryAfterMs);
     return answer;
   }
 }
--- a/forward/src/main/java/org/teaseltrail/forward/EventHold.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ReadCoalescer.java
@@ -13,7 +13,7 @@
  * forwarding events, and the time saved is available to new requests. No event waits longer than
  * the maximum delay, and no response takes longer by more than a small fraction of its duration.
  */
-final class EventHold {
+final class ReadCoalescer {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -29,11 +29,11 @@
    * Creates an instance for the connections of one event loop.
    *
    * @param loop event loop of the connections
-   * @param holdMs maximum time for which an event may wait, in milliseconds; 0 disables delays
+   * @param maxDelayMs maximum time for which an event may wait, in milliseconds; 0 disables delays
    */
-  EventHold(EventLoop loop, long holdMs) {
+  ReadCoalescer(EventLoop loop, long maxDelayMs) {
     this.loop = loop;
-    maxDelayNs = holdMs * NS_PER_MS;
+    maxDelayNs = maxDelayMs * NS_PER_MS;
   }
 
   /** Pauses reading from a connection until the next common read, if its stream is old enough. */
--- a/forward/src/main/java/org/teaseltrail/forward/RequestStory.java
+++ b/forward/src/main/java/org/teaseltrail/forward/RequestLogger.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.runtime.log.LogField;
 
 /** Collects the timeline of one request and writes its log lines. */
-final class RequestStory {
+final class RequestLogger {
 
   private static final long NS_PER_MS = 1_000_000L;
 
@@ -23,7 +23,7 @@
   private long dispatchedNs;
   private long firstEventNs;
 
-  RequestStory(ForwardRequest request, long arrivedNs) {
+  RequestLogger(ForwardRequest request, long arrivedNs) {
     this.request = request;
     this.arrivedNs = arrivedNs;
   }
@@ -33,12 +33,12 @@
     dispatchedNs = nowNs;
   }
 
-  boolean hasBegun() {
+  boolean hasResponseStarted() {
     return firstEventNs > 0;
   }
 
   /** Records the time of the first event and returns the time since the request arrived. */
-  long begun(long nowNs) {
+  long responseStarted(long nowNs) {
     firstEventNs = nowNs;
     return nowNs - arrivedNs;
   }
@@ -61,10 +61,10 @@
     line.write();
   }
 
-  void delivered(EventLog log, int status, long longestPauseMs, long nowNs) {
+  void delivered(EventLog log, int status, long maxEventGapMs, long nowNs) {
     line(log, LogEvent.REQUEST_SERVED, nowNs)
         .with(LogField.STATUS, status)
-        .with(LogField.LONGEST_PAUSE_MS, longestPauseMs)
+        .with(LogField.LONGEST_PAUSE_MS, maxEventGapMs)
         .writeRoutine();
   }
 
@@ -83,8 +83,8 @@
     line.write();
   }
 
-  void callerLeft(EventLog log, boolean begun, long nowNs) {
-    line(log, LogEvent.CALLER_LEFT, nowNs).with(LogField.BEGUN, begun).write();
+  void callerDisconnected(EventLog log, boolean responseStarted, long nowNs) {
+    line(log, LogEvent.CALLER_LEFT, nowNs).with(LogField.BEGUN, responseStarted).write();
   }
 
   private Fingerprint fingerprint() {
--- a/forward/src/main/java/org/teaseltrail/forward/AnswerHead.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ResponseHead.java
@@ -18,12 +18,12 @@
  *     this VM, in milliseconds, if the head contains one
  * @param leaving whether the upstream announces that it is about to deregister
  */
-public record AnswerHead(
+public record ResponseHead(
     Optional<String> requestId,
     boolean signed,
     boolean notRun,
     boolean eventStream,
-    Optional<ToldLoad> load,
+    Optional<ReportedLoad> load,
     Optional<RateLimit> limit,
     OptionalLong backoffMs,
     boolean leaving) {
@@ -34,5 +34,5 @@
    * @param running number of requests that it processes
    * @param waiting number of requests that are queued at it
    */
-  public record ToldLoad(int running, int waiting) {}
+  public record ReportedLoad(int running, int waiting) {}
 }
--- a/forward/src/main/java/org/teaseltrail/forward/SharedEventLoop.java
+++ b/forward/src/main/java/org/teaseltrail/forward/SharedEventLoop.java
@@ -28,12 +28,12 @@
   }
 
   /** Creates a channel of the given type for the transport of the loop. */
-  <T extends Channel> T channel(Class<T> type) {
+  <T extends Channel> T newChannel(Class<T> type) {
     return resources.onChannel(type, resources.onServer(NATIVE));
   }
 
   /** Shuts the loop down once its tasks have ended, at the latest after the given time. */
-  void end(Duration atMost) {
-    resources.disposeLater(Duration.ZERO, atMost).subscribe();
+  void end(Duration timeout) {
+    resources.disposeLater(Duration.ZERO, timeout).subscribe();
   }
 }
--- a/forward/src/main/java/org/teaseltrail/forward/EventBlocks.java
+++ b/forward/src/main/java/org/teaseltrail/forward/SseEventFramer.java
@@ -10,7 +10,7 @@
  * Splits an event stream into complete events. Only complete events are forwarded, so that another
  * upstream can resume a stream that broke in the middle of an event.
  */
-final class EventBlocks {
+final class SseEventFramer {
 
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
@@ -20,9 +20,9 @@
   private static final byte[] EMPTY = {};
 
   private byte[] pending = EMPTY;
-  private Optional<String> lastId = Optional.empty();
+  private Optional<String> lastEventId = Optional.empty();
   private long lastNumber = Long.MIN_VALUE;
-  private long passedOn;
+  private long forwardedEvents;
 
   /**
    * Decodes the next bytes of the stream.
@@ -32,7 +32,7 @@
    *     already
    * @throws OversizedEventException if an event exceeds the maximum size
    */
-  byte[] take(byte[] bytes) throws OversizedEventException {
+  byte[] decode(byte[] bytes) throws OversizedEventException {
     byte[] all = concatenate(pending, bytes);
     ByteArrayOutputStream completeEvents = new ByteArrayOutputStream(all.length);
     int start = 0;
@@ -57,28 +57,28 @@
   }
 
   /** Returns whether no partial event is pending. */
-  boolean isBetweenEvents() {
+  boolean isAtEventBoundary() {
     return pending.length == 0;
   }
 
   /** Discards the part of an event that its upstream did not complete. */
-  void dropPart() {
+  void discardPartialEvent() {
     pending = EMPTY;
   }
 
   /** Returns the id of the last forwarded event that had one. */
-  Optional<String> lastId() {
-    return lastId;
+  Optional<String> lastEventId() {
+    return lastEventId;
   }
 
   /** Returns the number of forwarded events. */
-  long passedOn() {
-    return passedOn;
+  long forwardedEvents() {
+    return forwardedEvents;
   }
 
   private void complete(byte[] all, int start, int end, ByteArrayOutputStream output) {
     Optional<String> id = idOf(all, start, end);
-    OptionalLong number = id.map(EventBlocks::number).orElse(OptionalLong.empty());
+    OptionalLong number = id.map(SseEventFramer::number).orElse(OptionalLong.empty());
     if (number.isPresent()) {
       if (number.getAsLong() <= lastNumber) {
         return;
@@ -86,9 +86,9 @@
       lastNumber = number.getAsLong();
     }
     if (id.isPresent()) {
-      lastId = id;
+      lastEventId = id;
     }
-    passedOn++;
+    forwardedEvents++;
     output.write(all, start, end - start);
   }
 
--- a/forward/src/main/java/org/teaseltrail/forward/SilenceProbes.java
+++ b/forward/src/main/java/org/teaseltrail/forward/TcpKeepAliveOptions.java
@@ -13,16 +13,16 @@
  * same upstream work. The probes close the connection, and the request fails or is continued at
  * another upstream.
  */
-final class SilenceProbes {
+final class TcpKeepAliveOptions {
 
   private static final int IDLE_S = 1;
   private static final int INTERVAL_S = 1;
   private static final int PROBES = 2;
 
-  private SilenceProbes() {}
+  private TcpKeepAliveOptions() {}
 
   /** Sets the options for connections on the VM's event loop. */
-  static void addTo(Bootstrap bootstrap) {
+  static void applyTo(Bootstrap bootstrap) {
     List<ChannelOption<Integer>> options = SharedEventLoop.NATIVE ? nativeOptions() : javaOptions();
     bootstrap
         .option(ChannelOption.SO_KEEPALIVE, true)
--- a/forward/src/main/java/org/teaseltrail/forward/CallHeaders.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamCallMetadata.java
@@ -9,11 +9,11 @@
  *
  * @param upstream id of the upstream instance that the request is meant for
  * @param customer the customer that the request belongs to, if it is known
- * @param leftMs time that the upstream may take, in milliseconds
+ * @param remainingMs time that the upstream may take, in milliseconds
  * @param lastEventId id of the last event that the caller received from an earlier attempt, if any
  */
-public record CallHeaders(
+public record UpstreamCallMetadata(
     UpstreamId upstream,
     Optional<CustomerId> customer,
-    long leftMs,
+    long remainingMs,
     Optional<String> lastEventId) {}
--- a/forward/src/main/java/org/teaseltrail/forward/UpstreamConnection.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamConnection.java
@@ -38,10 +38,10 @@
   private static final String KEEP_ALIVE = "Keep-Alive";
   private static final String TIMEOUT_PARAMETER = "timeout=";
 
-  private final UpstreamPool pool;
-  private final HeaderDialect dialect;
+  private final UpstreamConnectionPool pool;
+  private final HeaderCodec dialect;
   private Channel channel;
-  private UpstreamCall responseListener;
+  private UpstreamResponseListener responseListener;
   private ChannelFuture requestWrite;
   private boolean skipping;
   private boolean informational;
@@ -53,7 +53,7 @@
   private boolean held;
   private boolean callerBlocked;
 
-  UpstreamConnection(UpstreamPool pool, HeaderDialect dialect) {
+  UpstreamConnection(UpstreamConnectionPool pool, HeaderCodec dialect) {
     this.pool = pool;
     this.dialect = dialect;
   }
@@ -64,15 +64,15 @@
   }
 
   /** Sends a request and passes its response to the listener. */
-  void send(FullHttpRequest request, UpstreamCall next) {
-    responseListener = next;
+  void send(FullHttpRequest request, UpstreamResponseListener listener) {
+    responseListener = listener;
     notReusable = false;
     closeAfterResponse = false;
     requestWrite = channel.writeAndFlush(request);
   }
 
   /** Aborts the request by closing the connection, on which the upstream stops processing it. */
-  void abandon() {
+  void abort() {
     responseListener = null;
     channel.close();
   }
@@ -86,8 +86,8 @@
   }
 
   /** Pauses or resumes reading, so that a response is not buffered for a slow caller. */
-  void readMore(boolean more) {
-    callerBlocked = !more;
+  void setCallerWritable(boolean writable) {
+    callerBlocked = !writable;
     updateAutoRead();
   }
 
@@ -122,7 +122,7 @@
   @Override
   public void channelReadComplete(ChannelHandlerContext context) {
     if (responseListener != null) {
-      responseListener.partsRead();
+      responseListener.readCompleted();
     }
     context.fireChannelReadComplete();
   }
@@ -135,7 +135,7 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    pool.forget(this);
+    pool.remove(this);
     fail();
   }
 
@@ -144,7 +144,7 @@
     if (informational) {
       return;
     }
-    AnswerHead read = dialect.readAnswer(response);
+    ResponseHead read = dialect.readResponseHead(response);
     boolean matches = read.requestId().map(responseListener.requestId()::equals).orElse(true);
     skipping = !matches;
     if (skipping) {
@@ -153,7 +153,7 @@
     }
     closeAfterResponse = !HttpUtil.isKeepAlive(response);
     readKeepAlive(response);
-    responseListener.head(response, read);
+    responseListener.headReceived(response, read);
   }
 
   private void content(HttpContent content) {
@@ -163,7 +163,7 @@
     }
     ByteBuf part = content.content();
     if (part.isReadable() && responseListener != null) {
-      responseListener.body(part);
+      responseListener.bodyReceived(part);
     }
     if (last && responseListener != null) {
       end();
@@ -183,19 +183,19 @@
     callerBlocked = false;
     updateAutoRead();
     boolean bodyRead = requestWrite.isDone() && requestWrite.isSuccess();
-    UpstreamCall ended = responseListener;
+    UpstreamResponseListener ended = responseListener;
     responseListener = null;
     if (notReusable || closeAfterResponse || !bodyRead || !channel.isActive()) {
       channel.close();
     } else {
       idleSinceNs = System.nanoTime();
-      pool.idle(this);
+      pool.release(this);
     }
-    ended.complete();
+    ended.completed();
   }
 
   private void fail() {
-    UpstreamCall ended = responseListener;
+    UpstreamResponseListener ended = responseListener;
     responseListener = null;
     channel.close();
     if (ended != null) {
--- a/forward/src/main/java/org/teaseltrail/forward/UpstreamPool.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamConnectionPool.java
@@ -17,7 +17,7 @@
 import org.teaseltrail.core.registry.UpstreamIncarnation;
 
 /** Pool of connections to upstreams: keeps idle ones for reuse and opens new ones on demand. */
-final class UpstreamPool {
+final class UpstreamConnectionPool {
 
   /**
    * Maximum time to establish a connection. The data centres are a few milliseconds apart, and an
@@ -37,9 +37,9 @@
       new HashMap<>();
   private final Map<UpstreamConnection, UpstreamIncarnation> owners = new HashMap<>();
   private final SharedEventLoop sharedLoop;
-  private final HeaderDialect dialect;
+  private final HeaderCodec dialect;
 
-  UpstreamPool(SharedEventLoop sharedLoop, HeaderDialect dialect) {
+  UpstreamConnectionPool(SharedEventLoop sharedLoop, HeaderCodec dialect) {
     this.sharedLoop = sharedLoop;
     this.dialect = dialect;
   }
@@ -51,7 +51,7 @@
    * @param connected receives the connection
    * @param failed called if no connection could be established; nothing was sent then
    */
-  void connect(Registration upstream, Consumer<UpstreamConnection> connected, Runnable failed) {
+  void acquire(Registration upstream, Consumer<UpstreamConnection> connected, Runnable failed) {
     Deque<UpstreamConnection> ready = idleConnections.get(upstream.upstreamIncarnation());
     long nowNs = System.nanoTime();
     while (ready != null && !ready.isEmpty()) {
@@ -65,7 +65,7 @@
     open(upstream, connected, failed);
   }
 
-  void idle(UpstreamConnection connection) {
+  void release(UpstreamConnection connection) {
     UpstreamIncarnation owner = owners.get(connection);
     if (owner == null) {
       connection.close();
@@ -79,7 +79,7 @@
     }
   }
 
-  void forget(UpstreamConnection connection) {
+  void remove(UpstreamConnection connection) {
     UpstreamIncarnation owner = owners.remove(connection);
     Deque<UpstreamConnection> ready = owner == null ? null : idleConnections.get(owner);
     if (ready != null) {
@@ -96,11 +96,11 @@
     Bootstrap bootstrap =
         new Bootstrap()
             .group(sharedLoop.loop())
-            .channelFactory(() -> sharedLoop.channel(SocketChannel.class))
+            .channelFactory(() -> sharedLoop.newChannel(SocketChannel.class))
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .option(ChannelOption.TCP_NODELAY, true)
             .handler(initializer(connection));
-    SilenceProbes.addTo(bootstrap);
+    TcpKeepAliveOptions.applyTo(bootstrap);
     ChannelFuture connecting =
         bootstrap.connect(upstream.address().host(), upstream.address().port());
     connecting.addListener(
--- a/forward/src/main/java/org/teaseltrail/forward/UpstreamCall.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamResponseListener.java
@@ -6,24 +6,24 @@
 
 /**
  * Listener for the response to one request that was sent to an upstream. At most one of {@link
- * #complete} and {@link #failed} is called, once.
+ * #completed} and {@link #failed} is called, once.
  */
-interface UpstreamCall {
+interface UpstreamResponseListener {
 
   /** Returns the request id that the response must contain, if it contains one. */
   String requestId();
 
   /** Called when the head of the response was received. */
-  void head(HttpResponse head, AnswerHead read);
+  void headReceived(HttpResponse head, ResponseHead read);
 
   /** Called when a part of the body was received; the listener must not retain the buffer. */
-  void body(ByteBuf part);
+  void bodyReceived(ByteBuf part);
 
   /** Called after all parts of one read were passed to the listener; more may follow. */
-  void partsRead();
+  void readCompleted();
 
   /** Called when the response is complete. */
-  void complete();
+  void completed();
 
   /** Called when the response can't be completed. */
   void failed(AttemptOutcome end);
--- a/forward/src/main/java/org/teaseltrail/forward/SignalListener.java
+++ b/forward/src/main/java/org/teaseltrail/forward/UpstreamSignalHandler.java
@@ -13,13 +13,13 @@
  * Passes the signals in upstreams' responses, namely rate limits, backoffs and announced
  * deregistrations, to the {@link BackpressureHandler}, and logs the changes.
  */
-final class SignalListener {
+final class UpstreamSignalHandler {
 
   private final BackpressureHandler backpressure;
   private final SuspendAwareClock clock;
   private final EventLog log;
 
-  SignalListener(BackpressureHandler backpressure, SuspendAwareClock clock, EventLog log) {
+  UpstreamSignalHandler(BackpressureHandler backpressure, SuspendAwareClock clock, EventLog log) {
     this.backpressure = backpressure;
     this.clock = clock;
     this.log = log;
@@ -33,7 +33,7 @@
   /**
    * Handles the head of an upstream's response to a request that was dispatched at a given time.
    */
-  void heard(Registration upstream, AnswerHead head, long dispatchedNs) {
+  void heard(Registration upstream, ResponseHead head, long dispatchedNs) {
     head.limit().ifPresent(limit -> limit(upstream, limit, dispatchedNs));
     head.backoffMs().ifPresent(backoffMs -> onBackoff(upstream, backoffMs));
     if (head.leaving()) {
@@ -42,7 +42,7 @@
   }
 
   /** Returns whether a request may still be sent once a connection is established. */
-  boolean allowSending(UpstreamIncarnation upstream) {
+  boolean canSend(UpstreamIncarnation upstream) {
     return backpressure.canSend(upstream, clock.nowNs());
   }
 
--- a/forward/src/test/java/org/teaseltrail/forward/ReceivedContentTest.java
+++ b/forward/src/test/java/org/teaseltrail/forward/BufferedRequestContentTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.teaseltrail.core.digest.Sha256;
 
-class ReceivedContentTest {
+class BufferedRequestContentTest {
 
   private static FullHttpRequest request(HttpMethod method, String uri, String... bodyParts) {
     var body = Unpooled.compositeBuffer();
@@ -24,13 +24,13 @@
 
   private static byte[] digest(FullHttpRequest request) {
     MessageDigest digest = Sha256.create();
-    new ReceivedContent(request).updateDigest(digest);
+    new BufferedRequestContent(request).updateDigest(digest);
     return digest.digest();
   }
 
   /** Guards against a digest that depends on the chunks of the body or on earlier reads of it. */
   @Test
-  void sameContentGivesTheSameHoweverItCame() {
+  void digestDoesNotDependOnBodyChunks() {
     FullHttpRequest whole = request(HttpMethod.POST, "/a?b=1", "0123456789");
     byte[] first = digest(whole);
     assertThat(digest(whole)).isEqualTo(first);
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void methodPathQueryAndBodyCount() {
+  void digestCoversMethodPathQueryAndBody() {
     byte[] first = digest(request(HttpMethod.POST, "/a?b=1", "0123"));
     assertThat(digest(request(HttpMethod.PUT, "/a?b=1", "0123"))).isNotEqualTo(first);
     assertThat(digest(request(HttpMethod.POST, "/a?b=2", "0123"))).isNotEqualTo(first);
--- a/forward/src/test/java/org/teaseltrail/forward/EventHoldTest.java
+++ b/forward/src/test/java/org/teaseltrail/forward/ReadCoalescerTest.java
@@ -11,16 +11,16 @@
  * event costs a wake-up, a read and a write, forwarding them takes most of its CPU time. Reads are
  * delayed to coalesce events, within bounds that callers don't notice.
  */
-class EventHoldTest {
+class ReadCoalescerTest {
 
   private static final long MAX_DELAY_MS = 40;
   private static final long LONG_AGE_NS = TimeUnit.SECONDS.toNanos(2);
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final UpstreamConnection connection = new UpstreamConnection(null, null);
-  private final EventHold hold = new EventHold(channel.eventLoop(), MAX_DELAY_MS);
+  private final ReadCoalescer hold = new ReadCoalescer(channel.eventLoop(), MAX_DELAY_MS);
 
-  EventHoldTest() {
+  ReadCoalescerTest() {
     channel.pipeline().addLast(connection);
     channel.freezeTime();
   }
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void longStreamIsReadAgainWithinTheHold() {
+  void longStreamIsReadAgainWithinTheMaximumDelay() {
     hold.hold(connection, LONG_AGE_NS);
     assertThat(isReading()).isFalse();
     advanceTime(MAX_DELAY_MS);
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void streamsAreReadAgainAtTheSameMoment() {
+  void delayedStreamsAreReadAtTheSameTime() {
     EmbeddedChannel other = new EmbeddedChannel();
     UpstreamConnection second = new UpstreamConnection(null, null);
     other.pipeline().addLast(second);
@@ -56,14 +56,14 @@
 
   /** Guards against short responses that occupy their slots at the engine for much longer. */
   @Test
-  void youngStreamIsNotHeld() {
+  void youngStreamIsNotDelayed() {
     hold.hold(connection, TimeUnit.MILLISECONDS.toNanos(MAX_DELAY_MS));
     assertThat(isReading()).isTrue();
   }
 
   @Test
-  void holdOfNothingLeavesEveryStreamAlone() {
-    new EventHold(channel.eventLoop(), 0).hold(connection, LONG_AGE_NS);
+  void zeroDelayDisablesCoalescing() {
+    new ReadCoalescer(channel.eventLoop(), 0).hold(connection, LONG_AGE_NS);
     assertThat(isReading()).isTrue();
   }
 
@@ -72,12 +72,12 @@
    * or not.
    */
   @Test
-  void endOfHoldDoesNotReadForCallerThatIsFull() {
+  void endOfDelayDoesNotReadForUnwritableCaller() {
     hold.hold(connection, LONG_AGE_NS);
-    connection.readMore(false);
+    connection.setCallerWritable(false);
     advanceTime(MAX_DELAY_MS);
     assertThat(isReading()).isFalse();
-    connection.readMore(true);
+    connection.setCallerWritable(true);
     assertThat(isReading()).isTrue();
   }
 }
--- a/forward/src/test/java/org/teaseltrail/forward/EventBlocksTest.java
+++ b/forward/src/test/java/org/teaseltrail/forward/SseEventFramerTest.java
@@ -6,20 +6,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Checks that only complete events are forwarded, each of them once. */
-class EventBlocksTest {
+class SseEventFramerTest {
 
-  private final EventBlocks blocks = new EventBlocks();
+  private final SseEventFramer blocks = new SseEventFramer();
 
   private String take(String text) throws Exception {
-    return new String(blocks.take(text.getBytes(StandardCharsets.UTF_8)), StandardCharsets.UTF_8);
+    return new String(blocks.decode(text.getBytes(StandardCharsets.UTF_8)), StandardCharsets.UTF_8);
   }
 
   @Test
-  void passesWholeEventsUnchanged() throws Exception {
+  void forwardsCompleteEventsUnchanged() throws Exception {
     assertThat(take("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"))
         .isEqualTo("id: 1\ndata: a\n\nid: 2\ndata: b\n\n");
-    assertThat(blocks.lastId()).contains("2");
-    assertThat(blocks.isBetweenEvents()).isTrue();
+    assertThat(blocks.lastEventId()).contains("2");
+    assertThat(blocks.isAtEventBoundary()).isTrue();
   }
 
   /**
@@ -27,16 +27,16 @@
    * another one resumes the stream.
    */
   @Test
-  void goesOnElsewhereAfterTheLastWholeEvent() throws Exception {
+  void resumesAtAnotherUpstreamAfterTheLastCompleteEvent() throws Exception {
     assertThat(take("id: 1\ndata: a\n\nid: 2\nda")).isEqualTo("id: 1\ndata: a\n\n");
-    assertThat(blocks.isBetweenEvents()).isFalse();
-    blocks.dropPart();
-    assertThat(blocks.lastId()).contains("1");
+    assertThat(blocks.isAtEventBoundary()).isFalse();
+    blocks.discardPartialEvent();
+    assertThat(blocks.lastEventId()).contains("1");
     assertThat(take("id: 1\ndata: a\n\nid: 2\ndata: b\n\n")).isEqualTo("id: 2\ndata: b\n\n");
   }
 
   @Test
-  void cutsAtAnyByte() throws Exception {
+  void acceptsInputSplitAtAnyByte() throws Exception {
     StringBuilder forwarded = new StringBuilder();
     String stream = "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n";
     for (char c : stream.toCharArray()) {
@@ -47,18 +47,18 @@
 
   /** The event interval of an upstream depends on the number of events, not of reads. */
   @Test
-  void countsEventsThatWerePassedOn() throws Exception {
+  void countsForwardedEvents() throws Exception {
     take("id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 2\ndata: b\n\n");
     take("data: without id\n\nid: 4\nda");
-    assertThat(blocks.passedOn()).isEqualTo(3);
+    assertThat(blocks.forwardedEvents()).isEqualTo(3);
   }
 
   /** Ids need not be numbers; no event is filtered then. */
   @Test
-  void passesOnEventsWhoseIdsAreTexts() throws Exception {
+  void forwardsEventsWithNonNumericIds() throws Exception {
     assertThat(take("id: b\n\nid: a\n\nid: 99999999999999999999\n\n"))
         .isEqualTo("id: b\n\nid: a\n\nid: 99999999999999999999\n\n");
-    assertThat(blocks.lastId()).contains("99999999999999999999");
+    assertThat(blocks.lastEventId()).contains("99999999999999999999");
   }
 
   /**
@@ -66,7 +66,7 @@
    * since 1970: such ids have as many digits as a long can have.
    */
   @Test
-  void longNumbersAreToldFromTexts() throws Exception {
+  void filtersDuplicatesWithNineteenDigitIds() throws Exception {
     String first = "id: 1764745200000000001\n\n";
     String second = "id: 1764745200000000002\n\n";
     assertThat(take(first)).isEqualTo(first);
--- a/session/src/test/java/org/teaseltrail/session/SessionWorld.java
+++ b/session/src/test/java/org/teaseltrail/session/SessionWorld.java
@@ -103,9 +103,9 @@
             usual.maxBatchBytes(),
             usual.maxInflightMessages(),
             usual.maxUncommittedBytes(),
-            usual.snapshotPartBytes(),
-            usual.snapshotEveryEntries(),
-            usual.keptEntries());
+            usual.snapshotChunkBytes(),
+            usual.snapshotIntervalEntries(),
+            usual.retainedEntries());
   }
 
   private static LogEntry firstEntry() {
--- a/session/src/test/java/org/teaseltrail/session/SyncedDisk.java
+++ b/session/src/test/java/org/teaseltrail/session/SyncedDisk.java
@@ -58,7 +58,7 @@
       vote = saved.vote();
     } else if (write instanceof ReplicaAction.SaveSnapshot saved) {
       snapshot = Optional.of(saved.snapshot());
-      entries.removeIf(entry -> saved.discardsLog() || entry.index() <= saved.keepAfterIndex());
+      entries.removeIf(entry -> saved.discardsLog() || entry.index() <= saved.retainAfterIndex());
     }
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/StorageFolder.java
+++ b/storage/src/main/java/org/teaseltrail/storage/StorageFolder.java
@@ -205,7 +205,7 @@
     if (saved.discardsLog()) {
       log.discard();
     } else {
-      log.dropThrough(saved.keepAfterIndex());
+      log.dropThrough(saved.retainAfterIndex());
     }
   }
 
