--- a/storage/src/main/java/org/teaseltrail/storage/AppendFile.java
+++ b/storage/src/main/java/org/teaseltrail/storage/AppendFile.java
@@ -3,29 +3,29 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** Is an open file that grows at its end. */
+/** An open file that is written only by appending. */
 public interface AppendFile extends Closeable {
 
   /**
-   * Writes at the end; on a failure, a part may have been written.
+   * Appends bytes. If this fails, a prefix of them may have been written.
    *
-   * @param bytes what to write
-   * @throws IOException if not all is written
+   * @param bytes the bytes to append
+   * @throws IOException if not all bytes are written
    */
   void append(byte[] bytes) throws IOException;
 
   /**
-   * Cuts the file.
+   * Truncates the file.
    *
-   * @param sizeBytes the new size, not above the present one
-   * @throws IOException if it can't be cut
+   * @param sizeBytes the new size in bytes, at most the current one
+   * @throws IOException if the file can't be truncated
    */
   void truncate(long sizeBytes) throws IOException;
 
   /**
-   * Syncs content and size.
+   * Syncs the content and the size to disk.
    *
-   * @throws IOException if they may not outlive a loss of power; what is lost then is not known
+   * @throws IOException if they may not survive a power loss; it is then unknown which data is lost
    */
   void sync() throws IOException;
 }
--- a/storage/src/main/java/org/teaseltrail/storage/CheckedFile.java
+++ b/storage/src/main/java/org/teaseltrail/storage/CheckedFile.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32C;
 
-/** Keeps one value in one file with a checksum; the file is replaced as a whole. */
+/** Stores one value per file with a CRC32C checksum; a save replaces the file atomically. */
 final class CheckedFile<T> {
 
   private static final int MAGIC = 0x54_54_46_31;
@@ -24,21 +24,22 @@
     folder.replace(name, buffer.array());
   }
 
-  /** Reads the value; as the file is only ever replaced whole, any flaw in it is damage. */
+  /** Reads the value. Files are only replaced atomically, so any invalid content is corruption. */
   T load(String name) {
     if (!folder.has(name)) {
-      throw new DamagedFolderException(folder.path(name), "is missing");
+      throw new DamagedFolderException(folder.path(name), "the file is missing");
     }
     byte[] bytes = folder.read(name);
     if (bytes.length < HEADER_BYTES) {
-      throw new DamagedFolderException(folder.path(name), "too short");
+      throw new DamagedFolderException(folder.path(name), "the file is shorter than its header");
     }
     ByteBuffer header = ByteBuffer.wrap(bytes);
     int length = bytes.length - HEADER_BYTES;
-    boolean sound =
+    boolean valid =
         header.getInt() == MAGIC && header.getInt() == checksum(bytes, HEADER_BYTES, length);
-    if (!sound) {
-      throw new DamagedFolderException(folder.path(name), "checksum differs");
+    if (!valid) {
+      throw new DamagedFolderException(
+          folder.path(name), "magic number or checksum does not match");
     }
     return codec.decode(bytes, HEADER_BYTES, length);
   }
--- a/storage/src/main/java/org/teaseltrail/storage/Codec.java
+++ b/storage/src/main/java/org/teaseltrail/storage/Codec.java
@@ -6,7 +6,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Writes a value type as MessagePack and reads it back. */
+/** Base class of codecs that encode one type as MessagePack and decode it. */
 abstract class Codec<T> {
 
   abstract void pack(MessageBufferPacker packer, T value) throws IOException;
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Reads a value whose checksum has been checked. */
+  /** Decodes a value whose checksum the caller has verified. */
   T decode(byte[] bytes, int offset, int length) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, offset, length)) {
       return unpack(unpacker);
--- a/storage/src/main/java/org/teaseltrail/storage/DamagedFolderException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/DamagedFolderException.java
@@ -2,13 +2,13 @@
 
 import java.nio.file.Path;
 
-/** Tells that a file holds something else than what was synced to it; a person must look at it. */
+/** Thrown when synced data is missing or corrupt; an operator must inspect the folder. */
 public final class DamagedFolderException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure. */
+  /** Creates the exception. */
   public DamagedFolderException(Path path, String reason) {
-    super(path, "damaged: " + reason, null);
+    super(path, "corrupt: " + reason, null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/DataFolder.java
+++ b/storage/src/main/java/org/teaseltrail/storage/DataFolder.java
@@ -5,14 +5,14 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** Is the files of one folder, with a typed failure for each way in which one can fail. */
+/** File operations on one data folder; translates I/O errors into {@link StorageException}s. */
 final class DataFolder {
 
   static final String TEMPORARY_SUFFIX = ".tmp";
 
   private static final System.Logger LOGGER = System.getLogger(DataFolder.class.getName());
-  private static final String NO_SPACE = "No space left on device";
-  private static final String NO_QUOTA = "Disk quota exceeded";
+  private static final String NO_SPACE_MESSAGE = "No space left on device";
+  private static final String QUOTA_EXCEEDED_MESSAGE = "Disk quota exceeded";
 
   private final FileSystemAccess files;
   private final Path path;
@@ -44,7 +44,7 @@
     } catch (NoSuchFileException e) {
       throw new FolderMissingException(path);
     } catch (IOException e) {
-      throw typed(path, e);
+      throw toStorageException(path, e);
     }
   }
 
@@ -81,11 +81,11 @@
   }
 
   /**
-   * Replaces a file in one step, synced.
+   * Atomically replaces a file and syncs it.
    *
-   * <p>A loss of power in the middle of a write would leave neither the old content nor the new. So
-   * the new content is synced under another name before it takes the old one's place, and the
-   * folder is synced before anyone is told.
+   * <p>A power loss during an in-place write would leave neither the old nor the new content.
+   * Therefore the new content is written to a temporary file and synced, the temporary file is
+   * renamed over the old one, and the folder is synced before this method returns.
    */
   void replace(String name, byte[] content) {
     String temporary = name + TEMPORARY_SUFFIX;
@@ -102,16 +102,16 @@
         });
   }
 
-  /** Runs a step and gives its failure the type that says what to do about it. */
+  /** Runs an operation and translates an I/O error into the matching storage exception. */
   static <T> T run(Path path, FileOperation<T> operation) {
     try {
       return operation.run();
     } catch (IOException e) {
-      throw typed(path, e);
+      throw toStorageException(path, e);
     }
   }
 
-  /** Runs a step without a result, see {@link #run}. */
+  /** Runs an operation without a result, see {@link #run}. */
   static void step(Path path, FileStep step) {
     run(
         path,
@@ -121,18 +121,19 @@
         });
   }
 
-  /** Gives a lock back; a failure of that changes nothing, as the lock ends with the process. */
+  /** Releases a lock. A failure is only logged, as the lock ends with the process anyway. */
   static void closeQuietly(AutoCloseable lock) {
     try {
       lock.close();
     } catch (Exception e) {
-      LOGGER.log(System.Logger.Level.WARNING, "[replica] Lock of the data folder not closed.", e);
+      LOGGER.log(
+          System.Logger.Level.WARNING, "[replica] failed to release the data folder lock", e);
     }
   }
 
-  private static StorageException typed(Path path, IOException failure) {
+  private static StorageException toStorageException(Path path, IOException failure) {
     String message = String.valueOf(failure.getMessage());
-    boolean full = message.contains(NO_SPACE) || message.contains(NO_QUOTA);
+    boolean full = message.contains(NO_SPACE_MESSAGE) || message.contains(QUOTA_EXCEEDED_MESSAGE);
     return full ? new DiskFullException(path, failure) : new StorageIoException(path, failure);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/DiskFullException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/DiskFullException.java
@@ -2,13 +2,13 @@
 
 import java.nio.file.Path;
 
-/** Tells that there is no room for a write; nothing synced before is touched. */
+/** Thrown when the disk or quota has no space for a write. Data synced before remains intact. */
 public final class DiskFullException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure. */
+  /** Creates the exception. */
   public DiskFullException(Path path, Throwable cause) {
-    super(path, "no room left", cause);
+    super(path, "no space left on disk or in quota", cause);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FileOperation.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FileOperation.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Is a step on files that may fail. */
+/** A file operation with a result that may throw an I/O error. */
 @FunctionalInterface
 interface FileOperation<T> {
 
--- a/storage/src/main/java/org/teaseltrail/storage/FileStep.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FileStep.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Is a step on files that may fail and has no result. */
+/** A file operation without a result that may throw an I/O error. */
 @FunctionalInterface
 interface FileStep {
 
--- a/storage/src/main/java/org/teaseltrail/storage/FileSystemAccess.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FileSystemAccess.java
@@ -5,24 +5,24 @@
 import java.util.List;
 
 /**
- * Is the little that the data folder needs of a file system, so that a test can stand in for one
- * that loses what isn't synced.
+ * The file system operations that the data folder uses. Tests replace them by a fake that loses
+ * unsynced data on a simulated power loss.
  */
 public interface FileSystemAccess {
 
   /**
-   * Makes a folder and those above it, unless there.
+   * Creates a folder and its missing parents.
    *
    * @param folder the folder
-   * @throws IOException if it can't be made
+   * @throws IOException if it can't be created
    */
   void createFolder(Path folder) throws IOException;
 
   /**
-   * Lists a folder.
+   * Lists the files in a folder.
    *
    * @param folder the folder
-   * @return names of its files, sorted
+   * @return the file names, sorted
    * @throws IOException if it can't be read
    */
   List<String> list(Path folder) throws IOException;
@@ -37,7 +37,7 @@
   byte[] read(Path file) throws IOException;
 
   /**
-   * Opens a file at its end, and makes it unless there.
+   * Opens a file for appending and creates it if it is missing.
    *
    * @param file the file
    * @return the open file
@@ -46,7 +46,7 @@
   AppendFile openAppend(Path file) throws IOException;
 
   /**
-   * Renames a file in one step; one of the new name is replaced.
+   * Atomically renames a file, replacing an existing file of the new name.
    *
    * @param from the old name
    * @param to the new name, in the same folder
@@ -63,20 +63,20 @@
   void delete(Path file) throws IOException;
 
   /**
-   * Syncs the names in a folder.
+   * Syncs the directory entries of a folder.
    *
    * @param folder the folder
-   * @throws IOException if the names may not outlive a loss of power
+   * @throws IOException if the entries may not survive a power loss
    */
   void syncFolder(Path folder) throws IOException;
 
   /**
-   * Takes a lock that ends with the process.
+   * Acquires an exclusive lock that is released at the latest when the process ends.
    *
    * @param file the lock file
-   * @return the lock, to be closed
-   * @throws IOException if it can't be tried
-   * @throws FolderInUseException if another holds it
+   * @return the lock; closing it releases it
+   * @throws IOException if the lock file can't be opened or locked
+   * @throws FolderInUseException if the lock is already held
    */
   AutoCloseable lock(Path file) throws IOException;
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderExistsException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderExistsException.java
@@ -2,13 +2,13 @@
 
 import java.nio.file.Path;
 
-/** Tells that a folder can't be created, as a member's state lies there. */
+/** Thrown when a folder can't be created because it already holds member state. */
 public final class FolderExistsException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure. */
+  /** Creates the exception. */
   public FolderExistsException(Path path) {
-    super(path, "holds a member already", null);
+    super(path, "already holds member state", null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderFailedException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderFailedException.java
@@ -2,13 +2,13 @@
 
 import java.nio.file.Path;
 
-/** Tells that a folder takes no more writes, as an earlier one failed; it may be opened anew. */
+/** Thrown for writes after a failed one; the folder must be reopened before it accepts more. */
 public final class FolderFailedException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure. */
+  /** Creates the exception. */
   public FolderFailedException(Path path, Throwable first) {
-    super(path, "an earlier write failed", first);
+    super(path, "rejects writes because an earlier one failed", first);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderIdentity.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderIdentity.java
@@ -7,21 +7,21 @@
 import org.teaseltrail.core.replication.Member;
 
 /**
- * Says whose state lies in a folder. The member's id holds the incarnation, so that a folder made
- * anew on the same VM is another member.
+ * Identifies the group and member whose state a folder holds. The member id includes the
+ * incarnation, so that a folder created again on the same VM belongs to a new member.
  *
  * @param group the group
  * @param member the member
- * @param incarnation a number never used before on this VM, such as a random one
+ * @param incarnation a number that was never used before on this VM, such as a random one
  */
 public record FolderIdentity(GroupId group, Member member, Incarnation incarnation) {
 
   /**
-   * Returns the identity of a new folder.
+   * Creates the identity of a new folder.
    *
    * @param group the group
    * @param vm the VM
-   * @param incarnation a number never used before on this VM
+   * @param incarnation a number that was never used before on this VM
    * @return an identity with a new member
    */
   public static FolderIdentity fresh(GroupId group, VmId vm, Incarnation incarnation) {
--- a/storage/src/main/java/org/teaseltrail/storage/FolderInUseException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderInUseException.java
@@ -2,13 +2,13 @@
 
 import java.nio.file.Path;
 
-/** Tells that another process, or another part of this one, has the folder open. */
+/** Thrown when the folder is already open in another process or elsewhere in this one. */
 public final class FolderInUseException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure. */
+  /** Creates the exception. */
   public FolderInUseException(Path path) {
-    super(path, "is in use", null);
+    super(path, "is already open in this or another process", null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderMissingException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderMissingException.java
@@ -2,13 +2,13 @@
 
 import java.nio.file.Path;
 
-/** Tells that no member's state lies in a folder; a group is never started by itself. */
+/** Thrown when a folder holds no member state, as a group is never created implicitly. */
 public final class FolderMissingException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure. */
+  /** Creates the exception. */
   public FolderMissingException(Path path) {
-    super(path, "holds no member", null);
+    super(path, "holds no member state", null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderSetup.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderSetup.java
@@ -6,72 +6,73 @@
 import org.teaseltrail.core.replication.Vote;
 
 /**
- * Makes data folders and checks whose they are.
+ * Creates data folders and verifies which group they belong to.
  *
- * <p>The identity is written last: a folder without one was never finished, so nobody has been told
- * of anything in it. A mark that is there from the first to the last step tells such a folder from
- * one whose identity has got lost.
+ * <p>The identity file is written last: without it, the creation never finished and nothing in the
+ * folder was ever acknowledged. A marker file that exists from the first to the last step
+ * distinguishes such a folder from one whose identity file was lost.
  */
 final class FolderSetup {
 
   static final String VOTE_NAME = "vote";
 
-  private static final String IDENTITY_NAME = "identity";
-  private static final String UNFINISHED_NAME = "unfinished";
+  private static final String IDENTITY_FILE = "identity";
+  private static final String UNFINISHED_MARKER = "unfinished";
   private static final String LOCK_NAME = "lock";
 
   private FolderSetup() {}
 
   static void create(DataFolder folder, FolderIdentity identity, List<LogEntry> entries) {
     folder.create();
-    clear(folder);
-    folder.replace(UNFINISHED_NAME, new byte[0]);
+    deleteUnfinishedFiles(folder);
+    folder.replace(UNFINISHED_MARKER, new byte[0]);
     new CheckedFile<>(folder, new VoteCodec()).save(VOTE_NAME, Vote.none());
     try (SegmentedLog log = new SegmentedLog(folder, Long.MAX_VALUE)) {
       log.append(entries);
       log.sync();
     }
-    new CheckedFile<>(folder, new IdentityCodec()).save(IDENTITY_NAME, identity);
-    folder.delete(UNFINISHED_NAME);
+    new CheckedFile<>(folder, new IdentityCodec()).save(IDENTITY_FILE, identity);
+    folder.delete(UNFINISHED_MARKER);
     folder.sync();
   }
 
   static FolderIdentity identityOf(DataFolder folder, GroupId group) {
-    if (!folder.has(IDENTITY_NAME)) {
+    if (!folder.has(IDENTITY_FILE)) {
       throw new FolderMissingException(folder.path());
     }
-    FolderIdentity identity = new CheckedFile<>(folder, new IdentityCodec()).load(IDENTITY_NAME);
+    FolderIdentity identity = new CheckedFile<>(folder, new IdentityCodec()).load(IDENTITY_FILE);
     if (!identity.group().equals(group)) {
       throw new ForeignFolderException(folder.path(), group, identity.group());
     }
     return identity;
   }
 
-  /** Deletes what a crash left of unfinished steps. */
+  /** Deletes temporary and marker files that a crash left behind. */
   static void removeLeftovers(DataFolder folder) {
     for (String name : folder.list()) {
-      boolean leftover = name.endsWith(DataFolder.TEMPORARY_SUFFIX) || name.equals(UNFINISHED_NAME);
-      if (leftover) {
+      boolean temporary =
+          name.endsWith(DataFolder.TEMPORARY_SUFFIX) || name.equals(UNFINISHED_MARKER);
+      if (temporary) {
         folder.delete(name);
       }
     }
   }
 
-  private static void clear(DataFolder folder) {
+  private static void deleteUnfinishedFiles(DataFolder folder) {
     List<String> names = folder.list();
-    if (names.contains(IDENTITY_NAME)) {
+    if (names.contains(IDENTITY_FILE)) {
       throw new FolderExistsException(folder.path());
     }
-    boolean unfinished = names.contains(UNFINISHED_NAME);
+    boolean unfinished = names.contains(UNFINISHED_MARKER);
     for (String name : names) {
-      boolean harmless =
+      boolean removable =
           name.equals(LOCK_NAME)
-              || name.equals(UNFINISHED_NAME)
+              || name.equals(UNFINISHED_MARKER)
               || name.endsWith(DataFolder.TEMPORARY_SUFFIX);
-      if (!harmless && !unfinished) {
-        throw new DamagedFolderException(folder.path(name), "no identity beside it");
+      if (!removable && !unfinished) {
+        throw new DamagedFolderException(folder.path(name), "found without an identity file");
       }
-      if (!name.equals(LOCK_NAME) && !name.equals(UNFINISHED_NAME)) {
+      if (!name.equals(LOCK_NAME) && !name.equals(UNFINISHED_MARKER)) {
         folder.delete(name);
       }
     }
--- a/storage/src/main/java/org/teaseltrail/storage/ForeignFolderException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/ForeignFolderException.java
@@ -4,17 +4,17 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.replication.GroupId;
 
-/** Tells that a folder belongs to another group or to another VM's member. */
+/** Thrown when a folder belongs to another group or to a member on another VM. */
 public final class ForeignFolderException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure. */
+  /** Creates the exception for a folder of another group. */
   public ForeignFolderException(Path path, GroupId expected, GroupId found) {
     super(path, "belongs to group " + found + ", not " + expected, null);
   }
 
-  /** Creates the failure. */
+  /** Creates the exception for a folder of a member on another VM. */
   public ForeignFolderException(Path path, VmId expected, VmId found) {
     super(path, "belongs to the member on VM " + found + ", not " + expected, null);
   }
--- a/storage/src/main/java/org/teaseltrail/storage/IdentityCodec.java
+++ b/storage/src/main/java/org/teaseltrail/storage/IdentityCodec.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.replication.GroupId;
 
-/** Writes folder identities. */
+/** Codec for folder identities. */
 final class IdentityCodec extends Codec<FolderIdentity> {
 
   @Override
--- a/storage/src/main/java/org/teaseltrail/storage/LogEntryCodec.java
+++ b/storage/src/main/java/org/teaseltrail/storage/LogEntryCodec.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.replication.EntryPayload;
 import org.teaseltrail.core.replication.LogEntry;
 
-/** Writes log entries. */
+/** Codec for log entries: index, term, payload type and payload. */
 final class LogEntryCodec extends Codec<LogEntry> {
 
   private static final int NOOP = 0;
@@ -43,7 +43,7 @@
       case COMMAND ->
           new EntryPayload.CommandPayload(unpacker.readPayload(unpacker.unpackBinaryHeader()));
       case MEMBERSHIP -> new EntryPayload.MembershipPayload(memberships.unpack(unpacker));
-      default -> throw new IOException("unknown kind of log entry: " + kind);
+      default -> throw new IOException("unknown log entry type: " + kind);
     };
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/LogRecord.java
+++ b/storage/src/main/java/org/teaseltrail/storage/LogRecord.java
@@ -5,22 +5,23 @@
 import java.util.zip.CRC32C;
 
 /**
- * Is one record of a log segment as it lies in the file.
+ * The position and header of one record in a log segment file.
  *
- * <p>Layout: magic number, length of the content, CRC32C of what follows, how many bytes of the
- * segment were synced when the record was written, content. The synced size lets a reader tell a
- * torn write at the end, which nobody was told of, from damage to what had been synced.
+ * <p>Layout: magic number, content length, CRC32C of all that follows, number of bytes of the
+ * segment that were synced when the record was written, content. With the synced size, a reader
+ * distinguishes a torn write at the end, which was never acknowledged, from corruption of synced
+ * data.
  *
- * @param offsetBytes where it begins in the file
- * @param contentLength length of its content in bytes
- * @param syncedBytes how much of the segment was synced when it was written
+ * @param offsetBytes offset of the record in the file, in bytes
+ * @param contentLength length of the content, in bytes
+ * @param syncedBytes size of the synced part of the segment when the record was written, in bytes
  */
 record LogRecord(int offsetBytes, int contentLength, long syncedBytes) {
 
   static final int HEADER_BYTES = 3 * Integer.BYTES + Long.BYTES;
 
   private static final int MAGIC = 0x54_54_4c_31;
-  private static final int CHECKED_FROM = 3 * Integer.BYTES;
+  private static final int CHECKSUMMED_FROM_BYTES = 3 * Integer.BYTES;
 
   int contentOffsetBytes() {
     return offsetBytes + HEADER_BYTES;
@@ -38,7 +39,7 @@
     return record;
   }
 
-  /** Reads the record at an offset, or returns empty if no sound one lies there. */
+  /** Reads the record at an offset; returns empty if there is no valid one. */
   static Optional<LogRecord> readAt(byte[] file, int offsetBytes) {
     if (file.length - offsetBytes < HEADER_BYTES) {
       return Optional.empty();
@@ -58,7 +59,7 @@
 
   private static int checksum(byte[] file, int offsetBytes, int contentLength) {
     CRC32C crc = new CRC32C();
-    crc.update(file, offsetBytes + CHECKED_FROM, Long.BYTES + contentLength);
+    crc.update(file, offsetBytes + CHECKSUMMED_FROM_BYTES, Long.BYTES + contentLength);
     return (int) crc.getValue();
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/LogSegment.java
+++ b/storage/src/main/java/org/teaseltrail/storage/LogSegment.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import org.teaseltrail.core.replication.LogEntry;
 
-/** Is one file of the log, open for appending. Appended entries reach the file at a sync. */
+/** One open segment file of the log. Appended entries are buffered until the next sync. */
 final class LogSegment implements AutoCloseable {
 
   private final DataFolder folder;
   private final SegmentName name;
   private final AppendFile file;
   private final LogEntryCodec codec = new LogEntryCodec();
-  private final List<Long> offsetsBytes;
-  private final ByteArrayOutputStream unwritten = new ByteArrayOutputStream();
+  private final List<Long> entryOffsetsBytes;
+  private final ByteArrayOutputStream writeBuffer = new ByteArrayOutputStream();
   private long writtenBytes;
   private long syncedBytes;
 
@@ -21,7 +21,7 @@
     this.folder = folder;
     this.name = name;
     this.file = folder.openAppend(name.fileName());
-    this.offsetsBytes = new ArrayList<>(content.offsetsBytes());
+    this.entryOffsetsBytes = new ArrayList<>(content.offsetsBytes());
     this.writtenBytes = content.soundBytes();
     this.syncedBytes = content.soundBytes();
   }
@@ -33,10 +33,10 @@
     return segment;
   }
 
-  /** Opens a segment behind its sound part; a torn end is cut off. */
+  /** Opens a segment for appending after its valid part; a torn write at the end is truncated. */
   static LogSegment open(DataFolder folder, SegmentName name, SegmentContent content) {
     LogSegment segment = new LogSegment(folder, name, content);
-    segment.cutAt(content.soundBytes());
+    segment.truncateAndSync(content.soundBytes());
     return segment;
   }
 
@@ -45,17 +45,17 @@
   }
 
   long lastIndex() {
-    return name.firstIndex() + offsetsBytes.size() - 1;
+    return name.firstIndex() + entryOffsetsBytes.size() - 1;
   }
 
   long sizeBytes() {
-    return writtenBytes + unwritten.size();
+    return writtenBytes + writeBuffer.size();
   }
 
   void append(LogEntry entry) {
-    offsetsBytes.add(sizeBytes());
+    entryOffsetsBytes.add(sizeBytes());
     byte[] record = LogRecord.write(codec.encode(entry), syncedBytes);
-    unwritten.write(record, 0, record.length);
+    writeBuffer.write(record, 0, record.length);
   }
 
   void sync() {
@@ -72,15 +72,15 @@
   }
 
   /**
-   * Cuts entries off, synced at once: were later appends to reach the disk before the cut, a
-   * mixture of old and new records would be left.
+   * Removes the entries from an index on and syncs at once. If later appends reached the disk
+   * before the truncation, the file would hold a mixture of old and new records.
    */
   void truncateFrom(long index) {
     flush();
     int position = Math.toIntExact(index - name.firstIndex());
-    long sizeBytes = offsetsBytes.get(position);
-    offsetsBytes.subList(position, offsetsBytes.size()).clear();
-    cutAt(sizeBytes);
+    long sizeBytes = entryOffsetsBytes.get(position);
+    entryOffsetsBytes.subList(position, entryOffsetsBytes.size()).clear();
+    truncateAndSync(sizeBytes);
   }
 
   @Override
@@ -93,11 +93,11 @@
   }
 
   private void flush() {
-    if (unwritten.size() == 0) {
+    if (writeBuffer.size() == 0) {
       return;
     }
-    byte[] bytes = unwritten.toByteArray();
-    unwritten.reset();
+    byte[] bytes = writeBuffer.toByteArray();
+    writeBuffer.reset();
     DataFolder.step(
         folder.path(name.fileName()),
         () -> {
@@ -106,7 +106,7 @@
     writtenBytes += bytes.length;
   }
 
-  private void cutAt(long sizeBytes) {
+  private void truncateAndSync(long sizeBytes) {
     DataFolder.step(
         folder.path(name.fileName()),
         () -> {
--- a/storage/src/main/java/org/teaseltrail/storage/MembershipCodec.java
+++ b/storage/src/main/java/org/teaseltrail/storage/MembershipCodec.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.replication.Member;
 import org.teaseltrail.core.replication.Membership;
 
-/** Writes member sets. */
+/** Codec for group memberships: voters and learners. */
 final class MembershipCodec extends Codec<Membership> {
 
   @Override
--- a/storage/src/main/java/org/teaseltrail/storage/NioFileSystem.java
+++ b/storage/src/main/java/org/teaseltrail/storage/NioFileSystem.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** Is the operating system's file system. */
+/** Accesses the file system of the operating system through {@code java.nio}. */
 public final class NioFileSystem implements FileSystemAccess {
 
   @Override
@@ -68,7 +68,7 @@
     return channel;
   }
 
-  /** Returns the lock, or null if another process or another part of this one holds it. */
+  /** Returns the lock, or null if it is held by another process or elsewhere in this one. */
   private static FileLock tryLock(FileChannel channel) throws IOException {
     try {
       return channel.tryLock();
--- a/storage/src/main/java/org/teaseltrail/storage/SegmentContent.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SegmentContent.java
@@ -6,11 +6,11 @@
 import org.teaseltrail.core.replication.LogEntry;
 
 /**
- * Is what a log segment was found to hold.
+ * The content that was read from a log segment.
  *
- * @param entries its entries
- * @param offsetsBytes where each entry begins
- * @param soundBytes size of the part that is sound; what lies behind it was never synced
+ * @param entries the log entries
+ * @param offsetsBytes file offset of each entry's record, in bytes
+ * @param soundBytes size of the valid part, in bytes; data after it was never synced
  */
 record SegmentContent(List<LogEntry> entries, List<Long> offsetsBytes, long soundBytes) {
 
@@ -19,9 +19,9 @@
    *
    * @param folder the data folder
    * @param name name of the file
-   * @param isLast whether writes may have been under way in it
+   * @param isLast whether this is the last segment, in which a write may have been in progress
    * @return its content
-   * @throws DamagedFolderException if something that was synced can't be read
+   * @throws DamagedFolderException if synced data can't be read
    */
   static SegmentContent read(DataFolder folder, SegmentName name, boolean isLast) {
     byte[] file = folder.read(name.fileName());
@@ -31,30 +31,30 @@
     int offset = 0;
     Optional<LogRecord> record = LogRecord.readAt(file, offset);
     while (record.isPresent()) {
-      LogRecord sound = record.get();
-      entries.add(codec.decode(file, sound.contentOffsetBytes(), sound.contentLength()));
+      LogRecord valid = record.get();
+      entries.add(codec.decode(file, valid.contentOffsetBytes(), valid.contentLength()));
       offsets.add((long) offset);
-      offset = sound.endBytes();
+      offset = valid.endBytes();
       record = LogRecord.readAt(file, offset);
     }
     if (offset < file.length && (!isLast || wasSynced(file, offset))) {
       throw new DamagedFolderException(
-          folder.path(name.fileName()), "no sound record at byte " + offset);
+          folder.path(name.fileName()), "no valid record at byte " + offset);
     }
     return new SegmentContent(entries, offsets, offset);
   }
 
   /**
-   * Tells whether a part without a sound record had been synced.
+   * Returns whether the data at an offset without a valid record had been synced.
    *
-   * <p>Failure: a bad sector in the middle would look like a torn write, and cutting there would
-   * lose acknowledged entries without a word. The guard: any sound record behind it that was
-   * written after the part had been synced tells so.
+   * <p>A bad sector in the middle of the segment would otherwise look like a torn write, and
+   * truncating there would silently lose acknowledged entries. It is recognized by any later valid
+   * record whose synced size reaches beyond the offset.
    */
-  private static boolean wasSynced(byte[] file, int flawBytes) {
-    for (int offset = flawBytes + 1; offset < file.length; offset++) {
+  private static boolean wasSynced(byte[] file, int invalidOffsetBytes) {
+    for (int offset = invalidOffsetBytes + 1; offset < file.length; offset++) {
       Optional<LogRecord> later = LogRecord.readAt(file, offset);
-      if (later.isPresent() && later.get().syncedBytes() > flawBytes) {
+      if (later.isPresent() && later.get().syncedBytes() > invalidOffsetBytes) {
         return true;
       }
     }
--- a/storage/src/main/java/org/teaseltrail/storage/SegmentName.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SegmentName.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.storage;
 
 /**
- * Names the file of a log segment.
+ * File name of a log segment.
  *
- * @param firstIndex index of its first entry
+ * @param firstIndex index of the segment's first entry
  */
 record SegmentName(long firstIndex) {
 
@@ -17,7 +17,7 @@
     return new SegmentName(Long.parseLong(fileName.substring(PREFIX.length())));
   }
 
-  /** Returns a name whose order among others is that of the indexes. */
+  /** Returns the file name, padded so that names sort in the order of their indexes. */
   String fileName() {
     return PREFIX + String.format("%020d", firstIndex);
   }
--- a/storage/src/main/java/org/teaseltrail/storage/SegmentedLog.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SegmentedLog.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.replication.LogEntry;
 import org.teaseltrail.core.replication.Snapshot;
 
-/** Is the log on disk: segments that follow one another, the last of which grows. */
+/** The replicated log on disk: consecutive segment files, of which only the last is appended to. */
 final class SegmentedLog implements AutoCloseable {
 
   private final DataFolder folder;
@@ -19,11 +19,11 @@
   }
 
   /**
-   * Reads all segments and makes the log ready for appending.
+   * Reads all segments and opens the log for appending.
    *
    * @param snapshot the newest snapshot
-   * @return the entries that count
-   * @throws DamagedFolderException if something that was synced is missing or can't be read
+   * @return the log entries; empty if the snapshot supersedes the log
+   * @throws DamagedFolderException if synced data is missing or can't be read
    */
   List<LogEntry> recover(Optional<Snapshot> snapshot) {
     List<SegmentName> names =
@@ -32,13 +32,13 @@
     for (int i = 0; i < names.size(); i++) {
       SegmentName name = names.get(i);
       SegmentContent content = SegmentContent.read(folder, name, i == names.size() - 1);
-      checkFollows(name, content, entries);
+      checkContiguous(name, content, entries);
       entries.addAll(content.entries());
       segments.add(LogSegment.open(folder, name, content));
     }
     long coveredIndex = snapshot.map(Snapshot::index).orElse(0L);
-    checkStart(names, coveredIndex);
-    if (snapshot.isPresent() && isReplacedBy(snapshot.get(), entries)) {
+    checkNoGapBeforeLog(names, coveredIndex);
+    if (snapshot.isPresent() && isSupersededBy(snapshot.get(), entries)) {
       discard();
       return List.of();
     }
@@ -47,24 +47,27 @@
 
   void append(List<LogEntry> entries) {
     for (LogEntry entry : entries) {
-      if (segments.isEmpty() || last().sizeBytes() >= segmentBytes) {
+      if (segments.isEmpty() || lastSegment().sizeBytes() >= segmentBytes) {
         sync();
         segments.add(LogSegment.create(folder, entry.index()));
       }
-      last().append(entry);
+      lastSegment().append(entry);
     }
   }
 
   void truncateFrom(long index) {
-    while (!segments.isEmpty() && last().name().firstIndex() >= index) {
-      deleteLast();
+    while (!segments.isEmpty() && lastSegment().name().firstIndex() >= index) {
+      deleteLastSegment();
     }
-    if (!segments.isEmpty() && last().lastIndex() >= index) {
-      last().truncateFrom(index);
+    if (!segments.isEmpty() && lastSegment().lastIndex() >= index) {
+      lastSegment().truncateFrom(index);
     }
   }
 
-  /** Deletes the segments that hold nothing after an index; a synced snapshot stands for them. */
+  /**
+   * Deletes the segments that end at or before an index, except the last one. A synced snapshot
+   * covers their entries.
+   */
   void dropThrough(long index) {
     while (segments.size() > 1 && segments.get(0).lastIndex() <= index) {
       LogSegment first = segments.remove(0);
@@ -74,18 +77,19 @@
   }
 
   /**
-   * Deletes all segments, the newest first: a crash in between leaves a log that ends early, and
-   * not one that begins behind the snapshot, which would look like damage.
+   * Deletes all segments, newest first. A crash in between then leaves a log that ends early. In
+   * the opposite order it would leave a gap between the snapshot and the log, which recovery
+   * reports as corruption.
    */
   void discard() {
     while (!segments.isEmpty()) {
-      deleteLast();
+      deleteLastSegment();
     }
   }
 
   void sync() {
     if (!segments.isEmpty()) {
-      last().sync();
+      lastSegment().sync();
     }
   }
 
@@ -94,37 +98,42 @@
     segments.forEach(LogSegment::close);
   }
 
-  private LogSegment last() {
+  private LogSegment lastSegment() {
     return segments.get(segments.size() - 1);
   }
 
-  private void deleteLast() {
+  private void deleteLastSegment() {
     LogSegment removed = segments.remove(segments.size() - 1);
     removed.close();
     folder.delete(removed.name().fileName());
     folder.sync();
   }
 
-  private void checkFollows(SegmentName name, SegmentContent content, List<LogEntry> before) {
+  private void checkContiguous(
+      SegmentName name, SegmentContent content, List<LogEntry> previousEntries) {
     long expectedIndex =
-        before.isEmpty() ? name.firstIndex() : before.get(before.size() - 1).index() + 1;
-    boolean follows = name.firstIndex() == expectedIndex;
+        previousEntries.isEmpty()
+            ? name.firstIndex()
+            : previousEntries.get(previousEntries.size() - 1).index() + 1;
+    boolean contiguous = name.firstIndex() == expectedIndex;
     for (LogEntry entry : content.entries()) {
-      follows &= entry.index() == expectedIndex;
+      contiguous &= entry.index() == expectedIndex;
       expectedIndex++;
     }
-    if (!follows) {
-      throw new DamagedFolderException(folder.path(name.fileName()), "doesn't follow");
+    if (!contiguous) {
+      throw new DamagedFolderException(
+          folder.path(name.fileName()), "its entries do not follow the previous segment");
     }
   }
 
-  private void checkStart(List<SegmentName> names, long coveredIndex) {
+  private void checkNoGapBeforeLog(List<SegmentName> names, long coveredIndex) {
     if (!names.isEmpty() && names.get(0).firstIndex() > coveredIndex + 1) {
-      throw new DamagedFolderException(folder.path(), "entries are missing before the log");
+      throw new DamagedFolderException(
+          folder.path(), "log entries are missing before the first segment");
     }
   }
 
-  private static boolean isReplacedBy(Snapshot snapshot, List<LogEntry> entries) {
+  private static boolean isSupersededBy(Snapshot snapshot, List<LogEntry> entries) {
     if (entries.isEmpty()) {
       return false;
     }
--- a/storage/src/main/java/org/teaseltrail/storage/SnapshotCodec.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SnapshotCodec.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.replication.Membership;
 import org.teaseltrail.core.replication.Snapshot;
 
-/** Writes snapshots. */
+/** Codec for snapshots. */
 final class SnapshotCodec extends Codec<Snapshot> {
 
   private final MembershipCodec memberships = new MembershipCodec();
--- a/storage/src/main/java/org/teaseltrail/storage/SnapshotStore.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SnapshotStore.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import org.teaseltrail.core.replication.Snapshot;
 
-/** Keeps the newest snapshot. */
+/** Stores the newest snapshot on disk. */
 final class SnapshotStore {
 
   private static final String PREFIX = "snapshot-";
@@ -17,7 +17,7 @@
     this.files = new CheckedFile<>(folder, new SnapshotCodec());
   }
 
-  /** Saves a snapshot, synced; only then is an older one deleted. */
+  /** Saves and syncs a snapshot, then deletes older ones. */
   void save(Snapshot snapshot) {
     String name = PREFIX + String.format("%020d", snapshot.index());
     files.save(name, snapshot);
--- a/storage/src/main/java/org/teaseltrail/storage/StorageException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/StorageException.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 
-/** Tells that a data folder can't be used. What it reported as synced is still there. */
+/** Base class of data folder errors. Writes that were reported as synced are still stored. */
 public abstract sealed class StorageException extends RuntimeException
     permits DamagedFolderException,
         DiskFullException,
@@ -17,14 +17,14 @@
 
   private final transient Path path;
 
-  /** Creates the failure for a file or folder, the reason and the cause, which may be null. */
+  /** Creates the exception for a file or folder with a reason and a cause, which may be null. */
   protected StorageException(Path path, String reason, Throwable cause) {
     super(path + ": " + reason, cause);
     this.path = path;
   }
 
   /**
-   * Returns which file or folder the failure is about.
+   * Returns the file or folder that the error concerns.
    *
    * @return its path
    */
--- a/storage/src/main/java/org/teaseltrail/storage/StorageFolder.java
+++ b/storage/src/main/java/org/teaseltrail/storage/StorageFolder.java
@@ -12,13 +12,13 @@
 import org.teaseltrail.core.replication.Vote;
 
 /**
- * Keeps one control member's state in one folder.
+ * Durable storage of one control member: its log, vote and snapshot in one data folder.
  *
- * <p>Writes are taken in their order and outlive a loss of power in their order; {@link #sync}
- * tells up to which one they do. After a failed write the folder takes no more: what a failed sync
- * has lost can't be known, so only reading the folder anew tells what is there.
+ * <p>Writes are applied and become durable in the order in which they are submitted; {@link #sync}
+ * returns the number of the last durable one. After a failed write all further writes are rejected:
+ * it is unknown which data a failed sync has lost, so the folder must be reopened and read again.
  *
- * <p>Not safe for use by several threads at once.
+ * <p>Not thread-safe.
  *
  * <p>Example:
  *
@@ -32,7 +32,7 @@
  */
 public final class StorageFolder implements AutoCloseable {
 
-  /** Size at which a new log segment is begun, in bytes. */
+  /** Size at which the log rolls to a new segment, in bytes. */
   public static final long DEFAULT_SEGMENT_BYTES = 8L * 1024 * 1024;
 
   private static final String LOCK_NAME = "lock";
@@ -41,17 +41,17 @@
   private final AutoCloseable lock;
   private final FolderIdentity identity;
   private final RecoveredState recovered;
-  private final CheckedFile<Vote> votes;
+  private final CheckedFile<Vote> voteFile;
   private final SnapshotStore snapshots;
   private final SegmentedLog log;
   private StorageException failure;
-  private long newestWriteNumber;
+  private long lastWriteNumber;
 
   private StorageFolder(DataFolder folder, GroupId group, long segmentBytes) {
     this.folder = folder;
     this.identity = FolderSetup.identityOf(folder, group);
     this.lock = folder.lock(LOCK_NAME);
-    this.votes = new CheckedFile<>(folder, new VoteCodec());
+    this.voteFile = new CheckedFile<>(folder, new VoteCodec());
     this.snapshots = new SnapshotStore(folder);
     this.log = new SegmentedLog(folder, segmentBytes);
     try {
@@ -63,45 +63,45 @@
   }
 
   /**
-   * Makes the folder of the only member of a new group. This is the explicit command that starts a
-   * group; nothing does so by itself.
+   * Creates the folder of the only member of a new group. A group is created only by this explicit
+   * call, never implicitly on startup.
    *
    * @param files the file system
-   * @param path the folder; may be there, but empty
+   * @param path the folder; may exist if it is empty
    * @param identity the group and its first member
-   * @throws FolderExistsException if a member's state lies there
-   * @throws DamagedFolderException if files of a member lie there without its identity
+   * @throws FolderExistsException if the folder already holds member state
+   * @throws DamagedFolderException if it holds member files but no identity file
    */
   public static void createGroup(FileSystemAccess files, Path path, FolderIdentity identity) {
-    List<LogEntry> first = RecoveredState.newGroup(identity.member()).entries();
-    FolderSetup.create(new DataFolder(files, path), identity, first);
+    List<LogEntry> initialEntries = RecoveredState.newGroup(identity.member()).entries();
+    FolderSetup.create(new DataFolder(files, path), identity, initialEntries);
   }
 
   /**
-   * Makes the folder of one of the founders of a new group. Each founder must be given the same set
-   * of founders, itself among them.
+   * Creates the folder of one of the initial members of a new group. Each of them must be given the
+   * same set of initial members, which includes itself.
    *
    * @param files the file system
-   * @param path the folder; may be there, but empty
-   * @param identity the group and the founder
-   * @param founders the members that vote from the start
-   * @throws FolderExistsException if a member's state lies there
-   * @throws DamagedFolderException if files of a member lie there without its identity
+   * @param path the folder; may exist if it is empty
+   * @param identity the group and this initial member
+   * @param founders the initial voters of the group
+   * @throws FolderExistsException if the folder already holds member state
+   * @throws DamagedFolderException if it holds member files but no identity file
    */
   public static void createFounder(
       FileSystemAccess files, Path path, FolderIdentity identity, Membership founders) {
-    List<LogEntry> first = RecoveredState.newGroup(founders).entries();
-    FolderSetup.create(new DataFolder(files, path), identity, first);
+    List<LogEntry> initialEntries = RecoveredState.newGroup(founders).entries();
+    FolderSetup.create(new DataFolder(files, path), identity, initialEntries);
   }
 
   /**
-   * Makes the folder of a new member that is to join a group.
+   * Creates the folder of a new member that joins an existing group.
    *
    * @param files the file system
-   * @param path the folder; may be there, but empty
+   * @param path the folder; may exist if it is empty
    * @param identity the group and the new member
-   * @throws FolderExistsException if a member's state lies there
-   * @throws DamagedFolderException if files of a member lie there without its identity
+   * @throws FolderExistsException if the folder already holds member state
+   * @throws DamagedFolderException if it holds member files but no identity file
    */
   public static void createMember(FileSystemAccess files, Path path, FolderIdentity identity) {
     FolderSetup.create(new DataFolder(files, path), identity, List.of());
@@ -112,24 +112,24 @@
    *
    * @param files the file system
    * @param path the folder
-   * @param group the group it must belong to
+   * @param group the group that the folder must belong to
    * @return the open folder
-   * @throws FolderMissingException if it holds no member's state
+   * @throws FolderMissingException if it holds no member state
    * @throws ForeignFolderException if it belongs to another group
    * @throws FolderInUseException if it is open already
-   * @throws DamagedFolderException if something that was synced is missing or can't be read
+   * @throws DamagedFolderException if synced data is missing or can't be read
    */
   public static StorageFolder open(FileSystemAccess files, Path path, GroupId group) {
     return open(files, path, group, DEFAULT_SEGMENT_BYTES);
   }
 
   /**
-   * Opens a folder, see {@link #open(FileSystemAccess, Path, GroupId)}.
+   * Opens a folder with a given segment size, see {@link #open(FileSystemAccess, Path, GroupId)}.
    *
    * @param files the file system
    * @param path the folder
-   * @param group the group it must belong to
-   * @param segmentBytes size at which a new log segment is begun, in bytes
+   * @param group the group that the folder must belong to
+   * @param segmentBytes size at which the log rolls to a new segment, in bytes
    * @return the open folder
    */
   public static StorageFolder open(
@@ -138,7 +138,7 @@
   }
 
   /**
-   * Returns whose state this is.
+   * Returns the group and member that this state belongs to.
    *
    * @return the identity
    */
@@ -147,7 +147,7 @@
   }
 
   /**
-   * Returns what the folder held when it was opened.
+   * Returns the state that was read when the folder was opened.
    *
    * @return vote, snapshot and log
    */
@@ -156,28 +156,28 @@
   }
 
   /**
-   * Takes a write; it may not outlive a loss of power before the next {@link #sync}.
+   * Applies a write. It is not guaranteed to survive a power loss before the next {@link #sync}.
    *
    * @param write the write
-   * @throws DiskFullException if there is no room
+   * @throws DiskFullException if the disk is full
    * @throws FolderFailedException if an earlier write failed
    */
   public void write(ReplicaAction.Write write) {
-    guarded(() -> carryOut(write));
-    newestWriteNumber = write.writeNumber();
+    runUnlessFailed(() -> applyWrite(write));
+    lastWriteNumber = write.writeNumber();
   }
 
   /**
-   * Syncs all writes taken so far, at the cost of one sync for many.
+   * Makes all writes so far durable with one sync (group commit).
    *
-   * @return number of the newest write, for {@link
+   * @return number of the last write, for {@link
    *     org.teaseltrail.core.replication.ReplicaEvent.Persisted}
-   * @throws DiskFullException if there is no room
+   * @throws DiskFullException if the disk is full
    * @throws FolderFailedException if an earlier write failed
    */
   public long sync() {
-    guarded(log::sync);
-    return newestWriteNumber;
+    runUnlessFailed(log::sync);
+    return lastWriteNumber;
   }
 
   @Override
@@ -186,14 +186,14 @@
     DataFolder.closeQuietly(lock);
   }
 
-  private void carryOut(ReplicaAction.Write write) {
+  private void applyWrite(ReplicaAction.Write write) {
     if (write instanceof ReplicaAction.AppendToLog append) {
       log.append(append.entries());
     } else if (write instanceof ReplicaAction.TruncateLog truncate) {
       log.truncateFrom(truncate.fromIndex());
     } else if (write instanceof ReplicaAction.SaveVote saved) {
       log.sync();
-      votes.save(FolderSetup.VOTE_NAME, saved.vote());
+      voteFile.save(FolderSetup.VOTE_NAME, saved.vote());
     } else if (write instanceof ReplicaAction.SaveSnapshot saved) {
       log.sync();
       saveSnapshot(saved);
@@ -209,7 +209,7 @@
     }
   }
 
-  private void guarded(Runnable operation) {
+  private void runUnlessFailed(Runnable operation) {
     if (failure != null) {
       throw new FolderFailedException(folder.path(), failure);
     }
@@ -223,7 +223,7 @@
 
   private RecoveredState recover() {
     FolderSetup.removeLeftovers(folder);
-    Vote vote = votes.load(FolderSetup.VOTE_NAME);
+    Vote vote = voteFile.load(FolderSetup.VOTE_NAME);
     Optional<Snapshot> snapshot = snapshots.load();
     return new RecoveredState(vote, snapshot, log.recover(snapshot));
   }
--- a/storage/src/main/java/org/teaseltrail/storage/VoteCodec.java
+++ b/storage/src/main/java/org/teaseltrail/storage/VoteCodec.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.core.id.MemberId;
 import org.teaseltrail.core.replication.Vote;
 
-/** Writes votes. */
+/** Codec for votes; an empty member id means that no vote was cast in the term. */
 final class VoteCodec extends Codec<Vote> {
 
   @Override
--- a/storage/src/test/java/org/teaseltrail/storage/FakeFileSystem.java
+++ b/storage/src/test/java/org/teaseltrail/storage/FakeFileSystem.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
-/** Keeps one folder in memory; a power loss takes, or tears, what isn't synced. */
+/** In-memory file system with one folder; a simulated power loss drops or tears unsynced data. */
 final class FakeFileSystem implements FileSystemAccess {
 
   private static final class Content {
@@ -19,23 +19,23 @@
   }
 
   private final Map<String, Content> names = new TreeMap<>();
-  private final Map<String, Content> syncedNames = new TreeMap<>();
+  private final Map<String, Content> syncedFiles = new TreeMap<>();
   private final List<Consumer<Map<String, Content>>> unsyncedChanges = new ArrayList<>();
-  private int stepsUntilLoss = Integer.MAX_VALUE;
+  private int operationsUntilPowerLoss = Integer.MAX_VALUE;
   private int freeBytes = Integer.MAX_VALUE;
-  private boolean syncsNothing;
+  private boolean ignoresSyncs;
 
   void losePowerAfterSteps(int steps) {
-    stepsUntilLoss = steps;
+    operationsUntilPowerLoss = steps;
   }
 
   void leaveFreeBytes(int bytes) {
     freeBytes = bytes;
   }
 
-  /** Makes all syncs do nothing, to show that they are needed. */
+  /** Makes all syncs no-ops, so that tests can show that they are needed. */
   void syncNothing() {
-    syncsNothing = true;
+    ignoresSyncs = true;
   }
 
   byte[] content(String name) {
@@ -46,19 +46,19 @@
     names.get(name).present[offsetBytes] ^= 0x55;
   }
 
-  /** Loses power and starts again. */
+  /** Simulates a power loss and a restart. */
   void losePower(SplittableRandom random) {
     int kept = random.nextInt(unsyncedChanges.size() + 1);
-    unsyncedChanges.subList(0, kept).forEach(change -> change.accept(syncedNames));
+    unsyncedChanges.subList(0, kept).forEach(change -> change.accept(syncedFiles));
     unsyncedChanges.clear();
     names.clear();
-    names.putAll(syncedNames);
-    names.values().forEach(content -> tear(content, random));
-    stepsUntilLoss = Integer.MAX_VALUE;
+    names.putAll(syncedFiles);
+    names.values().forEach(content -> tearUnsyncedPart(content, random));
+    operationsUntilPowerLoss = Integer.MAX_VALUE;
     freeBytes = Integer.MAX_VALUE;
   }
 
-  private static void tear(Content content, SplittableRandom random) {
+  private static void tearUnsyncedPart(Content content, SplittableRandom random) {
     byte[] present = content.present;
     byte[] synced = content.synced;
     boolean grown = Arrays.mismatch(present, synced) == synced.length;
@@ -118,8 +118,8 @@
   @Override
   public void syncFolder(Path folder) throws IOException {
     step();
-    if (!syncsNothing) {
-      unsyncedChanges.forEach(change -> change.accept(syncedNames));
+    if (!ignoresSyncs) {
+      unsyncedChanges.forEach(change -> change.accept(syncedFiles));
       unsyncedChanges.clear();
     }
   }
@@ -135,10 +135,10 @@
   }
 
   private void step() throws IOException {
-    if (stepsUntilLoss == 0) {
+    if (operationsUntilPowerLoss == 0) {
       throw new IOException("power lost");
     }
-    stepsUntilLoss--;
+    operationsUntilPowerLoss--;
   }
 
   private static String nameOf(Path file) {
@@ -175,7 +175,7 @@
     @Override
     public void sync() throws IOException {
       step();
-      if (!syncsNothing) {
+      if (!ignoresSyncs) {
         content.synced = content.present.clone();
       }
     }
--- a/storage/src/test/java/org/teaseltrail/storage/FolderScript.java
+++ b/storage/src/test/java/org/teaseltrail/storage/FolderScript.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.replication.Snapshot;
 import org.teaseltrail.core.replication.Vote;
 
-/** Is a list of writes with the state that each of them leads to. */
+/** A sequence of writes with the expected state after each of them. */
 final class FolderScript {
 
   static final GroupId GROUP = new GroupId("group");
@@ -33,7 +33,7 @@
     states.add(start);
   }
 
-  /** Appends, votes, cuts, takes a snapshot, and takes over another's snapshot. */
+  /** Appends, votes, truncates, saves its own snapshot and installs one from another member. */
   static FolderScript ofAllKinds() {
     FolderScript script = new FolderScript();
     script.vote(1).append(1, 4).append(1, 2).append(1, 3).vote(2);
@@ -42,7 +42,7 @@
     return script.snapshot(30, 4, 30, true).append(4, 2).append(4, 2);
   }
 
-  /** Draws writes as a replica might ask for them. */
+  /** Generates random writes that a replica could request. */
   static FolderScript random(SplittableRandom random) {
     FolderScript script = new FolderScript();
     for (int term = 1; term <= 30; term++) {
@@ -53,25 +53,26 @@
         case 0, 1, 2 -> script.append(term, random.nextInt(1, 5));
         case 3 -> script.vote(term);
         case 4 -> script.truncate(random.nextLong(first, last + 1));
-        default -> script.anySnapshot(random, first, last, term);
+        default -> script.appendSnapshotAtRandomIndex(random, first, last, term);
       }
     }
     return script;
   }
 
-  private void anySnapshot(SplittableRandom random, long first, long last, long term) {
+  private void appendSnapshotAtRandomIndex(
+      SplittableRandom random, long first, long last, long term) {
     if (random.nextInt(3) == 0) {
       long index = last + random.nextLong(1, 5);
       snapshot(index, term, index, true);
     } else {
       long index = random.nextLong(first, last + 1);
-      long entryTerm = last().entries().get((int) (index - first)).term();
+      long entryTerm = lastState().entries().get((int) (index - first)).term();
       snapshot(index, entryTerm, index - random.nextLong(3), false);
     }
   }
 
   private long firstIndex() {
-    return last().snapshot().map(Snapshot::index).orElse(0L) + 1;
+    return lastState().snapshot().map(Snapshot::index).orElse(0L) + 1;
   }
 
   List<ReplicaAction.Write> writes() {
@@ -89,35 +90,35 @@
       byte[] command = new byte[3 + (int) next % 7];
       added.add(new LogEntry(next + i, term, new EntryPayload.CommandPayload(command)));
     }
-    List<LogEntry> entries = new ArrayList<>(last().entries());
+    List<LogEntry> entries = new ArrayList<>(lastState().entries());
     entries.addAll(added);
     return add(
         new ReplicaAction.AppendToLog(number(), added),
-        new RecoveredState(last().vote(), last().snapshot(), entries));
+        new RecoveredState(lastState().vote(), lastState().snapshot(), entries));
   }
 
   FolderScript truncate(long index) {
     List<LogEntry> entries =
-        last().entries().stream().filter(entry -> entry.index() < index).toList();
+        lastState().entries().stream().filter(entry -> entry.index() < index).toList();
     return add(
         new ReplicaAction.TruncateLog(number(), index),
-        new RecoveredState(last().vote(), last().snapshot(), entries));
+        new RecoveredState(lastState().vote(), lastState().snapshot(), entries));
   }
 
   FolderScript vote(long term) {
     Vote vote = new Vote(term, Optional.of(IDENTITY.member().id()));
     return add(
         new ReplicaAction.SaveVote(number(), vote),
-        new RecoveredState(vote, last().snapshot(), last().entries()));
+        new RecoveredState(vote, lastState().snapshot(), lastState().entries()));
   }
 
   FolderScript snapshot(long index, long term, long keepAfterIndex, boolean discardsLog) {
     Membership membership = Membership.of(IDENTITY.member());
     Snapshot snapshot = new Snapshot(index, term, membership, new byte[50]);
-    List<LogEntry> entries = discardsLog ? List.of() : last().entries();
+    List<LogEntry> entries = discardsLog ? List.of() : lastState().entries();
     return add(
         new ReplicaAction.SaveSnapshot(number(), snapshot, keepAfterIndex, discardsLog),
-        new RecoveredState(last().vote(), Optional.of(snapshot), entries));
+        new RecoveredState(lastState().vote(), Optional.of(snapshot), entries));
   }
 
   private FolderScript add(ReplicaAction.Write write, RecoveredState state) {
@@ -126,13 +127,13 @@
     return this;
   }
 
-  private RecoveredState last() {
+  private RecoveredState lastState() {
     return states.get(states.size() - 1);
   }
 
   private long lastIndex() {
-    List<LogEntry> entries = last().entries();
-    long covered = last().snapshot().map(Snapshot::index).orElse(0L);
+    List<LogEntry> entries = lastState().entries();
+    long covered = lastState().snapshot().map(Snapshot::index).orElse(0L);
     return entries.isEmpty() ? covered : entries.get(entries.size() - 1).index();
   }
 
--- a/storage/src/test/java/org/teaseltrail/storage/PowerLossProperties.java
+++ b/storage/src/test/java/org/teaseltrail/storage/PowerLossProperties.java
@@ -14,9 +14,9 @@
 import org.teaseltrail.core.replication.ReplicaAction;
 
 /**
- * Story: a control VM loses power at any step of an append, a vote, a cut or a snapshot, and starts
- * again. Users would see an accepted change gone, or the member would refuse to start, if a write
- * was reported as synced before it was, or files were replaced in the wrong order.
+ * Guards against losing an accepted change, or a member that can't start, after a power loss at any
+ * file operation of an append, vote, truncation or snapshot. Either happens if a write is reported
+ * as synced too early or if files are replaced in the wrong order.
  */
 class PowerLossProperties {
 
@@ -35,12 +35,12 @@
       int synced = runUntilPowerLoss(files, script, random);
       files.losePower(random);
       checkRecovery(files, script, synced);
-      goOn(files, random);
+      checkWritesAfterRecovery(files, random);
       if (synced == script.writes().size()) {
         return;
       }
     }
-    throw new AssertionError("script not finished within " + MAX_STEPS + " steps");
+    throw new AssertionError("write sequence not finished within " + MAX_STEPS + " steps");
   }
 
   @Property(seed = "4711", tries = 1_000, shrinking = ShrinkingMode.OFF)
@@ -57,7 +57,7 @@
     int synced = runUntilPowerLoss(files, script, random);
     files.losePower(random);
     checkRecovery(files, script, synced);
-    goOn(files, random);
+    checkWritesAfterRecovery(files, random);
   }
 
   @Property(seed = "4711", tries = 20, shrinking = ShrinkingMode.OFF)
@@ -69,7 +69,7 @@
         StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
       } catch (StorageException e) {
         files.losePower(new SplittableRandom(seed + steps));
-        createUnlessThere(files);
+        createUnlessExists(files);
       }
       files.losePowerAfterSteps(MAX_STEPS);
       try (StorageFolder folder = open(files)) {
@@ -78,7 +78,7 @@
     }
   }
 
-  private static void createUnlessThere(FakeFileSystem files) {
+  private static void createUnlessExists(FakeFileSystem files) {
     try {
       StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
     } catch (FolderExistsException e) {
@@ -90,7 +90,7 @@
     return StorageFolder.open(files, PATH, FolderScript.GROUP, SEGMENT_BYTES);
   }
 
-  /** Returns how many writes were reported as synced. */
+  /** Returns the number of writes that were reported as synced. */
   private static int runUntilPowerLoss(
       FakeFileSystem files, FolderScript script, SplittableRandom random) {
     int synced = 0;
@@ -108,20 +108,21 @@
     return synced;
   }
 
-  /** Checks that the folder holds a state at or after the last one reported as synced. */
+  /** Asserts that the recovered state is the last one reported as synced or a later one. */
   private static void checkRecovery(FakeFileSystem files, FolderScript script, int synced) {
     try (StorageFolder folder = open(files)) {
       boolean found =
           IntStream.rangeClosed(synced, script.writes().size())
               .anyMatch(count -> script.stateAfter(count).equals(folder.recovered()));
       if (!found) {
-        checkPartOfBatch(folder.recovered(), script, synced);
+        checkPartiallyAppliedWrite(folder.recovered(), script, synced);
       }
     }
   }
 
-  /** An append or a cut that wasn't synced may have been done for some of its entries. */
-  private static void checkPartOfBatch(RecoveredState recovered, FolderScript script, int synced) {
+  /** Allows for an unsynced append or truncation that was applied to only some of its entries. */
+  private static void checkPartiallyAppliedWrite(
+      RecoveredState recovered, FolderScript script, int synced) {
     for (int count = synced; count < script.writes().size(); count++) {
       RecoveredState before = script.stateAfter(count);
       RecoveredState after = script.stateAfter(count + 1);
@@ -134,7 +135,8 @@
         return;
       }
     }
-    throw new AssertionError("recovered no state after write " + synced + ": " + recovered);
+    throw new AssertionError(
+        "recovered state does not match any state from write " + synced + ": " + recovered);
   }
 
   private static boolean isBetween(
@@ -146,8 +148,8 @@
         && entries.equals(longer.subList(0, size));
   }
 
-  /** Checks that a folder that has lost power once keeps new writes over a second loss. */
-  private static void goOn(FakeFileSystem files, SplittableRandom random) {
+  /** Asserts that writes after a recovery survive a second power loss. */
+  private static void checkWritesAfterRecovery(FakeFileSystem files, SplittableRandom random) {
     FolderScript more;
     try (StorageFolder folder = open(files)) {
       more = new FolderScript(folder.recovered()).append(9, 2).vote(9).append(9, 1);
--- a/storage/src/test/java/org/teaseltrail/storage/StorageFolderTest.java
+++ b/storage/src/test/java/org/teaseltrail/storage/StorageFolderTest.java
@@ -15,18 +15,18 @@
   private static final Path PATH = Path.of("data");
   private static final String FIRST_SEGMENT = "log-00000000000000000001";
 
-  @TempDir private Path temporary;
+  @TempDir private Path temporaryFolder;
 
   @Test
   void keepsAllKindsOfWritesOnRealFiles() {
     NioFileSystem files = new NioFileSystem();
     FolderScript script = FolderScript.ofAllKinds();
-    StorageFolder.createGroup(files, temporary, FolderScript.IDENTITY);
-    try (StorageFolder folder = open(files, temporary)) {
+    StorageFolder.createGroup(files, temporaryFolder, FolderScript.IDENTITY);
+    try (StorageFolder folder = open(files, temporaryFolder)) {
       script.writes().forEach(folder::write);
       assertThat(folder.sync()).isEqualTo(script.writes().size());
     }
-    try (StorageFolder folder = open(files, temporary)) {
+    try (StorageFolder folder = open(files, temporaryFolder)) {
       assertThat(folder.identity()).isEqualTo(FolderScript.IDENTITY);
       assertThat(folder.recovered()).isEqualTo(script.stateAfter(script.writes().size()));
     }
@@ -34,9 +34,10 @@
 
   @Test
   void startsNoGroupByItself() {
-    Path missing = temporary.resolve("missing");
+    Path missing = temporaryFolder.resolve("missing");
     NioFileSystem files = new NioFileSystem();
-    assertThatThrownBy(() -> open(files, temporary)).isInstanceOf(FolderMissingException.class);
+    assertThatThrownBy(() -> open(files, temporaryFolder))
+        .isInstanceOf(FolderMissingException.class);
     assertThatThrownBy(() -> open(files, missing)).isInstanceOf(FolderMissingException.class);
   }
 
@@ -50,8 +51,8 @@
   }
 
   /**
-   * Story: an operator starts a group on a VM that has a member already, or points the process at
-   * another group's folder. The member's state would be overwritten or mixed with the other's.
+   * Guards against overwriting or mixing member state: an operator creates a group on a VM that
+   * already has a member, or configures the folder of another group.
    */
   @Test
   void refusesFoldersOfOthers() {
@@ -64,23 +65,24 @@
   }
 
   /**
-   * Story: a second process is started on the same folder, by a supervisor that thinks the first
-   * one dead. Both would append to one log.
+   * Guards against two processes appending to one log: a supervisor wrongly considers the first
+   * process dead and starts a second one on the same folder.
    */
   @Test
   void refusesTwoAtOnce() {
     NioFileSystem files = new NioFileSystem();
-    StorageFolder.createGroup(files, temporary, FolderScript.IDENTITY);
-    try (StorageFolder folder = open(files, temporary)) {
+    StorageFolder.createGroup(files, temporaryFolder, FolderScript.IDENTITY);
+    try (StorageFolder folder = open(files, temporaryFolder)) {
       assertThat(folder.recovered().entries()).hasSize(1);
-      assertThatThrownBy(() -> open(files, temporary)).isInstanceOf(FolderInUseException.class);
+      assertThatThrownBy(() -> open(files, temporaryFolder))
+          .isInstanceOf(FolderInUseException.class);
     }
-    open(files, temporary).close();
+    open(files, temporaryFolder).close();
   }
 
   /**
-   * Story: a sector goes bad under entries that were acknowledged long ago, and the process starts
-   * again. Were the log cut there as after a torn write, accepted changes would be gone silently.
+   * Guards against silent loss of acknowledged entries: a sector under synced entries goes bad, and
+   * after a restart the log is truncated there as if after a torn write.
    */
   @Test
   void refusesDamageBeforeTheTail() {
@@ -106,8 +108,8 @@
   }
 
   /**
-   * Story: the disk runs full in the middle of an append. The member must say so, take nothing
-   * more, and find all that it had acknowledged once there is room again.
+   * Guards against losing acknowledged entries when the disk fills up during an append. The folder
+   * must report the error, reject further writes and recover all synced writes once there is space.
    */
   @Test
   void losesNothingOnFullDisk() {
@@ -128,7 +130,8 @@
   }
 
   /**
-   * Shows that the fake disk does lose what isn't synced, so that its other tests mean something.
+   * Verifies that the fake file system loses unsynced data; otherwise the other tests prove
+   * nothing.
    */
   @Test
   void fakeDiskLosesWhatIsNotSynced() {
