--- a/wire/src/main/java/org/teaseltrail/wire/CloseReason.java
+++ b/wire/src/main/java/org/teaseltrail/wire/CloseReason.java
@@ -1,23 +1,23 @@
 package org.teaseltrail.wire;
 
-/** Says why a connection ended. */
+/** Reason why a connection closed. */
 public enum CloseReason {
   /** This side closed it. */
   CLOSED_HERE,
   /** The other side closed it. */
   CLOSED_BY_PEER,
-  /** Nothing, not even a keepalive, came within the idle timeout: the link is half-open. */
+  /** Half-open connection: no data and no keepalive was received within the idle timeout. */
   IDLE,
   /** The peer reads too slowly and the outbound queue is full. */
   PEER_NOT_READING,
-  /** A frame's declared length passes the limit. */
+  /** The declared length of a frame exceeds the limit. */
   FRAME_TOO_LARGE,
-  /** A frame holds no message of the expected type. */
+  /** A frame is not a message of the expected type. */
   MALFORMED_MESSAGE,
-  /** The opening names an unknown kind of speaker or another protocol version. */
+  /** The handshake has an unsupported client type or protocol version. */
   OPENING_REFUSED,
-  /** The transport failed. */
+  /** Reading from or writing to the socket failed. */
   TRANSPORT_FAILED,
-  /** The listener threw while it took a message. */
+  /** The listener threw an exception while handling a message. */
   LISTENER_FAILED
 }
--- a/wire/src/main/java/org/teaseltrail/wire/ConfigurationDelta.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ConfigurationDelta.java
@@ -12,12 +12,12 @@
 import org.teaseltrail.core.id.Revision;
 
 /**
- * Is what tells one configuration from the one sent before on the same connection.
+ * Delta of a configuration to the one sent before on the same connection.
  *
- * @param fencing the leadership that confirmed the configuration
- * @param base revision of the configuration sent before
- * @param revision its own revision
- * @param items what differs
+ * @param fencing fencing number of the leader that confirmed the configuration
+ * @param base revision of the configuration that the delta applies to
+ * @param revision revision of the resulting configuration
+ * @param items the changes between them
  */
 record ConfigurationDelta(
     FencingNumber fencing, Revision base, Revision revision, List<ConfigurationChange> items) {
@@ -29,31 +29,31 @@
 
   static ConfigurationDelta between(FencingNumber fencing, Configuration from, Configuration to) {
     List<ConfigurationChange> items = new ArrayList<>();
-    diff(
+    collectChanges(
         from.tiers(),
         to.tiers(),
         ConfigurationChange.PutTier::new,
         ConfigurationChange.RemoveTier::new,
         items);
-    diff(
+    collectChanges(
         from.pools(),
         to.pools(),
         ConfigurationChange.PutPool::new,
         ConfigurationChange.RemovePool::new,
         items);
-    diff(
+    collectChanges(
         from.customers(),
         to.customers(),
         ConfigurationChange.PutCustomer::new,
         ConfigurationChange.RemoveCustomer::new,
         items);
-    diff(
+    collectChanges(
         from.routes(),
         to.routes(),
         ConfigurationChange.PutRoute::new,
         ConfigurationChange.RemoveRoute::new,
         items);
-    diff(
+    collectChanges(
         from.upstreams(),
         to.upstreams(),
         ConfigurationChange.PutUpstream::new,
@@ -63,15 +63,16 @@
   }
 
   /**
-   * Returns the configuration that it tells of.
+   * Returns the configuration that results from applying this delta.
    *
-   * @throws MalformedMessageException if it doesn't follow from this configuration
+   * @throws MalformedMessageException if the given configuration is not the base of this delta
    */
   Configuration applyTo(Configuration from) {
     if (!from.revision().equals(base)) {
-      throw new MalformedMessageException(ConfigurationDelta.class, "of another base");
+      throw new MalformedMessageException(
+          ConfigurationDelta.class, "delta has a different base revision");
     }
-    Configuration content = items.isEmpty() ? from : edited(from);
+    Configuration content = items.isEmpty() ? from : applyChanges(from);
     return new Configuration(
         revision,
         content.tiers(),
@@ -81,7 +82,7 @@
         content.upstreams());
   }
 
-  private Configuration edited(Configuration from) {
+  private Configuration applyChanges(Configuration from) {
     ConfigurationResult result = ConfigurationEditor.apply(from, items);
     if (result instanceof ConfigurationResult.Changed changed) {
       return changed.configuration();
@@ -89,7 +90,7 @@
     throw new MalformedMessageException(ConfigurationDelta.class, result.toString());
   }
 
-  private static <K, V> void diff(
+  private static <K, V> void collectChanges(
       Map<K, V> from,
       Map<K, V> to,
       Function<V, ConfigurationChange> put,
--- a/wire/src/main/java/org/teaseltrail/wire/ConfigurationFrames.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ConfigurationFrames.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.ControlMessage.ConfigurationUpdate;
 
-/** Writes the frames that carry configurations, each once for all entry VMs. Thread-safe. */
+/** Encodes frames with configurations, each only once for all entry VMs. Thread-safe. */
 final class ConfigurationFrames {
 
   private final MessageCodec codec;
@@ -14,22 +14,25 @@
     this.codec = codec;
   }
 
-  /** Returns the body of the frame of a whole configuration. */
+  /** Returns the frame body for a full configuration. */
   byte[] whole(ConfigurationUpdate update) {
     return frames.body(
         FrameCache.Content.NONE,
-        content(update.configuration()),
+        versionedContent(update.configuration()),
         update.fencing(),
         () -> codec.encode(ControlMessage.class, update));
   }
 
-  /** Returns the body of the frame that tells what differs from a configuration. */
+  /** Returns the frame body for the delta from an older configuration. */
   byte[] delta(Configuration from, ConfigurationUpdate update) {
     return frames.body(
-        content(from), content(update.configuration()), update.fencing(), () -> made(from, update));
+        versionedContent(from),
+        versionedContent(update.configuration()),
+        update.fencing(),
+        () -> made(from, update));
   }
 
-  private static FrameCache.Content content(Configuration configuration) {
+  private static FrameCache.Content versionedContent(Configuration configuration) {
     return new FrameCache.Content(configuration.revision().value(), configuration);
   }
 
--- a/wire/src/main/java/org/teaseltrail/wire/ConnectionOpening.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ConnectionOpening.java
@@ -1,24 +1,24 @@
 package org.teaseltrail.wire;
 
 /**
- * Is the first frame of each connection, sent by the side that connects. It lets one port take
- * several kinds of speaker.
+ * First frame of each connection, sent by the client. It lets one port serve several types of
+ * clients.
  *
- * @param protocolVersion version of the frames and messages that follow
- * @param speaker what kind of process connects
- * @param speakerId its VM id or member id as text
+ * @param protocolVersion version of the protocol that the client uses
+ * @param speaker type of the client
+ * @param speakerId VM id or member id of the client as text
  */
 public record ConnectionOpening(int protocolVersion, SpeakerKind speaker, String speakerId) {
 
-  /** Version that this program speaks. */
+  /** Protocol version of this program. */
   public static final int PROTOCOL_VERSION = 1;
 
   /**
-   * Makes an opening in this program's version.
+   * Creates a handshake with the protocol version of this program.
    *
-   * @param speaker what kind of process connects
-   * @param speakerId its VM id or member id as text
-   * @return the opening
+   * @param speaker type of the client
+   * @param speakerId VM id or member id of the client as text
+   * @return the handshake
    */
   public static ConnectionOpening of(SpeakerKind speaker, String speakerId) {
     return new ConnectionOpening(PROTOCOL_VERSION, speaker, speakerId);
--- a/wire/src/main/java/org/teaseltrail/wire/ControlMessageDecoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ControlMessageDecoder.java
@@ -4,11 +4,11 @@
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.ControlMessage.ConfigurationUpdate;
 
-/** Reads messages to an entry VM, and makes configurations whole again. */
+/** Decodes messages to an entry VM and restores full configurations from deltas. */
 final class ControlMessageDecoder implements MessageDecoder<ControlMessage> {
 
   private final MessageCodec codec;
-  private Configuration received;
+  private Configuration lastReceived;
 
   ControlMessageDecoder(MessageCodec codec) {
     this.codec = codec;
@@ -21,15 +21,16 @@
             ? whole(codec.decode(ConfigurationDelta.class, DeltaFrame.content(body)))
             : codec.decode(ControlMessage.class, body);
     if (message instanceof ConfigurationUpdate update) {
-      received = update.configuration();
+      lastReceived = update.configuration();
     }
     return message;
   }
 
   private ConfigurationUpdate whole(ConfigurationDelta delta) {
-    if (received == null) {
-      throw new MalformedMessageException(ConfigurationDelta.class, "without a base");
+    if (lastReceived == null) {
+      throw new MalformedMessageException(
+          ConfigurationDelta.class, "delta received before a full configuration");
     }
-    return new ConfigurationUpdate(delta.fencing(), delta.applyTo(received));
+    return new ConfigurationUpdate(delta.fencing(), delta.applyTo(lastReceived));
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/ControlMessageEncoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ControlMessageEncoder.java
@@ -5,19 +5,19 @@
 import org.teaseltrail.core.message.ControlMessage.ConfigurationUpdate;
 
 /**
- * Writes messages to an entry VM, and of a configuration only what differs from the one that went
- * out before on the same connection. A whole configuration of the two-year size takes 268 KB; sent
- * for each of 5,100 changes a day it would take two thirds of what a VM may spend on control.
+ * Encodes messages to an entry VM. Configurations are sent as deltas to the previous one on the
+ * same connection: a full configuration at the target cluster size takes 268 KB, and sending it for
+ * each of 5,100 changes a day would use two thirds of the control traffic budget of a VM.
  *
- * <p>Guards against a delta that is applied to another configuration than it was made from, which
- * would show as VMs under different configurations of one revision. The guard holds because TCP
- * keeps the order of one connection, a new connection starts with a whole configuration, and the
- * receiver refuses a delta of another base by ending the connection.
+ * <p>A delta applied to a wrong base would leave VMs with different configurations of the same
+ * revision. This can't happen because TCP preserves the order within a connection, each new
+ * connection starts with a full configuration, and a receiver closes the connection if a delta has
+ * a different base.
  */
 final class ControlMessageEncoder implements MessageEncoder<ControlMessage> {
 
   private final MessageCodec codec;
-  private Configuration sent;
+  private Configuration lastSent;
 
   ControlMessageEncoder(MessageCodec codec) {
     this.codec = codec;
@@ -26,9 +26,9 @@
   @Override
   public byte[] encode(ControlMessage message) {
     if (message instanceof ConfigurationUpdate update) {
-      return sent == null
+      return lastSent == null
           ? codec.configurations().whole(update)
-          : codec.configurations().delta(sent, update);
+          : codec.configurations().delta(lastSent, update);
     }
     return codec.encode(ControlMessage.class, message);
   }
@@ -36,7 +36,7 @@
   @Override
   public void sent(ControlMessage message) {
     if (message instanceof ConfigurationUpdate update) {
-      sent = update.configuration();
+      lastSent = update.configuration();
     }
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/DeltaFrame.java
+++ b/wire/src/main/java/org/teaseltrail/wire/DeltaFrame.java
@@ -3,24 +3,24 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** Marks the frames that tell only what differs from the message before on their connection. */
+/** Format of frames that carry a delta to an earlier message on the same connection. */
 final class DeltaFrame {
 
-  /** The one byte that MessagePack never uses. */
-  private static final byte MARK = (byte) 0xc1;
+  /** First byte of a delta frame; the only byte that MessagePack never uses. */
+  private static final byte DELTA_MARKER = (byte) 0xc1;
 
   private DeltaFrame() {}
 
-  /** Returns the body of the frame of a delta. */
+  /** Returns the frame body for an encoded delta. */
   static byte[] of(byte[] delta) {
-    return ByteBuffer.allocate(1 + delta.length).put(MARK).put(delta).array();
+    return ByteBuffer.allocate(1 + delta.length).put(DELTA_MARKER).put(delta).array();
   }
 
   static boolean isMarked(byte[] body) {
-    return body.length > 0 && body[0] == MARK;
+    return body.length > 0 && body[0] == DELTA_MARKER;
   }
 
-  /** Returns the delta that a marked body holds. */
+  /** Returns the encoded delta in the body of a delta frame. */
   static byte[] content(byte[] body) {
     return Arrays.copyOfRange(body, 1, body.length);
   }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameCache.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameCache.java
@@ -6,26 +6,26 @@
 import org.teaseltrail.core.id.FencingNumber;
 
 /**
- * Keeps the bodies of frames that were written last: a leader sends the same ones to each entry VM,
- * hundreds of them at the two-year size. Thread-safe.
+ * Caches the most recently encoded frame bodies, as a leader sends the same ones to every entry VM,
+ * of which there are hundreds at the target cluster size. Thread-safe.
  *
- * <p>Contents are told apart by identity: they are immutable, and comparing whole ones would cost
- * as much as writing them.
+ * <p>Values are compared by identity: they are immutable, and comparing them in full would cost as
+ * much as encoding them.
  */
 final class FrameCache {
 
-  /** Frames kept: VMs that missed a push or two are told from the states before. */
+  /** Maximum number of cached frames. VMs that missed an update or two need older bases. */
   private static final int KEPT = 4;
 
   /**
-   * Is what a frame starts from or brings.
+   * The versioned value that a frame uses as its base or carries.
    *
-   * @param version its version; two of them may hold the same empty list
-   * @param value its value, null for nothing
+   * @param version the version, as two versions may share the same empty list instance
+   * @param value the value, or null for none
    */
   record Content(long version, Object value) {
 
-    /** What a receiver holds to which nothing was sent. */
+    /** Base of a receiver to which nothing was sent yet. */
     static final Content NONE = new Content(0, null);
 
     private boolean isSame(Content other) {
@@ -33,35 +33,35 @@
     }
   }
 
-  private record Written(Content from, Content to, FencingNumber fencing, byte[] body) {
+  private record CachedFrame(Content from, Content to, FencingNumber fencing, byte[] body) {
 
-    boolean isOf(Content wantedFrom, Content wantedTo, FencingNumber wantedFencing) {
+    boolean matches(Content wantedFrom, Content wantedTo, FencingNumber wantedFencing) {
       return from.isSame(wantedFrom) && to.isSame(wantedTo) && fencing.equals(wantedFencing);
     }
   }
 
-  private final Deque<Written> written = new ArrayDeque<>();
+  private final Deque<CachedFrame> cachedFrames = new ArrayDeque<>();
 
   /**
-   * Returns the body of a frame.
+   * Returns the body of a frame from the cache, or encodes and caches it.
    *
-   * @param from what the receiver holds
-   * @param to what it shall hold
-   * @param fencing the leadership that tells it
-   * @param write writes the frame if it isn't kept
+   * @param from the value that the receiver holds
+   * @param to the value that the frame carries to it
+   * @param fencing fencing number of the leader that sends it
+   * @param write encodes the frame if it isn't cached
    */
   synchronized byte[] body(
       Content from, Content to, FencingNumber fencing, Supplier<byte[]> write) {
-    for (Written each : written) {
-      if (each.isOf(from, to, fencing)) {
+    for (CachedFrame each : cachedFrames) {
+      if (each.matches(from, to, fencing)) {
         return each.body();
       }
     }
     byte[] body = write.get();
-    if (written.size() == KEPT) {
-      written.removeLast();
+    if (cachedFrames.size() == KEPT) {
+      cachedFrames.removeLast();
     }
-    written.addFirst(new Written(from, to, fencing, body));
+    cachedFrames.addFirst(new CachedFrame(from, to, fencing, body));
     return body;
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameChannel.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameChannel.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import reactor.netty.Connection;
 
-/** Is the frame layer of one connection: length prefix, bounds, keepalives and its one end. */
+/** Frame layer of one connection: length prefix, size limits, keepalives and closing. */
 final class FrameChannel {
 
   private static final int LENGTH_BYTES = 4;
@@ -38,20 +38,20 @@
     channel.closeFuture().addListener(future -> end(CloseReason.CLOSED_BY_PEER));
   }
 
-  /** Passes on the bodies of frames in order, keepalives left out, until the connection ends. */
+  /** Forwards inbound frame bodies in order, except keepalives, until the connection closes. */
   void read(FrameReceiver receiver) {
     connection
         .inbound()
         .receive()
         .asByteArray()
         .filter(body -> body.length > 0 && !ended.get())
-        .subscribe(receiver::received, failure -> end(reasonOf(failure)));
+        .subscribe(receiver::received, failure -> end(closeReasonOf(failure)));
   }
 
   /**
-   * Queues a frame. Guards against a peer that holds its connection open and doesn't read, which
-   * would show as memory growing until the process dies. The guard holds because every byte is
-   * counted from here until the socket has taken it, and the count is bounded.
+   * Queues a frame. A peer that keeps its connection open without reading would otherwise grow the
+   * queue until the process runs out of memory. Therefore every byte is counted from here until it
+   * is written to the socket, and the connection is closed once the count exceeds its limit.
    *
    * @return whether the frame was queued
    */
@@ -59,18 +59,18 @@
     if (ended.get()) {
       return false;
     }
-    long waitingBytes = queuedBytes.addAndGet(body.length + LENGTH_BYTES);
-    if (waitingBytes > limits.maxQueuedBytes() + LENGTH_BYTES) {
+    long queuedAfterWriteBytes = queuedBytes.addAndGet(body.length + LENGTH_BYTES);
+    if (queuedAfterWriteBytes > limits.maxQueuedBytes() + LENGTH_BYTES) {
       end(CloseReason.PEER_NOT_READING);
       return false;
     }
     channel
         .writeAndFlush(Unpooled.wrappedBuffer(body))
-        .addListener(future -> written((ChannelFuture) future, body.length + LENGTH_BYTES));
+        .addListener(future -> onWritten((ChannelFuture) future, body.length + LENGTH_BYTES));
     return true;
   }
 
-  /** Ends the connection; only the first reason counts. It is told on the event loop. */
+  /** Closes the connection; only the first reason is reported, on the event loop. */
   void end(CloseReason reason) {
     if (ended.compareAndSet(false, true)) {
       channel.close();
@@ -82,14 +82,14 @@
     return closed;
   }
 
-  private void written(ChannelFuture future, int sizeBytes) {
+  private void onWritten(ChannelFuture future, int sizeBytes) {
     queuedBytes.addAndGet(-sizeBytes);
     if (!future.isSuccess()) {
       end(CloseReason.TRANSPORT_FAILED);
     }
   }
 
-  private static CloseReason reasonOf(Throwable failure) {
+  private static CloseReason closeReasonOf(Throwable failure) {
     if (failure instanceof TooLongFrameException) {
       return CloseReason.FRAME_TOO_LARGE;
     }
@@ -99,7 +99,7 @@
     return CloseReason.TRANSPORT_FAILED;
   }
 
-  /** Takes the body of a frame. */
+  /** Receives frame bodies. */
   @FunctionalInterface
   interface FrameReceiver {
     void received(byte[] body);
--- a/wire/src/main/java/org/teaseltrail/wire/FrameClient.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameClient.java
@@ -13,11 +13,11 @@
 import reactor.netty.tcp.TcpResources;
 
 /**
- * Keeps one connection to one address, and makes it again with backoff whenever it ends, until the
+ * Maintains one connection to an address and reconnects with backoff whenever it closes, until the
  * client is closed.
  *
- * @param <I> the sealed interface of what comes in
- * @param <O> the sealed interface of what goes out
+ * @param <I> the sealed interface of inbound messages
+ * @param <O> the sealed interface of outbound messages
  */
 public final class FrameClient<I, O> implements AutoCloseable {
 
@@ -25,7 +25,7 @@
 
   private final LoopResources loops;
   private final SocketAddress address;
-  private final ConnectionOpening opening;
+  private final ConnectionOpening handshake;
   private final FrameEndpoint<I, O> endpoint;
   private final FrameLimits limits;
   private final MessageCodec codec;
@@ -43,7 +43,7 @@
       ReconnectBackoff backoff) {
     this.loops = loops;
     this.address = address;
-    this.opening = ConnectionOpening.of(endpoint.speaker(), speakerId);
+    this.handshake = ConnectionOpening.of(endpoint.speaker(), speakerId);
     this.endpoint = endpoint;
     this.limits = limits;
     this.codec = codec;
@@ -51,16 +51,16 @@
   }
 
   /**
-   * Starts to connect, on the event loops that all clients of the process share.
+   * Creates a client and starts to connect on the event loops shared by the whole process.
    *
-   * @param address where the server listens
+   * @param address address of the server
    * @param speakerId id of this process, a VM id or member id as text
-   * @param endpoint what is spoken and who hears it
-   * @param limits what the connection may cost
-   * @param codec writes and reads the messages
-   * @param backoff spaces the attempts
-   * @param <I> the sealed interface of what comes in
-   * @param <O> the sealed interface of what goes out
+   * @param endpoint message types and listener of the client
+   * @param limits resource limits of the connection
+   * @param codec encodes and decodes the messages
+   * @param backoff delays between connection attempts
+   * @param <I> the sealed interface of inbound messages
+   * @param <O> the sealed interface of outbound messages
    * @return the client
    */
   public static <I, O> FrameClient<I, O> connect(
@@ -74,17 +74,17 @@
   }
 
   /**
-   * Starts to connect on given event loops.
+   * Creates a client and starts to connect on the given event loops.
    *
-   * @param loops carry the connection and its timers
-   * @param address where the server listens
+   * @param loops event loops for the connection and its timers
+   * @param address address of the server
    * @param speakerId id of this process, a VM id or member id as text
-   * @param endpoint what is spoken and who hears it
-   * @param limits what the connection may cost
-   * @param codec writes and reads the messages
-   * @param backoff spaces the attempts
-   * @param <I> the sealed interface of what comes in
-   * @param <O> the sealed interface of what goes out
+   * @param endpoint message types and listener of the client
+   * @param limits resource limits of the connection
+   * @param codec encodes and decodes the messages
+   * @param backoff delays between connection attempts
+   * @param <I> the sealed interface of inbound messages
+   * @param <O> the sealed interface of outbound messages
    * @return the client
    */
   public static <I, O> FrameClient<I, O> connect(
@@ -102,7 +102,7 @@
   }
 
   /**
-   * Returns the connection if there is one now.
+   * Returns the current connection, or empty while disconnected.
    *
    * @return the open connection
    */
@@ -111,18 +111,18 @@
   }
 
   /**
-   * Sends a message if there is a connection now.
+   * Sends a message if the client is connected.
    *
    * @param message the message
    * @return whether it was queued
-   * @throws FrameTooLargeException if the message passes the limit of a frame
+   * @throws FrameTooLargeException if the message exceeds the maximum frame size
    */
   public boolean send(O message) {
     TypedConnection<I, O> connection = current;
     return connection != null && connection.send(message);
   }
 
-  /** Ends the connection and makes no other. */
+  /** Closes the connection and stops reconnecting. */
   @Override
   public void close() {
     closing.set(true);
@@ -142,42 +142,43 @@
         .port(address.port())
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, limits.connectTimeoutMs())
         .connect()
-        .subscribe(this::connected, this::failed);
+        .subscribe(this::onConnected, this::failed);
   }
 
-  private void connected(Connection connection) {
+  private void onConnected(Connection connection) {
     connection.channel().eventLoop().execute(() -> open(connection));
   }
 
   private void open(Connection connection) {
     FrameChannel frames = new FrameChannel(connection, limits);
-    TypedConnection<I, O> typed = new TypedConnection<>(frames, opening, endpoint, codec, limits);
-    frames.write(codec.encode(ConnectionOpening.class, opening));
-    current = typed;
-    typed.open();
-    frames.closed().thenAccept(this::ended);
+    TypedConnection<I, O> typedConnection =
+        new TypedConnection<>(frames, handshake, endpoint, codec, limits);
+    frames.write(codec.encode(ConnectionOpening.class, handshake));
+    current = typedConnection;
+    typedConnection.open();
+    frames.closed().thenAccept(this::onConnectionClosed);
     frames.read(
         body -> {
           backoff.reset();
-          typed.received(body);
+          typedConnection.received(body);
         });
     if (closing.get()) {
-      typed.close();
+      typedConnection.close();
     }
   }
 
-  private void ended(CloseReason reason) {
-    LOGGER.log(Level.DEBUG, "[wire] connection to {0} ended: {1}", address, reason);
+  private void onConnectionClosed(CloseReason reason) {
+    LOGGER.log(Level.DEBUG, "[wire] connection to {0} closed: {1}", address, reason);
     current = null;
-    attemptLater();
+    scheduleReconnect();
   }
 
   private void failed(Throwable failure) {
-    LOGGER.log(Level.DEBUG, "[wire] no connection to {0}: {1}", address, failure.toString());
-    attemptLater();
+    LOGGER.log(Level.DEBUG, "[wire] failed to connect to {0}: {1}", address, failure.toString());
+    scheduleReconnect();
   }
 
-  private void attemptLater() {
+  private void scheduleReconnect() {
     if (!closing.get()) {
       loops
           .onClient(LoopResources.DEFAULT_NATIVE)
--- a/wire/src/main/java/org/teaseltrail/wire/FrameConnection.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameConnection.java
@@ -3,39 +3,39 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Is one open connection that carries typed messages. Thread-safe.
+ * An open connection that carries typed messages. Thread-safe.
  *
- * @param <I> the sealed interface of what comes in
- * @param <O> the sealed interface of what goes out
+ * @param <I> the sealed interface of inbound messages
+ * @param <O> the sealed interface of outbound messages
  */
 public interface FrameConnection<I, O> extends AutoCloseable {
 
   /**
-   * Returns who opened the connection.
+   * Returns the handshake, which identifies the client that opened the connection.
    *
    * @return the first frame of the connection
    */
   ConnectionOpening opening();
 
   /**
-   * Queues a message to be written. Messages of one thread go out in the order of the calls. If the
-   * peer reads so slowly that the queue is full, the connection ends as {@link
-   * CloseReason#PEER_NOT_READING}.
+   * Queues a message for sending. Messages from one thread are sent in the order of the calls. If
+   * the outbound queue is full because the peer reads too slowly, the connection is closed with
+   * {@link CloseReason#PEER_NOT_READING}.
    *
    * @param message the message
-   * @return whether the message was queued; false once the connection has ended
-   * @throws FrameTooLargeException if the message passes the limit of a frame; nothing was sent
+   * @return whether the message was queued; false once the connection is closed
+   * @throws FrameTooLargeException if the message exceeds the maximum frame size; nothing is sent
    */
   boolean send(O message);
 
   /**
-   * Returns what completes when the connection has ended.
+   * Returns a future that completes when the connection is closed.
    *
-   * @return a future that never fails
+   * @return a future that never completes exceptionally
    */
   CompletableFuture<CloseReason> closed();
 
-  /** Ends the connection; what waits to be written may be lost. */
+  /** Closes the connection; queued messages may be lost. */
   @Override
   void close();
 }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameLimits.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameLimits.java
@@ -1,19 +1,19 @@
 package org.teaseltrail.wire;
 
 /**
- * Bounds what one connection may cost.
+ * Resource limits and timeouts of one connection.
  *
- * @param maxFrameBytes greatest length of a frame's body, in bytes, in either direction
- * @param maxQueuedBytes greatest number of bytes that wait to be written, in bytes; a peer that
- *     lets more than that pile up is dropped
- * @param idleTimeoutMs silence after which a link counts as half-open, in milliseconds; keepalives
- *     go out three times within it
- * @param connectTimeoutMs time that a connect may take, in milliseconds
+ * @param maxFrameBytes maximum length of a frame body in either direction, in bytes
+ * @param maxQueuedBytes maximum size of the outbound queue, in bytes; the connection is closed when
+ *     a slow peer lets it exceed this
+ * @param idleTimeoutMs time without inbound data after which a connection is considered half-open,
+ *     in milliseconds; keepalives are sent three times within it
+ * @param connectTimeoutMs timeout for establishing a connection, in milliseconds
  */
 public record FrameLimits(
     int maxFrameBytes, long maxQueuedBytes, long idleTimeoutMs, int connectTimeoutMs) {
 
-  /** Keepalives sent within one idle timeout, so that the loss of one is no failure. */
+  /** Keepalives per idle timeout, so that a single lost one does not close the connection. */
   static final int KEEPALIVES_PER_TIMEOUT = 3;
 
   private static final int DEFAULT_MAX_FRAME_BYTES = 16 * 1024 * 1024;
@@ -21,21 +21,23 @@
   private static final long DEFAULT_IDLE_TIMEOUT_MS = 3_000;
   private static final int DEFAULT_CONNECT_TIMEOUT_MS = 1_000;
 
-  /** Checks the bounds. */
+  /** Validates the limits. */
   public FrameLimits {
     if (maxFrameBytes < 1 || maxQueuedBytes < maxFrameBytes) {
-      throw new IllegalArgumentException("the queue must have room for one frame");
+      throw new IllegalArgumentException(
+          "maxFrameBytes must be positive and at most maxQueuedBytes");
     }
     if (idleTimeoutMs < KEEPALIVES_PER_TIMEOUT || connectTimeoutMs < 1) {
-      throw new IllegalArgumentException("timeouts must be positive");
+      throw new IllegalArgumentException(
+          "idleTimeoutMs must allow for its keepalives and connectTimeoutMs must be positive");
     }
   }
 
   /**
-   * Returns bounds for the links between this system's processes: the idle timeout equals the
-   * session's lifetime, and a frame has room for a snapshot part or a whole configuration.
+   * Returns the limits for connections between the processes of the system: the idle timeout equals
+   * the session timeout, and a frame can hold a snapshot chunk or a full configuration.
    *
-   * @return the bounds
+   * @return the limits
    */
   public static FrameLimits standard() {
     return new FrameLimits(
--- a/wire/src/main/java/org/teaseltrail/wire/FrameListener.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameListener.java
@@ -1,23 +1,23 @@
 package org.teaseltrail.wire;
 
 /**
- * Hears what happens on connections. Calls for one connection come one at a time and in order, on
- * its event loop; they must not block.
+ * Receives events of connections. The methods are called sequentially for each connection, on its
+ * event loop, and must not block.
  *
- * @param <I> the sealed interface of what comes in
- * @param <O> the sealed interface of what goes out
+ * @param <I> the sealed interface of inbound messages
+ * @param <O> the sealed interface of outbound messages
  */
 public interface FrameListener<I, O> {
 
   /**
-   * A connection is open and may be sent on.
+   * Called when a connection is open and accepts messages.
    *
    * @param connection the connection
    */
   void opened(FrameConnection<I, O> connection);
 
   /**
-   * A message has come.
+   * Called when a message is received.
    *
    * @param connection the connection
    * @param message the message
@@ -25,10 +25,10 @@
   void received(FrameConnection<I, O> connection, I message);
 
   /**
-   * A connection that was open has ended.
+   * Called when an open connection has closed.
    *
    * @param connection the connection
-   * @param reason why
+   * @param reason why it closed
    */
   void closed(FrameConnection<I, O> connection, CloseReason reason);
 }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameServer.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameServer.java
@@ -16,8 +16,8 @@
 import reactor.netty.tcp.TcpServer;
 
 /**
- * Takes connections on one port for every kind of speaker that it has an endpoint for. The first
- * frame of a connection tells which.
+ * Accepts connections on one port from all client types that it has an endpoint for. The first
+ * frame of a connection, the handshake, names the client type.
  */
 public final class FrameServer implements AutoCloseable {
 
@@ -33,10 +33,10 @@
       SocketAddress address,
       FrameLimits limits,
       MessageCodec codec,
-      List<FrameEndpoint<?, ?>> spoken) {
+      List<FrameEndpoint<?, ?>> supportedEndpoints) {
     this.codec = codec;
     this.limits = limits;
-    spoken.forEach(endpoint -> endpoints.put(endpoint.speaker(), endpoint));
+    supportedEndpoints.forEach(endpoint -> endpoints.put(endpoint.speaker(), endpoint));
     this.server =
         TcpServer.create()
             .host(address.host())
@@ -46,14 +46,14 @@
   }
 
   /**
-   * Listens on an address.
+   * Starts a server on an address.
    *
-   * @param address the address; port zero lets the machine choose
-   * @param limits what each connection may cost
-   * @param codec writes and reads the messages
-   * @param endpoints one for each kind of speaker that may connect
-   * @return the server, already listening
-   * @throws reactor.netty.ChannelBindException if the address can't be had
+   * @param address the address; port zero selects a free port
+   * @param limits resource limits of each connection
+   * @param codec encodes and decodes the messages
+   * @param endpoints one for each supported client type
+   * @return the listening server
+   * @throws reactor.netty.ChannelBindException if binding to the address fails
    */
   public static FrameServer listen(
       SocketAddress address,
@@ -64,7 +64,7 @@
   }
 
   /**
-   * Returns the port that it listens on.
+   * Returns the port that the server listens on.
    *
    * @return the TCP port
    */
@@ -72,7 +72,7 @@
     return ((InetSocketAddress) server.address()).getPort();
   }
 
-  /** Stops listening and ends every connection. */
+  /** Stops listening and closes all connections. */
   @Override
   public void close() {
     server.disposeNow();
@@ -83,52 +83,53 @@
     FrameChannel channel = new FrameChannel(connection, limits);
     channels.add(channel);
     channel.closed().thenAccept(reason -> channels.remove(channel));
-    channel.read(new OpeningReceiver(channel));
+    channel.read(new HandshakeReceiver(channel));
   }
 
   private <I, O> TypedConnection<I, O> open(
-      FrameChannel channel, ConnectionOpening opening, FrameEndpoint<I, O> endpoint) {
-    TypedConnection<I, O> typed = new TypedConnection<>(channel, opening, endpoint, codec, limits);
-    typed.open();
-    return typed;
+      FrameChannel channel, ConnectionOpening handshake, FrameEndpoint<I, O> endpoint) {
+    TypedConnection<I, O> typedConnection =
+        new TypedConnection<>(channel, handshake, endpoint, codec, limits);
+    typedConnection.open();
+    return typedConnection;
   }
 
-  /** Reads the opening from the first frame and passes the others to the typed connection. */
-  private final class OpeningReceiver implements FrameChannel.FrameReceiver {
+  /** Reads the handshake from the first frame and forwards later frames to the connection. */
+  private final class HandshakeReceiver implements FrameChannel.FrameReceiver {
 
     private final FrameChannel channel;
-    private CompletableFuture<TypedConnection<?, ?>> typed;
+    private CompletableFuture<TypedConnection<?, ?>> typedConnection;
 
-    OpeningReceiver(FrameChannel channel) {
+    HandshakeReceiver(FrameChannel channel) {
       this.channel = channel;
     }
 
     @Override
     public void received(byte[] body) {
-      if (typed == null) {
-        typed = new CompletableFuture<>();
-        opened(body);
-      } else if (typed.isDone()) {
-        typed.join().received(body);
+      if (typedConnection == null) {
+        typedConnection = new CompletableFuture<>();
+        acceptHandshake(body);
+      } else if (typedConnection.isDone()) {
+        typedConnection.join().received(body);
       }
     }
 
-    private void opened(byte[] body) {
-      ConnectionOpening opening;
+    private void acceptHandshake(byte[] body) {
+      ConnectionOpening handshake;
       try {
-        opening = codec.decode(ConnectionOpening.class, body);
+        handshake = codec.decode(ConnectionOpening.class, body);
       } catch (MalformedMessageException failure) {
-        LOGGER.log(Level.WARNING, "[wire] refused an opening: {0}", failure.getMessage());
+        LOGGER.log(Level.WARNING, "[wire] malformed handshake refused: {0}", failure.getMessage());
         channel.end(CloseReason.MALFORMED_MESSAGE);
         return;
       }
-      FrameEndpoint<?, ?> endpoint = endpoints.get(opening.speaker());
-      if (endpoint == null || opening.protocolVersion() != ConnectionOpening.PROTOCOL_VERSION) {
-        LOGGER.log(Level.WARNING, "[wire] refused the opening {0}", opening);
+      FrameEndpoint<?, ?> endpoint = endpoints.get(handshake.speaker());
+      if (endpoint == null || handshake.protocolVersion() != ConnectionOpening.PROTOCOL_VERSION) {
+        LOGGER.log(Level.WARNING, "[wire] unsupported handshake refused: {0}", handshake);
         channel.end(CloseReason.OPENING_REFUSED);
         return;
       }
-      typed.complete(open(channel, opening, endpoint));
+      typedConnection.complete(open(channel, handshake, endpoint));
     }
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameTooLargeException.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameTooLargeException.java
@@ -1,29 +1,33 @@
 package org.teaseltrail.wire;
 
-/** Is thrown when a message to be sent passes the limit of a frame. */
+/** Thrown when an outbound message exceeds the maximum frame size. */
 public class FrameTooLargeException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Length of the message, in bytes. */
   private final int sizeBytes;
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
    * @param type the type of the message
-   * @param sizeBytes its length, in bytes
-   * @param maxFrameBytes the limit, in bytes
+   * @param sizeBytes its encoded size, in bytes
+   * @param maxFrameBytes the maximum frame size, in bytes
    */
   public FrameTooLargeException(Class<?> type, int sizeBytes, int maxFrameBytes) {
-    super(type.getSimpleName() + " of " + sizeBytes + " bytes passes " + maxFrameBytes);
+    super(
+        type.getSimpleName()
+            + " of "
+            + sizeBytes
+            + " bytes exceeds the maximum frame size of "
+            + maxFrameBytes);
     this.sizeBytes = sizeBytes;
   }
 
   /**
-   * Returns the length of the message.
+   * Returns the encoded size of the message.
    *
-   * @return the length, in bytes
+   * @return the size, in bytes
    */
   public int sizeBytes() {
     return sizeBytes;
--- a/wire/src/main/java/org/teaseltrail/wire/MalformedMessageException.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MalformedMessageException.java
@@ -1,24 +1,24 @@
 package org.teaseltrail.wire;
 
-/** Is thrown when bytes are not a whole message of the type that was expected. */
+/** Thrown when bytes are not exactly one complete message of the expected type. */
 public class MalformedMessageException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the failure.
+   * Creates the exception for a decoding error.
    *
-   * @param expected the type that was expected
-   * @param cause what the decoder met
+   * @param expected the expected type
+   * @param cause the error of the decoder
    */
   public MalformedMessageException(Class<?> expected, Throwable cause) {
     super("not a message of type " + expected.getSimpleName(), cause);
   }
 
   /**
-   * Makes the failure.
+   * Creates the exception with a description.
    *
-   * @param expected the type that was expected
+   * @param expected the expected type
    * @param problem what is wrong with the bytes
    */
   public MalformedMessageException(Class<?> expected, String problem) {
--- a/wire/src/main/java/org/teaseltrail/wire/MessageCodec.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessageCodec.java
@@ -20,26 +20,27 @@
 import org.teaseltrail.core.rollout.Observation;
 
 /**
- * Writes records and sealed interfaces of records as MessagePack, and reads them back.
+ * Encodes records and sealed interfaces of records as MessagePack and decodes them.
  *
  * <ul>
- *   <li>A record is a map from component name to value; absent optionals are left out.
- *   <li>A sealed interface is an array of two: the permitted record's simple name and the record.
- *   <li>A value type (a record of one text or whole number that belongs to no sealed interface,
- *       such as an id) is that text or number, also as a map key.
+ *   <li>A record is a map from component name to value; absent optionals are omitted.
+ *   <li>A sealed interface is a two-element array: the permitted record's simple name and the
+ *       record.
+ *   <li>A value type (a record with a single string or integer that implements no sealed interface,
+ *       such as an id) is that string or integer, also as a map key.
  *   <li>A byte array is binary.
  * </ul>
  *
- * <p>The format can grow: unknown components are skipped, a missing number reads as zero and a
- * missing optional as empty, while any other missing component is a failure. Thread-safe.
+ * <p>The format is extensible: unknown components are skipped, a missing number is decoded as zero
+ * and a missing optional as empty; any other missing component is an error. Thread-safe.
  */
 public final class MessageCodec {
 
   /**
-   * Records that each sync carries dozens of; they are written without the names of their
-   * components, and grow at their end only.
+   * Records that occur dozens of times in each sync. They are encoded as arrays, without component
+   * names, so new components may only be added at the end.
    */
-  private static final List<Class<?>> COUNTED =
+  private static final List<Class<?>> ARRAY_ENCODED_TYPES =
       List.of(QuotaReport.class, QuotaGrant.class, Observation.class);
 
   private final ObjectMapper mapper;
@@ -48,13 +49,13 @@
   private final ConfigurationFrames configurations = new ConfigurationFrames(this);
   private final ServingFrames serving = new ServingFrames(this);
 
-  /** Makes a codec. It is costly to warm up, so a process keeps one. */
+  /** Creates a codec. Warming it up is expensive, so a process should share one instance. */
   public MessageCodec() {
     mapper = new ObjectMapper(new MessagePackFactory());
     mapper.registerModule(new Jdk8Module());
     mapper.registerModule(new ValueTypeModule());
     mapper.setAnnotationIntrospector(new SealedTypeIntrospector());
-    COUNTED.forEach(
+    ARRAY_ENCODED_TYPES.forEach(
         type -> mapper.configOverride(type).setFormat(JsonFormat.Value.forShape(Shape.ARRAY)));
     mapper.setDefaultPropertyInclusion(JsonInclude.Include.NON_ABSENT);
     mapper.disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
@@ -63,13 +64,13 @@
   }
 
   /**
-   * Writes a message.
+   * Encodes a message.
    *
-   * @param type the sealed interface or record that the reader will expect
+   * @param type the sealed interface or record that the receiver expects
    * @param message the message
    * @param <T> the type
-   * @return its bytes
-   * @throws UnencodableMessageException if the value's type can't be written
+   * @return the encoded bytes
+   * @throws UnencodableMessageException if the type of the value can't be encoded
    */
   public <T> byte[] encode(Class<T> type, T message) {
     try {
@@ -80,19 +81,19 @@
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @param type the sealed interface or record that is expected
-   * @param bytes the bytes, which must hold this message and nothing else
+   * @param type the expected sealed interface or record
+   * @param bytes the bytes, which must consist of exactly one message
    * @param <T> the type
    * @return the message
-   * @throws MalformedMessageException if the bytes are no such message
+   * @throws MalformedMessageException if the bytes are not a message of this type
    */
   public <T> T decode(Class<T> type, byte[] bytes) {
-    requireOneWholeValue(type, bytes);
-    T message = decodeChecked(type, bytes);
+    requireSingleCompleteValue(type, bytes);
+    T message = decodeValidated(type, bytes);
     if (message == null) {
-      throw new MalformedMessageException(type, "nil");
+      throw new MalformedMessageException(type, "value is nil");
     }
     return message;
   }
@@ -105,7 +106,7 @@
     return serving;
   }
 
-  private <T> T decodeChecked(Class<T> type, byte[] bytes) {
+  private <T> T decodeValidated(Class<T> type, byte[] bytes) {
     try {
       return readers.computeIfAbsent(type, mapper::readerFor).readValue(bytes);
     } catch (IOException | RuntimeException failure) {
@@ -114,16 +115,16 @@
   }
 
   /**
-   * Walks over the bytes without reading values. Guards against a damaged or hostile length, which
-   * would show as an out-of-memory error since the decoder sets a value's declared length aside
-   * before it reads it. The guard holds because the walk sets nothing aside and fails where a
-   * declared length passes the end of the bytes.
+   * Checks that the bytes are one complete value, without decoding it. The decoder allocates the
+   * declared length of a value before reading it, so a corrupt or malicious length would cause an
+   * out-of-memory error. This check allocates nothing and fails if a declared length exceeds the
+   * remaining bytes.
    */
-  private static void requireOneWholeValue(Class<?> type, byte[] bytes) {
+  private static void requireSingleCompleteValue(Class<?> type, byte[] bytes) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       unpacker.skipValue();
       if (unpacker.hasNext()) {
-        throw new MalformedMessageException(type, "bytes after the end");
+        throw new MalformedMessageException(type, "trailing bytes after the message");
       }
     } catch (IOException | org.msgpack.core.MessagePackException failure) {
       throw new MalformedMessageException(type, failure);
--- a/wire/src/main/java/org/teaseltrail/wire/MessageDecoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessageDecoder.java
@@ -4,28 +4,28 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Reads the messages that come in on one connection, in the order of their frames.
+ * Decodes the inbound messages of one connection, in the order of their frames.
  *
- * @param <I> the sealed interface of what comes in
+ * @param <I> the sealed interface of inbound messages
  */
 @FunctionalInterface
 public interface MessageDecoder<I> {
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
    * @param body the body of its frame
    * @return the message
-   * @throws MalformedMessageException if the body is no such message
+   * @throws MalformedMessageException if the body is not a message of the expected type
    */
   I decode(byte[] body);
 
   /**
-   * Makes the decoder of a connection.
+   * Creates the decoder of a connection.
    *
-   * @param type the sealed interface of what comes in
-   * @param codec reads the messages
-   * @param <I> the sealed interface of what comes in
+   * @param type the sealed interface of inbound messages
+   * @param codec decodes the messages
+   * @param <I> the sealed interface of inbound messages
    * @return the decoder
    */
   @SuppressWarnings("unchecked")
--- a/wire/src/main/java/org/teaseltrail/wire/MessageEncoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessageEncoder.java
@@ -4,15 +4,15 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /**
- * Writes the messages that go out on one connection. Not thread-safe: its calls must come in the
- * order in which the frames go out.
+ * Encodes the outbound messages of one connection. Not thread-safe: it must be called in the order
+ * in which the frames are sent.
  *
- * @param <O> the sealed interface of what goes out
+ * @param <O> the sealed interface of outbound messages
  */
 public interface MessageEncoder<O> {
 
   /**
-   * Writes a message.
+   * Encodes a message.
    *
    * @param message the message
    * @return the body of its frame
@@ -20,18 +20,18 @@
   byte[] encode(O message);
 
   /**
-   * Is told that the frame of a message is queued.
+   * Called when the frame of a message has been queued.
    *
    * @param message the message
    */
   default void sent(O message) {}
 
   /**
-   * Makes the encoder of a connection.
+   * Creates the encoder of a connection.
    *
-   * @param type the sealed interface of what goes out
-   * @param codec writes the messages
-   * @param <O> the sealed interface of what goes out
+   * @param type the sealed interface of outbound messages
+   * @param codec encodes the messages
+   * @param <O> the sealed interface of outbound messages
    * @return the encoder
    */
   @SuppressWarnings("unchecked")
--- a/wire/src/main/java/org/teaseltrail/wire/MessagePackStateCodec.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessagePackStateCodec.java
@@ -4,12 +4,12 @@
 import org.teaseltrail.core.state.Command;
 import org.teaseltrail.core.state.StateCodec;
 
-/** Writes commands and snapshots as MessagePack. */
+/** Encodes commands and snapshots of the replicated state as MessagePack. */
 public final class MessagePackStateCodec implements StateCodec {
 
   private final MessageCodec codec;
 
-  /** Makes the codec on top of that of the messages. */
+  /** Creates the codec on top of the message codec. */
   public MessagePackStateCodec(MessageCodec codec) {
     this.codec = codec;
   }
--- a/wire/src/main/java/org/teaseltrail/wire/ReconnectBackoff.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ReconnectBackoff.java
@@ -3,9 +3,9 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Spaces reconnects: the delay doubles with each failure up to a bound, and half of it is random.
- * Guards against a reconnect storm, which would show as every VM knocking at once on a control
- * member that has just restarted; the random half spreads them out.
+ * Exponential backoff for reconnects: the delay doubles with each attempt up to a maximum, and half
+ * of it is random. The jitter prevents a reconnect storm, in which all VMs connect at once to a
+ * control member that has just restarted.
  */
 public final class ReconnectBackoff {
 
@@ -15,15 +15,15 @@
   private long nextDelayMs;
 
   /**
-   * Makes a backoff.
+   * Creates a backoff.
    *
-   * @param minDelayMs bound of the first delay, in milliseconds
-   * @param maxDelayMs bound of every delay, in milliseconds
+   * @param minDelayMs maximum of the first delay, in milliseconds
+   * @param maxDelayMs maximum of all delays, in milliseconds
    * @param random source of the jitter
    */
   public ReconnectBackoff(long minDelayMs, long maxDelayMs, RandomGenerator random) {
     if (minDelayMs < 1 || maxDelayMs < minDelayMs) {
-      throw new IllegalArgumentException("delays must be positive and in order");
+      throw new IllegalArgumentException("minDelayMs must be positive and at most maxDelayMs");
     }
     this.minDelayMs = minDelayMs;
     this.maxDelayMs = maxDelayMs;
@@ -43,7 +43,7 @@
     return fixedMs + random.nextLong(boundMs - fixedMs + 1);
   }
 
-  /** Starts over after a connection that worked. */
+  /** Resets the delay after a successful connection. */
   public synchronized void reset() {
     nextDelayMs = minDelayMs;
   }
--- a/wire/src/main/java/org/teaseltrail/wire/SealedTypeIntrospector.java
+++ b/wire/src/main/java/org/teaseltrail/wire/SealedTypeIntrospector.java
@@ -13,8 +13,8 @@
 import java.util.List;
 
 /**
- * Makes sealed interfaces polymorphic by the simple names of their permitted records, so that the
- * message types carry no annotations.
+ * Jackson introspector that serializes sealed interfaces polymorphically with the simple names of
+ * their permitted records as type ids, so that the message types need no annotations.
  */
 final class SealedTypeIntrospector extends JacksonAnnotationIntrospector {
 
@@ -38,7 +38,7 @@
       return super.findSubtypes(annotated);
     }
     List<NamedType> subtypes = new ArrayList<>();
-    collectRecords(type, subtypes);
+    collectPermittedRecords(type, subtypes);
     return subtypes;
   }
 
@@ -46,10 +46,10 @@
     return type.isInterface() && type.isSealed();
   }
 
-  private static void collectRecords(Class<?> type, List<NamedType> subtypes) {
+  private static void collectPermittedRecords(Class<?> type, List<NamedType> subtypes) {
     for (Class<?> permitted : type.getPermittedSubclasses()) {
       if (isSealedInterface(permitted)) {
-        collectRecords(permitted, subtypes);
+        collectPermittedRecords(permitted, subtypes);
       } else {
         subtypes.add(new NamedType(permitted, permitted.getSimpleName()));
       }
--- a/wire/src/main/java/org/teaseltrail/wire/ServingDelta.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ServingDelta.java
@@ -14,18 +14,18 @@
 import org.teaseltrail.core.serving.ListDelta;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Is what tells a plan or registrations from those sent before on the same connection. */
+/** A delta of a plan or of registrations to those sent before on the same connection. */
 sealed interface ServingDelta {
 
   /**
-   * Tells what differs between two plans. Services and customers come whole: they are few.
+   * Delta between two plans. Services and customers are sent in full, as there are few.
    *
-   * @param fencing the leadership that confirms the plan
-   * @param base version of the plan sent before
-   * @param version its own version
-   * @param routes what differs in the routes
+   * @param fencing fencing number of the leader that confirms the plan
+   * @param base version of the plan that the delta applies to
+   * @param version version of the resulting plan
+   * @param routes delta of the routes
    * @param services all services
-   * @param limits bounds of callers' connections
+   * @param limits limits of callers' connections
    * @param customers all customers
    */
   record OfPlan(
@@ -44,7 +44,7 @@
       customers = List.copyOf(customers);
     }
 
-    /** Returns the difference, or empty if only the whole plan can tell it. */
+    /** Returns the delta, or empty if the change can only be sent as a full plan. */
     static Optional<OfPlan> between(ServingPlan from, ServingReply.PlanUpdate update) {
       ServingPlan to = update.plan();
       return ListDelta.between(from.routes(), to.routes(), PlanRoute::id)
@@ -61,13 +61,13 @@
     }
 
     /**
-     * Returns the plan that it tells of.
+     * Returns the plan that results from applying this delta.
      *
-     * @throws MalformedMessageException if it doesn't follow from this plan
+     * @throws MalformedMessageException if the given plan is not the base of this delta
      */
     ServingPlan applyTo(ServingPlan from) {
       if (from == null || from.version() != base) {
-        throw new MalformedMessageException(ServingDelta.class, "of another plan");
+        throw new MalformedMessageException(ServingDelta.class, "delta has a different base plan");
       }
       return new ServingPlan(
           version, routes.applyTo(from.routes(), PlanRoute::id), services, limits, customers);
@@ -75,18 +75,18 @@
   }
 
   /**
-   * Tells what differs between the registrations of two revisions.
+   * Delta between the registrations of two revisions.
    *
-   * @param fencing the leadership that confirms them
-   * @param base revision of those sent before
-   * @param revision their own revision
-   * @param present what differs
+   * @param fencing fencing number of the leader that confirms the registrations
+   * @param base revision of the registrations that the delta applies to
+   * @param revision revision of the resulting registrations
+   * @param present delta of the registrations
    */
   record OfRegistry(
       FencingNumber fencing, long base, long revision, ListDelta<UpstreamId, Registration> present)
       implements ServingDelta {
 
-    /** Returns the difference, or empty if only all registrations can tell it. */
+    /** Returns the delta, or empty if the change can only be sent as full registrations. */
     static Optional<OfRegistry> between(
         ServingReply.RegistryUpdate from, ServingReply.RegistryUpdate update) {
       return ListDelta.between(from.present(), update.present(), Registration::id)
@@ -96,13 +96,14 @@
     }
 
     /**
-     * Returns the registrations that it tells of.
+     * Returns the registrations that result from applying this delta.
      *
-     * @throws MalformedMessageException if it doesn't follow from these
+     * @throws MalformedMessageException if the given ones are not the base of this delta
      */
     ServingReply.RegistryUpdate applyTo(ServingReply.RegistryUpdate from) {
       if (from == null || from.revision() != base) {
-        throw new MalformedMessageException(ServingDelta.class, "of other registrations");
+        throw new MalformedMessageException(
+            ServingDelta.class, "delta has different base registrations");
       }
       return new ServingReply.RegistryUpdate(
           fencing, revision, present.applyTo(from.present(), Registration::id));
--- a/wire/src/main/java/org/teaseltrail/wire/ServingFrames.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ServingFrames.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.plan.ServingPlan;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Writes the frames that carry plans and registrations, each once for all entry VMs. */
+/** Encodes frames with plans and registrations, each only once for all entry VMs. */
 final class ServingFrames {
 
   private final MessageCodec codec;
@@ -15,41 +15,41 @@
     this.codec = codec;
   }
 
-  /** Returns the body of the frame that brings a plan to whom the one before was sent, if any. */
+  /** Returns the frame body for a plan, as a delta if the receiver holds an older one (or null). */
   byte[] plan(ServingPlan from, ServingReply.PlanUpdate update) {
     return plans.body(
-        from == null ? FrameCache.Content.NONE : content(from),
-        content(update.plan()),
+        from == null ? FrameCache.Content.NONE : versionedContent(from),
+        versionedContent(update.plan()),
         update.fencing(),
         () ->
-            written(
+            encodeDeltaOrFull(
                 Optional.ofNullable(from)
                     .flatMap(held -> ServingDelta.OfPlan.between(held, update)),
                 update));
   }
 
-  /** Returns the body of the frame that brings registrations, likewise. */
+  /** Returns the frame body for registrations, as a delta if the receiver holds older ones. */
   byte[] registrations(ServingReply.RegistryUpdate from, ServingReply.RegistryUpdate update) {
     return registrations.body(
-        from == null ? FrameCache.Content.NONE : content(from),
-        content(update),
+        from == null ? FrameCache.Content.NONE : versionedContent(from),
+        versionedContent(update),
         update.fencing(),
         () ->
-            written(
+            encodeDeltaOrFull(
                 Optional.ofNullable(from)
                     .flatMap(held -> ServingDelta.OfRegistry.between(held, update)),
                 update));
   }
 
-  private static FrameCache.Content content(ServingPlan plan) {
+  private static FrameCache.Content versionedContent(ServingPlan plan) {
     return new FrameCache.Content(plan.version(), plan);
   }
 
-  private static FrameCache.Content content(ServingReply.RegistryUpdate registrations) {
+  private static FrameCache.Content versionedContent(ServingReply.RegistryUpdate registrations) {
     return new FrameCache.Content(registrations.revision(), registrations.present());
   }
 
-  private byte[] written(Optional<? extends ServingDelta> delta, ServingReply whole) {
+  private byte[] encodeDeltaOrFull(Optional<? extends ServingDelta> delta, ServingReply whole) {
     return delta
         .map(told -> DeltaFrame.of(codec.encode(ServingDelta.class, told)))
         .orElseGet(() -> codec.encode(ServingReply.class, whole));
--- a/wire/src/main/java/org/teaseltrail/wire/ServingReplyDecoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ServingReplyDecoder.java
@@ -3,7 +3,10 @@
 import org.teaseltrail.core.plan.ServingPlan;
 import org.teaseltrail.core.serving.ServingReply;
 
-/** Reads messages to an entry VM that places requests itself, and makes what they tell whole. */
+/**
+ * Decodes messages to an entry VM that schedules requests itself, and restores full plans and
+ * registrations from deltas.
+ */
 final class ServingReplyDecoder implements MessageDecoder<ServingReply> {
 
   private final MessageCodec codec;
--- a/wire/src/main/java/org/teaseltrail/wire/SpeakerKind.java
+++ b/wire/src/main/java/org/teaseltrail/wire/SpeakerKind.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.wire;
 
-/** Says what kind of process opens a connection. */
+/** Type of client that opens a connection. */
 public enum SpeakerKind {
-  /** An entry VM, which speaks to control members. */
+  /** An entry VM that connects to control members. */
   ENTRY_VM,
-  /** A control member, which speaks to its peers. */
+  /** A control member that connects to its peers. */
   CONTROL_MEMBER,
-  /** An entry VM that places requests itself. */
+  /** An entry VM that schedules requests itself. */
   SERVING_VM,
-  /** A control member that wants to belong to the group. */
+  /** A control member that requests to join the group. */
   JOINING_MEMBER
 }
--- a/wire/src/main/java/org/teaseltrail/wire/TypedConnection.java
+++ b/wire/src/main/java/org/teaseltrail/wire/TypedConnection.java
@@ -4,13 +4,13 @@
 import java.lang.System.Logger.Level;
 import java.util.concurrent.CompletableFuture;
 
-/** Puts typed messages onto a frame layer and hands those that come to a listener. */
+/** Encodes typed messages into frames and passes decoded inbound messages to a listener. */
 final class TypedConnection<I, O> implements FrameConnection<I, O> {
 
   private static final Logger LOGGER = System.getLogger(TypedConnection.class.getName());
 
   private final FrameChannel frames;
-  private final ConnectionOpening opening;
+  private final ConnectionOpening handshake;
   private final FrameEndpoint<I, O> endpoint;
   private final MessageEncoder<O> encoder;
   private final MessageDecoder<I> decoder;
@@ -18,25 +18,25 @@
 
   TypedConnection(
       FrameChannel frames,
-      ConnectionOpening opening,
+      ConnectionOpening handshake,
       FrameEndpoint<I, O> endpoint,
       MessageCodec codec,
       FrameLimits limits) {
     this.frames = frames;
-    this.opening = opening;
+    this.handshake = handshake;
     this.endpoint = endpoint;
     this.encoder = MessageEncoder.of(endpoint.outType(), codec);
     this.decoder = MessageDecoder.of(endpoint.inType(), codec);
     this.limits = limits;
   }
 
-  /** Tells the listener that the connection is open, and later that it has ended. */
+  /** Notifies the listener that the connection is open, and later that it has closed. */
   void open() {
     endpoint.listener().opened(this);
-    frames.closed().thenAccept(this::ended);
+    frames.closed().thenAccept(this::onConnectionClosed);
   }
 
-  /** Takes the body of a frame that has come. */
+  /** Decodes the body of an inbound frame and delivers the message. */
   void received(byte[] body) {
     I message;
     try {
@@ -44,8 +44,8 @@
     } catch (MalformedMessageException failure) {
       LOGGER.log(
           Level.WARNING,
-          "[wire] bad message of {0}: {1}",
-          opening.speakerId(),
+          "[wire] malformed message from {0}: {1}",
+          handshake.speakerId(),
           failure.getMessage());
       frames.end(CloseReason.MALFORMED_MESSAGE);
       return;
@@ -55,10 +55,10 @@
 
   @Override
   public ConnectionOpening opening() {
-    return opening;
+    return handshake;
   }
 
-  /** Queues a message. The lock keeps the order of encoding the same as that of the frames. */
+  /** Queues a message. The lock keeps encoding and writing in the same order. */
   @Override
   public boolean send(O message) {
     synchronized (encoder) {
@@ -84,8 +84,8 @@
     frames.end(CloseReason.CLOSED_HERE);
   }
 
-  private void ended(CloseReason reason) {
-    LOGGER.log(Level.INFO, "[wire] connection of {0} ended: {1}", opening.speakerId(), reason);
+  private void onConnectionClosed(CloseReason reason) {
+    LOGGER.log(Level.INFO, "[wire] connection of {0} closed: {1}", handshake.speakerId(), reason);
     endpoint.listener().closed(this, reason);
   }
 
@@ -93,7 +93,7 @@
     try {
       endpoint.listener().received(this, message);
     } catch (RuntimeException failure) {
-      LOGGER.log(Level.ERROR, "[wire] listener failed", failure);
+      LOGGER.log(Level.ERROR, "[wire] connection listener threw an exception", failure);
       frames.end(CloseReason.LISTENER_FAILED);
     }
   }
--- a/wire/src/main/java/org/teaseltrail/wire/UnencodableMessageException.java
+++ b/wire/src/main/java/org/teaseltrail/wire/UnencodableMessageException.java
@@ -1,17 +1,17 @@
 package org.teaseltrail.wire;
 
-/** Is thrown when a value can't be written as a message, which is a fault of its type. */
+/** Thrown when a value can't be encoded, which indicates a programming error in its type. */
 public class UnencodableMessageException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
-   * @param type the type that was to be written
-   * @param cause what the encoder met
+   * @param type the type to encode
+   * @param cause the error of the encoder
    */
   public UnencodableMessageException(Class<?> type, Throwable cause) {
-    super("can't encode a message of type " + type.getSimpleName(), cause);
+    super("failed to encode a message of type " + type.getSimpleName(), cause);
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/ValueType.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ValueType.java
@@ -6,18 +6,18 @@
 import java.lang.reflect.RecordComponent;
 import java.util.Arrays;
 
-/** Is a record that is written as its only component: an id, a revision, a rank. */
+/** A record type that is encoded as its single component, such as an id, a revision or a rank. */
 final class ValueType {
 
   private final Class<?> type;
   private final Class<?> componentType;
 
-  /** Looked up once: an answer to a sync holds an id for each upstream. */
+  /** Cached, as the response to a sync contains an id for each upstream. */
   private final Method accessor;
 
   private final Constructor<?> constructor;
 
-  /** Makes the record readable, since records may be nested in types that aren't public. */
+  /** Makes the members accessible, as records may be nested in types that aren't public. */
   private ValueType(Class<?> type, RecordComponent component) {
     this.type = type;
     componentType = component.getType();
@@ -49,14 +49,14 @@
   }
 
   String textOf(Object value) {
-    return String.valueOf(read(value));
+    return String.valueOf(readComponent(value));
   }
 
   long numberOf(Object value) {
-    return ((Number) read(value)).longValue();
+    return ((Number) readComponent(value)).longValue();
   }
 
-  /** Makes the value from a text; a number in decimal digits for a value type of a number. */
+  /** Creates a value from text, which holds decimal digits if the component is a number. */
   Object fromText(String text) {
     return isText() ? construct(text) : fromNumber(Long.parseLong(text));
   }
@@ -68,11 +68,12 @@
     return construct(number);
   }
 
-  private Object read(Object value) {
+  private Object readComponent(Object value) {
     try {
       return accessor.invoke(value);
     } catch (ReflectiveOperationException failure) {
-      throw new IllegalStateException("accessor of " + type.getName(), failure);
+      throw new IllegalStateException(
+          "failed to invoke the accessor of " + type.getName(), failure);
     }
   }
 
@@ -80,9 +81,11 @@
     try {
       return constructor.newInstance(argument);
     } catch (InvocationTargetException failure) {
-      throw new IllegalArgumentException("not a " + type.getSimpleName(), failure.getCause());
+      throw new IllegalArgumentException(
+          "invalid value for " + type.getSimpleName(), failure.getCause());
     } catch (ReflectiveOperationException failure) {
-      throw new IllegalStateException("constructor of " + type.getName(), failure);
+      throw new IllegalStateException(
+          "failed to invoke the constructor of " + type.getName(), failure);
     }
   }
 
@@ -90,7 +93,8 @@
     try {
       return type.getDeclaredConstructor(componentType);
     } catch (NoSuchMethodException failure) {
-      throw new IllegalStateException("constructor of " + type.getName(), failure);
+      throw new IllegalStateException(
+          "no single-component constructor in " + type.getName(), failure);
     }
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/ValueTypeDeserializer.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ValueTypeDeserializer.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.deser.std.StdDeserializer;
 import java.io.IOException;
 
-/** Reads a value type from its text or number. */
+/** Deserializes a value type from its text or number. */
 final class ValueTypeDeserializer extends StdDeserializer<Object> {
 
   private static final long serialVersionUID = 1L;
--- a/wire/src/main/java/org/teaseltrail/wire/ValueTypeKeyDeserializer.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ValueTypeKeyDeserializer.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.databind.DeserializationContext;
 import com.fasterxml.jackson.databind.KeyDeserializer;
 
-/** Reads a value type from a map key. */
+/** Deserializes a value type from a map key. */
 final class ValueTypeKeyDeserializer extends KeyDeserializer {
 
   private final ValueType valueType;
--- a/wire/src/main/java/org/teaseltrail/wire/ValueTypeKeySerializer.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ValueTypeKeySerializer.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ser.std.StdSerializer;
 import java.io.IOException;
 
-/** Writes a value type as a map key: its text, or its number in decimal digits. */
+/** Serializes a value type as a map key: its text, or its number in decimal digits. */
 final class ValueTypeKeySerializer extends StdSerializer<Object> {
 
   private static final long serialVersionUID = 1L;
--- a/wire/src/main/java/org/teaseltrail/wire/ValueTypeModule.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ValueTypeModule.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.databind.module.SimpleModule;
 import com.fasterxml.jackson.databind.ser.Serializers;
 
-/** Teaches Jackson to write and read value types as their only component. */
+/** Jackson module that serializes value types as their single component. */
 final class ValueTypeModule extends SimpleModule {
 
   private static final long serialVersionUID = 1L;
--- a/wire/src/main/java/org/teaseltrail/wire/ValueTypeSerializer.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ValueTypeSerializer.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.ser.std.StdSerializer;
 import java.io.IOException;
 
-/** Writes a value type as its text or number. */
+/** Serializes a value type as its text or number. */
 final class ValueTypeSerializer extends StdSerializer<Object> {
 
   private static final long serialVersionUID = 1L;
--- a/wire/src/main/java/org/teaseltrail/wire/package-info.java
+++ b/wire/src/main/java/org/teaseltrail/wire/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Carries typed messages between the system's own processes: MessagePack in frames with a four-byte
- * length, over TCP.
+ * Transport of typed messages between the processes of the system: MessagePack in length-prefixed
+ * frames (four bytes) over TCP.
  */
 package org.teaseltrail.wire;
--- a/wire/src/test/java/org/teaseltrail/wire/ConfigurationDeltaProperties.java
+++ b/wire/src/test/java/org/teaseltrail/wire/ConfigurationDeltaProperties.java
@@ -67,9 +67,9 @@
     assertThat(decoder.decode(codec.configurations().delta(from, later))).isEqualTo(later);
   }
 
-  // A frame of one connection is handed to the state of another. The user would see VMs under
-  // different configurations of one revision: a removed customer served on one of them. A delta
-  // of another base must be refused.
+  // Guards against VMs with different configurations of the same revision, such as one that still
+  // serves a removed customer, if a delta frame is decoded with the state of another connection. A
+  // delta with a different base must be refused.
   @Example
   void deltaOfAnotherBaseIsRefused() {
     Configuration from = SampleMessages.configuration(5, 5);
--- a/wire/src/test/java/org/teaseltrail/wire/FrameLinkTest.java
+++ b/wire/src/test/java/org/teaseltrail/wire/FrameLinkTest.java
@@ -20,11 +20,12 @@
 
   private static final String HOST = "127.0.0.1";
   private static final FrameLimits LIMITS = new FrameLimits(100_000, 1_000_000, 5_000, 1_000);
-  private static final FrameLimits HASTY = new FrameLimits(100_000, 1_000_000, 90, 1_000);
+  private static final FrameLimits SHORT_TIMEOUT_LIMITS =
+      new FrameLimits(100_000, 1_000_000, 90, 1_000);
 
   private final MessageCodec codec = new MessageCodec();
-  private final RecordingListener<Asked, Told> entryCalls = new RecordingListener<>();
-  private final RecordingListener<Peer, Peer> peerCalls = new RecordingListener<>();
+  private final RecordingListener<Asked, Told> entryListener = new RecordingListener<>();
+  private final RecordingListener<Peer, Peer> peerListener = new RecordingListener<>();
 
   sealed interface Asked {
     record Question(int number) implements Asked {}
@@ -43,8 +44,8 @@
     RecordingListener<Told, Asked> entry = new RecordingListener<>();
     RecordingListener<Peer, Peer> peer = new RecordingListener<>();
     try (FrameServer server = listen(0);
-        FrameClient<Told, Asked> asking = entryClient(server.port(), entry, LIMITS);
-        FrameClient<Peer, Peer> voting =
+        FrameClient<Told, Asked> entryConnection = entryClient(server.port(), entry, LIMITS);
+        FrameClient<Peer, Peer> peerConnection =
             client(
                 server.port(),
                 new FrameEndpoint<>(SpeakerKind.CONTROL_MEMBER, Peer.class, Peer.class, peer),
@@ -52,48 +53,49 @@
       entry.nextOpened();
       peer.nextOpened();
       for (int i = 0; i < 100; i++) {
-        assertThat(asking.send(new Asked.Question(i))).isTrue();
+        assertThat(entryConnection.send(new Asked.Question(i))).isTrue();
       }
-      voting.send(new Peer.Vote("v"));
+      peerConnection.send(new Peer.Vote("v"));
       for (int i = 0; i < 100; i++) {
-        assertThat(entryCalls.nextReceived()).isEqualTo(new Asked.Question(i));
+        assertThat(entryListener.nextReceived()).isEqualTo(new Asked.Question(i));
       }
-      assertThat(peerCalls.nextReceived()).isEqualTo(new Peer.Vote("v"));
-      FrameConnection<Asked, Told> accepted = entryCalls.nextOpened();
+      assertThat(peerListener.nextReceived()).isEqualTo(new Peer.Vote("v"));
+      FrameConnection<Asked, Told> accepted = entryListener.nextOpened();
       assertThat(accepted.opening().speakerId()).isEqualTo("here");
       accepted.send(new Told.Answer(5, new byte[0]));
       assertThat(((Told.Answer) entry.nextReceived()).number()).isEqualTo(5);
     }
   }
 
-  // An entry VM is frozen with its sockets open while the leader keeps sending to it. The user
-  // would see the leader's memory grow until the process dies. Once the bounded queue is full the
-  // connection must end, with its reason.
+  // Guards against unbounded memory growth in the leader while an entry VM is paused with its
+  // sockets open. Once the bounded queue is full, the connection must close with its reason.
   @Test
   void peerThatDoesNotReadIsDropped() throws IOException {
     try (FrameServer server = listen(0);
-        Socket frozen = new Socket(HOST, server.port())) {
-      writeFrame(frozen, opening(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
-      FrameConnection<Asked, Told> connection = entryCalls.nextOpened();
+        Socket pausedPeer = new Socket(HOST, server.port())) {
+      writeFrame(
+          pausedPeer, handshakeBody(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
+      FrameConnection<Asked, Told> connection = entryListener.nextOpened();
       Told.Answer answer = new Told.Answer(1, new byte[50_000]);
       int sent = 0;
       while (sent < 10_000 && connection.send(answer)) {
         sent++;
       }
       assertThat(sent).isLessThan(10_000);
-      assertThat(entryCalls.nextClosed()).isEqualTo(CloseReason.PEER_NOT_READING);
+      assertThat(entryListener.nextClosed()).isEqualTo(CloseReason.PEER_NOT_READING);
       assertThat(connection.send(answer)).isFalse();
     }
   }
 
-  // A switch drops a control member's packets without a reset. The user would see an entry VM hold
-  // on to the dead connection while its requests wait. Silence past the idle timeout must end it,
-  // and the client must connect anew.
+  // Guards against an entry VM that keeps a dead connection, while its requests wait, after a
+  // switch drops a control member's packets without a TCP reset. The client must close the
+  // connection after the idle timeout and reconnect.
   @Test
   void halfOpenLinkIsFoundAndMadeAgain() throws IOException {
     RecordingListener<Told, Asked> entry = new RecordingListener<>();
     try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getByName(HOST));
-        FrameClient<Told, Asked> client = entryClient(silent.getLocalPort(), entry, HASTY);
+        FrameClient<Told, Asked> client =
+            entryClient(silent.getLocalPort(), entry, SHORT_TIMEOUT_LIMITS);
         Socket first = silent.accept()) {
       assertThat(entry.nextClosed()).isEqualTo(CloseReason.IDLE);
       try (Socket second = silent.accept()) {
@@ -106,7 +108,8 @@
   void quietLinkSendsKeepalives() throws IOException {
     RecordingListener<Told, Asked> entry = new RecordingListener<>();
     try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getByName(HOST));
-        FrameClient<Told, Asked> client = entryClient(silent.getLocalPort(), entry, HASTY);
+        FrameClient<Told, Asked> client =
+            entryClient(silent.getLocalPort(), entry, SHORT_TIMEOUT_LIMITS);
         Socket accepted = silent.accept()) {
       DataInputStream in = new DataInputStream(accepted.getInputStream());
       in.readNBytes(in.readInt());
@@ -121,13 +124,13 @@
     int port = first.port();
     try (FrameClient<Told, Asked> client = entryClient(port, entry, LIMITS)) {
       entry.nextOpened();
-      entryCalls.nextOpened();
+      entryListener.nextOpened();
       first.close();
       assertThat(entry.nextClosed()).isEqualTo(CloseReason.CLOSED_BY_PEER);
       try (FrameServer second = listen(port)) {
         entry.nextOpened();
         client.send(new Asked.Question(8));
-        assertThat(entryCalls.nextReceived()).isEqualTo(new Asked.Question(8));
+        assertThat(entryListener.nextReceived()).isEqualTo(new Asked.Question(8));
       }
     }
   }
@@ -136,10 +139,10 @@
   void frameBeyondTheLimitEndsTheConnectionBeforeItIsRead() throws IOException {
     try (FrameServer server = listen(0);
         Socket socket = new Socket(HOST, server.port())) {
-      writeFrame(socket, opening(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
-      entryCalls.nextOpened();
+      writeFrame(socket, handshakeBody(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
+      entryListener.nextOpened();
       new DataOutputStream(socket.getOutputStream()).writeInt(100_001);
-      assertThat(entryCalls.nextClosed()).isEqualTo(CloseReason.FRAME_TOO_LARGE);
+      assertThat(entryListener.nextClosed()).isEqualTo(CloseReason.FRAME_TOO_LARGE);
     }
   }
 
@@ -149,7 +152,7 @@
     try (FrameServer server = listen(0);
         FrameClient<Told, Asked> client = entryClient(server.port(), entry, LIMITS)) {
       entry.nextOpened();
-      FrameConnection<Asked, Told> accepted = entryCalls.nextOpened();
+      FrameConnection<Asked, Told> accepted = entryListener.nextOpened();
       assertThatThrownBy(() -> accepted.send(new Told.Answer(1, new byte[100_000])))
           .isInstanceOf(FrameTooLargeException.class);
       accepted.send(new Told.Answer(2, new byte[0]));
@@ -161,21 +164,21 @@
   void malformedMessageEndsTheConnection() throws IOException {
     try (FrameServer server = listen(0);
         Socket socket = new Socket(HOST, server.port())) {
-      writeFrame(socket, opening(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
+      writeFrame(socket, handshakeBody(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
       writeFrame(socket, new byte[] {1, 2, 3});
-      assertThat(entryCalls.nextClosed()).isEqualTo(CloseReason.MALFORMED_MESSAGE);
-      assertThat(endsWithoutData(socket)).isTrue();
+      assertThat(entryListener.nextClosed()).isEqualTo(CloseReason.MALFORMED_MESSAGE);
+      assertThat(isClosedWithoutData(socket)).isTrue();
     }
   }
 
   @Test
   void openingOfAnotherVersionOrOfNoKnownSpeakerIsRefused() throws IOException {
-    byte[] otherVersion = opening(99, SpeakerKind.ENTRY_VM);
+    byte[] otherVersion = handshakeBody(99, SpeakerKind.ENTRY_VM);
     try (FrameServer server = listen(0)) {
       for (byte[] bad : new byte[][] {otherVersion, {1, 2, 3}}) {
         try (Socket socket = new Socket(HOST, server.port())) {
           writeFrame(socket, bad);
-          assertThat(endsWithoutData(socket)).isTrue();
+          assertThat(isClosedWithoutData(socket)).isTrue();
         }
       }
     }
@@ -186,8 +189,8 @@
         new SocketAddress(HOST, port),
         LIMITS,
         codec,
-        new FrameEndpoint<>(SpeakerKind.ENTRY_VM, Asked.class, Told.class, entryCalls),
-        new FrameEndpoint<>(SpeakerKind.CONTROL_MEMBER, Peer.class, Peer.class, peerCalls));
+        new FrameEndpoint<>(SpeakerKind.ENTRY_VM, Asked.class, Told.class, entryListener),
+        new FrameEndpoint<>(SpeakerKind.CONTROL_MEMBER, Peer.class, Peer.class, peerListener));
   }
 
   private FrameClient<Told, Asked> entryClient(
@@ -203,7 +206,7 @@
         new SocketAddress(HOST, port), "here", endpoint, limits, codec, backoff);
   }
 
-  private byte[] opening(int version, SpeakerKind speaker) {
+  private byte[] handshakeBody(int version, SpeakerKind speaker) {
     return codec.encode(
         ConnectionOpening.class, new ConnectionOpening(version, speaker, "entry-1"));
   }
@@ -215,7 +218,7 @@
     out.flush();
   }
 
-  private static boolean endsWithoutData(Socket socket) throws IOException {
+  private static boolean isClosedWithoutData(Socket socket) throws IOException {
     socket.setSoTimeout(10_000);
     return socket.getInputStream().read() < 0;
   }
--- a/wire/src/test/java/org/teaseltrail/wire/MessageCodecTest.java
+++ b/wire/src/test/java/org/teaseltrail/wire/MessageCodecTest.java
@@ -33,7 +33,7 @@
 
 class MessageCodecTest {
 
-  private static final List<Class<?>> ROOTS =
+  private static final List<Class<?>> SEALED_TYPES =
       List.of(
           EntryMessage.class,
           ControlMessage.class,
@@ -56,7 +56,7 @@
 
   static List<Sample<?>> messages() {
     List<Sample<?>> messages = new ArrayList<>(SampleMessages.all());
-    for (Class<?> root : ROOTS) {
+    for (Class<?> root : SEALED_TYPES) {
       messages.addAll(RecordSampler.samplesOf(root));
     }
     return messages;
@@ -156,9 +156,9 @@
         .isInstanceOf(MalformedMessageException.class);
   }
 
-  // A peer with a damaged disk or a stranger on the port sends a short frame that declares two
-  // gigabytes of binary. The user would see the whole VM die of lack of memory: the decoder sets
-  // the declared length aside first. The codec must refuse it by its type instead.
+  // Guards against an out-of-memory error when a peer with a corrupt disk, or an unknown client on
+  // the port, sends a short frame that declares two gigabytes of binary data: the decoder would
+  // allocate the declared length first. The codec must reject the frame as malformed instead.
   @Test
   void declaredLengthBeyondTheBytesIsMalformed() {
     byte[] hostile = {(byte) 0xc6, 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff, 1};
--- a/wire/src/test/java/org/teaseltrail/wire/RecordSampler.java
+++ b/wire/src/test/java/org/teaseltrail/wire/RecordSampler.java
@@ -13,15 +13,15 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** Makes a filled-in value of any message type, so that new types are covered as they come. */
+/** Creates sample values of any message type by reflection, so that new types are covered too. */
 final class RecordSampler {
 
-  private static final int SMALL = 3;
+  private static final int SAMPLE_NUMBER = 3;
   private static final String TEXT = "a1";
 
   private RecordSampler() {}
 
-  /** Returns a value of each record that a sealed interface permits. */
+  /** Returns a sample value of each record that a sealed interface permits. */
   static <T> List<Sample<T>> samplesOf(Class<T> root) {
     List<Sample<T>> samples = new ArrayList<>();
     for (Class<?> permitted : root.getPermittedSubclasses()) {
@@ -45,18 +45,18 @@
       constructor.setAccessible(true);
       return constructor.newInstance(values);
     } catch (ReflectiveOperationException failure) {
-      throw new AssertionError("can't make a " + type.getName(), failure);
+      throw new AssertionError("failed to create a sample of " + type.getName(), failure);
     }
   }
 
   private static Object value(Type type) {
     if (type instanceof ParameterizedType generic) {
-      return container((Class<?>) generic.getRawType(), generic.getActualTypeArguments());
+      return containerValue((Class<?>) generic.getRawType(), generic.getActualTypeArguments());
     }
-    return plain((Class<?>) type);
+    return simpleValue((Class<?>) type);
   }
 
-  private static Object container(Class<?> type, Type[] arguments) {
+  private static Object containerValue(Class<?> type, Type[] arguments) {
     if (type == Optional.class) {
       return Optional.of(value(arguments[0]));
     }
@@ -69,7 +69,7 @@
     return Set.of(value(arguments[0]));
   }
 
-  private static Object plain(Class<?> type) {
+  private static Object simpleValue(Class<?> type) {
     if (type.isRecord()) {
       return record(type);
     }
@@ -79,24 +79,24 @@
     if (type.isEnum()) {
       return type.getEnumConstants()[0];
     }
-    return scalar(type);
+    return scalarValue(type);
   }
 
-  private static Object scalar(Class<?> type) {
+  private static Object scalarValue(Class<?> type) {
     if (type == int.class || type == Integer.class) {
-      return SMALL;
+      return SAMPLE_NUMBER;
     } else if (type == long.class || type == Long.class) {
-      return (long) SMALL;
+      return (long) SAMPLE_NUMBER;
     } else if (type == double.class) {
-      return SMALL + 0.5;
+      return SAMPLE_NUMBER + 0.5;
     } else if (type == boolean.class) {
       return true;
     } else if (type == byte[].class) {
       return new byte[] {1, -1, 0};
     } else if (type == OptionalLong.class) {
-      return OptionalLong.of(SMALL);
+      return OptionalLong.of(SAMPLE_NUMBER);
     } else if (type == OptionalInt.class) {
-      return OptionalInt.of(SMALL);
+      return OptionalInt.of(SAMPLE_NUMBER);
     }
     return TEXT;
   }
--- a/wire/src/test/java/org/teaseltrail/wire/RecordingListener.java
+++ b/wire/src/test/java/org/teaseltrail/wire/RecordingListener.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Keeps what a connection's listener hears, for a test to take. */
+/** Records the events of connections in queues, from which a test polls them. */
 final class RecordingListener<I, O> implements FrameListener<I, O> {
 
-  private static final long PATIENCE_SECONDS = 10;
+  private static final long TIMEOUT_SECONDS = 10;
 
   private final BlockingQueue<FrameConnection<I, O>> opened = new LinkedBlockingQueue<>();
   private final BlockingQueue<I> received = new LinkedBlockingQueue<>();
@@ -42,9 +42,9 @@
 
   private static <T> T next(BlockingQueue<T> queue) {
     try {
-      T next = queue.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      T next = queue.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (next == null) {
-        throw new AssertionError("nothing came");
+        throw new AssertionError("no event received within the timeout");
       }
       return next;
     } catch (InterruptedException interrupted) {
--- a/wire/src/test/java/org/teaseltrail/wire/Sample.java
+++ b/wire/src/test/java/org/teaseltrail/wire/Sample.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.wire;
 
 /**
- * Is a message with the sealed interface it travels under.
+ * A message with the sealed interface as which it is encoded.
  *
  * @param root the sealed interface
  * @param message the message
--- a/wire/src/test/java/org/teaseltrail/wire/SampleMessages.java
+++ b/wire/src/test/java/org/teaseltrail/wire/SampleMessages.java
@@ -48,7 +48,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Holds one filled-in message of each permitted type. */
+/** Sample messages, one of each type that entry VMs and control members exchange. */
 final class SampleMessages {
 
   private static final String HASH = "ab".repeat(32);
--- a/wire/src/test/java/org/teaseltrail/wire/ServingPushTest.java
+++ b/wire/src/test/java/org/teaseltrail/wire/ServingPushTest.java
@@ -23,10 +23,10 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /**
- * A plan of many routes is in force, and an operator's next orders are not acknowledged, though
- * nothing fails: each changes a few routes, but the leader writes the whole plan anew for each of
- * sixty entry VMs before it answers, for a second and more, and loses its lease meanwhile. The same
- * happens with registrations, each of which brings all others along to all VMs.
+ * Guards against orders that are not acknowledged while a large plan is in force. If the leader
+ * encodes the full plan for each of sixty entry VMs on every change of a few routes, this takes a
+ * second or more, and it loses its lease before it responds. The same applies to registrations if
+ * each new one causes all of them to be sent to all VMs.
  */
 class ServingPushTest {
 
@@ -34,7 +34,7 @@
   private static final ServiceId SERVICE = new ServiceId("tutor-llm");
   private static final int ROUTES = 1_776;
   private static final int UPSTREAMS = 98;
-  private static final int SMALL_BYTES = 1_000;
+  private static final int MAX_DELTA_BYTES = 1_000;
 
   private final MessageCodec codec = new MessageCodec();
   private final MessageEncoder<ServingReply> encoder = MessageEncoder.of(ServingReply.class, codec);
@@ -92,7 +92,8 @@
     routes.set(700, route(700, 8_000));
     routes.remove(20);
     routes.add(route(ROUTES, 10_000));
-    assertThat(push(new ServingReply.PlanUpdate(FENCING, plan(2, routes)))).isLessThan(SMALL_BYTES);
+    assertThat(push(new ServingReply.PlanUpdate(FENCING, plan(2, routes))))
+        .isLessThan(MAX_DELTA_BYTES);
   }
 
   @Test
@@ -107,17 +108,17 @@
     push(new ServingReply.RegistryUpdate(FENCING, 1, List.of()));
     push(new ServingReply.RegistryUpdate(FENCING, 2, List.of()));
     push(new ServingReply.RegistryUpdate(FENCING, 3, List.of()));
-    MessageEncoder<ServingReply> second = MessageEncoder.of(ServingReply.class, codec);
+    MessageEncoder<ServingReply> otherEncoder = MessageEncoder.of(ServingReply.class, codec);
     ServingReply last = new ServingReply.RegistryUpdate(FENCING, 3, List.of());
-    assertThat(codec.decode(ServingReply.class, second.encode(last))).isEqualTo(last);
+    assertThat(codec.decode(ServingReply.class, otherEncoder.encode(last))).isEqualTo(last);
   }
 
   @Test
   void planIsWrittenOnceForAllVms() {
     ServingPlan first = plan(1, routes());
-    MessageEncoder<ServingReply> second = MessageEncoder.of(ServingReply.class, codec);
+    MessageEncoder<ServingReply> otherEncoder = MessageEncoder.of(ServingReply.class, codec);
     ServingReply update = new ServingReply.PlanUpdate(FENCING, first);
-    assertThat(second.encode(update)).isSameAs(encoder.encode(update));
+    assertThat(otherEncoder.encode(update)).isSameAs(encoder.encode(update));
   }
 
   @Test
@@ -128,10 +129,10 @@
       present.add(registration(number));
       pushedBytes += push(new ServingReply.RegistryUpdate(FENCING, number + 1, present));
     }
-    assertThat(pushedBytes).isLessThan(UPSTREAMS * SMALL_BYTES);
+    assertThat(pushedBytes).isLessThan(UPSTREAMS * MAX_DELTA_BYTES);
     present.set(5, present.get(5).withPhase(RegistrationPhase.DRAINING));
     present.remove(50);
     assertThat(push(new ServingReply.RegistryUpdate(FENCING, UPSTREAMS + 1, present)))
-        .isLessThan(SMALL_BYTES);
+        .isLessThan(MAX_DELTA_BYTES);
   }
 }
