--- a/runtime/src/main/java/org/teaseltrail/runtime/clock/SuspendAwareClock.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/clock/SuspendAwareClock.java
@@ -3,61 +3,65 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counts elapsed time, that of a suspended machine too.
+ * Monotonic clock that also counts the time during which the machine was suspended.
  *
- * <p>Guards against a machine that is suspended and wakes: its steady clock stands still meanwhile,
- * so a lease counted by it looks fresh although another member leads by now, or a key was revoked.
- * The guard: of the steady clock and the time of day, whichever says that more time has passed is
- * believed. A time of day that is set forward costs a lease, never a promise; one that is set back
- * changes nothing. Thread-safe.
+ * <p>The JVM's monotonic clock stops while a machine is suspended. After the resume, a lease
+ * measured by it would look valid although another member may have become leader, or a key may have
+ * been revoked. At each reading this class therefore compares how far the monotonic clock and the
+ * wall clock have advanced, and counts the step of the wall clock if it is clearly larger. A wall
+ * clock that is set forward can make a lease expire early but never breaks a guarantee; one that is
+ * set back has no effect. Thread-safe.
  */
 public final class SuspendAwareClock {
 
   private static final long NS_PER_MS = 1_000_000L;
 
-  /** Lead of the time of day that can't come from its rounding or its slewing. */
-  private static final long LEAST_SUSPENSION_NS = 5 * NS_PER_MS;
+  /**
+   * Minimum lead of the wall clock that is treated as a suspension; rounding and slewing of the
+   * wall clock stay below it.
+   */
+  private static final long MIN_SUSPENSION_NS = 5 * NS_PER_MS;
 
-  private final LongSupplier steadyNs;
-  private final LongSupplier timeOfDayMs;
-  private long lastSteadyNs;
-  private long lastTimeOfDayMs;
+  private final LongSupplier monotonicNs;
+  private final LongSupplier wallClockMs;
+  private long lastMonotonicNs;
+  private long lastWallClockMs;
   private long elapsedNs;
 
-  /** Makes a clock of this machine, from zero. */
+  /** Creates a clock that reads the clocks of this machine and starts at zero. */
   public SuspendAwareClock() {
     this(System::nanoTime, System::currentTimeMillis);
   }
 
   /**
-   * Makes a clock, from zero.
+   * Creates a clock that starts at zero.
    *
-   * @param steadyNs the steady clock, in nanoseconds
-   * @param timeOfDayMs the time of day, in milliseconds
+   * @param monotonicNs the monotonic clock, in nanoseconds
+   * @param wallClockMs the wall clock, in milliseconds
    */
-  public SuspendAwareClock(LongSupplier steadyNs, LongSupplier timeOfDayMs) {
-    this.steadyNs = steadyNs;
-    this.timeOfDayMs = timeOfDayMs;
-    lastSteadyNs = steadyNs.getAsLong();
-    lastTimeOfDayMs = timeOfDayMs.getAsLong();
+  public SuspendAwareClock(LongSupplier monotonicNs, LongSupplier wallClockMs) {
+    this.monotonicNs = monotonicNs;
+    this.wallClockMs = wallClockMs;
+    lastMonotonicNs = monotonicNs.getAsLong();
+    lastWallClockMs = wallClockMs.getAsLong();
   }
 
   /**
-   * Returns the time since the clock was made.
+   * Returns the time elapsed since the clock was created.
    *
-   * @return nanoseconds; never less than at the call before
+   * @return nanoseconds; never less than the previous reading
    */
   public synchronized long nowNs() {
-    long steady = steadyNs.getAsLong();
-    long dayMs = timeOfDayMs.getAsLong();
-    long steadyStepNs = steady - lastSteadyNs;
-    long dayStepMs = dayMs - lastTimeOfDayMs;
-    lastSteadyNs = steady;
-    lastTimeOfDayMs = dayMs;
-    // The time of day comes in whole milliseconds: only a clear lead over the steady clock counts,
-    // or each reading could add up to one.
-    boolean suspended = dayStepMs * NS_PER_MS > steadyStepNs + LEAST_SUSPENSION_NS;
-    elapsedNs += suspended ? dayStepMs * NS_PER_MS : Math.max(0, steadyStepNs);
+    long monotonicReadingNs = monotonicNs.getAsLong();
+    long wallReadingMs = wallClockMs.getAsLong();
+    long monotonicStepNs = monotonicReadingNs - lastMonotonicNs;
+    long wallStepMs = wallReadingMs - lastWallClockMs;
+    lastMonotonicNs = monotonicReadingNs;
+    lastWallClockMs = wallReadingMs;
+    // The wall clock has a resolution of one millisecond. Only a lead above the threshold counts,
+    // because otherwise the rounding errors of the readings would add up.
+    boolean suspended = wallStepMs * NS_PER_MS > monotonicStepNs + MIN_SUSPENSION_NS;
+    elapsedNs += suspended ? wallStepMs * NS_PER_MS : Math.max(0, monotonicStepNs);
     return elapsedNs;
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/clock/package-info.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/clock/package-info.java
@@ -1,2 +1,2 @@
-/** Clocks of the programs. */
+/** Clocks used by the programs. */
 package org.teaseltrail.runtime.clock;
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/DecisionLog.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/DecisionLog.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Writes one line for each decision, as key=value pairs that tools can read.
+ * Logs scheduling decisions, one line each, as machine-readable key=value pairs.
  *
  * <p>Example: {@code log.line("grant").with("request", id).with("upstream", name).write()} writes
  * {@code [schedule] decision=grant request=r-1 upstream=tutor-llm-3}.
@@ -13,25 +13,25 @@
   private final PartLogger logger;
 
   /**
-   * Makes the decision log of a part.
+   * Creates the decision log of a component.
    *
-   * @param logger the part's logger
+   * @param logger the component's logger
    */
   public DecisionLog(PartLogger logger) {
     this.logger = logger;
   }
 
   /**
-   * Begins a line.
+   * Starts a line.
    *
-   * @param decision what was decided, in lower case
-   * @return the line, to be filled and written
+   * @param decision the kind of decision, in lower case
+   * @return a builder for the line
    */
   public Line line(String decision) {
     return new Line(decision);
   }
 
-  /** Is a line being filled. */
+  /** Builder for one line. */
   public final class Line {
 
     private final StringBuilder text = new StringBuilder();
@@ -41,25 +41,25 @@
     }
 
     /**
-     * Adds a pair.
+     * Adds a key=value pair.
      *
      * @param key the key in lower case
-     * @param value the value; quoted if it holds white space, so that it stays one value
+     * @param value the value; quoted if it contains white space, so that it is parsed as one value
      * @return this line
      */
     public Line with(String key, Object value) {
-      String written = String.valueOf(value);
-      boolean plain = written.chars().noneMatch(c -> c <= ' ' || c == '"');
+      String formatted = String.valueOf(value);
+      boolean plain = formatted.chars().noneMatch(c -> c <= ' ' || c == '"');
       text.append(' ').append(key).append('=');
-      text.append(plain ? written : "\"" + written.replaceAll("[\"\\p{Cntrl}]", "?") + "\"");
+      text.append(plain ? formatted : "\"" + formatted.replaceAll("[\"\\p{Cntrl}]", "?") + "\"");
       return this;
     }
 
     /**
-     * Adds a pair if there is a value.
+     * Adds a key=value pair if the value is present.
      *
      * @param key the key in lower case
-     * @param value the value, if any
+     * @param value the value, or empty to add nothing
      * @return this line
      */
     public Line with(String key, Optional<?> value) {
@@ -68,9 +68,9 @@
     }
 
     /**
-     * Adds a reason that already is a row of key=value pairs.
+     * Adds a reason that is already formatted as key=value pairs.
      *
-     * @param pairs the pairs; control characters are cut, so that it stays one line
+     * @param pairs the pairs; control characters are replaced, so that the output stays one line
      * @return this line
      */
     public Line reason(String pairs) {
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/EventLog.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/EventLog.java
@@ -10,85 +10,89 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Writes one JSON object a line for each event, without ever holding a caller up.
+ * Structured event log that writes one JSON object per line and never blocks its callers.
  *
- * <p>Guards against a reader of the output that stops reading: a program that waits for it stops
- * serving. The guard: lines go through a bounded queue to a thread of their own; what finds the
- * queue full is counted, and the count is told with the next line that finds room. Routine lines
- * have a bound a second, so that failures still find room under load.
+ * <p>If the reader of the output stops reading, a program that writes synchronously stops serving.
+ * Lines therefore pass through a bounded queue to a separate writer thread. A line that finds the
+ * queue full is dropped and counted, and the next line that is queued reports the count. Routine
+ * lines are limited to a rate per second, so that the queue has capacity left for failures under
+ * load.
  *
  * <p>Example: {@code log.line(LogEvent.PLAN_IN_FORCE).with(LogField.VERSION, 7).write()}.
  */
 public final class EventLog implements AutoCloseable {
 
-  /** Lines that may wait; some 300 bytes each, so less than 1 MiB. */
-  private static final int QUEUED_LINES = 2_000;
+  /** Capacity of the queue in lines; at about 300 bytes each, it takes less than 1 MiB. */
+  private static final int QUEUE_CAPACITY = 2_000;
 
-  /** Routine lines a second; several times what one entry VM of the users serves. */
-  private static final int ROUTINE_PER_SECOND = 100;
+  /**
+   * Rate limit of routine lines per second; several times the request rate that one entry VM is
+   * expected to serve.
+   */
+  private static final int ROUTINE_LINES_PER_SECOND = 100;
 
-  /** Lines that are written at once. */
-  private static final int WRITTEN_AT_ONCE = 64;
+  /** Maximum number of queued lines added to one write. */
+  private static final int MAX_BATCH_LINES = 64;
 
-  /** Wakes the writing thread at the end. */
-  private static final String NO_LINE = "";
+  /** Empty line that wakes the writer thread on close. */
+  private static final String WAKE_UP = "";
 
-  private static final long END_MS = 500;
+  private static final long CLOSE_TIMEOUT_MS = 500;
   private static final long NS_PER_S = 1_000_000_000L;
 
-  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUED_LINES);
-  private final AtomicLong dropped = new AtomicLong();
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
+  private final AtomicLong unreportedDrops = new AtomicLong();
   private final AtomicLong droppedInAll = new AtomicLong();
   private final OutputStream out;
   private final String program;
   private final String vm;
-  private final Thread thread = new Thread(this::run, "event-log");
-  private volatile boolean ending;
-  private long routineSecond;
-  private int routineLines;
+  private final Thread writerThread = new Thread(this::run, "event-log");
+  private volatile boolean closing;
+  private long rateLimitSecond;
+  private int linesInSecond;
 
   /**
-   * Begins to write.
+   * Creates the log and starts its writer thread.
    *
-   * @param out where lines go; stays open
-   * @param program the program's name, told with each line
-   * @param vm the VM's name, told with each line
+   * @param out the output stream; not closed by this class
+   * @param program the program's name, added to each line
+   * @param vm the VM's name, added to each line
    */
   public EventLog(OutputStream out, String program, String vm) {
     this.out = out;
     this.program = program;
     this.vm = vm;
-    thread.setDaemon(true);
-    thread.start();
+    writerThread.setDaemon(true);
+    writerThread.start();
   }
 
   /**
-   * Begins a line.
+   * Starts a line.
    *
-   * @param event what has happened
-   * @return the line, to be filled and written
+   * @param event the kind of event
+   * @return a builder for the line
    */
   public Line line(LogEvent event) {
     return new Line(event);
   }
 
   /**
-   * Returns how many lines were left out since the start.
+   * Returns the number of lines dropped since the start.
    *
-   * @return lines for which the queue or the bound a second had no room
+   * @return lines dropped because the queue was full or the rate limit was reached
    */
   public long droppedInAll() {
     return droppedInAll.get();
   }
 
-  /** Writes what waits, for a bounded time. */
+  /** Writes the queued lines, waiting at most a fixed time. */
   @Override
   public void close() {
-    ending = true;
-    // A full queue has no room for this line, but then the thread is awake.
-    queue.offer(NO_LINE);
+    closing = true;
+    // The offer fails only if the queue is full, and then the writer thread is awake.
+    queue.offer(WAKE_UP);
     try {
-      thread.join(END_MS);
+      writerThread.join(CLOSE_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -97,9 +101,9 @@
   private void run() {
     try {
       List<String> lines = new ArrayList<>();
-      while (!ending || !queue.isEmpty()) {
+      while (!closing || !queue.isEmpty()) {
         lines.add(queue.take());
-        queue.drainTo(lines, WRITTEN_AT_ONCE);
+        queue.drainTo(lines, MAX_BATCH_LINES);
         out.write(String.join("", lines).getBytes(StandardCharsets.UTF_8));
         out.flush();
         lines.clear();
@@ -107,27 +111,28 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (java.io.IOException e) {
-      // The reader is gone for good: there is nowhere to tell it, and serving must go on.
-      ending = true;
+      // The output is closed for good. The failure can't be reported anywhere, and serving must
+      // continue.
+      closing = true;
     }
   }
 
-  private synchronized boolean hasRoutineRoom() {
+  private synchronized boolean tryAcquirePermit() {
     long second = System.nanoTime() / NS_PER_S;
-    if (second != routineSecond) {
-      routineSecond = second;
-      routineLines = 0;
+    if (second != rateLimitSecond) {
+      rateLimitSecond = second;
+      linesInSecond = 0;
     }
-    routineLines++;
-    return routineLines <= ROUTINE_PER_SECOND;
+    linesInSecond++;
+    return linesInSecond <= ROUTINE_LINES_PER_SECOND;
   }
 
-  private void drop() {
-    dropped.incrementAndGet();
+  private void countDrop() {
+    unreportedDrops.incrementAndGet();
     droppedInAll.incrementAndGet();
   }
 
-  /** Is a line being filled. */
+  /** Builder for one line. */
   public final class Line {
 
     private final StringBuilder text = new StringBuilder(256);
@@ -143,23 +148,23 @@
     }
 
     /**
-     * Adds a text.
+     * Adds a text field.
      *
-     * @param field what is told
-     * @param value its value; no key, prompt or secret
+     * @param field the field
+     * @param value its value; must not contain an API key, prompt or secret
      * @return this line
      */
     public Line with(LogField field, String value) {
       name(field).append('"');
-      escape(value);
+      appendEscaped(value);
       text.append('"');
       return this;
     }
 
     /**
-     * Adds a number.
+     * Adds an integer field.
      *
-     * @param field what is told
+     * @param field the field
      * @param value its value
      * @return this line
      */
@@ -169,9 +174,9 @@
     }
 
     /**
-     * Adds a number with decimals.
+     * Adds a floating-point field.
      *
-     * @param field what is told
+     * @param field the field
      * @param value its value, finite
      * @return this line
      */
@@ -181,9 +186,9 @@
     }
 
     /**
-     * Adds a truth value.
+     * Adds a boolean field.
      *
-     * @param field what is told
+     * @param field the field
      * @param value its value
      * @return this line
      */
@@ -192,35 +197,35 @@
       return this;
     }
 
-    /** Writes a line that must find room even under load: a failure, or a change of state. */
+    /** Queues a line that isn't rate-limited: a failure or a state change. */
     public void write() {
-      long lost = dropped.getAndSet(0);
-      if (lost > 0) {
-        with(LogField.LINES_DROPPED_BEFORE, lost);
+      long drops = unreportedDrops.getAndSet(0);
+      if (drops > 0) {
+        with(LogField.LINES_DROPPED_BEFORE, drops);
       }
       if (!queue.offer(text.append("}\n").toString())) {
-        dropped.addAndGet(lost);
-        drop();
+        unreportedDrops.addAndGet(drops);
+        countDrop();
       }
     }
 
-    /** Writes a line of which only so many a second are kept. */
+    /** Queues a routine line, or drops it if the rate limit is reached. */
     public void writeRoutine() {
-      if (hasRoutineRoom()) {
+      if (tryAcquirePermit()) {
         write();
       } else {
-        drop();
+        countDrop();
       }
     }
 
     private StringBuilder name(LogField field) {
       if (!event.has(field)) {
-        throw new IllegalArgumentException(event + " has no " + field);
+        throw new IllegalArgumentException(event + " has no field " + field);
       }
       return text.append(",\"").append(field.text()).append("\":");
     }
 
-    private void escape(String value) {
+    private void appendEscaped(String value) {
       for (int i = 0; i < value.length(); i++) {
         char c = value.charAt(i);
         if (c == '"' || c == '\\') {
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/LogField.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/LogField.java
@@ -2,96 +2,96 @@
 
 import java.util.Locale;
 
-/** Names the fields of log lines and says what they hold; units are part of the names. */
+/** Fields of log lines with their meanings; the unit of a value is the suffix of the name. */
 public enum LogField {
-  /** The id that a caller gave its request. */
+  /** Id that the caller gave the request. */
   REQUEST("the caller's id of that attempt"),
-  /** Time since the request had been read whole. */
+  /** Time since the complete request was read, or duration of a step. */
   ELAPSED_MS("time since the request was read whole, or that the step took"),
-  /** Who pays. */
+  /** Customer that pays for the request. */
   CUSTOMER("whose key the request carries"),
-  /** By which route a request was placed. */
+  /** Route of the request. */
   ROUTE("the route's name"),
-  /** Time in which an answer is on time. */
+  /** Time limit within which a response counts as on time. */
   OBJECTIVE_MS("the route's objective"),
-  /** When the caller gives up. */
+  /** Time after which the caller gives up. */
   DEADLINE_MS("time that the caller waits from then on"),
-  /** Where a request was sent, or who leaves. */
+  /** Upstream incarnation that a request was sent to, or that leaves. */
   UPSTREAM("an upstream's life"),
-  /** Which software an upstream runs. */
+  /** Software version of an upstream. */
   UPSTREAM_VERSION("the upstream's version, or the version that was ordered"),
-  /** Whether a rollout's leader lent the request. */
+  /** Whether the request was sent within a rollout's canary allowance. */
   CANARY("true if the request went to an ordered version that was still a canary"),
-  /** Whose upstreams. */
+  /** Service that the upstreams belong to. */
   SERVICE("the service"),
-  /** How far a rollout has come. */
+  /** Phase of a rollout. */
   PHASE("the rollout's phase"),
-  /** What an ordered version may have got. */
+  /** Upper bound of the requests that the target version has received. */
   LENT("requests that the ordered version may have got, at most"),
-  /** What a service got. */
+  /** Lower bound of the requests that the service has received since the order. */
   REACHED("requests that have reached the service since the order, at least"),
-  /** What a verdict rests on. */
+  /** Number of responses of the target version that a verdict is based on. */
   ANSWERS("answers of the ordered version that decided"),
-  /** What speaks against an ordered version. */
+  /** Number of responses of the target version that failed or were slow. */
   BAD_ANSWERS("those of them that failed or were slow"),
-  /** What an ordered version is compared with. */
+  /** Number of responses of the previous versions, for comparison. */
   ANSWERS_BEFORE("answers of the versions before in the same seconds"),
-  /** What is tolerated. */
+  /** Number of responses of the previous versions that failed or were slow. */
   BAD_ANSWERS_BEFORE("those of them that failed or were slow"),
-  /** Which of the request's attempts. */
+  /** Number of the attempt, counted from one. */
   ATTEMPT("which of the request's attempts, from 1"),
-  /** Time before the attempt. */
+  /** Time that the request waited before the attempt was dispatched. */
   WAITED_MS("time from the reading to the attempt's dispatch"),
-  /** Time to the first part of a stream. */
+  /** Time to the first event of a stream. */
   FIRST_EVENT_MS("time from the reading to a stream's first event"),
-  /** Longest time between two parts of a stream. */
+  /** Longest time between two consecutive parts of a stream. */
   LONGEST_PAUSE_MS("longest time between two parts of a stream"),
-  /** How an attempt or a call ended. */
+  /** Outcome of an attempt or a call. */
   END("how the attempt or the call ended"),
-  /** What a control member was asked for. */
+  /** Operation that a control member was called for. */
   CALL("what was asked for"),
-  /** Time until a quorum had it. */
+  /** Time until a quorum had persisted the entry. */
   COMMIT_MS("time from the leader's taking until it was on a quorum of disks"),
-  /** What a thread was busy with. */
+  /** Kind of event that a thread handled. */
   STEP("the kind of event that was handled"),
-  /** Time that an upstream had a request. */
+  /** Time that the request spent at the upstream. */
   AT_UPSTREAM_MS("time that the upstream had the request"),
-  /** What the request asked for. */
+  /** Fingerprint of the request's content and customer. */
   FINGERPRINT("names the request's content and customer, whatever its id"),
-  /** What speaks against a request. */
+  /** Number of upstreams lost while processing the request. */
   LOSSES("upstreams that were lost under the request, 0 if another leader held it"),
-  /** Whether an upstream names a limit. */
+  /** Whether the upstream reports a rate limit. */
   LIMITED("whether the upstream names a limit"),
-  /** What an upstream takes. */
+  /** Rate limit that the upstream reports. */
   LIMIT_PER_S(
       "requests a second that the upstream takes from all VMs together, if it names a limit"),
-  /** How long an upstream wants nothing. */
+  /** Time for which the upstream asked for no requests. */
   BACKOFF_MS("time for which the upstream wants no request from this VM"),
-  /** The status that the caller or this VM got. */
+  /** HTTP status that the caller or this VM received. */
   STATUS("the HTTP status, 0 for none"),
-  /** Why something was refused. */
+  /** Reason of a refusal or of a rollout's transition. */
   REASON("why it was refused, or why a rollout turned"),
-  /** Whether an upstream may have begun to work. */
+  /** Whether an upstream may have started to process the request. */
   MAYBE_RAN("whether an upstream may have run the request"),
-  /** When the caller may come back. */
+  /** Time after which the caller may retry. */
   RETRY_AFTER_MS("when the caller may come back, 0 if no time can be told"),
-  /** Whether the caller had got a part. */
+  /** Whether the caller had received a part of the response. */
   BEGUN("whether the caller had got a part of the answer"),
-  /** A plan's version. */
+  /** Version of a plan. */
   VERSION("the plan's version"),
-  /** The plan that a VM serves under. */
+  /** Version of the plan in force on a VM. */
   PLAN_VERSION("version of the plan in force on the VM"),
-  /** Addresses of members. */
+  /** Addresses of the control members that are contacted first. */
   SEEDS("control members to be asked first"),
-  /** Requests without an answer. */
+  /** Number of requests that have no response yet. */
   OPEN("requests without an answer"),
-  /** Number of a leadership. */
+  /** Raft term of the control group. */
   TERM("the term of the control group"),
-  /** Who leads. */
+  /** Member that is the leader. */
   LEADER("the member that leads, none if it is not known"),
-  /** Whether this member leads. */
+  /** Whether this member is the leader. */
   LEADING("whether this member leads and serves"),
-  /** Lines that found no room. */
+  /** Number of lines dropped before this one. */
   LINES_DROPPED_BEFORE("lines before this one that found no room");
 
   private final String meaning;
@@ -110,7 +110,7 @@
   }
 
   /**
-   * Returns what the field holds.
+   * Returns the meaning of the field.
    *
    * @return a phrase
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/LogFormat.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/LogFormat.java
@@ -6,9 +6,9 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.encoder.Encoder;
 
-/** Says how log lines are written. */
+/** Format of log lines. */
 public enum LogFormat {
-  /** One line of text each. */
+  /** Plain text, one line per event. */
   TEXT {
     @Override
     Encoder<ILoggingEvent> encoder(LoggerContext context) {
@@ -18,7 +18,7 @@
       return encoder;
     }
   },
-  /** One JSON object a line, in Logback's own shape. */
+  /** One JSON object per line, in Logback's format. */
   JSON {
     @Override
     Encoder<ILoggingEvent> encoder(LoggerContext context) {
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/LogLevel.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/LogLevel.java
@@ -2,13 +2,13 @@
 
 import ch.qos.logback.classic.Level;
 
-/** Says from which severity on lines are written. */
+/** Minimum severity of the log lines that are written. */
 public enum LogLevel {
-  /** Failures that need an operator. */
+  /** Failures that need an operator's attention. */
   ERROR(Level.ERROR),
-  /** Also what may become one. */
+  /** Also problems that may turn into failures. */
   WARN(Level.WARN),
-  /** Also decisions and changes of state. */
+  /** Also decisions and state changes. */
   INFO(Level.INFO),
   /** Also each message between processes. */
   DEBUG(Level.DEBUG);
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/LogSettings.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/LogSettings.java
@@ -4,15 +4,15 @@
 import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.Setting;
 
-/** Declares the settings of the log, which every program has. */
+/** Logging settings, which every program has. */
 public final class LogSettings {
 
-  /** How lines are written. */
+  /** Format of the log lines. */
   public static final Setting<LogFormat> FORMAT =
       Setting.withDefault(
           "log", "format", Kinds.choice(LogFormat.class), "text", "How log lines are written.");
 
-  /** From which severity on lines are written. */
+  /** Minimum severity of the lines that are written. */
   public static final Setting<LogLevel> LEVEL =
       Setting.withDefault(
           "log",
@@ -21,7 +21,7 @@
           "info",
           "Least severity that is written. Decision lines are of severity info.");
 
-  /** All of them. */
+  /** All logging settings, in the order of the example file. */
   public static final List<Setting<?>> ALL = List.of(FORMAT, LEVEL);
 
   private LogSettings() {}
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/LogSetup.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/LogSetup.java
@@ -10,16 +10,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets up the log back end: all lines go to standard error, so that a program's own output stays
- * clean. Logback calls it as a service before the first line, with text and severity info; a
- * program calls it again once its settings are read.
+ * Configures Logback. All lines go to standard error, so that they don't mix with a program's own
+ * output. Logback's service loader applies the initial configuration, text with severity info,
+ * before the first line; a program calls {@link #configure(LogFormat, LogLevel)} after it has read
+ * its settings.
  */
 public final class LogSetup extends ContextAwareBase implements Configurator {
 
-  private static final String OWN_PACKAGE = "org.teaseltrail";
-  private static final String CONNECTIONS = "reactor.netty";
+  private static final String PROJECT_LOGGER = "org.teaseltrail";
+  private static final String NETTY_LOGGER = "reactor.netty";
 
-  /** Makes the set-up for Logback's service loader. */
+  /** Creates the configurator for Logback's service loader. */
   public LogSetup() {}
 
   @Override
@@ -29,10 +30,11 @@
   }
 
   /**
-   * Sets the format and the least severity.
+   * Sets the format and the minimum severity.
    *
-   * @param format how lines are written
-   * @param level the least severity of the system's own lines; those of libraries start at warn
+   * @param format the format of log lines
+   * @param level the minimum severity of the project's own lines; lines of libraries need at least
+   *     warn
    */
   public static void configure(LogFormat format, LogLevel level) {
     apply((LoggerContext) LoggerFactory.getILoggerFactory(), format, level);
@@ -50,10 +52,9 @@
     Logger root = context.getLogger(org.slf4j.Logger.ROOT_LOGGER_NAME);
     root.setLevel(Level.WARN);
     root.addAppender(appender);
-    // It warns, with a stack trace, of each connection that a peer drops; the programs tell of
-    // those
-    // that matter in lines of their own.
-    context.getLogger(CONNECTIONS).setLevel(Level.ERROR);
-    context.getLogger(OWN_PACKAGE).setLevel(level.level());
+    // Reactor Netty logs a warning with a stack trace for each connection that a peer drops; the
+    // programs log the relevant ones themselves.
+    context.getLogger(NETTY_LOGGER).setLevel(Level.ERROR);
+    context.getLogger(PROJECT_LOGGER).setLevel(level.level());
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/PartLogger.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/PartLogger.java
@@ -4,7 +4,7 @@
 import java.util.function.Supplier;
 
 /**
- * Writes the log lines of one part of a program, each with the part's fixed prefix.
+ * Logger of one component of a program; prefixes each line with the component's name.
  *
  * <p>Example: {@code new PartLogger("entry").info("Listens on " + address + ".")} writes {@code
  * [entry] Listens on 127.0.0.1:8080.}
@@ -17,9 +17,9 @@
   private final String prefix;
 
   /**
-   * Makes the logger of a part.
+   * Creates the logger of a component.
    *
-   * @param part the part's name in lower case, such as {@code entry}
+   * @param part the component's name in lower case, such as {@code entry}
    */
   public PartLogger(String part) {
     this.logger = System.getLogger(NAME_PREFIX + part);
@@ -27,56 +27,56 @@
   }
 
   /**
-   * Writes what an operator must know of.
+   * Logs a failure that needs an operator's attention.
    *
-   * @param sentence one short sentence; no prompt, body or secret
-   * @param cause what went wrong
+   * @param sentence one short sentence; must not contain a prompt, body or secret
+   * @param cause the exception to log
    */
   public void error(String sentence, Throwable cause) {
     logger.log(Level.ERROR, prefix + sentence, cause);
   }
 
   /**
-   * Writes what an operator must know of.
+   * Logs a failure that needs an operator's attention.
    *
-   * @param sentence one short sentence; no prompt, body or secret
+   * @param sentence one short sentence; must not contain a prompt, body or secret
    */
   public void error(String sentence) {
     logger.log(Level.ERROR, prefix + sentence);
   }
 
   /**
-   * Writes what may become a failure.
+   * Logs a problem that may turn into a failure.
    *
-   * @param sentence one short sentence; no prompt, body or secret
-   * @param cause what went wrong
+   * @param sentence one short sentence; must not contain a prompt, body or secret
+   * @param cause the exception to log
    */
   public void warn(String sentence, Throwable cause) {
     logger.log(Level.WARNING, prefix + sentence, cause);
   }
 
   /**
-   * Writes what may become a failure.
+   * Logs a problem that may turn into a failure.
    *
-   * @param sentence one short sentence; no prompt, body or secret
+   * @param sentence one short sentence; must not contain a prompt, body or secret
    */
   public void warn(String sentence) {
     logger.log(Level.WARNING, prefix + sentence);
   }
 
   /**
-   * Writes a decision or a change of state.
+   * Logs a decision or a state change.
    *
-   * @param sentence one short sentence; no prompt, body or secret
+   * @param sentence one short sentence; must not contain a prompt, body or secret
    */
   public void info(String sentence) {
     logger.log(Level.INFO, prefix + sentence);
   }
 
   /**
-   * Writes a detail, if details are wanted.
+   * Logs a detail if the debug level is enabled.
    *
-   * @param sentence makes one short sentence; no prompt, body or secret
+   * @param sentence supplies one short sentence, which must not contain a prompt, body or secret
    */
   public void debug(Supplier<String> sentence) {
     logger.log(Level.DEBUG, () -> prefix + sentence.get());
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/package-info.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/package-info.java
@@ -1,2 +1,4 @@
-/** Logs by {@link java.lang.System.Logger} over Logback, set up in code. */
+/**
+ * Logging through {@link java.lang.System.Logger} with Logback as the back end, configured in code.
+ */
 package org.teaseltrail.runtime.log;
--- a/runtime/src/main/java/org/teaseltrail/runtime/metrics/Metrics.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/metrics/Metrics.java
@@ -11,8 +11,8 @@
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
 /**
- * Holds a program's meters and those of its JVM and process. The latter begin with the first
- * scrape: pauses of the collector before it are not counted.
+ * Registry of a program's metrics and of those of its JVM and process. The JVM and process metrics
+ * are registered at the first scrape, so garbage collection pauses before it are not counted.
  */
 public final class Metrics implements AutoCloseable {
 
@@ -24,16 +24,16 @@
   private JvmGcMetrics gcMetrics;
 
   /**
-   * Makes the meters.
+   * Creates an empty registry.
    *
-   * @param program the program's name, a tag of each meter
+   * @param program the program's name, added as a tag to each metric
    */
   public Metrics(String program) {
     registry.config().commonTags("program", program);
   }
 
   /**
-   * Returns where a program adds its meters.
+   * Returns the registry to which a program adds its metrics.
    *
    * @return the registry
    */
@@ -42,13 +42,13 @@
   }
 
   /**
-   * Returns all meters with their values of now.
+   * Returns the current values of all metrics.
    *
-   * @return Prometheus' text form
+   * @return the Prometheus text format
    */
   public synchronized String scrape() {
     if (gcMetrics == null) {
-      bindProcess();
+      bindProcessMetrics();
     }
     return registry.scrape();
   }
@@ -61,8 +61,11 @@
     registry.close();
   }
 
-  /** Keeps the JVM's management out of the start of processes that nobody asks. */
-  private void bindProcess() {
+  /**
+   * Registers the JVM and process metrics. This is deferred to the first scrape because loading the
+   * JVM's management classes would slow down the start of processes that are never scraped.
+   */
+  private void bindProcessMetrics() {
     new JvmMemoryMetrics().bindTo(registry);
     new JvmThreadMetrics().bindTo(registry);
     new ProcessorMetrics().bindTo(registry);
--- a/runtime/src/main/java/org/teaseltrail/runtime/metrics/package-info.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics by Micrometer, told in Prometheus' text form. */
+/** Metrics collected by Micrometer and exposed in the Prometheus text format. */
 package org.teaseltrail.runtime.metrics;
--- a/runtime/src/main/java/org/teaseltrail/runtime/package-info.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** What every program needs: settings, logs, metrics and an orderly start and end. */
+/** Basics shared by all programs: settings, logs, metrics, startup and graceful shutdown. */
 package org.teaseltrail.runtime;
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/ExitCode.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/ExitCode.java
@@ -1,30 +1,30 @@
 package org.teaseltrail.runtime.process;
 
-/** Says by a process's exit code what became of it; the same for all programs. */
+/** Exit codes of a process; the same for all programs. */
 public enum ExitCode {
-  /** It did what was asked, or was ended by SIGTERM and ended gracefully. */
+  /** The command succeeded, or the process was stopped by SIGTERM and shut down gracefully. */
   OK(0),
-  /** A fault of the program itself. */
+  /** Internal error of the program. */
   INTERNAL(1),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(2),
-  /** The settings file is wrong. */
+  /** The settings file is invalid. */
   SETTINGS(3),
-  /** The data folder can't be used: missing, locked, damaged or of another member. */
+  /** The data folder can't be used: it is missing, locked, damaged or belongs to another member. */
   DATA(4),
-  /** An address can't be listened on. */
+  /** The program can't listen on an address. */
   LISTEN(5),
-  /** No server answered, or none that leads. */
+  /** No server answered, or none of them is the leader. */
   UNAVAILABLE(6),
-  /** The configuration has moved on: the expected revision is not the present one. */
+  /** The configuration is no longer at the expected revision. */
   CONFLICT(7),
-  /** The server found the request invalid. */
+  /** The server rejected the request as invalid. */
   INVALID(8),
-  /** What was asked for does not exist. */
+  /** The requested object does not exist. */
   NOT_FOUND(9),
-  /** The change id was used before for another change. */
+  /** The change id was already used for a different change. */
   CHANGE_ID_REUSED(10),
-  /** It was not done within the time given; it may still be done. */
+  /** The operation did not complete within the timeout; it may still take effect. */
   TIMEOUT(11),
   /** A region could not be reached, so the change was refused. */
   REGION_UNREACHABLE(12);
@@ -36,7 +36,7 @@
   }
 
   /**
-   * Returns the number the process ends with.
+   * Returns the process's exit status.
    *
    * @return from 0 to 12
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/Program.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/Program.java
@@ -5,30 +5,30 @@
 import org.teaseltrail.runtime.settings.Settings;
 import org.teaseltrail.runtime.settings.SettingsSpec;
 
-/** Is a daemon with settings, to be run by {@link ProgramMain}. */
+/** Daemon that {@link ProgramMain} configures and runs. */
 public interface Program {
 
   /**
-   * Returns the settings it takes.
+   * Returns the settings that the program declares.
    *
-   * @return the list, which also holds the program's name and summary
+   * @return the specification, which also contains the program's name and summary
    */
   SettingsSpec spec();
 
   /**
-   * Adds arguments of its own to the command line.
+   * Adds program-specific arguments to the command line.
    *
    * @param parser the command line's parser
    */
   default void addArguments(ArgumentParser parser) {}
 
   /**
-   * Starts it. Returns once it listens.
+   * Starts the program. Returns once it accepts connections.
    *
-   * @param settings the checked settings
-   * @param arguments the command line
+   * @param settings the validated settings
+   * @param arguments the parsed command line
    * @return the running program
-   * @throws ProgramException if it can't start
+   * @throws ProgramException if the program can't start
    */
   RunningProgram start(Settings settings, Namespace arguments) throws ProgramException;
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/ProgramException.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/ProgramException.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.runtime.process;
 
-/** Tells that a program can't start or go on, with the exit code that says why. */
+/** Thrown when a program can't start or continue; its exit code gives the reason. */
 public class ProgramException extends Exception {
 
   private static final long serialVersionUID = 1L;
@@ -8,10 +8,10 @@
   private final ExitCode exitCode;
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
-   * @param exitCode why
-   * @param message what an operator reads; no secret
+   * @param exitCode the exit code of the process
+   * @param message the message shown to the operator; must not contain a secret
    */
   public ProgramException(ExitCode exitCode, String message) {
     super(message);
@@ -19,11 +19,11 @@
   }
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
-   * @param exitCode why
-   * @param message what an operator reads; no secret
-   * @param cause what went wrong
+   * @param exitCode the exit code of the process
+   * @param message the message shown to the operator; must not contain a secret
+   * @param cause the underlying exception
    */
   public ProgramException(ExitCode exitCode, String message, Throwable cause) {
     super(message, cause);
@@ -31,7 +31,7 @@
   }
 
   /**
-   * Returns why.
+   * Returns the exit code of the process.
    *
    * @return the exit code
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/ProgramMain.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/ProgramMain.java
@@ -19,7 +19,8 @@
 import org.teaseltrail.runtime.settings.SettingsReader;
 
 /**
- * Runs a daemon from its command line: reads and checks its settings, starts it, waits for its end.
+ * Entry point of a daemon: parses the command line, validates the settings, starts the program and
+ * waits until it terminates.
  *
  * <p>Example: {@code public static void main(String[] args) { ProgramMain.main(new EntryProgram(),
  * args); }}
@@ -36,11 +37,11 @@
   private final PrintStream err;
 
   /**
-   * Makes the runner of a program.
+   * Creates the runner of a program.
    *
    * @param program the program
-   * @param out where its answers go
-   * @param err where failures go
+   * @param out the stream for output
+   * @param err the stream for error messages
    */
   public ProgramMain(Program program, PrintStream out, PrintStream err) {
     this.program = program;
@@ -49,7 +50,7 @@
   }
 
   /**
-   * Runs a program and ends the process with its exit code.
+   * Runs a program and exits the process with its exit code.
    *
    * @param program the program
    * @param args the command line
@@ -60,7 +61,7 @@
   }
 
   /**
-   * Runs the program until it ends by itself.
+   * Runs the program until it terminates.
    *
    * @param args the command line
    * @return its exit code
@@ -68,7 +69,7 @@
   public ExitCode run(String... args) {
     ArgumentParser parser = parser();
     try {
-      return act(parser.parseArgs(args));
+      return execute(parser.parseArgs(args));
     } catch (HelpScreenException e) {
       return ExitCode.OK;
     } catch (ArgumentParserException e) {
@@ -86,7 +87,7 @@
   private ArgumentParser parser() {
     ArgumentParser parser =
         ArgumentParsers.newFor(program.spec().program())
-            // The width would be asked of another process, at each start of a daemon.
+            // Detecting the terminal width would start another process each time a daemon starts.
             .terminalWidthDetection(false)
             .build()
             .defaultHelp(true)
@@ -111,7 +112,7 @@
     return version == null ? "(development build)" : version;
   }
 
-  private ExitCode act(Namespace arguments) throws SettingsInvalidException, ProgramException {
+  private ExitCode execute(Namespace arguments) throws SettingsInvalidException, ProgramException {
     SettingsPrint print = arguments.get(PRINT_SETTINGS);
     if (print != null) {
       out.print(print.text(program.spec()));
@@ -130,28 +131,32 @@
     return serve(settings, Path.of(file), arguments);
   }
 
-  // Hook and signal are only held, so that they are taken away when the program ends by itself.
+  // The hook and the signal handler are resources of the try statement only so that they are
+  // removed when the program terminates without a signal.
   @SuppressWarnings("try")
   private ExitCode serve(Settings settings, Path file, Namespace arguments)
       throws ProgramException {
     try (RunningProgram running = program.start(settings, arguments);
         ShutdownHook hook = new ShutdownHook(running);
         ReloadSignal reload = new ReloadSignal(() -> reload(running, file))) {
-      logger.info("Runs.");
+      logger.info("Started.");
       return running.ended().join();
     } catch (CompletionException e) {
-      logger.error("Ended by a fault.", e.getCause());
+      logger.error("Stopped by an internal error.", e.getCause());
       return ExitCode.INTERNAL;
     }
   }
 
-  /** Reads the settings anew; wrong ones are told and change nothing. */
+  /**
+   * Reloads the settings file. If it is invalid, the problems are logged and the current settings
+   * stay in force.
+   */
   private void reload(RunningProgram running, Path file) {
     try {
       running.reload(new SettingsReader(program.spec()).read(file));
-      logger.info("Has read its settings anew.");
+      logger.info("Reloaded the settings.");
     } catch (SettingsInvalidException e) {
-      logger.error("Goes on with the settings it has.", e);
+      logger.error("Reloading the settings failed; the current settings stay in force.", e);
     }
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/RunningProgram.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/RunningProgram.java
@@ -3,24 +3,26 @@
 import java.util.concurrent.CompletableFuture;
 import org.teaseltrail.runtime.settings.Settings;
 
-/** Is a daemon that has started. Closing it ends it gracefully. */
+/** Daemon that has been started; closing it shuts it down gracefully. */
 public interface RunningProgram extends AutoCloseable {
 
   /**
-   * Returns a future that completes once the program has ended by itself, with its exit code.
+   * Returns a future that completes with the exit code when the program terminates without being
+   * closed.
    *
-   * @return the future; never completes while the program serves
+   * @return the future; not complete while the program serves
    */
   CompletableFuture<ExitCode> ended();
 
   /**
-   * Takes changed settings over, as far as the program can while it runs. By default it takes none.
+   * Applies changed settings as far as the program supports it at run time. By default it applies
+   * none.
    *
-   * @param settings the changed settings, checked
+   * @param settings the changed settings, validated
    */
   default void reload(Settings settings) {}
 
-  /** Ends the program gracefully and returns once nothing of it is in progress. */
+  /** Shuts the program down gracefully and returns when no work is in progress. */
   @Override
   void close();
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/SettingsPrint.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/SettingsPrint.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.runtime.settings.SettingsSpec;
 import org.teaseltrail.runtime.settings.SettingsTable;
 
-/** Says in which form a program prints its settings. */
+/** Format in which a program prints its settings. */
 enum SettingsPrint {
   EXAMPLE {
     @Override
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/ShutdownHook.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/ShutdownHook.java
@@ -3,10 +3,11 @@
 import org.teaseltrail.runtime.log.PartLogger;
 
 /**
- * Ends a running program gracefully on SIGTERM or SIGINT, then the process with exit code 0.
+ * Shuts a running program down gracefully on SIGTERM or SIGINT and then exits the process with code
+ * 0.
  *
- * <p>The JVM would end with 143 and could not tell a graceful end from a cut one; so the hook halts
- * the JVM itself once all that was in progress has finished.
+ * <p>By default the JVM exits with code 143, which doesn't distinguish a graceful shutdown from an
+ * aborted one. The hook therefore halts the JVM itself after all work in progress has finished.
  */
 final class ShutdownHook implements AutoCloseable {
 
@@ -20,23 +21,23 @@
     Runtime.getRuntime().addShutdownHook(thread);
   }
 
-  /** Takes the hook away, for a program that ends by itself. */
+  /** Removes the hook when the program terminates without a signal. */
   @Override
   public void close() {
     try {
       Runtime.getRuntime().removeShutdownHook(thread);
     } catch (IllegalStateException e) {
-      // The JVM is shutting down already: the hook runs, and decides the exit code.
-      logger.debug(() -> "Shutdown has begun: " + e.getMessage() + ".");
+      // The JVM is already shutting down: the hook runs and determines the exit code.
+      logger.debug(() -> "Shutdown is already in progress: " + e.getMessage() + ".");
     }
   }
 
   private void shutDown() {
-    logger.info("Shuts down gracefully.");
+    logger.info("Shutting down gracefully.");
     ExitCode exitCode = ExitCode.OK;
     try {
       program.close();
-      logger.info("Has shut down.");
+      logger.info("Shutdown complete.");
     } catch (RuntimeException e) {
       logger.error("Graceful shutdown failed.", e);
       exitCode = ExitCode.INTERNAL;
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/package-info.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/package-info.java
@@ -1,2 +1,2 @@
-/** The start, the orderly end and the exit codes of a program. */
+/** Startup, graceful shutdown and exit codes of a program. */
 package org.teaseltrail.runtime.process;
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/AddressKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/AddressKind.java
@@ -5,7 +5,10 @@
 import java.net.UnknownHostException;
 import java.util.regex.Pattern;
 
-/** Reads an IP number and a port; names are refused, so that no lookup can stall a program. */
+/**
+ * Parses an IP address with a port. Host names are rejected, because a DNS lookup could block the
+ * program.
+ */
 record AddressKind() implements ValueKind<InetSocketAddress> {
 
   private static final Pattern IPV4 = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
@@ -18,12 +21,12 @@
     String host = colon < 0 ? "" : text.substring(0, colon);
     boolean ipNumber = IPV4.matcher(host).matches() || IPV6.matcher(host).matches();
     if (!ipNumber) {
-      throw refusal(SettingsProblemKind.INVALID_VALUE, text);
+      throw valueException(SettingsProblemKind.INVALID_VALUE, text);
     }
     try {
       return new InetSocketAddress(InetAddress.getByName(host), port(text, colon));
     } catch (UnknownHostException e) {
-      throw refusal(SettingsProblemKind.INVALID_VALUE, text);
+      throw valueException(SettingsProblemKind.INVALID_VALUE, text);
     }
   }
 
@@ -35,16 +38,16 @@
   private int port(String text, int colon) throws SettingValueException {
     String port = text.substring(colon + 1);
     if (!port.matches("\\d{1,9}")) {
-      throw refusal(SettingsProblemKind.INVALID_VALUE, text);
+      throw valueException(SettingsProblemKind.INVALID_VALUE, text);
     }
     int number = Integer.parseInt(port);
     if (number > MAX_PORT) {
-      throw refusal(SettingsProblemKind.OUT_OF_RANGE, text);
+      throw valueException(SettingsProblemKind.OUT_OF_RANGE, text);
     }
     return number;
   }
 
-  private SettingValueException refusal(SettingsProblemKind kind, String text) {
+  private SettingValueException valueException(SettingsProblemKind kind, String text) {
     return new SettingValueException(kind, "'" + text + "'; takes " + description());
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ChoiceKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ChoiceKind.java
@@ -5,9 +5,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads one of a few values, written in lower case with hyphens.
+ * Parses one of a fixed set of values, written in lower case with hyphens.
  *
- * @param choices the values
+ * @param choices the accepted values
  * @param <T> the type of the values
  */
 record ChoiceKind<T>(List<T> choices) implements ValueKind<T> {
@@ -15,7 +15,7 @@
   @Override
   public T parse(String text) throws SettingValueException {
     for (T choice : choices) {
-      if (written(choice).equals(text)) {
+      if (textOf(choice).equals(text)) {
         return choice;
       }
     }
@@ -25,10 +25,10 @@
 
   @Override
   public String description() {
-    return choices.stream().map(ChoiceKind::written).collect(Collectors.joining(" or "));
+    return choices.stream().map(ChoiceKind::textOf).collect(Collectors.joining(" or "));
   }
 
-  private static String written(Object choice) {
+  private static String textOf(Object choice) {
     return choice.toString().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/DeclaredText.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/DeclaredText.java
@@ -1,28 +1,29 @@
 package org.teaseltrail.runtime.settings;
 
-/** Checks the bounds and defaults that a program's declarations give as text. */
+/** Validates the bounds and defaults that a program's declarations specify as text. */
 final class DeclaredText {
 
   private DeclaredText() {}
 
   /**
-   * Checks a text.
+   * Checks that a declared text can be parsed.
    *
-   * @param reader reads it
-   * @throws IllegalArgumentException if it can't be read
+   * @param reader parses the text
+   * @throws IllegalArgumentException if the text is invalid
    */
   static void check(Reader reader) {
     try {
       reader.read();
     } catch (SettingValueException e) {
-      throw new IllegalArgumentException("declared text " + e.getMessage(), e);
+      throw new IllegalArgumentException(
+          "invalid default or bound in a declaration: " + e.getMessage(), e);
     }
   }
 
-  /** Reads a declared text. */
+  /** Parses a declared text. */
   interface Reader {
 
-    /** Reads it, and throws if it is no value of the kind. */
+    /** Parses the text and throws if it is not a valid value. */
     Object read() throws SettingValueException;
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/DurationKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/DurationKind.java
@@ -4,37 +4,38 @@
 import java.time.Duration;
 
 /**
- * Reads a duration such as {@code 500ms} or {@code 3s}.
+ * Parses a duration such as {@code 500ms} or {@code 3s}.
  *
- * @param least the least value
- * @param greatest the greatest value
+ * @param min the minimum value
+ * @param max the maximum value
  */
-record DurationKind(String least, String greatest) implements ValueKind<Duration> {
+record DurationKind(String min, String max) implements ValueKind<Duration> {
 
-  /** Checks the bounds, so that a mistake in a program shows at once. */
+  /** Validates the bounds, so that a mistake in a declaration fails at startup. */
   DurationKind {
-    DeclaredText.check(() -> amount(least, ""));
-    DeclaredText.check(() -> amount(greatest, ""));
+    DeclaredText.check(() -> parseDuration(min, ""));
+    DeclaredText.check(() -> parseDuration(max, ""));
   }
 
   @Override
   public Duration parse(String text) throws SettingValueException {
-    Duration value = amount(text, description());
-    Duration leastValue = amount(least, description());
-    Duration greatestValue = amount(greatest, description());
-    return Range.checked(value, leastValue, greatestValue, text, description());
+    Duration value = parseDuration(text, description());
+    Duration minValue = parseDuration(min, description());
+    Duration maxValue = parseDuration(max, description());
+    return Range.checked(value, minValue, maxValue, text, description());
   }
 
   @Override
   public String description() {
-    return "a duration (ms, s, m, h, d) from " + least + " to " + greatest;
+    return "a duration (ms, s, m, h, d) from " + min + " to " + max;
   }
 
-  private static Duration amount(String text, String description) throws SettingValueException {
-    UnitAmount amount = UnitAmount.parse(text, description);
+  private static Duration parseDuration(String text, String description)
+      throws SettingValueException {
+    UnitAmount quantity = UnitAmount.parse(text, description);
     DurationUnit unit =
-        DurationUnit.of(amount.unit()).orElseThrow(() -> UnitAmount.wrongUnit(text, description));
+        DurationUnit.of(quantity.unit()).orElseThrow(() -> UnitAmount.wrongUnit(text, description));
     return Duration.ofNanos(
-        amount.number().multiply(BigDecimal.valueOf(unit.lengthNs())).longValue());
+        quantity.number().multiply(BigDecimal.valueOf(unit.lengthNs())).longValue());
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/DurationUnit.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/DurationUnit.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Is a unit that durations are written in. */
+/** Unit of a duration. */
 enum DurationUnit {
   MILLISECONDS("ms", 1_000_000L),
   SECONDS("s", 1_000_000_000L),
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ExampleFile.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ExampleFile.java
@@ -1,34 +1,34 @@
 package org.teaseltrail.runtime.settings;
 
-/** Writes the commented example file of a program from its declarations. */
+/** Prints the commented example settings file of a program from its declarations. */
 public final class ExampleFile {
 
-  private static final int WIDTH = 98;
+  private static final int MAX_LINE_WIDTH = 98;
 
   private ExampleFile() {}
 
   /**
-   * Writes the file: settings that must be given stand with an example, all others commented out
-   * with their defaults.
+   * Prints the file: required settings have an example value, all others are commented out and show
+   * their defaults.
    *
-   * @param spec the program's list of settings
-   * @return the text of the file
+   * @param spec the program's settings
+   * @return the content of the file
    */
   public static String print(SettingsSpec spec) {
     StringBuilder text = new StringBuilder();
-    comment(text, "Settings of " + spec.program() + ". " + spec.summary());
-    comment(text, "Keys that are commented out show their defaults or an example.");
+    appendComment(text, "Settings of " + spec.program() + ". " + spec.summary());
+    appendComment(text, "Keys that are commented out show their defaults or an example.");
     for (String section : spec.sections()) {
       text.append("\n[").append(section).append("]\n");
-      spec.inSection(section).forEach(setting -> setting(text, setting));
+      spec.inSection(section).forEach(setting -> appendSetting(text, setting));
     }
     return text.toString();
   }
 
-  private static void setting(StringBuilder text, Setting<?> setting) {
+  private static void appendSetting(StringBuilder text, Setting<?> setting) {
     text.append('\n');
-    comment(text, setting.doc());
-    comment(text, "Takes " + setting.kind().description() + "." + holdsWithout(setting));
+    appendComment(text, setting.doc());
+    appendComment(text, "Takes " + setting.kind().description() + "." + defaultNote(setting));
     text.append(setting.required() ? "" : "# ")
         .append(setting.name().key())
         .append(" = ")
@@ -36,17 +36,17 @@
         .append('\n');
   }
 
-  private static String holdsWithout(Setting<?> setting) {
+  private static String defaultNote(Setting<?> setting) {
     if (setting.required()) {
       return " Must be given.";
     }
     return setting.defaultText().map(value -> " Default " + value + ".").orElse(" No default.");
   }
 
-  private static void comment(StringBuilder text, String words) {
-    int column = WIDTH;
+  private static void appendComment(StringBuilder text, String words) {
+    int column = MAX_LINE_WIDTH;
     for (String word : words.split(" ")) {
-      if (column + 1 + word.length() > WIDTH) {
+      if (column + 1 + word.length() > MAX_LINE_WIDTH) {
         text.append(text.length() == 0 || text.charAt(text.length() - 1) == '\n' ? "#" : "\n#");
         column = 1;
       }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/IniDocument.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/IniDocument.java
@@ -13,19 +13,19 @@
 import org.ini4j.spi.IniParser;
 
 /**
- * Is an INI file as a list of its sections and keys with their lines.
+ * Parsed INI file: its sections and keys with their line numbers.
  *
- * @param sections the heads of sections
- * @param entries the keys
- * @param malformedLine the first line that is no INI; nothing behind it was read
+ * @param sections the section headers
+ * @param entries the keys with their values
+ * @param malformedLine the first line that can't be parsed, if any; the lines after it are not read
  */
 record IniDocument(List<IniSection> sections, List<IniEntry> entries, OptionalInt malformedLine) {
 
   /**
-   * Reads a file.
+   * Parses a file.
    *
    * @param file the file, in UTF-8
-   * @return its content
+   * @return the parsed file
    * @throws IOException if it can't be read
    */
   static IniDocument read(Path file) throws IOException {
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/IniEntry.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/IniEntry.java
@@ -1,10 +1,10 @@
 package org.teaseltrail.runtime.settings;
 
 /**
- * Is a key with its value, as it stands in a file.
+ * Key of a settings file with its value, as written.
  *
  * @param name its section and key
- * @param text its value, trimmed; empty if none is given
- * @param line its line, counted from one
+ * @param text its value, trimmed; empty if there is none
+ * @param line its line number, counted from one
  */
 record IniEntry(SettingName name, String text, int line) {}
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/IniSection.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/IniSection.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.runtime.settings;
 
 /**
- * Is the head of a section, as it stands in a file.
+ * Section header of a settings file.
  *
  * @param name its name
- * @param line its line, counted from one
+ * @param line its line number, counted from one
  */
 record IniSection(String name, int line) {}
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Kinds.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/Kinds.java
@@ -7,68 +7,68 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** Makes the kinds of values that settings take. */
+/** Factory of the value kinds that settings can have. */
 public final class Kinds {
 
   private Kinds() {}
 
   /**
-   * Takes a duration with a unit.
+   * Returns a kind that accepts a duration with a unit.
    *
-   * @param least the least value, such as {@code 10ms}
-   * @param greatest the greatest value, such as {@code 1h}
+   * @param min the minimum value, such as {@code 10ms}
+   * @param max the maximum value, such as {@code 1h}
    * @return the kind
    */
-  public static ValueKind<Duration> duration(String least, String greatest) {
-    return new DurationKind(least, greatest);
+  public static ValueKind<Duration> duration(String min, String max) {
+    return new DurationKind(min, max);
   }
 
   /**
-   * Takes a size in bytes with a unit.
+   * Returns a kind that accepts a size in bytes with a unit.
    *
-   * @param least the least value, such as {@code 1KiB}
-   * @param greatest the greatest value, such as {@code 1GiB}
+   * @param min the minimum value, such as {@code 1KiB}
+   * @param max the maximum value, such as {@code 1GiB}
    * @return the kind, whose values are bytes
    */
-  public static ValueKind<Long> size(String least, String greatest) {
-    return new SizeKind(least, greatest);
+  public static ValueKind<Long> size(String min, String max) {
+    return new SizeKind(min, max);
   }
 
   /**
-   * Takes a whole number.
+   * Returns a kind that accepts an integer.
    *
-   * @param least the least value
-   * @param greatest the greatest value
+   * @param min the minimum value
+   * @param max the maximum value
    * @return the kind
    */
-  public static ValueKind<Integer> integer(int least, int greatest) {
-    return new NumberKind<>(Integer::valueOf, "a whole number", least, greatest);
+  public static ValueKind<Integer> integer(int min, int max) {
+    return new NumberKind<>(Integer::valueOf, "a whole number", min, max);
   }
 
   /**
-   * Takes a long whole number.
+   * Returns a kind that accepts a 64-bit integer.
    *
-   * @param least the least value
-   * @param greatest the greatest value
+   * @param min the minimum value
+   * @param max the maximum value
    * @return the kind
    */
-  public static ValueKind<Long> longInteger(long least, long greatest) {
-    return new NumberKind<>(Long::valueOf, "a whole number", least, greatest);
+  public static ValueKind<Long> longInteger(long min, long max) {
+    return new NumberKind<>(Long::valueOf, "a whole number", min, max);
   }
 
   /**
-   * Takes a decimal number.
+   * Returns a kind that accepts a decimal number.
    *
-   * @param least the least value
-   * @param greatest the greatest value
+   * @param min the minimum value
+   * @param max the maximum value
    * @return the kind
    */
-  public static ValueKind<Double> decimal(double least, double greatest) {
-    return new NumberKind<>(Double::valueOf, "a decimal number", least, greatest);
+  public static ValueKind<Double> decimal(double min, double max) {
+    return new NumberKind<>(Double::valueOf, "a decimal number", min, max);
   }
 
   /**
-   * Takes {@code true} or {@code false}.
+   * Returns a kind that accepts {@code true} or {@code false}.
    *
    * @return the kind
    */
@@ -77,7 +77,7 @@
   }
 
   /**
-   * Takes one constant of an enum, written in lower case with hyphens.
+   * Returns a kind that accepts a constant of an enum, written in lower case with hyphens.
    *
    * @param type the enum
    * @param <E> the enum
@@ -88,7 +88,7 @@
   }
 
   /**
-   * Takes the address of a socket: an IP number and a port.
+   * Returns a kind that accepts a socket address: an IP address with a port.
    *
    * @return the kind
    */
@@ -97,7 +97,8 @@
   }
 
   /**
-   * Takes a path; a relative one counts from the process's working folder.
+   * Returns a kind that accepts a path; a relative path is resolved against the working directory
+   * of the process.
    *
    * @return the kind
    */
@@ -106,11 +107,11 @@
   }
 
   /**
-   * Takes an id or another text that a constructor checks.
+   * Returns a kind that accepts an id or another text that a constructor validates.
    *
-   * @param constructor makes the value and throws an {@link IllegalArgumentException} or another
-   *     unchecked failure for a text it doesn't take
-   * @param description what it takes, such as {@code "a VM's name"}
+   * @param constructor creates the value; throws an {@link IllegalArgumentException} or another
+   *     unchecked exception for invalid text
+   * @param description what is accepted, such as {@code "a VM's name"}
    * @param <T> the type of the value
    * @return the kind
    */
@@ -119,7 +120,7 @@
   }
 
   /**
-   * Takes the path of a file that holds a secret.
+   * Returns a kind that accepts the path of a file that contains a secret.
    *
    * @return the kind, whose value is the secret itself
    */
@@ -128,10 +129,10 @@
   }
 
   /**
-   * Takes values with commas between them.
+   * Returns a kind that accepts a comma-separated list.
    *
-   * @param element the kind of each
-   * @param <T> the type of each
+   * @param element the kind of the elements
+   * @param <T> the type of the elements
    * @return the kind
    */
   public static <T> ValueKind<List<T>> list(ValueKind<T> element) {
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/LineReader.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/LineReader.java
@@ -5,46 +5,46 @@
 import java.util.List;
 
 /**
- * Hands out one line a read, and counts them.
+ * Reader that returns at most one line per read and counts the lines.
  *
- * <p>ini4j buffers what it reads and does not tell its handlers the line. Since each read here ends
- * at a line's end, its buffer never holds more than the line that it parses, so the count is that
- * line's number.
+ * <p>ini4j buffers its input and doesn't pass line numbers to its handlers. Since each read ends at
+ * the end of a line, the buffer of ini4j never holds more than the line being parsed, so the count
+ * is the number of that line.
  */
 final class LineReader extends Reader {
 
   private final List<String> lines;
   private int lineNumber;
-  private String current = "";
+  private String currentLine = "";
   private int position;
 
   LineReader(List<String> lines) {
     this.lines = lines;
   }
 
-  /** Returns the number of the line handed out last, counted from one. */
+  /** Returns the number of the line returned last, counted from one. */
   int lineNumber() {
     return lineNumber;
   }
 
   @Override
   public int read(char[] buffer, int offset, int length) throws IOException {
-    if (position == current.length()) {
+    if (position == currentLine.length()) {
       if (lineNumber == lines.size()) {
         return -1;
       }
-      current = lines.get(lineNumber) + "\n";
+      currentLine = lines.get(lineNumber) + "\n";
       position = 0;
       lineNumber++;
     }
-    int count = Math.min(length, current.length() - position);
-    current.getChars(position, position + count, buffer, offset);
+    int count = Math.min(length, currentLine.length() - position);
+    currentLine.getChars(position, position + count, buffer, offset);
     position += count;
     return count;
   }
 
   @Override
   public void close() {
-    position = current.length();
+    position = currentLine.length();
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ListKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ListKind.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Reads values with commas between them.
+ * Parses a comma-separated list.
  *
- * @param element reads each
- * @param <T> the type of each
+ * @param element the kind of the elements
+ * @param <T> the type of the elements
  */
 record ListKind<T>(ValueKind<T> element) implements ValueKind<List<T>> {
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/NumberKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/NumberKind.java
@@ -3,16 +3,16 @@
 import java.util.function.Function;
 
 /**
- * Reads a number within a range.
+ * Parses a number within a range.
  *
- * @param parser makes the number
- * @param noun what it is, for messages
- * @param least the least value
- * @param greatest the greatest value
+ * @param parser converts the text to a number
+ * @param noun the type of number, for messages
+ * @param min the minimum value
+ * @param max the maximum value
  * @param <N> the type of the number
  */
 record NumberKind<N extends Number & Comparable<N>>(
-    Function<String, N> parser, String noun, N least, N greatest) implements ValueKind<N> {
+    Function<String, N> parser, String noun, N min, N max) implements ValueKind<N> {
 
   @Override
   public N parse(String text) throws SettingValueException {
@@ -23,11 +23,11 @@
       throw new SettingValueException(
           SettingsProblemKind.INVALID_VALUE, "'" + text + "'; takes " + description());
     }
-    return Range.checked(number, least, greatest, text, description());
+    return Range.checked(number, min, max, text, description());
   }
 
   @Override
   public String description() {
-    return noun + " from " + least + " to " + greatest;
+    return noun + " from " + min + " to " + max;
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/OptionalKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/OptionalKind.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * Reads a value that may be left out.
+ * Parses the value of an optional setting.
  *
- * @param inner reads the value when it is there
+ * @param inner the kind of the value if it is present
  * @param <T> the type of the value
  */
 record OptionalKind<T>(ValueKind<T> inner) implements ValueKind<Optional<T>> {
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ParsedKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ParsedKind.java
@@ -3,15 +3,15 @@
 import java.util.function.Function;
 
 /**
- * Reads a text by a function that throws for what it doesn't take.
+ * Parses a text with a function that throws an exception for invalid text.
  *
- * @param parser makes the value
- * @param refusal what the parser throws
- * @param description what it takes
+ * @param parser converts the text to a value
+ * @param exceptionType the type of exception that the parser throws for invalid text
+ * @param description what is accepted
  * @param <T> the type of the value
  */
 record ParsedKind<T>(
-    Function<String, T> parser, Class<? extends RuntimeException> refusal, String description)
+    Function<String, T> parser, Class<? extends RuntimeException> exceptionType, String description)
     implements ValueKind<T> {
 
   @Override
@@ -19,7 +19,7 @@
     try {
       return parser.apply(text);
     } catch (RuntimeException e) {
-      if (!refusal.isInstance(e)) {
+      if (!exceptionType.isInstance(e)) {
         throw e;
       }
       throw new SettingValueException(
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Range.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/Range.java
@@ -1,25 +1,25 @@
 package org.teaseltrail.runtime.settings;
 
-/** Checks that a value lies between two bounds. */
+/** Validates that a value lies within bounds. */
 final class Range {
 
   private Range() {}
 
   /**
-   * Checks a value.
+   * Returns a value if it lies within the bounds.
    *
-   * @param value the value
-   * @param least the least value
-   * @param greatest the greatest value
-   * @param text the text it was read from
-   * @param description what is taken
+   * @param value the value to check
+   * @param min the minimum value
+   * @param max the maximum value
+   * @param text the text that the value was parsed from
+   * @param description what is accepted
    * @param <T> the type of the value
    * @return the value
-   * @throws SettingValueException if it lies outside
+   * @throws SettingValueException if the value is out of range
    */
-  static <T extends Comparable<T>> T checked(
-      T value, T least, T greatest, String text, String description) throws SettingValueException {
-    if (value.compareTo(least) < 0 || value.compareTo(greatest) > 0) {
+  static <T extends Comparable<T>> T checked(T value, T min, T max, String text, String description)
+      throws SettingValueException {
+    if (value.compareTo(min) < 0 || value.compareTo(max) > 0) {
       throw new SettingValueException(
           SettingsProblemKind.OUT_OF_RANGE, "'" + text + "'; takes " + description);
     }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Secret.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/Secret.java
@@ -1,7 +1,8 @@
 package org.teaseltrail.runtime.settings;
 
 /**
- * Is a secret read from a file. Its text form hides it, so that no log line shows it.
+ * Secret read from a file. {@link #toString()} doesn't reveal it, so that it can't appear in a log
+ * line.
  *
  * @param value the secret itself
  */
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SecretFileKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SecretFileKind.java
@@ -6,7 +6,7 @@
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 
-/** Reads a secret from the file that the setting names; white space around it is cut. */
+/** Reads a secret from the file that the setting specifies; surrounding white space is removed. */
 record SecretFileKind() implements ValueKind<Secret> {
 
   @Override
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Setting.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/Setting.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /**
- * Declares one setting of a program.
+ * Declaration of one setting of a program.
  *
  * <p>Example:
  *
@@ -13,11 +13,11 @@
  *         "replica", "heartbeat", Kinds.duration("10ms", "10s"), "100ms", "Heartbeat time.");
  * }</pre>
  *
- * @param name where it stands in the file
- * @param kind what values it takes
- * @param defaultText the value that holds when it is left out; empty if there is none
- * @param required whether it must be given
- * @param exampleText the value that the example file shows
+ * @param name its section and key
+ * @param kind the kind of its value
+ * @param defaultText the value that applies if the setting is absent; empty if there is none
+ * @param required whether it must be present
+ * @param exampleText the value in the example file
  * @param doc what it does, in one or two sentences
  * @param <T> the type of its value
  */
@@ -30,12 +30,12 @@
     String doc) {
 
   /**
-   * Declares a setting that must be given.
+   * Declares a required setting.
    *
    * @param section the section
    * @param key the key
-   * @param kind what values it takes
-   * @param exampleText the value that the example file shows
+   * @param kind the kind of its value
+   * @param exampleText the value in the example file
    * @param doc what it does
    * @param <T> the type of its value
    * @return the declaration
@@ -47,16 +47,16 @@
   }
 
   /**
-   * Declares a setting that has a default.
+   * Declares a setting with a default.
    *
    * @param section the section
    * @param key the key
-   * @param kind what values it takes
-   * @param defaultText the value that holds when it is left out
+   * @param kind the kind of its value
+   * @param defaultText the value that applies if the setting is absent
    * @param doc what it does
    * @param <T> the type of its value
    * @return the declaration
-   * @throws IllegalArgumentException if the default is no value of the kind
+   * @throws IllegalArgumentException if the default is not a valid value
    */
   public static <T> Setting<T> withDefault(
       String section, String key, ValueKind<T> kind, String defaultText, String doc) {
@@ -66,13 +66,13 @@
   }
 
   /**
-   * Declares a setting that may be left out and then has no value.
+   * Declares an optional setting without a default.
    *
    * @param section the section
    * @param key the key
-   * @param kind what values it takes
-   * @param exampleText the value that the example file shows, commented out
-   * @param doc what it does, and what holds without it
+   * @param kind the kind of its value
+   * @param exampleText the value in the example file, commented out
+   * @param doc what it does, and what applies without it
    * @param <T> the type of its value
    * @return the declaration
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingName.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingName.java
@@ -1,14 +1,17 @@
 package org.teaseltrail.runtime.settings;
 
 /**
- * Names a setting by its place in the file.
+ * Name of a setting: its section and key.
  *
  * @param section the section, without brackets
  * @param key the key in the section
  */
 public record SettingName(String section, String key) {
 
-  /** Written out: a record's own is made anew at each start, and is the first of its kind there. */
+  /**
+   * Implemented explicitly, because the generated method of a record is linked at run time at each
+   * start, and this would be the first use of that mechanism in the process.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof SettingName name
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingValueException.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingValueException.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.runtime.settings;
 
-/** Tells that a text is no value of a setting's kind. */
+/** Thrown when a text is not a valid value of a setting. */
 public final class SettingValueException extends Exception {
 
   private static final long serialVersionUID = 1L;
@@ -8,10 +8,10 @@
   private final SettingsProblemKind kind;
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
-   * @param kind what is wrong
-   * @param detail what was found and what is taken; never a secret
+   * @param kind the kind of problem
+   * @param detail what was found and what is accepted; must not contain a secret
    */
   public SettingValueException(SettingsProblemKind kind, String detail) {
     super(detail);
@@ -19,7 +19,7 @@
   }
 
   /**
-   * Returns what is wrong.
+   * Returns the kind of problem.
    *
    * @return the kind of problem
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Settings.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/Settings.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** Holds the checked values of a settings file. */
+/** Validated values of a settings file. */
 public final class Settings {
 
   private final SettingsSpec spec;
@@ -16,17 +16,17 @@
   /**
    * Returns the value of a setting, or its default.
    *
-   * @param setting a declaration of the program's own list
+   * @param setting a declaration that is part of the program's settings
    * @param <T> the type of the value
    * @return the value
-   * @throws UndeclaredSettingException if the program did not declare the setting
+   * @throws UndeclaredSettingException if the program does not declare the setting
    */
   @SuppressWarnings("unchecked")
   public <T> T get(Setting<T> setting) {
     if (!spec.settings().contains(setting)) {
       throw new UndeclaredSettingException(setting.name());
     }
-    // The reader stored what the kind of this very declaration returned.
+    // The cast is safe: the reader stored the value that the kind of this declaration parsed.
     return (T) values.get(setting.name());
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsInvalidException.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsInvalidException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** Tells all that is wrong with a settings file, together. */
+/** Thrown when a settings file is invalid; lists all problems of the file. */
 public final class SettingsInvalidException extends Exception {
 
   private static final long serialVersionUID = 1L;
@@ -11,9 +11,9 @@
   private final transient List<SettingsProblem> problems;
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
-   * @param problems what is wrong; at least one
+   * @param problems the problems; at least one
    */
   public SettingsInvalidException(List<SettingsProblem> problems) {
     super(describe(problems));
@@ -21,7 +21,7 @@
   }
 
   /**
-   * Returns what is wrong, in the order of the file, then what is left out.
+   * Returns the problems in the order of the file, followed by missing settings.
    *
    * @return the problems
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsProblem.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsProblem.java
@@ -5,13 +5,13 @@
 import java.util.OptionalInt;
 
 /**
- * Is one thing that is wrong with a settings file.
+ * Problem found in a settings file.
  *
- * @param kind what is wrong
+ * @param kind the kind of problem
  * @param file the settings file
- * @param line the line it stands on, counted from one; empty for what is left out
- * @param name the setting it is about, if any
- * @param detail what was found and what is taken; never a secret
+ * @param line its line number, counted from one; empty if a setting is missing
+ * @param name the affected setting, if any
+ * @param detail what was found and what is accepted; must not contain a secret
  */
 public record SettingsProblem(
     SettingsProblemKind kind,
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsProblemKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsProblemKind.java
@@ -1,26 +1,26 @@
 package org.teaseltrail.runtime.settings;
 
-/** Says what is wrong with a settings file. */
+/** Kinds of problems in a settings file. */
 public enum SettingsProblemKind {
   /** The settings file can't be read. */
   FILE_UNREADABLE("file can't be read"),
   /** A line is neither a section, a key with a value, nor a comment. */
   MALFORMED_LINE("malformed line"),
-  /** No program setting lies in this section. */
+  /** The program has no settings in this section. */
   UNKNOWN_SECTION("unknown section"),
   /** The section has no such key. */
   UNKNOWN_KEY("unknown key"),
-  /** The key stands twice. */
+  /** The key occurs more than once. */
   DUPLICATE_KEY("duplicate key"),
-  /** A setting without a default is left out. */
+  /** A required setting is missing. */
   MISSING("missing"),
-  /** The value has no unit, or one that the setting doesn't take. */
+  /** The value has no unit, or one that the setting doesn't accept. */
   WRONG_UNIT("wrong unit"),
-  /** The value is not of the setting's kind. */
+  /** The value can't be parsed. */
   INVALID_VALUE("invalid value"),
-  /** The value is below the least or above the greatest that is taken. */
+  /** The value is less than the minimum or greater than the maximum. */
   OUT_OF_RANGE("out of range"),
-  /** The file that holds a secret can't be read or is empty. */
+  /** The file that contains a secret can't be read or is empty. */
   SECRET_UNREADABLE("secret can't be read");
 
   private final String label;
@@ -30,7 +30,7 @@
   }
 
   /**
-   * Returns the words an operator reads.
+   * Returns the label shown to operators.
    *
    * @return a short label
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsReader.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsReader.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 /**
- * Reads a settings file against a program's list and checks it whole.
+ * Reads a settings file and validates it completely against a program's declarations.
  *
  * <p>Example: {@code Settings settings = new SettingsReader(SPEC).read(Path.of("entry.ini"));}
  */
@@ -21,66 +21,66 @@
   private final SettingsSpec spec;
 
   /**
-   * Makes a reader.
+   * Creates a reader.
    *
-   * @param spec the program's list of settings
+   * @param spec the program's settings
    */
   public SettingsReader(SettingsSpec spec) {
     this.spec = spec;
   }
 
   /**
-   * Reads and checks a file.
+   * Reads and validates a file.
    *
    * @param file the file
    * @return the values
-   * @throws SettingsInvalidException if anything is wrong; names all of it
+   * @throws SettingsInvalidException if the file is invalid; lists all problems
    */
   public Settings read(Path file) throws SettingsInvalidException {
-    Check check = new Check(file);
+    Validation validation = new Validation(file);
     try {
-      check.document(IniDocument.read(file));
+      validation.document(IniDocument.read(file));
     } catch (IOException e) {
-      check.problem(
+      validation.addProblem(
           SettingsProblemKind.FILE_UNREADABLE, OptionalInt.empty(), Optional.empty(), e.toString());
     }
-    if (!check.problems.isEmpty()) {
-      throw new SettingsInvalidException(check.problems);
+    if (!validation.problems.isEmpty()) {
+      throw new SettingsInvalidException(validation.problems);
     }
-    return new Settings(spec, check.values);
+    return new Settings(spec, validation.values);
   }
 
-  /** Gathers the values and the problems of one file. */
-  private final class Check {
+  /** Collects the values and the problems of one file. */
+  private final class Validation {
 
     private final Path file;
     private final List<SettingsProblem> problems = new ArrayList<>();
     private final Map<SettingName, Object> values = new HashMap<>();
     private final Set<SettingName> seen = new HashSet<>();
 
-    Check(Path file) {
+    Validation(Path file) {
       this.file = file;
     }
 
     void document(IniDocument document) {
-      document.sections().forEach(this::section);
+      document.sections().forEach(this::checkSection);
       document.entries().forEach(this::entry);
       document
           .malformedLine()
           .ifPresent(
               line ->
-                  problem(
+                  addProblem(
                       SettingsProblemKind.MALFORMED_LINE,
                       OptionalInt.of(line),
                       Optional.empty(),
                       "neither [section], key = value nor comment; nothing below it was read"));
-      spec.settings().forEach(this::absent);
+      spec.settings().forEach(this::applyDefault);
     }
 
-    private void section(IniSection section) {
+    private void checkSection(IniSection section) {
       // The parser reports keys above the first section under an empty name.
       if (!spec.sections().contains(section.name()) && !section.name().isEmpty()) {
-        problem(
+        addProblem(
             SettingsProblemKind.UNKNOWN_SECTION,
             OptionalInt.of(section.line()),
             Optional.empty(),
@@ -96,7 +96,7 @@
         return;
       }
       if (!seen.add(entry.name())) {
-        problem(SettingsProblemKind.DUPLICATE_KEY, line, setting, "stands above already");
+        addProblem(SettingsProblemKind.DUPLICATE_KEY, line, setting, "stands above already");
         return;
       }
       value(setting.get(), entry.text(), line);
@@ -105,20 +105,20 @@
     private void unknown(IniEntry entry, OptionalInt line) {
       if (entry.name().section().isEmpty()) {
         String detail = "'" + entry.name().key() + "' stands in no section";
-        problem(SettingsProblemKind.MALFORMED_LINE, line, Optional.empty(), detail);
+        addProblem(SettingsProblemKind.MALFORMED_LINE, line, Optional.empty(), detail);
       } else if (spec.sections().contains(entry.name().section())) {
         String detail = entry.name().toString();
-        problem(SettingsProblemKind.UNKNOWN_KEY, line, Optional.empty(), detail);
+        addProblem(SettingsProblemKind.UNKNOWN_KEY, line, Optional.empty(), detail);
       }
     }
 
-    private void absent(Setting<?> setting) {
+    private void applyDefault(Setting<?> setting) {
       if (seen.contains(setting.name())) {
         return;
       }
       if (setting.required()) {
         String detail = "needs " + setting.kind().description();
-        problem(SettingsProblemKind.MISSING, OptionalInt.empty(), Optional.of(setting), detail);
+        addProblem(SettingsProblemKind.MISSING, OptionalInt.empty(), Optional.of(setting), detail);
       } else if (setting.defaultText().isPresent()) {
         value(setting, setting.defaultText().get(), OptionalInt.empty());
       } else {
@@ -135,11 +135,11 @@
         }
         values.put(setting.name(), setting.kind().parse(text));
       } catch (SettingValueException e) {
-        problem(e.kind(), line, Optional.of(setting), e.getMessage());
+        addProblem(e.kind(), line, Optional.of(setting), e.getMessage());
       }
     }
 
-    private void problem(
+    private void addProblem(
         SettingsProblemKind kind,
         OptionalInt line,
         Optional<? extends Setting<?>> setting,
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsSpec.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsSpec.java
@@ -9,11 +9,11 @@
 import org.teaseltrail.runtime.log.LogSettings;
 
 /**
- * Lists all settings of one program, in the order of its example file.
+ * Specification of all settings of a program, in the order of its example file.
  *
- * @param program the program's name, as its start script is called
+ * @param program the program's name, which is also the name of its start script
  * @param summary what the program does, in one sentence
- * @param settings the declarations; names are unique
+ * @param settings the declarations; their names are unique
  */
 public record SettingsSpec(String program, String summary, List<Setting<?>> settings) {
 
@@ -23,12 +23,12 @@
   }
 
   /**
-   * Lists the settings of a program, with those of the log behind them.
+   * Creates a specification of a program's settings followed by the logging settings.
    *
    * @param program the program's name
    * @param summary what the program does, in one sentence
    * @param settings the program's own declarations
-   * @return the list
+   * @return the specification
    */
   public static SettingsSpec of(String program, String summary, Setting<?>... settings) {
     List<Setting<?>> all = new ArrayList<>(List.of(settings));
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsTable.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsTable.java
@@ -1,25 +1,25 @@
 package org.teaseltrail.runtime.settings;
 
-/** Writes the page section of a program's settings from its declarations. */
+/** Prints a program's settings as a section of the documentation. */
 public final class SettingsTable {
 
   private SettingsTable() {}
 
   /**
-   * Writes a Markdown heading and a table with a row for each setting.
+   * Prints a Markdown heading and a table with one row per setting.
    *
-   * @param spec the program's list of settings
-   * @return the text
+   * @param spec the program's settings
+   * @return the Markdown text
    */
   public static String print(SettingsSpec spec) {
     StringBuilder text = new StringBuilder();
     text.append("## ").append(spec.program()).append("\n\n").append(spec.summary()).append("\n\n");
     text.append("| section | key | takes | default | what it does |\n|---|---|---|---|---|\n");
-    spec.settings().forEach(setting -> row(text, setting));
+    spec.settings().forEach(setting -> appendRow(text, setting));
     return text.toString();
   }
 
-  private static void row(StringBuilder text, Setting<?> setting) {
+  private static void appendRow(StringBuilder text, Setting<?> setting) {
     String fallback = setting.required() ? "must be given" : "none";
     text.append("| ")
         .append(setting.name().section())
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SizeKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SizeKind.java
@@ -3,36 +3,36 @@
 import java.math.BigDecimal;
 
 /**
- * Reads a size such as {@code 512KiB} as a number of bytes.
+ * Parses a size such as {@code 512KiB} into a number of bytes.
  *
- * @param least the least value
- * @param greatest the greatest value
+ * @param min the minimum value
+ * @param max the maximum value
  */
-record SizeKind(String least, String greatest) implements ValueKind<Long> {
+record SizeKind(String min, String max) implements ValueKind<Long> {
 
-  /** Checks the bounds, so that a mistake in a program shows at once. */
+  /** Validates the bounds, so that a mistake in a declaration fails at startup. */
   SizeKind {
-    DeclaredText.check(() -> amountBytes(least, ""));
-    DeclaredText.check(() -> amountBytes(greatest, ""));
+    DeclaredText.check(() -> parseBytes(min, ""));
+    DeclaredText.check(() -> parseBytes(max, ""));
   }
 
   @Override
   public Long parse(String text) throws SettingValueException {
-    Long valueBytes = amountBytes(text, description());
-    Long leastBytes = amountBytes(least, description());
-    Long greatestBytes = amountBytes(greatest, description());
-    return Range.checked(valueBytes, leastBytes, greatestBytes, text, description());
+    Long valueBytes = parseBytes(text, description());
+    Long minBytes = parseBytes(min, description());
+    Long maxBytes = parseBytes(max, description());
+    return Range.checked(valueBytes, minBytes, maxBytes, text, description());
   }
 
   @Override
   public String description() {
-    return "a size (B, KiB, MiB, GiB) from " + least + " to " + greatest;
+    return "a size (B, KiB, MiB, GiB) from " + min + " to " + max;
   }
 
-  private static Long amountBytes(String text, String description) throws SettingValueException {
-    UnitAmount amount = UnitAmount.parse(text, description);
+  private static Long parseBytes(String text, String description) throws SettingValueException {
+    UnitAmount quantity = UnitAmount.parse(text, description);
     SizeUnit unit =
-        SizeUnit.of(amount.unit()).orElseThrow(() -> UnitAmount.wrongUnit(text, description));
-    return amount.number().multiply(BigDecimal.valueOf(unit.sizeBytes())).longValue();
+        SizeUnit.of(quantity.unit()).orElseThrow(() -> UnitAmount.wrongUnit(text, description));
+    return quantity.number().multiply(BigDecimal.valueOf(unit.sizeBytes())).longValue();
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SizeUnit.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SizeUnit.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Is a unit that sizes are written in. */
+/** Unit of a size. */
 enum SizeUnit {
   BYTES("B", 1L),
   KIBIBYTES("KiB", 1L << 10),
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/UndeclaredSettingException.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/UndeclaredSettingException.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.runtime.settings;
 
-/** Tells that a program asks for a setting it did not declare: a fault of the program. */
+/** Thrown when a program reads a setting that it does not declare, which is a programming error. */
 public final class UndeclaredSettingException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
    * @param name the setting
    */
   public UndeclaredSettingException(SettingName name) {
-    super(name + " is not in the program's list of settings");
+    super(name + " is not declared by the program");
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/UnitAmount.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/UnitAmount.java
@@ -5,26 +5,26 @@
 import java.util.regex.Pattern;
 
 /**
- * Is a number with the unit behind it.
+ * Number with a unit.
  *
  * @param number the number
  * @param unit the unit, as written
  */
 record UnitAmount(BigDecimal number, String unit) {
 
-  private static final Pattern SHAPE =
+  private static final Pattern PATTERN =
       Pattern.compile("(\\d{1,15}(?:\\.\\d{1,6})?)\\s*([A-Za-z]*)");
 
   /**
-   * Splits a text into number and unit.
+   * Parses a text into a number and a unit.
    *
    * @param text the text
-   * @param description what is taken
-   * @return both
-   * @throws SettingValueException if the text is no number with a unit
+   * @param description what is accepted
+   * @return the number and the unit
+   * @throws SettingValueException if the text is not a number followed by an optional unit
    */
   static UnitAmount parse(String text, String description) throws SettingValueException {
-    Matcher matcher = SHAPE.matcher(text);
+    Matcher matcher = PATTERN.matcher(text);
     if (!matcher.matches()) {
       throw new SettingValueException(
           SettingsProblemKind.INVALID_VALUE, "'" + text + "'; takes " + description);
@@ -33,11 +33,11 @@
   }
 
   /**
-   * Tells that a unit is missing or not one of the kind's.
+   * Creates the exception for a missing or unsupported unit.
    *
    * @param text the text
-   * @param description what is taken
-   * @return the failure
+   * @param description what is accepted
+   * @return the exception
    */
   static SettingValueException wrongUnit(String text, String description) {
     return new SettingValueException(
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ValueKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ValueKind.java
@@ -1,23 +1,23 @@
 package org.teaseltrail.runtime.settings;
 
 /**
- * Reads the text of one kind of value.
+ * Parser for one kind of setting value.
  *
  * @param <T> the type of the value
  */
 public interface ValueKind<T> {
 
   /**
-   * Reads a value.
+   * Parses a value.
    *
-   * @param text the text, trimmed, never empty
+   * @param text the text, trimmed and not empty
    * @return the value
-   * @throws SettingValueException if the text is no value of this kind
+   * @throws SettingValueException if the text is not a valid value
    */
   T parse(String text) throws SettingValueException;
 
   /**
-   * Returns what the kind takes, with its units and range, for pages and messages.
+   * Returns what the kind accepts, with its units and range, for documentation and messages.
    *
    * @return a short description
    */
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/package-info.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Typed settings, read from INI files and checked whole before a program starts. */
+/** Typed settings, read from INI files and completely validated before a program starts. */
 package org.teaseltrail.runtime.settings;
--- a/runtime/src/test/java/org/teaseltrail/runtime/EventLogTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/EventLogTest.java
@@ -12,11 +12,11 @@
 import org.teaseltrail.runtime.log.LogEvent;
 import org.teaseltrail.runtime.log.LogField;
 
-/** Writes lines and holds nobody up. */
+/** Tests that lines are valid JSON and that a stalled reader doesn't block callers. */
 @Timeout(30)
 class EventLogTest {
 
-  /** Is a tab as JSON writes it, and the end of the text. */
+  /** Escaped tab followed by the end of the JSON string. */
   private static final String ESCAPED_TAB = "\\" + "u0009\"";
 
   @Test
@@ -36,11 +36,14 @@
         .hasLineCount(1);
   }
 
-  /** An engineer pauses the pipe that reads the log; requests must not wait for it. */
+  /**
+   * The process that reads the log through a pipe stops reading. Without a bounded queue, the pipe
+   * fills up and requests block on the log.
+   */
   @Test
   void readerThatStopsHoldsNobodyUp() {
     CountDownLatch reads = new CountDownLatch(1);
-    EventLog log = new EventLog(new StoppedReader(reads), "program", "vm-1");
+    EventLog log = new EventLog(new StalledOutputStream(reads), "program", "vm-1");
     for (int i = 0; i < 10_000; i++) {
       log.line(LogEvent.REQUEST_REFUSED).write();
     }
@@ -49,12 +52,12 @@
     log.close();
   }
 
-  /** Takes nothing until it is told to. */
-  private static final class StoppedReader extends OutputStream {
+  /** Output stream that blocks writes until the latch is released. */
+  private static final class StalledOutputStream extends OutputStream {
 
     private final CountDownLatch reads;
 
-    StoppedReader(CountDownLatch reads) {
+    StalledOutputStream(CountDownLatch reads) {
       this.reads = reads;
     }
 
--- a/runtime/src/test/java/org/teaseltrail/runtime/LogSchemaTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/LogSchemaTest.java
@@ -13,7 +13,9 @@
 import org.teaseltrail.runtime.log.LogEvent;
 import org.teaseltrail.runtime.log.LogField;
 
-/** Holds every line to one schema, and the page that lists it. */
+/**
+ * Checks that log lines follow the schema and that the documentation lists each event and field.
+ */
 class LogSchemaTest {
 
   private static final Path PAGE = Path.of("..", "docs", "OPERATIONS.md");
--- a/runtime/src/test/java/org/teaseltrail/runtime/settings/SampleSettings.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/settings/SampleSettings.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Is a program's list of settings, for tests. */
+/** Settings of a sample program, for tests. */
 public final class SampleSettings {
 
   static final Setting<InetSocketAddress> ADDRESS =
@@ -24,7 +24,7 @@
   static final Setting<Optional<Secret>> SECRET =
       Setting.optional("limits", "secret", Kinds.secretFile(), "/etc/secret", "Secret.");
 
-  /** All of them. */
+  /** Specification of the sample program. */
   public static final SettingsSpec SPEC =
       SettingsSpec.of(
           "sample", "Is a sample.", ADDRESS, PEERS, LIFETIME, MARGIN, BODY, SHARE, SECRET);
--- a/runtime/src/test/java/org/teaseltrail/runtime/settings/SettingsReaderTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/settings/SettingsReaderTest.java
@@ -21,21 +21,21 @@
   private final SettingsReader reader = new SettingsReader(SampleSettings.SPEC);
 
   /**
-   * An operator starts a program with ten mistakes in its file. Told only the first, the operator
-   * would start it ten times; so all are told at once, each with its line.
+   * A settings file has several mistakes. If only the first were reported, the operator would have
+   * to restart the program once per mistake; so all are reported together, each with its line.
    */
   @Test
   void tellsAllMistakesAtOnce() throws IOException {
     Path file = INPUTS.resolve("wrong.ini");
 
-    SettingsInvalidException failure = refusal(file);
+    SettingsInvalidException failure = readInvalid(file);
 
-    List<String> told =
+    List<String> descriptions =
         failure.problems().stream()
             .map(SettingsProblem::describe)
             .map(line -> line.replace(INPUTS + "/", ""))
             .toList();
-    assertThat(told).isEqualTo(Files.readAllLines(INPUTS.resolve("wrong.expected")));
+    assertThat(descriptions).isEqualTo(Files.readAllLines(INPUTS.resolve("wrong.expected")));
   }
 
   @Test
@@ -73,10 +73,10 @@
   void tellsMalformedLineAndMissingFile() throws IOException {
     Path file = write("[listen]\naddress = 127.0.0.1:80\n[lease\n");
 
-    assertThat(refusal(file).problems())
+    assertThat(readInvalid(file).problems())
         .extracting(SettingsProblem::kind)
         .containsExactly(SettingsProblemKind.MALFORMED_LINE, SettingsProblemKind.MISSING);
-    assertThat(refusal(folder.resolve("none")).problems())
+    assertThat(readInvalid(folder.resolve("none")).problems())
         .extracting(SettingsProblem::kind)
         .containsExactly(SettingsProblemKind.FILE_UNREADABLE);
   }
@@ -93,7 +93,7 @@
     return Files.writeString(folder.resolve("sample.ini"), text);
   }
 
-  private SettingsInvalidException refusal(Path file) {
+  private SettingsInvalidException readInvalid(Path file) {
     return catchThrowableOfType(SettingsInvalidException.class, () -> reader.read(file));
   }
 }
