--- a/cli/src/main/java/org/teaseltrail/cli/ApplyCommand.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ApplyCommand.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Applies a file of changes: all of them at one revision, or none. */
+/** Applies the changes in a file atomically: all of them at one revision, or none. */
 final class ApplyCommand implements Command {
 
   private ApplyCommand() {}
--- a/cli/src/main/java/org/teaseltrail/cli/ChangeArguments.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ChangeArguments.java
@@ -3,7 +3,7 @@
 import net.sourceforge.argparse4j.impl.Arguments;
 import net.sourceforge.argparse4j.inf.ArgumentParser;
 
-/** Declares the arguments that every command which changes the configuration takes. */
+/** Command-line arguments shared by all commands that change the configuration. */
 final class ChangeArguments {
 
   static final String CHANGE_ID = "change_id";
--- a/cli/src/main/java/org/teaseltrail/cli/ChangeFailure.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ChangeFailure.java
@@ -8,34 +8,34 @@
 import org.teaseltrail.runtime.process.ExitCode;
 
 /**
- * Says why a change was not accepted.
+ * Reason why a change was not accepted.
  *
- * @param exitCode the kind of failure
- * @param sentence what an operator reads
+ * @param exitCode the exit code of the command
+ * @param sentence the message shown to the operator
  */
 record ChangeFailure(ExitCode exitCode, String sentence) {
 
   /**
-   * Reads the failure from an answer.
+   * Converts a response to a failure.
    *
-   * @param answer an answer that is not accepted
+   * @param response a response other than accepted
    * @return the failure
    */
-  static ChangeFailure of(ApplyChangeResponse answer) {
-    return switch (answer.getResultCase()) {
+  static ChangeFailure of(ApplyChangeResponse response) {
+    return switch (response.getResultCase()) {
       case CONFLICT ->
           new ChangeFailure(
               ExitCode.CONFLICT,
               "conflict: the configuration is at revision "
-                  + answer.getConflict().getPresentRevision());
-      case INVALID -> invalid(answer);
+                  + response.getConflict().getPresentRevision());
+      case INVALID -> invalid(response);
       case CHANGE_ID_REUSED ->
           new ChangeFailure(
               ExitCode.CHANGE_ID_REUSED, "the change id was used before for another change");
       case REGION_UNREACHABLE ->
           new ChangeFailure(
               ExitCode.REGION_UNREACHABLE,
-              "region " + answer.getRegionUnreachable().getRegion() + " can't be reached");
+              "region " + response.getRegionUnreachable().getRegion() + " can't be reached");
       case OUTCOME_UNKNOWN ->
           new ChangeFailure(
               ExitCode.TIMEOUT, "not known whether it is accepted; send it again under its id");
@@ -43,15 +43,15 @@
     };
   }
 
-  private static ChangeFailure invalid(ApplyChangeResponse answer) {
+  private static ChangeFailure invalid(ApplyChangeResponse response) {
     String reasons =
-        answer.getInvalid().getReasonsList().stream()
+        response.getInvalid().getReasonsList().stream()
             .map(ChangeFailure::describe)
             .collect(Collectors.joining("; "));
-    boolean onlyMissing =
-        answer.getInvalid().getReasonsList().stream()
+    boolean onlyNotFound =
+        response.getInvalid().getReasonsList().stream()
             .allMatch(reason -> reason.getKind() == InvalidReason.Kind.NOT_FOUND);
-    ExitCode exitCode = onlyMissing ? ExitCode.NOT_FOUND : ExitCode.INVALID;
+    ExitCode exitCode = onlyNotFound ? ExitCode.NOT_FOUND : ExitCode.INVALID;
     return new ChangeFailure(exitCode, "invalid: " + reasons);
   }
 
--- a/cli/src/main/java/org/teaseltrail/cli/ChangeSender.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ChangeSender.java
@@ -12,12 +12,15 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Sends a change, again if need be, and tells what became of it. */
+/**
+ * Sends a configuration change to the leader, retries it until its outcome is known and prints the
+ * result.
+ */
 final class ChangeSender {
 
-  private static final long RESEND_PAUSE_MS = 200;
-  private static final int POLL_MS = 1_000;
-  private static final long POLL_PAUSE_MS = 50;
+  private static final long RETRY_DELAY_MS = 200;
+  private static final int SERVER_WAIT_MS = 1_000;
+  private static final long POLL_DELAY_MS = 50;
   private static final long NS_PER_MS = 1_000_000;
 
   private final CommandContext context;
@@ -29,7 +32,7 @@
   }
 
   /**
-   * Sends one item as a change of its own.
+   * Sends a change with a single item.
    *
    * @param item the item
    * @return the exit code
@@ -40,28 +43,29 @@
   }
 
   /**
-   * Sends a change. Arguments of the command line go before what the change holds.
+   * Sends a change. Command-line arguments take precedence over the fields of the change.
    *
-   * @param change the change; gets a fresh id if it has none
+   * @param change the change; receives a new id if it has none
    * @return the exit code
    * @throws ProgramException if no leader answers
    */
   ExitCode send(ApplyChangeRequest.Builder change) throws ProgramException {
-    fill(change);
-    ApplyChangeResponse answer = sendUntilKnown(change.build());
-    if (!answer.hasAccepted()) {
-      ChangeFailure failure = ChangeFailure.of(answer);
-      context.showFailure(answer, failure.sentence() + " (change id " + change.getChangeId() + ")");
+    applyArguments(change);
+    ApplyChangeResponse response = sendUntilOutcomeKnown(change.build());
+    if (!response.hasAccepted()) {
+      ChangeFailure failure = ChangeFailure.of(response);
+      context.showFailure(
+          response, failure.sentence() + " (change id " + change.getChangeId() + ")");
       return failure.exitCode();
     }
-    long revision = answer.getAccepted().getRevision();
+    long revision = response.getAccepted().getRevision();
     context.show(
-        answer,
+        response,
         () -> "accepted: revision " + revision + ", change id " + change.getChangeId() + "\n");
-    return arguments.getBoolean(ChangeArguments.WAIT) ? await(revision) : ExitCode.OK;
+    return arguments.getBoolean(ChangeArguments.WAIT) ? awaitInForce(revision) : ExitCode.OK;
   }
 
-  private void fill(ApplyChangeRequest.Builder change) {
+  private void applyArguments(ApplyChangeRequest.Builder change) {
     String changeId = arguments.getString(ChangeArguments.CHANGE_ID);
     if (changeId != null) {
       change.setChangeId(changeId);
@@ -74,45 +78,47 @@
     }
   }
 
-  // A leader that loses its lease can't tell whether the change will be accepted. The change id
-  // makes the resend safe: a change that was accepted gives its first result again.
-  private ApplyChangeResponse sendUntilKnown(ApplyChangeRequest change) throws ProgramException {
+  // A leader that loses its lease can't determine whether the change will be accepted. A retry is
+  // safe because it has the same change id: for a change that was already accepted, the leader
+  // returns the first result again.
+  private ApplyChangeResponse sendUntilOutcomeKnown(ApplyChangeRequest change)
+      throws ProgramException {
     long deadlineNs = deadlineNs();
     while (true) {
-      ApplyChangeResponse answer =
+      ApplyChangeResponse response =
           context.client().call(stub -> stub.applyChange(change), ChangeSender::notLeader);
-      if (!answer.hasOutcomeUnknown() || context.client().pause().nowNs() >= deadlineNs) {
-        return answer;
+      if (!response.hasOutcomeUnknown() || context.client().pause().nowNs() >= deadlineNs) {
+        return response;
       }
-      context.client().pause().pauseMs(RESEND_PAUSE_MS);
+      context.client().pause().pauseMs(RETRY_DELAY_MS);
     }
   }
 
-  private ExitCode await(long revision) throws ProgramException {
+  private ExitCode awaitInForce(long revision) throws ProgramException {
     long deadlineNs = deadlineNs();
     AwaitInForceRequest request =
-        AwaitInForceRequest.newBuilder().setRevision(revision).setWaitMs(POLL_MS).build();
+        AwaitInForceRequest.newBuilder().setRevision(revision).setWaitMs(SERVER_WAIT_MS).build();
     while (true) {
-      AwaitInForceResponse answer =
+      AwaitInForceResponse response =
           context
               .client()
               .call(
                   stub -> stub.awaitInForce(request),
                   a -> a.hasNotLeader() ? Optional.of(a.getNotLeader()) : Optional.empty());
-      if (answer.getInForce().getEverywhere()) {
-        context.show(answer, () -> "in force on every entry VM\n");
+      if (response.getInForce().getEverywhere()) {
+        context.show(response, () -> "in force on every entry VM\n");
         return ExitCode.OK;
       }
       if (context.client().pause().nowNs() >= deadlineNs) {
         context.showFailure(
-            answer,
+            response,
             "revision "
                 + revision
                 + " is accepted but not yet in force on "
-                + answer.getInForce().getWaitingForVmsList());
+                + response.getInForce().getWaitingForVmsList());
         return ExitCode.TIMEOUT;
       }
-      context.client().pause().pauseMs(POLL_PAUSE_MS);
+      context.client().pause().pauseMs(POLL_DELAY_MS);
     }
   }
 
@@ -120,7 +126,7 @@
     return context.client().pause().nowNs() + context.client().timeoutMs() * NS_PER_MS;
   }
 
-  private static Optional<NotLeader> notLeader(ApplyChangeResponse answer) {
-    return answer.hasNotLeader() ? Optional.of(answer.getNotLeader()) : Optional.empty();
+  private static Optional<NotLeader> notLeader(ApplyChangeResponse response) {
+    return response.hasNotLeader() ? Optional.of(response.getNotLeader()) : Optional.empty();
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/ChannelFactory.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ChannelFactory.java
@@ -3,14 +3,14 @@
 import io.grpc.ManagedChannel;
 import java.net.InetSocketAddress;
 
-/** Opens channels to control members. */
+/** Factory of gRPC channels to control members. */
 interface ChannelFactory {
 
   /**
    * Opens a channel.
    *
-   * @param address where the member serves operators
-   * @return the channel; the caller shuts it down
+   * @param address the address on which the member serves operators
+   * @return the channel; the caller must shut it down
    */
   ManagedChannel open(InetSocketAddress address);
 }
--- a/cli/src/main/java/org/teaseltrail/cli/CliMain.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CliMain.java
@@ -3,7 +3,7 @@
 import io.grpc.netty.NettyChannelBuilder;
 import org.teaseltrail.runtime.process.ExitCode;
 
-/** Starts the command line of an operator. */
+/** Entry point of the operators' command line. */
 public final class CliMain {
 
   private CliMain() {}
--- a/cli/src/main/java/org/teaseltrail/cli/Command.java
+++ b/cli/src/main/java/org/teaseltrail/cli/Command.java
@@ -4,19 +4,19 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Is one command of the command line. */
+/** Command of the command line. */
 interface Command {
 
-  /** Under this name the command line keeps the command that was chosen. */
+  /** Key under which the parsed arguments hold the selected command. */
   String KEY = "chosen_command";
 
   /**
    * Runs the command.
    *
-   * @param context what it works with
-   * @param arguments its arguments
+   * @param context the client and the output of the command
+   * @param arguments the parsed arguments
    * @return the exit code
-   * @throws ProgramException if it can't be run
+   * @throws ProgramException if the command fails
    */
   ExitCode run(CommandContext context, Namespace arguments) throws ProgramException;
 }
--- a/cli/src/main/java/org/teaseltrail/cli/CommandContext.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CommandContext.java
@@ -5,36 +5,36 @@
 import java.util.function.Supplier;
 
 /**
- * Is what a command works with.
+ * Client and output streams that a command uses.
  *
- * @param client calls the leader
- * @param format how answers are printed
- * @param out where answers go
- * @param err where failures go
+ * @param client the client that calls the leader
+ * @param format the output format
+ * @param out the stream for responses
+ * @param err the stream for error messages
  */
 record CommandContext(
     OperatorClient client, OutputFormat format, PrintStream out, PrintStream err) {
 
   /**
-   * Prints an answer.
+   * Prints a response.
    *
-   * @param answer the server's answer
-   * @param text makes the form for people
+   * @param response the server's response
+   * @param text supplies the human-readable form
    */
-  void show(Message answer, Supplier<String> text) {
-    out.print(format.print(answer, text));
+  void show(Message response, Supplier<String> text) {
+    out.print(format.print(response, text));
   }
 
   /**
-   * Prints an answer that tells of a failure: as JSON to the answers, as a sentence to the
-   * failures.
+   * Prints a response that reports a failure: as a message to the error stream and, if the output
+   * format is JSON, also as JSON to the output stream.
    *
-   * @param answer the server's answer
-   * @param sentence what an operator reads
+   * @param response the server's response
+   * @param sentence the message shown to the operator
    */
-  void showFailure(Message answer, String sentence) {
+  void showFailure(Message response, String sentence) {
     if (format == OutputFormat.JSON) {
-      show(answer, () -> sentence);
+      show(response, () -> sentence);
     }
     err.println("teaseltrail: " + sentence);
   }
--- a/cli/src/main/java/org/teaseltrail/cli/CommandLine.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CommandLine.java
@@ -14,27 +14,27 @@
 import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.SettingValueException;
 
-/** Runs one command of an operator. */
+/** Parses a command line and runs its command. */
 final class CommandLine {
 
   private final PrintStream out;
   private final PrintStream err;
   private final ChannelFactory channels;
-  private final Pause pause;
+  private final Pause clock;
 
   /**
-   * Makes a command line.
+   * Creates a command line.
    *
-   * @param out where answers go
-   * @param err where failures go
+   * @param out the stream for responses
+   * @param err the stream for error messages
    * @param channels opens channels to control members
-   * @param pause the clock
+   * @param clock the clock for timeouts and retries
    */
-  CommandLine(PrintStream out, PrintStream err, ChannelFactory channels, Pause pause) {
+  CommandLine(PrintStream out, PrintStream err, ChannelFactory channels, Pause clock) {
     this.out = out;
     this.err = err;
     this.channels = channels;
-    this.pause = pause;
+    this.clock = clock;
   }
 
   /**
@@ -46,7 +46,7 @@
   ExitCode run(String... args) {
     ArgumentParser parser = CommandTree.parser();
     try {
-      return act(parser.parseArgs(args));
+      return execute(parser.parseArgs(args));
     } catch (HelpScreenException e) {
       return ExitCode.OK;
     } catch (ArgumentParserException e) {
@@ -58,12 +58,12 @@
     }
   }
 
-  private ExitCode act(Namespace arguments) throws ProgramException {
+  private ExitCode execute(Namespace arguments) throws ProgramException {
     Command command = arguments.get(Command.KEY);
     OutputFormat format = arguments.get("output");
     long timeoutMs = arguments.getLong("timeout_ms");
     try (OperatorClient client =
-        new OperatorClient(servers(arguments), channels, pause, timeoutMs)) {
+        new OperatorClient(servers(arguments), channels, clock, timeoutMs)) {
       return command.run(new CommandContext(client, format, out, err), arguments);
     }
   }
--- a/cli/src/main/java/org/teaseltrail/cli/CommandTree.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CommandTree.java
@@ -5,7 +5,7 @@
 import net.sourceforge.argparse4j.inf.ArgumentParser;
 import net.sourceforge.argparse4j.inf.Subparsers;
 
-/** Declares the whole command line. */
+/** Declares all commands and the global options. */
 final class CommandTree {
 
   private static final String DEFAULT_SERVER = "127.0.0.1:7201";
@@ -13,7 +13,10 @@
 
   private CommandTree() {}
 
-  /** Returns the parser; what it parses holds a {@link Command} under {@link Command#KEY}. */
+  /**
+   * Returns the argument parser; its result holds the selected {@link Command} under {@link
+   * Command#KEY}.
+   */
   static ArgumentParser parser() {
     ArgumentParser parser =
         ArgumentParsers.newFor("teaseltrail")
--- a/cli/src/main/java/org/teaseltrail/cli/ConfigurationFetcher.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ConfigurationFetcher.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.api.v1.GetConfigurationResponse;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Fetches the accepted configuration. */
+/** Fetches the accepted configuration from the leader. */
 final class ConfigurationFetcher {
 
   private ConfigurationFetcher() {}
@@ -16,8 +16,8 @@
         .client()
         .call(
             stub -> stub.getConfiguration(GetConfigurationRequest.getDefaultInstance()),
-            (GetConfigurationResponse answer) ->
-                answer.hasNotLeader() ? Optional.of(answer.getNotLeader()) : Optional.empty())
+            (GetConfigurationResponse response) ->
+                response.hasNotLeader() ? Optional.of(response.getNotLeader()) : Optional.empty())
         .getConfiguration();
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/CustomerCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CustomerCommands.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.api.v1.Customer;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Puts, removes and lists customers. */
+/** Commands that create, replace, remove and list customers. */
 final class CustomerCommands extends EntityCommands {
 
   CustomerCommands() {
--- a/cli/src/main/java/org/teaseltrail/cli/DecisionsCommand.java
+++ b/cli/src/main/java/org/teaseltrail/cli/DecisionsCommand.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Lists the newest decisions. */
+/** Command that lists the most recent scheduling decisions. */
 final class DecisionsCommand implements Command {
 
   private static final int DEFAULT_LIMIT = 20;
@@ -41,8 +41,10 @@
             .client()
             .call(
                 stub -> stub.listDecisions(request),
-                (ListDecisionsResponse answer) ->
-                    answer.hasNotLeader() ? Optional.of(answer.getNotLeader()) : Optional.empty())
+                (ListDecisionsResponse response) ->
+                    response.hasNotLeader()
+                        ? Optional.of(response.getNotLeader())
+                        : Optional.empty())
             .getDecisions();
     context.show(decisions, () -> table(decisions));
     return ExitCode.OK;
--- a/cli/src/main/java/org/teaseltrail/cli/EngineOrder.java
+++ b/cli/src/main/java/org/teaseltrail/cli/EngineOrder.java
@@ -3,7 +3,7 @@
 import org.teaseltrail.api.v1.ModelTarget;
 import org.teaseltrail.api.v1.OrderEngineRequest;
 
-/** Says what an engine is ordered to do. */
+/** Kinds of orders that can be sent to an engine. */
 enum EngineOrder {
   /** Load a model. */
   LOAD_MODEL {
@@ -26,7 +26,7 @@
       request.setLoadAdapter(target);
     }
   },
-  /** Take another role. */
+  /** Change the engine's role. */
   CHANGE_ROLE {
     @Override
     void fill(OrderEngineRequest.Builder request, ModelTarget target, String role) {
@@ -35,15 +35,15 @@
   };
 
   /**
-   * Writes the order into a request.
+   * Sets the order in a request.
    *
    * @param request the request
-   * @param target the model or adapter it is about, if any
-   * @param role the role to take, if any
+   * @param target the model or adapter that the order refers to, if any
+   * @param role the new role, if any
    */
   abstract void fill(OrderEngineRequest.Builder request, ModelTarget target, String role);
 
-  /** Returns the words that an operator types. */
+  /** Returns the argument by which an operator selects the order. */
   @Override
   public String toString() {
     return name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
--- a/cli/src/main/java/org/teaseltrail/cli/EntityCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/EntityCommands.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Declares the commands put, remove and list of one kind of entity. */
+/** Base class of the put, remove and list commands for one kind of entity. */
 abstract class EntityCommands {
 
   static final String ID = "id";
@@ -20,10 +20,10 @@
   private final String idMetavar;
 
   /**
-   * Makes the commands.
+   * Creates the commands.
    *
-   * @param entity what they are about, as the operator types it
-   * @param idMetavar what names one, for the help
+   * @param entity the kind of entity, as typed on the command line
+   * @param idMetavar the placeholder of the entity's id in the help
    */
   EntityCommands(String entity, String idMetavar) {
     this.entity = entity;
@@ -31,10 +31,10 @@
   }
 
   /**
-   * Adds the commands.
+   * Adds the commands to the command line.
    *
-   * @param commands where to
-   * @return the parsers of the entity's commands, for more of them
+   * @param commands the parsers to which the commands are added
+   * @return the parsers of the entity's commands
    */
   final Subparsers add(Subparsers commands) {
     Subparser group = commands.addParser(entity).help("put, remove and list: " + entity);
@@ -48,25 +48,25 @@
     return actions;
   }
 
-  /** Adds the arguments of put. */
+  /** Adds the arguments of the put command. */
   abstract void addPutArguments(ArgumentParser parser);
 
-  /** Makes the item that puts the entity. */
+  /** Creates the change that creates or replaces the entity. */
   abstract Change put(Namespace arguments) throws ProgramException;
 
-  /** Makes the item that removes the entity. */
+  /** Creates the change that removes the entity. */
   abstract Change remove(Namespace arguments) throws ProgramException;
 
-  /** Prints all entities of the kind in a table. */
+  /** Formats all entities of this kind as a table. */
   abstract String table(Configuration configuration);
 
-  /** Cuts the configuration down to the entities of the kind. */
+  /** Returns the configuration reduced to the entities of this kind. */
   abstract Message only(Configuration configuration);
 
-  /** Adds commands that only this kind has. */
+  /** Adds commands that only this kind of entity has. */
   void addMore(Subparsers actions) {}
 
-  /** Adds a command that sends one item. */
+  /** Adds a command that sends a single change. */
   final ArgumentParser change(Subparsers actions, String name, String help, ItemMaker maker) {
     Command command =
         (context, arguments) -> new ChangeSender(context, arguments).send(maker.make(arguments));
@@ -77,7 +77,7 @@
     return parser;
   }
 
-  /** Returns the values of an argument that may be given several times. */
+  /** Returns the values of a repeatable argument. */
   static List<String> repeated(Namespace arguments, String name) {
     List<String> values = arguments.getList(name);
     return values == null ? List.of() : values;
@@ -91,10 +91,10 @@
     return ExitCode.OK;
   }
 
-  /** Makes an item of a change from the command line. */
+  /** Creates a change from the command-line arguments. */
   interface ItemMaker {
 
-    /** Makes the item. */
+    /** Creates the change. */
     Change make(Namespace arguments) throws ProgramException;
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ExplainCommand.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Tells from log files what became of a request, and why. It calls no control member. */
+/** Explains from log files what happened to a request, and why. Calls no control member. */
 final class ExplainCommand implements Command {
 
   private static final String REQUEST = "request_id";
--- a/cli/src/main/java/org/teaseltrail/cli/MembersCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/MembersCommands.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Lists and changes the control members. */
+/** Commands that list and change the control members. */
 final class MembersCommands {
 
   private static final String MEMBER = "member";
@@ -54,8 +54,9 @@
       Subparsers actions,
       String name,
       String help,
-      Function<Namespace, ChangeMembersRequest.Builder> maker) {
-    Command command = (context, arguments) -> change(context, maker.apply(arguments).build());
+      Function<Namespace, ChangeMembersRequest.Builder> requestFactory) {
+    Command command =
+        (context, arguments) -> change(context, requestFactory.apply(arguments).build());
     Subparser parser = actions.addParser(name).help(help);
     parser.addArgument(MEMBER).metavar("MEMBER").help("which member");
     return parser.setDefault(Command.KEY, command);
@@ -83,28 +84,28 @@
 
   private static ExitCode change(CommandContext context, ChangeMembersRequest request)
       throws ProgramException {
-    ChangeMembersResponse answer =
+    ChangeMembersResponse response =
         context
             .client()
             .call(
                 stub -> stub.changeMembers(request),
                 a -> a.hasNotLeader() ? Optional.of(a.getNotLeader()) : Optional.empty());
-    if (answer.hasChanged()) {
-      context.show(answer, () -> changed(answer.getChanged().getMembersList()));
+    if (response.hasChanged()) {
+      context.show(response, () -> formatChangeResult(response.getChanged().getMembersList()));
       return ExitCode.OK;
     }
-    if (answer.hasRejected()) {
-      MemberChangeRejected.Reason reason = answer.getRejected().getReason();
+    if (response.hasRejected()) {
+      MemberChangeRejected.Reason reason = response.getRejected().getReason();
       String words = reason.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-      context.showFailure(answer, "rejected: " + words);
+      context.showFailure(response, "rejected: " + words);
       return exitCode(reason);
     }
-    context.showFailure(answer, "not known whether it is done; see 'members list'");
+    context.showFailure(response, "not known whether it is done; see 'members list'");
     return ExitCode.TIMEOUT;
   }
 
-  // A transfer has only begun when it is answered, and changes no member.
-  private static String changed(List<Member> members) {
+  // When a leadership transfer is answered, it has only started, and it changes no member.
+  private static String formatChangeResult(List<Member> members) {
     return members.isEmpty() ? "begun; see 'status'\n" : StatusText.members(members);
   }
 
--- a/cli/src/main/java/org/teaseltrail/cli/OperatorClient.java
+++ b/cli/src/main/java/org/teaseltrail/cli/OperatorClient.java
@@ -18,76 +18,80 @@
 import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.SettingValueException;
 
-/** Calls the leader: follows answers that name it, and asks the next member when one is silent. */
+/**
+ * Client for the leader's operator API. Follows NotLeader responses to the leader and tries the
+ * next member if one is unavailable.
+ */
 final class OperatorClient implements AutoCloseable {
 
-  private static final long PAUSE_MS = 100;
+  private static final long RETRY_DELAY_MS = 100;
   private static final long ATTEMPT_TIMEOUT_MS = 5_000;
   private static final long NS_PER_MS = 1_000_000;
 
   private final Map<InetSocketAddress, ManagedChannel> channels = new HashMap<>();
   private final List<InetSocketAddress> servers;
   private final ChannelFactory factory;
-  private final Pause pause;
+  private final Pause clock;
   private final long timeoutMs;
   private InetSocketAddress target;
   private int nextServer = 1;
 
   /**
-   * Makes a client.
+   * Creates a client.
    *
-   * @param servers the members to ask; at least one
-   * @param factory opens channels
-   * @param pause the clock
-   * @param timeoutMs how long one call may take, all its attempts together
+   * @param servers the members to contact; at least one
+   * @param factory opens channels to members
+   * @param clock the clock for timeouts and retries
+   * @param timeoutMs the timeout of one call including all its attempts
    */
   OperatorClient(
-      List<InetSocketAddress> servers, ChannelFactory factory, Pause pause, long timeoutMs) {
+      List<InetSocketAddress> servers, ChannelFactory factory, Pause clock, long timeoutMs) {
     this.servers = List.copyOf(servers);
     this.factory = factory;
-    this.pause = pause;
+    this.clock = clock;
     this.timeoutMs = timeoutMs;
     this.target = servers.get(0);
   }
 
-  /** Returns the clock. */
+  /** Returns the clock for timeouts and retries. */
   Pause pause() {
-    return pause;
+    return clock;
   }
 
-  /** Returns how long one call may take, all its attempts together, in milliseconds. */
+  /** Returns the timeout of one call including all its attempts, in milliseconds. */
   long timeoutMs() {
     return timeoutMs;
   }
 
   /**
-   * Calls until a leader answers. Calls that change state are safe to send again: a change carries
-   * its id, a member step that is done is refused, and orders are idempotent.
+   * Calls members until a leader answers. Retrying calls that change state is safe: a change
+   * carries its id, a membership change that is already done is rejected, and orders are
+   * idempotent.
    *
    * @param call the call
-   * @param notLeader finds the answer that names another leader
-   * @param <T> the type of the answer
-   * @return the leader's answer
-   * @throws ProgramException if none answers in time
+   * @param notLeader extracts the NotLeader result of a response, if it has one
+   * @param <T> the type of the response
+   * @return the leader's response
+   * @throws ProgramException if no leader answers within the timeout
    */
   <T> T call(Function<OperatorBlockingStub, T> call, Function<T, Optional<NotLeader>> notLeader)
       throws ProgramException {
-    long deadlineNs = pause.nowNs() + timeoutMs * NS_PER_MS;
+    long deadlineNs = clock.nowNs() + timeoutMs * NS_PER_MS;
     while (true) {
       String failure;
       try {
-        T answer = call.apply(stub());
-        Optional<NotLeader> elsewhere = notLeader.apply(answer);
+        T response = call.apply(stub());
+        Optional<NotLeader> elsewhere = notLeader.apply(response);
         if (elsewhere.isEmpty()) {
-          return answer;
+          return response;
         }
         failure = describe(elsewhere.get());
-        follow(elsewhere.get());
+        followLeader(elsewhere.get());
       } catch (StatusRuntimeException e) {
         failure = text(target) + " answers " + e.getStatus().getCode();
         retryOrThrow(e);
       }
-      if (pause.nowNs() >= deadlineNs) {
+      if (clock.nowNs() >= deadlineNs) {
         throw new ProgramException(ExitCode.UNAVAILABLE, "no leader answers: " + failure);
       }
     }
@@ -104,14 +108,14 @@
         .withDeadlineAfter(ATTEMPT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  private void follow(NotLeader answer) throws ProgramException {
-    if (!answer.hasLeaderAddress()) {
+  private void followLeader(NotLeader response) throws ProgramException {
+    if (!response.hasLeaderAddress()) {
       tryNextServer();
       return;
     }
-    InetSocketAddress leader = parse(answer.getLeaderAddress());
+    InetSocketAddress leader = parse(response.getLeaderAddress());
     if (leader.equals(target)) {
-      pause.pauseMs(PAUSE_MS);
+      clock.pauseMs(RETRY_DELAY_MS);
     }
     target = leader;
   }
@@ -126,7 +130,7 @@
   }
 
   private void tryNextServer() {
-    pause.pauseMs(PAUSE_MS);
+    clock.pauseMs(RETRY_DELAY_MS);
     target = servers.get(nextServer % servers.size());
     nextServer++;
   }
@@ -135,8 +139,8 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static String describe(NotLeader answer) {
-    return answer.getMember() + " does not lead";
+  private static String describe(NotLeader response) {
+    return response.getMember() + " does not lead";
   }
 
   private static InetSocketAddress parse(String address) throws ProgramException {
--- a/cli/src/main/java/org/teaseltrail/cli/OrderCommand.java
+++ b/cli/src/main/java/org/teaseltrail/cli/OrderCommand.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Sends an order to an engine. */
+/** Command that sends an order to an engine. */
 final class OrderCommand implements Command {
 
   private OrderCommand() {}
@@ -42,13 +42,13 @@
         OrderEngineRequest.newBuilder().setUpstream(arguments.getString("upstream"));
     EngineOrder order = arguments.get("order");
     order.fill(request, target(arguments), text(arguments, "role"));
-    OrderEngineResponse answer =
+    OrderEngineResponse response =
         context
             .client()
             .call(
                 stub -> stub.orderEngine(request.build()),
                 a -> a.hasNotLeader() ? Optional.of(a.getNotLeader()) : Optional.empty());
-    return tell(context, answer);
+    return printResult(context, response);
   }
 
   private static ModelTarget target(Namespace arguments) {
@@ -64,19 +64,19 @@
     return Optional.ofNullable(arguments.getString(key)).orElse("");
   }
 
-  private static ExitCode tell(CommandContext context, OrderEngineResponse answer) {
-    if (answer.hasAccepted()) {
-      long fencingNumber = answer.getAccepted().getFencingNumber();
-      context.show(answer, () -> "taken under fencing number " + fencingNumber + "\n");
+  private static ExitCode printResult(CommandContext context, OrderEngineResponse response) {
+    if (response.hasAccepted()) {
+      long fencingNumber = response.getAccepted().getFencingNumber();
+      context.show(response, () -> "taken under fencing number " + fencingNumber + "\n");
       return ExitCode.OK;
     }
-    if (answer.hasRejected()) {
-      OrderRejected.Reason reason = answer.getRejected().getReason();
+    if (response.hasRejected()) {
+      OrderRejected.Reason reason = response.getRejected().getReason();
       String words = reason.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-      context.showFailure(answer, "rejected: " + words);
+      context.showFailure(response, "rejected: " + words);
       return exitCode(reason);
     }
-    context.showFailure(answer, "not known whether the engine took the order");
+    context.showFailure(response, "not known whether the engine took the order");
     return ExitCode.TIMEOUT;
   }
 
--- a/cli/src/main/java/org/teaseltrail/cli/OutputFormat.java
+++ b/cli/src/main/java/org/teaseltrail/cli/OutputFormat.java
@@ -5,21 +5,21 @@
 import com.google.protobuf.util.JsonFormat;
 import java.util.function.Supplier;
 
-/** Says in which form answers are printed. */
+/** Output format of responses. */
 enum OutputFormat {
-  /** Sentences and tables for people. */
+  /** Human-readable sentences and tables. */
   TEXT {
     @Override
-    String print(Message answer, Supplier<String> text) {
+    String print(Message response, Supplier<String> text) {
       return text.get();
     }
   },
-  /** The server's answer as JSON, with the schema's own field names. */
+  /** The server's response as JSON, with the field names of the schema. */
   JSON {
     @Override
-    String print(Message answer, Supplier<String> text) {
+    String print(Message response, Supplier<String> text) {
       try {
-        return PRINTER.print(answer) + "\n";
+        return PRINTER.print(response) + "\n";
       } catch (InvalidProtocolBufferException e) {
         throw new IllegalStateException("the schema has no field of type Any", e);
       }
@@ -30,11 +30,11 @@
       JsonFormat.printer().preservingProtoFieldNames().includingDefaultValueFields();
 
   /**
-   * Prints an answer.
+   * Formats a response.
    *
-   * @param answer the server's answer
-   * @param text makes the form for people
-   * @return the text, with its line ends
+   * @param response the server's response
+   * @param text supplies the human-readable form
+   * @return the text, including line breaks
    */
-  abstract String print(Message answer, Supplier<String> text);
+  abstract String print(Message response, Supplier<String> text);
 }
--- a/cli/src/main/java/org/teaseltrail/cli/Pause.java
+++ b/cli/src/main/java/org/teaseltrail/cli/Pause.java
@@ -2,10 +2,10 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Reads the clock and waits between attempts; tests put virtual time in its place. */
+/** Monotonic clock that can also sleep between attempts; tests replace it by virtual time. */
 interface Pause {
 
-  /** Uses the machine's clock. */
+  /** Uses the clock of this machine. */
   Pause SLEEPING =
       new Pause() {
         @Override
@@ -27,9 +27,9 @@
   long nowNs();
 
   /**
-   * Waits.
+   * Sleeps.
    *
-   * @param durationMs how long, in milliseconds
+   * @param durationMs the duration, in milliseconds
    */
   void pauseMs(long durationMs);
 }
--- a/cli/src/main/java/org/teaseltrail/cli/PoolCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/PoolCommands.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.api.v1.Configuration;
 import org.teaseltrail.api.v1.Pool;
 
-/** Puts, removes and lists pools. */
+/** Commands that create, replace, remove and list pools. */
 final class PoolCommands extends EntityCommands {
 
   private static final long DEFAULT_MAX_WAITING_MS = 30_000;
--- a/cli/src/main/java/org/teaseltrail/cli/RouteCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/RouteCommands.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Puts, removes and lists routes. */
+/** Commands that create, replace, remove and list routes. */
 final class RouteCommands extends EntityCommands {
 
   RouteCommands() {
--- a/cli/src/main/java/org/teaseltrail/cli/SecretHash.java
+++ b/cli/src/main/java/org/teaseltrail/cli/SecretHash.java
@@ -9,13 +9,13 @@
 import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.SettingValueException;
 
-/** Hashes secrets that stand in files, so that only their hashes leave the operator's machine. */
+/** Hashes secrets read from files, so that only the hashes leave the operator's machine. */
 final class SecretHash {
 
   private SecretHash() {}
 
   /**
-   * Hashes the secret in a file; white space around it is cut.
+   * Hashes the secret in a file; surrounding white space is removed first.
    *
    * @param file the path of the file
    * @return SHA-256 in lower-case hexadecimal
--- a/cli/src/main/java/org/teaseltrail/cli/StatusCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/StatusCommands.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Tells the state of the whole, and of the pools. */
+/** Commands that show the state of the system and of its pools. */
 final class StatusCommands {
 
   private static final String LOCAL = "local";
@@ -35,27 +35,28 @@
         .setDefault(Command.KEY, pools);
   }
 
-  /** Fetches the status from the leader, or from the member asked. */
+  /** Fetches the status from the leader, or from the first server if {@code local} is set. */
   static Status fetch(CommandContext context, boolean local) throws ProgramException {
     GetStatusRequest request = GetStatusRequest.newBuilder().setLocal(local).build();
     return context
         .client()
         .call(
             stub -> stub.getStatus(request),
-            (GetStatusResponse answer) ->
-                answer.hasNotLeader() ? Optional.of(answer.getNotLeader()) : Optional.empty())
+            (GetStatusResponse response) ->
+                response.hasNotLeader() ? Optional.of(response.getNotLeader()) : Optional.empty())
         .getStatus();
   }
 
-  private static ExitCode show(CommandContext context, Namespace arguments, StatusForm form)
+  private static ExitCode show(
+      CommandContext context, Namespace arguments, SectionFormatter formatter)
       throws ProgramException {
     Status status = fetch(context, arguments.getBoolean(LOCAL));
-    context.show(status, () -> form.print(status));
+    context.show(status, () -> formatter.print(status));
     return ExitCode.OK;
   }
 
-  /** Prints a part of the status. */
-  private interface StatusForm {
+  /** Formats a part of the status. */
+  private interface SectionFormatter {
 
     String print(Status status);
   }
--- a/cli/src/main/java/org/teaseltrail/cli/StatusText.java
+++ b/cli/src/main/java/org/teaseltrail/cli/StatusText.java
@@ -9,14 +9,14 @@
 import org.teaseltrail.api.v1.TierWaiting;
 import org.teaseltrail.api.v1.UpstreamStatus;
 
-/** Prints the state of the system for people. */
+/** Formats the state of the system as text. */
 final class StatusText {
 
   private StatusText() {}
 
-  /** Prints all of it. */
+  /** Formats the complete status. */
   static String whole(Status status) {
-    String text = head(status) + "\n" + members(status.getMembersList());
+    String text = header(status) + "\n" + members(status.getMembersList());
     if (!status.getLeading()) {
       return text;
     }
@@ -29,31 +29,31 @@
         + upstreams(status.getUpstreamsList());
   }
 
-  /** Prints the members. */
+  /** Formats the members as a table. */
   static String members(List<Member> members) {
     TextTable table = new TextTable("MEMBER", "VM", "ROLE", "SYNCED INDEX", "HEARD MS AGO");
     for (Member member : members) {
       table.row(
           member.getId(),
           member.getVm(),
-          word(member.getRole()),
-          told(member.hasSyncedIndex(), member.getSyncedIndex()),
-          told(member.hasSinceHeardMs(), member.getSinceHeardMs()));
+          formatConstant(member.getRole()),
+          orHyphen(member.hasSyncedIndex(), member.getSyncedIndex()),
+          orHyphen(member.hasSinceHeardMs(), member.getSinceHeardMs()));
     }
     return table.print();
   }
 
-  /** Prints the pools. */
+  /** Formats the pools as a table. */
   static String pools(Status status) {
     TextTable table = new TextTable("POOL", "RUNNING", "WAITING", "BY TIER", "MAY SHED");
     for (PoolStatus pool : status.getPoolsList()) {
       int waiting = pool.getWaitingList().stream().mapToInt(TierWaiting::getRequests).sum();
-      table.row(pool.getPool(), pool.getRunning(), waiting, byTier(pool), pool.getMayShed());
+      table.row(pool.getPool(), pool.getRunning(), waiting, formatByTier(pool), pool.getMayShed());
     }
     return table.print();
   }
 
-  private static String head(Status status) {
+  private static String header(Status status) {
     String leader = status.hasLeader() ? status.getLeader() : "unknown";
     return String.format(
         Locale.ROOT,
@@ -62,7 +62,7 @@
         leader,
         status.getTerm(),
         status.getRevision(),
-        told(status.hasCommitIndex(), status.getCommitIndex()),
+        orHyphen(status.hasCommitIndex(), status.getCommitIndex()),
         status.getMember());
   }
 
@@ -80,7 +80,7 @@
     return table.print();
   }
 
-  private static String byTier(PoolStatus pool) {
+  private static String formatByTier(PoolStatus pool) {
     StringBuilder text = new StringBuilder();
     for (TierWaiting tier : pool.getWaitingList()) {
       text.append(text.isEmpty() ? "" : ",");
@@ -96,20 +96,20 @@
       table.row(
           upstream.getId(),
           upstream.getPool(),
-          word(upstream.getState()),
+          formatConstant(upstream.getState()),
           upstream.getAddress(),
           upstream.getRunning(),
-          told(upstream.hasTokensInFlight(), upstream.getTokensInFlight()),
-          told(upstream.hasWindowTokens(), upstream.getWindowTokens()));
+          orHyphen(upstream.hasTokensInFlight(), upstream.getTokensInFlight()),
+          orHyphen(upstream.hasWindowTokens(), upstream.getWindowTokens()));
     }
     return table.print();
   }
 
-  private static String told(boolean present, long value) {
+  private static String orHyphen(boolean present, long value) {
     return present ? Long.toString(value) : "-";
   }
 
-  private static String word(Enum<?> constant) {
+  private static String formatConstant(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/TextTable.java
+++ b/cli/src/main/java/org/teaseltrail/cli/TextTable.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Prints rows in aligned columns. */
+/** Formats rows as aligned columns. */
 final class TextTable {
 
   private static final String GAP = "  ";
@@ -11,18 +11,18 @@
   private final List<List<String>> rows = new ArrayList<>();
 
   /**
-   * Makes a table.
+   * Creates a table without rows.
    *
-   * @param heads the heads of its columns
+   * @param headers the column headers
    */
-  TextTable(String... heads) {
-    rows.add(List.of(heads));
+  TextTable(String... headers) {
+    rows.add(List.of(headers));
   }
 
   /**
    * Adds a row.
    *
-   * @param cells as many as there are columns
+   * @param cells the cells, one per column; empty ones are shown as a hyphen
    * @return this table
    */
   TextTable row(Object... cells) {
@@ -35,21 +35,21 @@
     return this;
   }
 
-  /** Returns the table with a line end behind each row. */
+  /** Returns the formatted table, with a line break after each row. */
   String print() {
     StringBuilder text = new StringBuilder();
     for (List<String> row : rows) {
       StringBuilder line = new StringBuilder();
       for (int column = 0; column < row.size(); column++) {
         String cell = row.get(column);
-        line.append(cell).append(" ".repeat(width(column) - cell.length())).append(GAP);
+        line.append(cell).append(" ".repeat(columnWidth(column) - cell.length())).append(GAP);
       }
       text.append(line.toString().stripTrailing()).append('\n');
     }
     return text.toString();
   }
 
-  private int width(int column) {
+  private int columnWidth(int column) {
     return rows.stream().mapToInt(row -> row.get(column).length()).max().orElse(0);
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/TierCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/TierCommands.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Puts, removes and lists tiers. */
+/** Commands that create, replace, remove and list tiers. */
 final class TierCommands extends EntityCommands {
 
   TierCommands() {
--- a/cli/src/main/java/org/teaseltrail/cli/UpstreamCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/UpstreamCommands.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
-/** Allows, drains, removes and lists upstreams. */
+/** Commands that allow, drain, remove and list upstreams. */
 final class UpstreamCommands extends EntityCommands {
 
   UpstreamCommands() {
--- a/cli/src/main/java/org/teaseltrail/cli/explain/Cause.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/Cause.java
@@ -3,10 +3,13 @@
 import java.util.Arrays;
 import java.util.function.Predicate;
 
-/** Names what became of a request and why, by its last line. The first that fits is told. */
+/**
+ * Diagnosis of a request: its outcome and the reason, derived from its last log line. The first
+ * constant that matches applies.
+ */
 enum Cause {
   UNKNOWN(
-      Cause::isUntold,
+      Cause::hasNoLines,
       "No line tells of it: it reached no VM whose log is here, or its VM was killed, or it was"
           + " served while more than the routine lines of a second were written.",
       "`start` lines of the VMs of its data centre at that time"),
@@ -48,58 +51,61 @@
       "`waited_ms` against `elapsed_ms`: a long wait means too few places, a short one a slow"
           + " upstream"),
   CALLER_LEFT(
-      lastIs("caller_left"),
+      lastEventIs("caller_left"),
       "Its caller closed the connection before the answer's end.",
       "`first_event_ms` and `elapsed_ms`: whether it had waited long"),
   FAILED_BY_UPSTREAM(
-      lastIs("request_served").and(Cause::hasFailureStatus),
+      lastEventIs("request_served").and(Cause::hasFailureStatus),
       "The upstream answered with a failure, and that answer was passed on.",
       "the upstream's own log, and other failures there at that time"),
   LATE(
-      lastIs("request_served").and(Cause::missedObjective),
+      lastEventIs("request_served").and(Cause::missedObjective),
       "It was answered after its objective.",
       "`waited_ms` for the wait for a place; the rest is the upstream's"),
   SERVED(
-      lastIs("request_served"),
+      lastEventIs("request_served"),
       "It was answered within its objective.",
       "`longest_pause_ms` if it was a stream"),
   OPEN(
-      Cause::isAny,
+      Cause::matchesAny,
       "Its end is not in these logs: it still runs, or its VM was killed.",
       "`start` lines of that VM after the last line");
 
   private static final int FIRST_FAILURE_STATUS = 500;
 
-  private final Predicate<Story> fits;
+  private final Predicate<Story> matches;
   private final String sentence;
   private final String lookNext;
 
-  Cause(Predicate<Story> fits, String sentence, String lookNext) {
-    this.fits = fits;
+  Cause(Predicate<Story> matches, String sentence, String lookNext) {
+    this.matches = matches;
     this.sentence = sentence;
     this.lookNext = lookNext;
   }
 
-  /** Returns what became of a request. */
+  /** Returns the first diagnosis that matches a request. */
   static Cause of(Story story) {
-    return Arrays.stream(values()).filter(cause -> cause.fits.test(story)).findFirst().orElse(OPEN);
+    return Arrays.stream(values())
+        .filter(cause -> cause.matches.test(story))
+        .findFirst()
+        .orElse(OPEN);
   }
 
   String sentence() {
     return sentence;
   }
 
-  /** Returns where to look for the cause of the cause. */
+  /** Returns where to look for the underlying cause. */
   String lookNext() {
     return lookNext;
   }
 
-  private static Predicate<Story> lastIs(String event) {
+  private static Predicate<Story> lastEventIs(String event) {
     return story -> story.end().filter(line -> line.event().equals(event)).isPresent();
   }
 
   private static Predicate<Story> refusedFor(String... reasons) {
-    return lastIs("request_refused")
+    return lastEventIs("request_refused")
         .and(
             story ->
                 story
@@ -109,11 +115,11 @@
                     .isPresent());
   }
 
-  private static boolean isUntold(Story story) {
+  private static boolean hasNoLines(Story story) {
     return story.own().isEmpty();
   }
 
-  private static boolean isAny(Story story) {
+  private static boolean matchesAny(Story story) {
     return true;
   }
 
--- a/cli/src/main/java/org/teaseltrail/cli/explain/Explanation.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/Explanation.java
@@ -3,40 +3,40 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 
-/** Reads logs and tells a request's story. */
+/** Explains from log lines what happened to a request. */
 public final class Explanation {
 
-  private final LogBook book = new LogBook();
+  private final LogBook logLines = new LogBook();
 
   /**
-   * Takes log lines of one or more processes.
+   * Adds the log lines of one or more processes.
    *
    * @param reader the lines; those of one process in the order in which it wrote them
    * @throws IOException if they can't be read
    */
   public void read(BufferedReader reader) throws IOException {
-    book.read(reader);
+    logLines.read(reader);
   }
 
   /**
-   * Tells a request's story.
+   * Describes the course and the outcome of a request.
    *
-   * @param request the id that its caller gave it
-   * @return the story, in lines that end with a line break
+   * @param request the id that the caller gave the request
+   * @return the description, in lines that end with a line break
    */
   public String tell(String request) {
-    String story = new StoryText(new Story(request, book.lines())).write();
-    String unreadable = "lines that could not be read: " + book.unreadable() + "\n";
-    return book.unreadable() == 0 ? story : story + unreadable;
+    String description = new StoryText(new Story(request, logLines.lines())).write();
+    String unreadable = "lines that could not be read: " + logLines.unreadable() + "\n";
+    return logLines.unreadable() == 0 ? description : description + unreadable;
   }
 
   /**
-   * Tells whether any line is about a request.
+   * Returns whether any line is about a request.
    *
-   * @param request the id that its caller gave it
-   * @return false if the logs say nothing of it
+   * @param request the id that the caller gave the request
+   * @return false if the logs contain no line about the request
    */
   public boolean knows(String request) {
-    return book.lines().stream().anyMatch(line -> line.isAbout(request));
+    return logLines.lines().stream().anyMatch(line -> line.isAbout(request));
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/LogBook.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/LogBook.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 
 /**
- * Holds the log lines of several processes, those of one VM in the order in which it wrote them.
+ * Parsed log lines of several processes; those of one VM are in the order in which it wrote them.
  */
 final class LogBook {
 
@@ -22,8 +22,9 @@
   private int unreadable;
 
   /**
-   * Reads lines. What stands before the first brace of a line is left out, as a collector may put
-   * the source's name there; lines without a brace are other output.
+   * Parses lines and adds them. Text before the first brace of a line is ignored, because a log
+   * collector may prepend the source's name. Lines without a brace are not event log lines and are
+   * skipped.
    *
    * @param reader the lines
    * @throws IOException if they can't be read
@@ -51,7 +52,8 @@
       return Optional.of(
           new LogLine(time, node.get("vm").asText(), node.get("event").asText(), node));
     } catch (JsonProcessingException | DateTimeException e) {
-      // Counted by the caller and told: a line may be cut where a process was killed.
+      // The caller counts the line, and the count is reported: a line may be truncated where a
+      // process was killed.
       return Optional.empty();
     }
   }
@@ -60,7 +62,7 @@
     return List.copyOf(lines);
   }
 
-  /** Returns how many lines looked like a log line and were none. */
+  /** Returns the number of lines that contain a brace but could not be parsed. */
   int unreadable() {
     return unreadable;
   }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/LogLine.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/LogLine.java
@@ -7,21 +7,21 @@
 import java.util.OptionalLong;
 
 /**
- * Is one line of a program's log.
+ * Parsed line of a program's event log.
  *
- * @param time when it was written, by its VM's clock
+ * @param time the time when it was written, by its VM's clock
  * @param vm the VM that wrote it
- * @param event what has happened
- * @param fields the whole line
+ * @param event the name of the event
+ * @param fields all fields of the line
  */
 record LogLine(Instant time, String vm, String event, JsonNode fields) {
 
-  /** Returns a text of the line, if it has one of that name. */
+  /** Returns the text of a field, if the line has it. */
   Optional<String> text(String field) {
     return Optional.ofNullable(fields.get(field)).map(JsonNode::asText);
   }
 
-  /** Returns a number of the line, if it has one of that name. */
+  /** Returns the number in a field, if the line has it as a number. */
   OptionalLong number(String field) {
     JsonNode node = fields.get(field);
     return node == null || !node.isNumber() ? OptionalLong.empty() : OptionalLong.of(node.asLong());
@@ -35,8 +35,8 @@
     return text("program").filter(program::equals).isPresent();
   }
 
-  /** Returns the same line with its time on another clock. */
-  LogLine later(Duration by) {
-    return new LogLine(time.plus(by), vm, event, fields);
+  /** Returns the same line with its time shifted. */
+  LogLine later(Duration offset) {
+    return new LogLine(time.plus(offset), vm, event, fields);
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/Story.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/Story.java
@@ -8,19 +8,22 @@
 import java.util.Set;
 
 /**
- * Is what the logs say of one request: its own lines, and what its VM, its upstreams and the
- * control members told shortly before and meanwhile.
+ * Timeline of one request: its own log lines, and the lines that its VM, its upstreams and the
+ * control members wrote shortly before and during it.
  */
 final class Story {
 
-  /** How long before the request what was told is of interest: a session's lifetime. */
-  private static final Duration BEFORE = Duration.ofSeconds(3);
+  /** Time before the request from which lines are considered: the lifetime of a session. */
+  private static final Duration PERIOD_BEFORE = Duration.ofSeconds(3);
 
-  /** How long after its end; clocks may differ by that much without a sign. */
-  private static final Duration AFTER = Duration.ofMillis(500);
+  /**
+   * Time after the request's end up to which lines are considered; a clock skew of up to this size
+   * may go undetected.
+   */
+  private static final Duration PERIOD_AFTER = Duration.ofMillis(500);
 
-  /** What is worth telling of the request's own VM. */
-  private static final Set<String> OF_ITS_VM =
+  /** Events of the request's own VM that can explain its outcome. */
+  private static final Set<String> VM_EVENTS =
       Set.of(
           "start",
           "stop",
@@ -31,11 +34,11 @@
           "drain_begin",
           "drain_end");
 
-  /** What is worth telling of the control members. */
-  private static final Set<String> OF_CONTROL =
+  /** Events of control members that can explain its outcome. */
+  private static final Set<String> CONTROL_EVENTS =
       Set.of("start", "stop", "plan_received", "plan_refused", "leadership_changed");
 
-  private static final String CONTROL = "teaseltrail-control";
+  private static final String CONTROL_PROGRAM = "teaseltrail-control";
 
   private final String request;
   private final List<LogLine> all;
@@ -43,8 +46,8 @@
 
   Story(String request, List<LogLine> lines) {
     this.request = request;
-    VmClocks clocks = new VmClocks(lines);
-    all = lines.stream().map(clocks::aligned).toList();
+    VmClocks skews = new VmClocks(lines);
+    all = lines.stream().map(skews::aligned).toList();
     own = all.stream().filter(line -> line.isAbout(request)).toList();
   }
 
@@ -52,71 +55,75 @@
     return request;
   }
 
-  /** Returns the request's own lines, as its VM wrote them. */
+  /** Returns the request's own lines, in the order in which its VM wrote them. */
   List<LogLine> own() {
     return own;
   }
 
-  /** Returns the line that tells the request's end. */
+  /** Returns the request's last line, which reports its outcome. */
   Optional<LogLine> end() {
     return own.isEmpty() ? Optional.empty() : Optional.of(own.get(own.size() - 1));
   }
 
-  /** Returns when the request had been read, by its lines' own reckoning. */
+  /**
+   * Returns the time when the complete request had been read, derived from the last line's time and
+   * its elapsed time.
+   */
   Optional<Instant> arrived() {
     return end().map(line -> line.time().minusMillis(line.number("elapsed_ms").orElse(0)));
   }
 
-  /** Returns what else was told at that time and may have to do with it, in order of time. */
+  /** Returns other lines of that period that may be related, ordered by time. */
   List<LogLine> context() {
-    return meanwhile().stream()
-        .filter(this::concerns)
+    return linesInPeriod().stream()
+        .filter(this::isRelated)
         .sorted(Comparator.comparing(LogLine::time))
         .toList();
   }
 
   /**
-   * Counts other requests that were refused meanwhile for a reason, at the same VM or elsewhere.
+   * Counts other requests that were refused for a reason in that period, either at the same VM or
+   * at all others.
    */
   long refusedMeanwhile(String reason, boolean sameVm) {
-    return meanwhile().stream()
+    return linesInPeriod().stream()
         .filter(line -> line.event().equals("request_refused"))
         .filter(line -> line.text("reason").filter(reason::equals).isPresent())
-        .filter(line -> isOfItsVm(line) == sameVm)
+        .filter(line -> isFromSameVm(line) == sameVm)
         .filter(line -> !line.isAbout(request))
         .count();
   }
 
-  /** Counts other attempts that failed meanwhile at the request's last upstream. */
+  /** Counts other attempts at the request's last upstream that failed in that period. */
   long failedMeanwhileAtItsUpstream() {
     Optional<String> upstream = end().flatMap(line -> line.text("upstream"));
-    return meanwhile().stream()
+    return linesInPeriod().stream()
         .filter(line -> line.event().equals("attempt_failed"))
         .filter(line -> upstream.isPresent() && line.text("upstream").equals(upstream))
         .filter(line -> !line.isAbout(request))
         .count();
   }
 
-  private List<LogLine> meanwhile() {
+  private List<LogLine> linesInPeriod() {
     if (own.isEmpty()) {
       return List.of();
     }
-    Instant from = arrived().orElseThrow().minus(BEFORE);
-    Instant until = end().orElseThrow().time().plus(AFTER);
+    Instant from = arrived().orElseThrow().minus(PERIOD_BEFORE);
+    Instant until = end().orElseThrow().time().plus(PERIOD_AFTER);
     return all.stream()
         .filter(line -> !line.time().isBefore(from) && !line.time().isAfter(until))
         .toList();
   }
 
-  private boolean concerns(LogLine line) {
-    boolean ofItsUpstream =
+  private boolean isRelated(LogLine line) {
+    boolean upstreamLeft =
         line.event().equals("upstream_leaves")
             && own.stream().anyMatch(each -> each.text("upstream").equals(line.text("upstream")));
-    boolean ofControl = line.isFrom(CONTROL) && OF_CONTROL.contains(line.event());
-    return ofItsUpstream || ofControl || (isOfItsVm(line) && OF_ITS_VM.contains(line.event()));
+    boolean controlEvent = line.isFrom(CONTROL_PROGRAM) && CONTROL_EVENTS.contains(line.event());
+    return upstreamLeft || controlEvent || (isFromSameVm(line) && VM_EVENTS.contains(line.event()));
   }
 
-  private boolean isOfItsVm(LogLine line) {
+  private boolean isFromSameVm(LogLine line) {
     return end().filter(last -> last.vm().equals(line.vm())).isPresent();
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/StoryText.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/StoryText.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Writes a request's story for people. */
+/** Formats a request's timeline and diagnosis as text. */
 final class StoryText {
 
-  /** Fields that each line has or that the heading tells. */
-  private static final Set<String> TOLD_ANYWAY =
+  /** Fields that are omitted, because the heading or the start of the output line shows them. */
+  private static final Set<String> OMITTED_FIELDS =
       Set.of("time", "program", "vm", "event", "request");
 
   private final Story story;
@@ -23,35 +23,35 @@
   String write() {
     text.append("request ").append(story.request()).append('\n');
     story.arrived().ifPresent(at -> text.append("  read whole at ").append(at).append('\n'));
-    story.own().forEach(this::line);
+    story.own().forEach(this::appendLine);
     if (!story.context().isEmpty()) {
       text.append("at that time\n");
-      story.context().forEach(this::line);
+      story.context().forEach(this::appendLine);
     }
-    counts();
+    appendCounts();
     Cause cause = Cause.of(story);
     text.append("what became of it: ").append(cause.sentence()).append('\n');
     text.append("where to look next: ").append(cause.lookNext()).append('\n');
     return text.toString();
   }
 
-  private void line(LogLine line) {
+  private void appendLine(LogLine line) {
     text.append("  ").append(line.time()).append(' ').append(line.vm());
-    text.append(' ').append(line.event()).append(fields(line)).append('\n');
+    text.append(' ').append(line.event()).append(formatFields(line)).append('\n');
   }
 
-  private static String fields(LogLine line) {
+  private static String formatFields(LogLine line) {
     return line.fields().properties().stream()
-        .filter(field -> !TOLD_ANYWAY.contains(field.getKey()))
-        .map(StoryText::field)
+        .filter(field -> !OMITTED_FIELDS.contains(field.getKey()))
+        .map(StoryText::formatField)
         .collect(Collectors.joining());
   }
 
-  private static String field(Map.Entry<String, JsonNode> field) {
+  private static String formatField(Map.Entry<String, JsonNode> field) {
     return " " + field.getKey() + "=" + field.getValue().asText();
   }
 
-  private void counts() {
+  private void appendCounts() {
     Optional<String> reason = story.end().flatMap(line -> line.text("reason"));
     if (reason.isPresent()) {
       long here = story.refusedMeanwhile(reason.get(), true);
--- a/cli/src/main/java/org/teaseltrail/cli/explain/VmClocks.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/VmClocks.java
@@ -8,53 +8,54 @@
 import java.util.OptionalLong;
 
 /**
- * Estimates how far entry VMs' clocks are behind the control members'.
+ * Estimates the clock skew of entry VMs relative to the control members.
  *
- * <p>An entry VM can't apply a plan before a control member has received it. Where its line says so
- * all the same, its clock is behind by the difference at least; its lines are moved by that much.
+ * <p>An entry VM can't apply a plan before a control member has received it. If the time of its
+ * line is earlier nevertheless, its clock is behind by at least the difference; its lines are
+ * shifted by that amount.
  */
 final class VmClocks {
 
   private final Map<String, Duration> behind = new HashMap<>();
 
   VmClocks(List<LogLine> lines) {
-    Map<Long, Instant> received = new HashMap<>();
+    Map<Long, Instant> receivedTimes = new HashMap<>();
     lines.stream()
         .filter(line -> line.event().equals("plan_received"))
         .forEach(
             line ->
                 version(line)
-                    .ifPresent(plan -> received.merge(plan, line.time(), VmClocks::first)));
+                    .ifPresent(plan -> receivedTimes.merge(plan, line.time(), VmClocks::earlier)));
     lines.stream()
         .filter(line -> line.event().equals("plan_in_force"))
-        .forEach(line -> note(line, received));
+        .forEach(line -> recordSkew(line, receivedTimes));
   }
 
   private static OptionalLong version(LogLine line) {
     return line.number("version");
   }
 
-  private static Instant first(Instant one, Instant other) {
+  private static Instant earlier(Instant one, Instant other) {
     return one.isBefore(other) ? one : other;
   }
 
-  private void note(LogLine applied, Map<Long, Instant> received) {
+  private void recordSkew(LogLine applied, Map<Long, Instant> receivedTimes) {
     OptionalLong plan = version(applied);
-    if (plan.isEmpty() || !received.containsKey(plan.getAsLong())) {
+    if (plan.isEmpty() || !receivedTimes.containsKey(plan.getAsLong())) {
       return;
     }
-    Duration difference = Duration.between(applied.time(), received.get(plan.getAsLong()));
+    Duration difference = Duration.between(applied.time(), receivedTimes.get(plan.getAsLong()));
     if (difference.compareTo(behind(applied.vm())) > 0) {
       behind.put(applied.vm(), difference);
     }
   }
 
-  /** Returns by how much a VM's clock is behind at least. */
+  /** Returns the minimum by which a VM's clock is behind. */
   Duration behind(String vm) {
     return behind.getOrDefault(vm, Duration.ZERO);
   }
 
-  /** Puts a line on the control members' clock. */
+  /** Converts the time of a line to the control members' clock. */
   LogLine aligned(LogLine line) {
     return line.later(behind(line.vm()));
   }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/package-info.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Tells a request's story from the log lines of several processes. */
+/** Explanation of a request's outcome from the log lines of several processes. */
 package org.teaseltrail.cli.explain;
--- a/cli/src/main/java/org/teaseltrail/cli/package-info.java
+++ b/cli/src/main/java/org/teaseltrail/cli/package-info.java
@@ -1,2 +1,2 @@
-/** The operators' command line over the gRPC schema. */
+/** Command line for operators, a client of the gRPC operator API. */
 package org.teaseltrail.cli;
--- a/cli/src/test/java/org/teaseltrail/cli/CommandLineTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/CommandLineTest.java
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Each session file holds commands ("$ "), the answers that the member gives ("< "), what the
-   * member was asked ("> ") and what the operator sees, with the exit code.
+   * Each session file contains commands ("$ "), the responses of the member ("< "), the requests
+   * that the member received ("> ") and the output of the command line with its exit code.
    */
   @ParameterizedTest
   @ValueSource(strings = {"changes", "failures", "status", "members", "json", "usage"})
@@ -70,7 +70,7 @@
         first.answer(GoldenAnswer.parse(line.substring(2)));
         transcript.append(line).append('\n');
       } else if (line.startsWith("$ ")) {
-        transcript.append(line).append('\n').append(session(line.substring(2)));
+        transcript.append(line).append('\n').append(runRecorded(line.substring(2)));
       }
     }
 
@@ -80,8 +80,9 @@
   }
 
   /**
-   * An operator's command reaches a member that has just lost its leadership, which names the new
-   * leader. The command must find the leader by itself and send the change there under the same id.
+   * The command line contacts a member that has just lost its leadership and names the new leader.
+   * The command line must follow the response to the leader and send the change there with the same
+   * id.
    */
   @Test
   void followsNotLeaderToTheLeader() {
@@ -94,8 +95,8 @@
   }
 
   /**
-   * A leader loses its lease while a change waits for its quorum, so the answer is lost. The change
-   * may have been accepted; the resend carries the same id and so learns the first result.
+   * A leader loses its lease while a change waits for a quorum, so the outcome is unknown. The
+   * change may have been accepted; the retry carries the same id and so returns the first result.
    */
   @Test
   void resendsUnderTheSameChangeId() {
@@ -133,7 +134,7 @@
     assertThat(run((command + " --help").trim())).isEqualTo(ExitCode.OK);
   }
 
-  private String session(String command) {
+  private String runRecorded(String command) {
     printed.reset();
     int before = first.requests().size();
     ExitCode exitCode = run("--server " + FIRST + " " + command);
@@ -151,7 +152,7 @@
   private ExitCode run(String command) {
     PrintStream stream = new PrintStream(printed, true, StandardCharsets.UTF_8);
     ChannelFactory channels = address -> channel("127.0.0.1:" + address.getPort());
-    return new CommandLine(stream, stream, channels, new VirtualPause()).run(command.split(" "));
+    return new CommandLine(stream, stream, channels, new VirtualClock()).run(command.split(" "));
   }
 
   private FakeOperator start(String address) throws IOException {
@@ -180,7 +181,7 @@
     return ApplyChangeResponse.newBuilder().setAccepted(accepted).build();
   }
 
-  private static final class VirtualPause implements Pause {
+  private static final class VirtualClock implements Pause {
 
     private long nowNs;
 
--- a/cli/src/test/java/org/teaseltrail/cli/CommandsPageTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/CommandsPageTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.teaseltrail.runtime.process.ExitCode;
 
-/** Holds docs/COMMANDS.md to the program. */
+/** Checks that docs/COMMANDS.md lists all commands, options and exit codes. */
 class CommandsPageTest {
 
   private static final Path PAGE = Path.of("../docs/COMMANDS.md");
@@ -73,13 +73,13 @@
 
   private static String help(String command) {
     ByteArrayOutputStream printed = new ByteArrayOutputStream();
-    PrintStream standard = System.out;
+    PrintStream originalOut = System.out;
     System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
     try {
       CommandLine commandLine = new CommandLine(System.out, System.out, null, Pause.SLEEPING);
       assertThat(commandLine.run((command + " --help").trim().split(" "))).isEqualTo(ExitCode.OK);
     } finally {
-      System.setOut(standard);
+      System.setOut(originalOut);
     }
     return printed.toString(StandardCharsets.UTF_8);
   }
--- a/cli/src/test/java/org/teaseltrail/cli/FakeOperator.java
+++ b/cli/src/test/java/org/teaseltrail/cli/FakeOperator.java
@@ -24,7 +24,7 @@
 import org.teaseltrail.api.v1.OrderEngineRequest;
 import org.teaseltrail.api.v1.OrderEngineResponse;
 
-/** Is a control member that gives the answers put to it, in order, and keeps what it was asked. */
+/** Fake control member that returns queued responses in order and records the requests. */
 final class FakeOperator extends OperatorImplBase {
 
   private final Deque<Message> answers = new ArrayDeque<>();
@@ -36,7 +36,7 @@
     return this;
   }
 
-  /** Fails every call from now on. */
+  /** Makes every subsequent call fail. */
   void failWith(Status status) {
     failure = Optional.of(status);
   }
@@ -46,51 +46,55 @@
   }
 
   @Override
-  public void applyChange(ApplyChangeRequest request, StreamObserver<ApplyChangeResponse> caller) {
-    reply(request, caller, ApplyChangeResponse.class);
+  public void applyChange(
+      ApplyChangeRequest request, StreamObserver<ApplyChangeResponse> responseObserver) {
+    reply(request, responseObserver, ApplyChangeResponse.class);
   }
 
   @Override
   public void getConfiguration(
-      GetConfigurationRequest request, StreamObserver<GetConfigurationResponse> caller) {
-    reply(request, caller, GetConfigurationResponse.class);
+      GetConfigurationRequest request, StreamObserver<GetConfigurationResponse> responseObserver) {
+    reply(request, responseObserver, GetConfigurationResponse.class);
   }
 
   @Override
   public void awaitInForce(
-      AwaitInForceRequest request, StreamObserver<AwaitInForceResponse> caller) {
-    reply(request, caller, AwaitInForceResponse.class);
+      AwaitInForceRequest request, StreamObserver<AwaitInForceResponse> responseObserver) {
+    reply(request, responseObserver, AwaitInForceResponse.class);
   }
 
   @Override
-  public void getStatus(GetStatusRequest request, StreamObserver<GetStatusResponse> caller) {
-    reply(request, caller, GetStatusResponse.class);
+  public void getStatus(
+      GetStatusRequest request, StreamObserver<GetStatusResponse> responseObserver) {
+    reply(request, responseObserver, GetStatusResponse.class);
   }
 
   @Override
   public void listDecisions(
-      ListDecisionsRequest request, StreamObserver<ListDecisionsResponse> caller) {
-    reply(request, caller, ListDecisionsResponse.class);
+      ListDecisionsRequest request, StreamObserver<ListDecisionsResponse> responseObserver) {
+    reply(request, responseObserver, ListDecisionsResponse.class);
   }
 
   @Override
   public void changeMembers(
-      ChangeMembersRequest request, StreamObserver<ChangeMembersResponse> caller) {
-    reply(request, caller, ChangeMembersResponse.class);
+      ChangeMembersRequest request, StreamObserver<ChangeMembersResponse> responseObserver) {
+    reply(request, responseObserver, ChangeMembersResponse.class);
   }
 
   @Override
-  public void orderEngine(OrderEngineRequest request, StreamObserver<OrderEngineResponse> caller) {
-    reply(request, caller, OrderEngineResponse.class);
+  public void orderEngine(
+      OrderEngineRequest request, StreamObserver<OrderEngineResponse> responseObserver) {
+    reply(request, responseObserver, OrderEngineResponse.class);
   }
 
-  private <T extends Message> void reply(Message request, StreamObserver<T> caller, Class<T> type) {
+  private <T extends Message> void reply(
+      Message request, StreamObserver<T> responseObserver, Class<T> type) {
     requests.add(request);
     if (failure.isPresent()) {
-      caller.onError(failure.get().asRuntimeException());
+      responseObserver.onError(failure.get().asRuntimeException());
       return;
     }
-    caller.onNext(type.cast(answers.remove()));
-    caller.onCompleted();
+    responseObserver.onNext(type.cast(answers.remove()));
+    responseObserver.onCompleted();
   }
 }
--- a/cli/src/test/java/org/teaseltrail/cli/GoldenAnswer.java
+++ b/cli/src/test/java/org/teaseltrail/cli/GoldenAnswer.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.api.v1.ListDecisionsResponse;
 import org.teaseltrail.api.v1.OrderEngineResponse;
 
-/** Reads an answer of a golden session: its message's name and its fields in text form. */
+/** Parses a response of a golden session: the name of its message and its fields in text format. */
 final class GoldenAnswer {
 
   private static final List<Message> KNOWN =
--- a/cli/src/test/java/org/teaseltrail/cli/SocketTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/SocketTest.java
@@ -15,7 +15,10 @@
 import org.teaseltrail.api.v1.GetConfigurationResponse;
 import org.teaseltrail.runtime.process.ExitCode;
 
-/** Calls a member over a socket, since gRPC runs on a newer Netty than it asks for. */
+/**
+ * Calls a member over a real socket, because gRPC runs on a newer Netty version than the one that
+ * it declares as its dependency.
+ */
 class SocketTest {
 
   @Test
--- a/cli/src/test/java/org/teaseltrail/cli/explain/ExplanationTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/explain/ExplanationTest.java
@@ -7,7 +7,7 @@
 import java.io.StringReader;
 import org.junit.jupiter.api.Test;
 
-/** Tells requests' stories from lines as the programs write them. */
+/** Explains requests from log lines in the format that the programs write. */
 class ExplanationTest {
 
   private static final String ENTRY =
@@ -62,7 +62,9 @@
     assertThat(story).contains("others refused for PLAN_UNCERTAIN at that time: 0 at this VM");
   }
 
-  /** A request that ends upstreams is held, and its caller asks why. */
+  /**
+   * A request under which upstreams were lost is quarantined; the explanation must name the reason.
+   */
   @Test
   void tellsOfHeldRequest() throws IOException {
     String story = logs().tell("held1");
@@ -70,8 +72,8 @@
   }
 
   /**
-   * The VM's clock is two seconds behind: by the times as written, the upstream left long after the
-   * request. The plan that both told of shows the difference.
+   * The VM's clock is two seconds behind, so by the logged times the upstream left long after the
+   * request. The plan that both the VM and the control member logged reveals the skew.
    */
   @Test
   void putsVmsWhoseClocksAreBehindOnTheControlMembersClock() throws IOException {
