--- a/standin/src/main/java/org/teaseltrail/standin/AdminRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/AdminRoutes.java
@@ -9,11 +9,11 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Brings about faults and shows counters, for tests and measurements. */
+/** Admin endpoints that inject faults and report counters, for tests and measurements. */
 final class AdminRoutes {
 
-  /** Exit code of a process that is killed, which a crash is to look like. */
-  private static final int KILLED = 137;
+  /** Exit code of a process killed by SIGKILL (128 + 9), which a simulated crash imitates. */
+  private static final int SIGKILL_EXIT_CODE = 137;
 
   private static final int OK = 200;
   private static final int ACCEPTED = 202;
@@ -44,7 +44,7 @@
       if (!(factor > 0) || Double.isInfinite(factor)) {
         return response.status(BAD_REQUEST).send();
       }
-      logger.info("Takes " + factor + " times as long from now on.");
+      logger.info("Set the straggler factor to " + factor + "; it applies from now on.");
       behaviour.straggle(factor);
       return response.status(ACCEPTED).send();
     } catch (NumberFormatException failure) {
@@ -58,8 +58,8 @@
   }
 
   private Publisher<Void> crash(HttpServerRequest request, HttpServerResponse response) {
-    logger.info("Crashes as asked.");
-    Runtime.getRuntime().halt(KILLED);
+    logger.info("Simulating a crash on request.");
+    Runtime.getRuntime().halt(SIGKILL_EXIT_CODE);
     return Mono.empty();
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/Announcer.java
+++ b/standin/src/main/java/org/teaseltrail/standin/Announcer.java
@@ -17,8 +17,9 @@
 import reactor.netty.resources.ConnectionProvider;
 
 /**
- * Sends announcements to every entry VM and cache events to one. A VM that can't be reached is
- * passed over: the next announcement comes in a second, and a cache event goes to another VM.
+ * Sends announcements to every entry VM and each cache event to one of them. An announcement to an
+ * unreachable VM isn't retried, as the next one follows within a second by default; a cache event
+ * is sent to another VM instead.
  */
 final class Announcer implements AutoCloseable {
 
@@ -40,7 +41,7 @@
         HttpClient.create(connections)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
             .responseTimeout(TIMEOUT)
-            .headers(headers -> identify(headers, upstream, secret));
+            .headers(headers -> addIdentityHeaders(headers, upstream, secret));
     this.lanes =
         this.entries.stream()
             .map(entry -> new EntryLane(body -> post(entry, "/v1/upstreams/announce", body)))
@@ -54,8 +55,8 @@
 
   void cacheEvent(CacheEvent event) {
     String body = UpstreamJson.write(event);
-    int home = Math.floorMod(event.upstream().hashCode(), entries.size());
-    postCacheEvent(body, home, entries.size()).subscribe();
+    int firstEntry = Math.floorMod(event.upstream().hashCode(), entries.size());
+    postCacheEvent(body, firstEntry, entries.size()).subscribe();
   }
 
   @Override
@@ -63,13 +64,13 @@
     connections.dispose();
   }
 
-  private Mono<Integer> postCacheEvent(String body, int at, int left) {
-    InetSocketAddress entry = entries.get(at % entries.size());
+  private Mono<Integer> postCacheEvent(String body, int index, int remaining) {
+    InetSocketAddress entry = entries.get(index % entries.size());
     return post(entry, "/v1/upstreams/cache-events", body)
         .flatMap(
             status ->
-                status == UNREACHABLE && left > 1
-                    ? postCacheEvent(body, at + 1, left - 1)
+                status == UNREACHABLE && remaining > 1
+                    ? postCacheEvent(body, index + 1, remaining - 1)
                     : Mono.just(status));
   }
 
@@ -80,21 +81,21 @@
         .send(ByteBufFlux.fromString(Mono.just(body)))
         .responseSingle((response, content) -> content.then(Mono.just(response.status().code())))
         .onErrorReturn(UNREACHABLE)
-        .doOnNext(status -> note(entry, status));
+        .doOnNext(status -> recordStatus(entry, status));
   }
 
-  private void note(InetSocketAddress entry, int status) {
+  private void recordStatus(InetSocketAddress entry, int status) {
     Integer before = lastStatus.put(entry, status);
     if (before != null && before == status) {
       return;
     }
     String address = text(entry);
     if (status == NO_CONTENT) {
-      logger.info("Announces to " + address + ".");
+      logger.info("Reports are accepted by entry VM " + address + ".");
     } else if (status == UNREACHABLE) {
-      logger.warn("Can't reach " + address + ".");
+      logger.warn("Entry VM " + address + " is unreachable.");
     } else {
-      logger.warn("Is turned away by " + address + " with status " + status + ".");
+      logger.warn("Entry VM " + address + " rejected a report with status " + status + ".");
     }
   }
 
@@ -102,7 +103,7 @@
     return NetUtil.toSocketAddressString(address);
   }
 
-  private static void identify(HttpHeaders headers, String upstream, String secret) {
+  private static void addIdentityHeaders(HttpHeaders headers, String upstream, String secret) {
     headers
         .set("X-Upstream-Id", upstream)
         .set("X-Upstream-Secret", secret)
--- a/standin/src/main/java/org/teaseltrail/standin/EngineBehaviour.java
+++ b/standin/src/main/java/org/teaseltrail/standin/EngineBehaviour.java
@@ -13,7 +13,7 @@
 import reactor.core.publisher.Flux;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Runs the model of an engine. */
+/** Simulated engine: runs an engine model and serves its HTTP interface. */
 final class EngineBehaviour implements StandinBehaviour {
 
   private final EngineModel model;
@@ -24,7 +24,7 @@
   EngineBehaviour(EngineModel model) {
     this.model = model;
     this.readers = new StreamReaders(model);
-    this.loop = new ModelLoop<>(model, new EngineEvent.Tick(), this::carryOut);
+    this.loop = new ModelLoop<>(model, new EngineEvent.Tick(), this::execute);
   }
 
   @Override
@@ -72,7 +72,7 @@
     return loop.handle(event);
   }
 
-  /** Returns the request that a known stream answers, or null. */
+  /** Returns the request that a stream answers, or null if the stream is unknown. */
   CompletableFuture<EngineRequest> request(RequestId id) {
     CompletableFuture<EngineRequest> found = new CompletableFuture<>();
     loop.run(() -> found.complete(model.request(id).orElse(null)));
@@ -83,7 +83,7 @@
     return readers.read(request, fromSequence, loop::run);
   }
 
-  private void carryOut(EngineAction action) {
+  private void execute(EngineAction action) {
     if (action instanceof EngineAction.Frame frame) {
       readers.wake(frame.frame().request());
     } else if (action instanceof EngineAction.StreamBroken broken) {
--- a/standin/src/main/java/org/teaseltrail/standin/EntryLane.java
+++ b/standin/src/main/java/org/teaseltrail/standin/EntryLane.java
@@ -5,10 +5,10 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Sends announcements to one entry VM, one at a time; if several come up meanwhile, only the newest
- * goes out next. Guards against two announcements that overtake each other, which would show as an
- * entry VM that hears "serving" after "leaving". The guard holds because the next is sent only when
- * the one before is answered or given up.
+ * Sends announcements to one entry VM, one at a time, and conflates those that arrive meanwhile:
+ * only the newest is sent next. The next announcement is sent only when the previous one has been
+ * answered or has failed. Otherwise one could overtake another, and an entry VM would receive phase
+ * SERVING after LEAVING.
  */
 final class EntryLane {
 
--- a/standin/src/main/java/org/teaseltrail/standin/JsonAnswer.java
+++ b/standin/src/main/java/org/teaseltrail/standin/JsonAnswer.java
@@ -3,7 +3,7 @@
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerResponse;
 
-/** Sends a value as the JSON body of an answer. */
+/** Sends a value as the JSON body of an HTTP response. */
 final class JsonAnswer {
 
   private JsonAnswer() {}
--- a/standin/src/main/java/org/teaseltrail/standin/KvRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/KvRoutes.java
@@ -12,7 +12,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Exports and imports KV caches; the hashes of its blocks stand for the cache itself. */
+/** HTTP endpoints that export and import KV caches, represented by the hashes of their blocks. */
 final class KvRoutes {
 
   private static final int OK = 200;
@@ -27,16 +27,16 @@
   }
 
   void addTo(HttpServerRoutes routes) {
-    routes.get("/v1/kv/{id}", this::export).put("/v1/kv", this::takeIn);
+    routes.get("/v1/kv/{id}", this::export).put("/v1/kv", this::importKv);
   }
 
   private Publisher<Void> export(HttpServerRequest request, HttpServerResponse response) {
     RequestId id = new RequestId(request.param("id"));
     return Mono.fromFuture(() -> engine.handle(new EngineEvent.ExportKv(id)))
-        .flatMap(actions -> answer(actions, response));
+        .flatMap(actions -> respond(actions, response));
   }
 
-  private static Mono<Void> answer(List<EngineAction> actions, HttpServerResponse response) {
+  private static Mono<Void> respond(List<EngineAction> actions, HttpServerResponse response) {
     Optional<KvCache> exported =
         actions.stream()
             .filter(EngineAction.KvExported.class::isInstance)
@@ -47,7 +47,7 @@
         .orElseGet(() -> response.status(NOT_FOUND).send().then());
   }
 
-  private Publisher<Void> takeIn(HttpServerRequest request, HttpServerResponse response) {
+  private Publisher<Void> importKv(HttpServerRequest request, HttpServerResponse response) {
     return request
         .receive()
         .aggregate()
--- a/standin/src/main/java/org/teaseltrail/standin/MalformedBodyException.java
+++ b/standin/src/main/java/org/teaseltrail/standin/MalformedBodyException.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.standin;
 
-/** Tells that a request's body isn't what the protocol says. */
+/** Thrown when the body of a request doesn't conform to the protocol. */
 final class MalformedBodyException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/standin/src/main/java/org/teaseltrail/standin/ModelLoop.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ModelLoop.java
@@ -12,15 +12,15 @@
 import org.teaseltrail.standin.model.UpstreamModel;
 
 /**
- * Runs a model on one thread: hands it events, wakes it when it wants to be woken, and passes on
- * what it does.
+ * Event loop that runs a model on one thread: it passes events to the model, sends it a tick at
+ * each requested wakeup time, and forwards its actions.
  *
- * @param <E> what happens to the model
- * @param <A> what it does
+ * @param <E> type of the model's events
+ * @param <A> type of the model's actions
  */
 final class ModelLoop<E, A> implements AutoCloseable {
 
-  private static final long IDLE_CHECK_MS = 20;
+  private static final long CONDITION_CHECK_INTERVAL_MS = 20;
 
   private final UpstreamModel<E, A> model;
   private final E tick;
@@ -37,14 +37,14 @@
     this.onAction = onAction;
   }
 
-  /** Hands an event to the model; the future holds what the model did at once. */
+  /** Passes an event to the model; the future holds the actions that the event caused. */
   CompletableFuture<List<A>> handle(E event) {
     CompletableFuture<List<A>> done = new CompletableFuture<>();
     run(() -> done.complete(step(event)));
     return done;
   }
 
-  /** Runs a task on the model's thread; a fault in it ends the program. */
+  /** Runs a task on the model's thread; an exception thrown by it ends the program. */
   void run(Runnable task) {
     thread.execute(
         () -> {
@@ -56,14 +56,17 @@
         });
   }
 
-  /** Completes once a time has passed and a condition holds, looked at on the model's thread. */
+  /**
+   * Returns a future that completes once a delay has passed and a condition holds. The condition is
+   * evaluated on the model's thread.
+   */
   CompletableFuture<Void> when(BooleanSupplier condition, long notBeforeMs) {
     CompletableFuture<Void> met = new CompletableFuture<>();
-    thread.schedule(() -> check(condition, met), notBeforeMs, TimeUnit.MILLISECONDS);
+    thread.schedule(() -> checkCondition(condition, met), notBeforeMs, TimeUnit.MILLISECONDS);
     return met;
   }
 
-  /** Fails with the fault that stopped the model; never completes otherwise. */
+  /** Fails with the first exception on the model's thread; never completes otherwise. */
   CompletableFuture<Void> failed() {
     return failed;
   }
@@ -95,11 +98,12 @@
     step(tick);
   }
 
-  private void check(BooleanSupplier condition, CompletableFuture<Void> met) {
+  private void checkCondition(BooleanSupplier condition, CompletableFuture<Void> met) {
     if (condition.getAsBoolean()) {
       met.complete(null);
     } else {
-      thread.schedule(() -> check(condition, met), IDLE_CHECK_MS, TimeUnit.MILLISECONDS);
+      thread.schedule(
+          () -> checkCondition(condition, met), CONDITION_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/OrderRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/OrderRoutes.java
@@ -17,7 +17,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Takes orders to an engine. */
+/** HTTP endpoint for orders to an engine. */
 final class OrderRoutes {
 
   private static final int ACCEPTED = 202;
@@ -41,7 +41,7 @@
         .asByteArray()
         .map(text -> UpstreamJson.read(OrderBody.class, text).event())
         .flatMap(event -> Mono.fromFuture(() -> engine.handle(event)))
-        .flatMap(actions -> answer(actions, response))
+        .flatMap(actions -> respond(actions, response))
         .onErrorResume(
             failure ->
                 failure instanceof MalformedBodyException
@@ -49,7 +49,7 @@
             failure -> response.status(BAD_REQUEST).send());
   }
 
-  private static Mono<Void> answer(List<EngineAction> actions, HttpServerResponse response) {
+  private static Mono<Void> respond(List<EngineAction> actions, HttpServerResponse response) {
     return actions.stream()
         .filter(EngineAction.OrderRefused.class::isInstance)
         .map(EngineAction.OrderRefused.class::cast)
@@ -78,23 +78,23 @@
         case "unload_model" -> new EngineOrder.UnloadModel(modelId(), modelVersion());
         case "load_adapter" ->
             new EngineOrder.LoadAdapter(
-                modelId(), modelVersion(), new AdapterId(given(adapter, "adapter")));
+                modelId(), modelVersion(), new AdapterId(required(adapter, "adapter")));
         case "change_role" ->
             new EngineOrder.ChangeRole(
-                UpstreamRole.valueOf(given(role, "role").toUpperCase(Locale.ROOT)));
+                UpstreamRole.valueOf(required(role, "role").toUpperCase(Locale.ROOT)));
         default -> throw new MalformedBodyException("unknown order");
       };
     }
 
     private ModelId modelId() {
-      return new ModelId(given(model, "model"));
+      return new ModelId(required(model, "model"));
     }
 
     private ModelVersion modelVersion() {
-      return new ModelVersion(given(version, "version"));
+      return new ModelVersion(required(version, "version"));
     }
 
-    private static String given(Optional<String> value, String name) {
+    private static String required(Optional<String> value, String name) {
       return value.orElseThrow(() -> new MalformedBodyException(name + " is missing"));
     }
   }
--- a/standin/src/main/java/org/teaseltrail/standin/ServedModels.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ServedModels.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.id.ModelVersion;
 import org.teaseltrail.core.upstream.ServedModel;
 
-/** Reads a loaded model from the text {@code model:version} or {@code model:version:a+b}. */
+/** Parses a loaded model from the text {@code model:version} or {@code model:version:a+b}. */
 final class ServedModels {
 
   private ServedModels() {}
@@ -16,7 +16,7 @@
   static ServedModel parse(String text) {
     String[] parts = text.split(":", -1);
     if (parts.length < 2 || parts.length > 3) {
-      throw new IllegalArgumentException("not model:version or model:version:adapters");
+      throw new IllegalArgumentException("expected model:version or model:version:adapters");
     }
     Set<AdapterId> adapters = parts.length == 2 ? Set.of() : adapters(parts[2]);
     return new ServedModel(new ModelId(parts[0]), new ModelVersion(parts[1]), adapters);
--- a/standin/src/main/java/org/teaseltrail/standin/ServiceBehaviour.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ServiceBehaviour.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.standin.model.ServiceModel;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Runs the model of a plain service. */
+/** Simulated service: runs the model of a plain service and answers its HTTP calls. */
 final class ServiceBehaviour implements StandinBehaviour {
 
   private final ServiceModel model;
@@ -21,7 +21,7 @@
 
   ServiceBehaviour(ServiceModel model) {
     this.model = model;
-    this.loop = new ModelLoop<>(model, new ServiceEvent.Tick(), this::carryOut);
+    this.loop = new ModelLoop<>(model, new ServiceEvent.Tick(), this::execute);
   }
 
   @Override
@@ -63,7 +63,7 @@
     loop.close();
   }
 
-  /** Runs a call; the future holds how many times the request has run here. */
+  /** Executes a call; the future holds the number of executions of the request so far. */
   CompletableFuture<Integer> call(RequestId request) {
     CompletableFuture<Integer> execution = new CompletableFuture<>();
     loop.run(() -> calls.computeIfAbsent(request, id -> new ArrayDeque<>()).add(execution));
@@ -71,7 +71,7 @@
     return execution;
   }
 
-  private void carryOut(ServiceAction action) {
+  private void execute(ServiceAction action) {
     if (action instanceof ServiceAction.Respond respond) {
       respond(respond.request(), respond.execution());
     } else if (action instanceof ServiceAction.Announce announce) {
--- a/standin/src/main/java/org/teaseltrail/standin/ServiceCallHandler.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ServiceCallHandler.java
@@ -12,8 +12,8 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /**
- * Answers calls of a plain service. The answer names the call's body by its digest, so that a
- * caller can tell its own answer from another's.
+ * Handles HTTP calls of a plain service. The response contains the digest of the call's body, so
+ * that a caller can verify that it received the response to its own call.
  */
 final class ServiceCallHandler
     implements BiFunction<HttpServerRequest, HttpServerResponse, Publisher<Void>> {
@@ -43,8 +43,9 @@
   }
 
   private RequestId requestId(HttpServerRequest request) {
-    String given = request.requestHeaders().get("X-Request-Id");
-    return new RequestId(given == null ? "unnamed-" + unnamedCalls.incrementAndGet() : given);
+    String headerValue = request.requestHeaders().get("X-Request-Id");
+    return new RequestId(
+        headerValue == null ? "unnamed-" + unnamedCalls.incrementAndGet() : headerValue);
   }
 
   private static Answer answer(
--- a/standin/src/main/java/org/teaseltrail/standin/StandinBehaviour.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinBehaviour.java
@@ -3,25 +3,25 @@
 import java.util.concurrent.CompletableFuture;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Is what differs between the stand-in for an engine and that for a plain service. */
+/** Simulated upstream: the part of the daemon that differs between an engine and a service. */
 interface StandinBehaviour extends AutoCloseable {
 
-  /** Starts to run, and to announce. */
+  /** Starts the model and its announcements. */
   void start(Announcer announcer);
 
-  /** Adds the paths that it serves; those of the admin go before. */
+  /** Adds the upstream's HTTP routes; the admin routes are added before and take precedence. */
   void addRoutes(HttpServerRoutes routes);
 
-  /** Makes its work take longer by a factor. */
+  /** Sets the multiplier of all processing times. */
   void straggle(double factor);
 
-  /** Announces that it leaves; completes once the grace time is over and nothing is in progress. */
+  /** Announces phase LEAVING; completes when the grace time is over and no request is in flight. */
   CompletableFuture<Void> leave(long graceMs);
 
-  /** Returns what it has done, to be written as JSON. */
+  /** Returns the model's counters, to be serialized as JSON. */
   CompletableFuture<Object> counters();
 
-  /** Fails if the model has a fault; never completes otherwise. */
+  /** Fails if the model throws; never completes otherwise. */
   CompletableFuture<Void> failed();
 
   @Override
--- a/standin/src/main/java/org/teaseltrail/standin/StandinDaemon.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinDaemon.java
@@ -12,11 +12,11 @@
 import reactor.netty.DisposableServer;
 import reactor.netty.http.server.HttpServer;
 
-/** Is a running stand-in: its server, its model and its announcements. */
+/** Running daemon of the simulated upstream: HTTP server, model and announcements. */
 final class StandinDaemon implements RunningProgram {
 
-  /** Time that answers which are made may take to reach their readers at the end. */
-  private static final Duration LAST_ANSWERS = Duration.ofSeconds(30);
+  /** Maximum time at shutdown for sending responses that are already generated. */
+  private static final Duration SHUTDOWN_TIMEOUT = Duration.ofSeconds(30);
 
   private final PartLogger logger = new PartLogger("standin");
   private final StandinOptions options;
@@ -45,7 +45,7 @@
     this.announcer = new Announcer(upstreamId(), options.secret().value(), options.entries());
     behaviour.failed().whenComplete((none, failure) -> ended.completeExceptionally(failure));
     behaviour.start(announcer);
-    logger.info("Listens on " + options.listen() + " as " + upstreamId() + ".");
+    logger.info("Listening on " + options.listen() + " as upstream " + upstreamId() + ".");
   }
 
   @Override
@@ -54,16 +54,16 @@
   }
 
   /**
-   * Leaves, waits until nothing is in progress, and stops listening. Connections that callers kept
-   * open are closed too, as the server leaves some of them open, where a call would still be
-   * answered, with status 500, by a stand-in that has ended.
+   * Drains the upstream, waits until no request is in flight, and stops listening. Connections that
+   * callers keep open are closed too: the server leaves some of them open, and calls on these would
+   * still be answered, with status 500, after the end of the daemon.
    */
   @Override
   public void close() {
     if (!ended.isCompletedExceptionally()) {
       leave().join();
     }
-    server.disposeNow(LAST_ANSWERS);
+    server.disposeNow(SHUTDOWN_TIMEOUT);
     connections.close().awaitUninterruptibly();
     behaviour.close();
     announcer.close();
@@ -74,7 +74,7 @@
     if (!leaving.compareAndSet(null, done)) {
       return leaving.get();
     }
-    logger.info("Leaves; finishes what is in progress.");
+    logger.info("Draining; requests in flight are completed.");
     behaviour
         .leave(options.leaveGraceMs())
         .thenRun(
--- a/standin/src/main/java/org/teaseltrail/standin/StandinMain.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinMain.java
@@ -2,7 +2,7 @@
 
 import org.teaseltrail.runtime.process.ProgramMain;
 
-/** Starts the model of an engine or of a plain service. */
+/** Entry point of the simulated upstream. */
 public final class StandinMain {
 
   private StandinMain() {}
--- a/standin/src/main/java/org/teaseltrail/standin/StandinOptions.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinOptions.java
@@ -19,16 +19,17 @@
 import org.teaseltrail.standin.model.UpstreamIdentity;
 
 /**
- * Is what the settings file says, in the models' own types. Exactly one of engine and service is
- * present.
+ * Parsed settings of the simulated upstream, in the types of the models. Exactly one of {@code
+ * engine} and {@code service} is present.
  *
- * @param listen where it takes requests
- * @param entries the entry VMs it announces itself to
- * @param secret what its announcements carry
- * @param leaveGraceMs time that it still answers once it is leaving, in milliseconds
+ * @param listen the address on which it accepts requests
+ * @param entries the entry VMs to which it sends announcements
+ * @param secret the secret that authenticates its announcements
+ * @param leaveGraceMs time for which it still answers after it announced that it is leaving, in
+ *     milliseconds
  * @param admin whether paths under /admin are served
- * @param engine the engine to model
- * @param service the plain service to model
+ * @param engine configuration of the engine, if it simulates one
+ * @param service configuration of the plain service, if it simulates one
  */
 record StandinOptions(
     InetSocketAddress listen,
@@ -46,7 +47,7 @@
     Optional<ServiceId> service = settings.get(StandinSettings.SERVICE);
     if (models.isPresent() == service.isPresent()) {
       throw new ProgramException(
-          ExitCode.SETTINGS, "give one of [engine] models and [service] name");
+          ExitCode.SETTINGS, "exactly one of [engine] models and [service] name must be set");
     }
     UpstreamIdentity identity = identity(settings, startMs);
     return new StandinOptions(
@@ -86,14 +87,14 @@
   }
 
   private static HardwareProfile hardware(Settings settings) {
-    HardwareProfile usual = settings.get(StandinSettings.GENERATION).profile();
+    HardwareProfile defaults = settings.get(StandinSettings.GENERATION).profile();
     return new HardwareProfile(
-        ms(settings.get(StandinSettings.STEP), usual.stepBaseMs()),
-        ms(settings.get(StandinSettings.STEP_PER_SEQUENCE), usual.stepPerSequenceMs()),
-        ms(settings.get(StandinSettings.PREFILL_PER_TOKEN), usual.prefillPerTokenMs()),
-        settings.get(StandinSettings.MAX_BATCH).orElse(usual.maxBatch()),
-        settings.get(StandinSettings.PREFILL_CHUNK).orElse(usual.prefillChunkTokens()),
-        settings.get(StandinSettings.CACHE_TOKENS).orElse(usual.cacheTokens()));
+        ms(settings.get(StandinSettings.STEP), defaults.stepBaseMs()),
+        ms(settings.get(StandinSettings.STEP_PER_SEQUENCE), defaults.stepPerSequenceMs()),
+        ms(settings.get(StandinSettings.PREFILL_PER_TOKEN), defaults.prefillPerTokenMs()),
+        settings.get(StandinSettings.MAX_BATCH).orElse(defaults.maxBatch()),
+        settings.get(StandinSettings.PREFILL_CHUNK).orElse(defaults.prefillChunkTokens()),
+        settings.get(StandinSettings.CACHE_TOKENS).orElse(defaults.cacheTokens()));
   }
 
   private static ReportingProfile reporting(Settings settings) {
@@ -119,7 +120,7 @@
         settings.get(StandinSettings.SEED));
   }
 
-  private static double ms(Optional<Duration> given, double usualMs) {
-    return given.map(duration -> duration.toNanos() / NS_PER_MS).orElse(usualMs);
+  private static double ms(Optional<Duration> configured, double defaultMs) {
+    return configured.map(duration -> duration.toNanos() / NS_PER_MS).orElse(defaultMs);
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/StandinProgram.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinProgram.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.standin.model.ServiceModel;
 import reactor.netty.ChannelBindException;
 
-/** Is the daemon that stands in for an upstream. */
+/** Program definition of the simulated upstream: its settings and its start. */
 public final class StandinProgram implements Program {
 
   @Override
--- a/standin/src/main/java/org/teaseltrail/standin/StandinSettings.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinSettings.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.standin.model.AnswerLength;
 import org.teaseltrail.standin.model.HardwareGeneration;
 
-/** Declares the settings of the stand-in program. */
+/** Declares the settings of the simulated upstream. */
 final class StandinSettings {
 
   static final Setting<UpstreamId> ID =
--- a/standin/src/main/java/org/teaseltrail/standin/StreamLines.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StreamLines.java
@@ -5,7 +5,7 @@
 import org.teaseltrail.standin.model.AnswerText;
 import org.teaseltrail.standin.model.EngineFrame;
 
-/** Writes an engine's frames as lines of JSON. */
+/** Formats an engine's frames as newline-delimited JSON. */
 final class StreamLines {
 
   private StreamLines() {}
--- a/standin/src/main/java/org/teaseltrail/standin/StreamReaders.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StreamReaders.java
@@ -11,12 +11,12 @@
 import reactor.core.publisher.FluxSink;
 
 /**
- * Hands frames to those who read streams. To be used on the model's thread only.
+ * Publishes the frames of streams to their readers, with backpressure. Not thread-safe: must be
+ * used on the model's thread only.
  *
- * <p>Guards against a reader that reads slowly or not at all, which would show as memory growing
- * with each frame that waits for it. The guard holds because a reader only keeps the number of its
- * next frame: frames wait in the model, once for all readers, and are bounded there by the length
- * of the answer.
+ * <p>A slow or stalled reader doesn't cause unbounded memory use. A reader stores only the number
+ * of its next frame; the frames are kept once for all readers in the model, where the length of the
+ * answer bounds them.
  */
 final class StreamReaders {
 
@@ -27,23 +27,23 @@
     this.model = model;
   }
 
-  /** Returns the lines of a stream from a frame on, no faster than they are asked for. */
+  /** Returns the lines of a stream, starting at a frame, no faster than the reader's demand. */
   Flux<String> read(EngineRequest request, int fromSequence, ModelThread thread) {
     return Flux.create(
         sink -> thread.run(() -> attach(new Reader(request, fromSequence, sink), thread)),
         FluxSink.OverflowStrategy.ERROR);
   }
 
-  /** Passes on what is new in a stream. */
+  /** Sends the new frames of a stream to its readers. */
   void wake(RequestId request) {
-    List.copyOf(readers.getOrDefault(request, List.of())).forEach(this::pump);
+    List.copyOf(readers.getOrDefault(request, List.of())).forEach(this::emitAvailable);
   }
 
-  /** Ends a stream that will not be whole, with a line that says so. */
+  /** Ends an incomplete stream with an error line. */
   void breakOff(RequestId request) {
-    List<Reader> left = readers.remove(request);
-    if (left != null) {
-      left.forEach(Reader::fail);
+    List<Reader> aborted = readers.remove(request);
+    if (aborted != null) {
+      aborted.forEach(Reader::fail);
     }
   }
 
@@ -54,8 +54,8 @@
   private void attach(Reader reader, ModelThread thread) {
     readers.computeIfAbsent(reader.request.id(), id -> new ArrayList<>()).add(reader);
     reader.sink.onDispose(() -> thread.run(() -> detach(reader)));
-    reader.sink.onRequest(wanted -> thread.run(() -> pump(reader)));
-    pump(reader);
+    reader.sink.onRequest(wanted -> thread.run(() -> emitAvailable(reader)));
+    emitAvailable(reader);
   }
 
   private void detach(Reader reader) {
@@ -67,7 +67,7 @@
         });
   }
 
-  private void pump(Reader reader) {
+  private void emitAvailable(Reader reader) {
     while (!reader.ended && reader.sink.requestedFromDownstream() > 0) {
       var frame = model.frame(reader.request.id(), reader.nextSequence);
       if (frame.isEmpty()) {
--- a/standin/src/main/java/org/teaseltrail/standin/StreamRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StreamRoutes.java
@@ -25,7 +25,7 @@
 import reactor.netty.http.server.HttpServerResponse;
 import reactor.netty.http.server.HttpServerRoutes;
 
-/** Serves an engine's streams: begin, read again, stop. */
+/** HTTP endpoints that start, resume and cancel an engine's response streams. */
 final class StreamRoutes {
 
   private static final int BYTES_PER_TOKEN = 4;
--- a/standin/src/main/java/org/teaseltrail/standin/UpstreamJson.java
+++ b/standin/src/main/java/org/teaseltrail/standin/UpstreamJson.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.StringId;
 
-/** Writes and reads the JSON of the upstreams' protocol (docs/INTERNALS.md). */
+/** Serializes and parses the JSON of the upstream protocol (docs/INTERNALS.md). */
 final class UpstreamJson {
 
   private static final ObjectMapper MAPPER = mapper();
@@ -26,14 +26,15 @@
     try {
       return MAPPER.writeValueAsString(value);
     } catch (JsonProcessingException failure) {
-      throw new IllegalStateException("can't write " + value.getClass().getName(), failure);
+      throw new IllegalStateException(
+          "can't serialize as JSON: " + value.getClass().getName(), failure);
     }
   }
 
   /**
-   * Reads a value.
+   * Parses a value.
    *
-   * @throws MalformedBodyException if the text isn't one of the type
+   * @throws MalformedBodyException if the text isn't valid JSON of the type
    */
   static <T> T read(Class<T> type, byte[] text) {
     try {
--- a/standin/src/main/java/org/teaseltrail/standin/model/AnswerLength.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/AnswerLength.java
@@ -1,30 +1,30 @@
 package org.teaseltrail.standin.model;
 
-/** Says how long an engine's answers are. */
+/** Rule for the length of the answers that an engine generates. */
 public enum AnswerLength {
-  /** As long as the request allows. */
+  /** Every answer has the request's maximum length. */
   EXACT {
     @Override
     public int tokens(long answerSeed, int maxTokens) {
       return maxTokens;
     }
   },
-  /** Between half of what the request allows and all of it, told by the answer's seed. */
+  /** Between half of the request's maximum and all of it, derived from the answer's seed. */
   VARIED {
     @Override
     public int tokens(long answerSeed, int maxTokens) {
-      int leastTokens = (maxTokens + 1) / 2;
-      int span = maxTokens - leastTokens + 1;
-      return leastTokens + (int) Long.remainderUnsigned(AnswerText.mix(answerSeed, -1), span);
+      int minTokens = (maxTokens + 1) / 2;
+      int span = maxTokens - minTokens + 1;
+      return minTokens + (int) Long.remainderUnsigned(AnswerText.mix(answerSeed, -1), span);
     }
   };
 
   /**
-   * Returns how long an answer is.
+   * Returns the length of an answer.
    *
    * @param answerSeed the answer's seed
-   * @param maxTokens what the request allows, one or greater
-   * @return the length in tokens, from one to the most allowed
+   * @param maxTokens the request's maximum, one or greater
+   * @return the length in tokens, from one to {@code maxTokens}
    */
   public abstract int tokens(long answerSeed, int maxTokens);
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/AnswerText.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/AnswerText.java
@@ -7,20 +7,21 @@
 import org.teaseltrail.core.id.RequestId;
 
 /**
- * Makes the text of an answer from its seed, so that whoever knows the seed can tell whether an
- * answer is whole and its own. Each token is four letters, the length that counts as one token.
+ * Generates the text of an answer from a seed. A caller that knows the seed can verify that an
+ * answer is complete and belongs to its request. Each token is four letters long, as four bytes
+ * count as one token.
  */
 public final class AnswerText {
 
-  private static final int TOKEN_LETTERS = 4;
-  private static final int LETTERS = 26;
-  private static final long SPREAD = 0x9E3779B97F4A7C15L;
+  private static final int LETTERS_PER_TOKEN = 4;
+  private static final int ALPHABET_SIZE = 26;
+  private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
   private AnswerText() {}
 
   /**
-   * Returns the seed of the answer to a prompt. A caller knows its prompt, so it can check an
-   * answer without trusting any id on the way.
+   * Returns the seed of the answer to a prompt. A caller knows its prompt, so it can verify an
+   * answer without relying on any id that a component on the request path sets.
    *
    * @param prompt the prompt
    * @return the seed
@@ -31,7 +32,7 @@
   }
 
   /**
-   * Returns the seed of the answer to a request whose prompt isn't written out.
+   * Returns the seed of the answer to a request whose prompt text isn't available.
    *
    * @param request the request
    * @return the seed
@@ -41,34 +42,34 @@
   }
 
   /**
-   * Returns a part of an answer.
+   * Returns the text of a range of tokens.
    *
    * @param answerSeed the answer's seed
-   * @param firstToken index of the first token wanted
-   * @param tokens how many tokens
+   * @param firstToken index of the first token
+   * @param tokens number of tokens
    * @return the text
    */
   public static String text(long answerSeed, int firstToken, int tokens) {
-    StringBuilder text = new StringBuilder(tokens * TOKEN_LETTERS);
+    StringBuilder text = new StringBuilder(tokens * LETTERS_PER_TOKEN);
     for (int index = firstToken; index < firstToken + tokens; index++) {
       appendToken(text, mix(answerSeed, index));
     }
     return text.toString();
   }
 
-  /** Spreads a seed and an index over all 64 bits (the finalizer of SplitMix64). */
+  /** Hashes a seed and an index to 64 bits with the finalizer of SplitMix64. */
   static long mix(long seed, long index) {
-    long mixed = seed + (index + 1) * SPREAD;
+    long mixed = seed + (index + 1) * GOLDEN_GAMMA;
     mixed = (mixed ^ (mixed >>> 30)) * 0xBF58476D1CE4E5B9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94D049BB133111EBL;
     return mixed ^ (mixed >>> 31);
   }
 
   private static void appendToken(StringBuilder text, long mixed) {
-    long rest = mixed >>> 1;
-    for (int i = 0; i < TOKEN_LETTERS; i++) {
-      text.append((char) ('a' + rest % LETTERS));
-      rest /= LETTERS;
+    long remaining = mixed >>> 1;
+    for (int i = 0; i < LETTERS_PER_TOKEN; i++) {
+      text.append((char) ('a' + remaining % ALPHABET_SIZE));
+      remaining /= ALPHABET_SIZE;
     }
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/model/Batch.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/Batch.java
@@ -8,7 +8,7 @@
 import java.util.stream.Stream;
 import org.teaseltrail.core.id.RequestId;
 
-/** Holds the sequences that run and those that wait, first come first served. */
+/** Schedules sequences into a batch of limited size, first come first served. */
 final class Batch {
 
   private final HardwareProfile hardware;
@@ -23,7 +23,7 @@
     queued.add(sequence);
   }
 
-  /** Lets those who have waited longest into the free places. */
+  /** Moves the sequences that were queued first into the free slots of the batch. */
   void admit(PrefixCache cache) {
     while (running.size() < hardware.maxBatch() && !queued.isEmpty()) {
       Sequence sequence = queued.remove();
@@ -33,7 +33,10 @@
     EngineInvariant.BATCH_WITHIN_LIMIT.check(running.size() <= hardware.maxBatch());
   }
 
-  /** Plans the next step: each decoding sequence gets a token, the others share the chunk. */
+  /**
+   * Plans the next step. Each decoding sequence generates one token; the others share the prefill
+   * chunk.
+   */
   Step plan(long nowNs, double stragglerFactor) {
     List<StepPart> parts = new ArrayList<>(running.size());
     int chunkLeft = hardware.prefillChunkTokens();
--- a/standin/src/main/java/org/teaseltrail/standin/model/CacheEventPublisher.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/CacheEventPublisher.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.teaseltrail.core.upstream.CacheEvent;
 
-/** Tells of changes of the prefix cache late, and loses some of what it tells. */
+/** Publishes changes of the prefix cache with a delay and drops some of the events. */
 final class CacheEventPublisher {
 
   private static final long NS_PER_MS = 1_000_000;
@@ -25,7 +25,7 @@
     this.nextCollectNs = startNs;
   }
 
-  /** Collects changes when it is time, and returns the events that are due. */
+  /** Collects the changes if the interval is over, and returns the events that are due. */
   List<CacheEvent> advance(UpstreamIdentity identity, PrefixCache cache, long nowNs) {
     if (cache.hasChanges() && nowNs >= nextCollectNs) {
       collect(identity, cache, nowNs);
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineAction.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineAction.java
@@ -5,11 +5,11 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.CacheEvent;
 
-/** Is something that an engine does. */
+/** Output of the engine model. */
 public sealed interface EngineAction {
 
   /**
-   * The request is taken and its stream is open.
+   * The request is accepted and its stream is open.
    *
    * @param request the request
    */
@@ -19,80 +19,80 @@
    * The request is refused.
    *
    * @param request the request
-   * @param reason why
+   * @param reason the reason
    */
   record Refuse(RequestId request, EngineRefusal reason) implements EngineAction {}
 
   /**
-   * The engine is down and can't be reached.
+   * The engine is down and unreachable.
    *
-   * @param request the request that was to reach it
+   * @param request the request that was sent to it
    */
   record Unreachable(RequestId request) implements EngineAction {}
 
   /**
-   * A frame goes out. A frame that answers a resume is for the reader who asked; any other is for
-   * every reader of the stream.
+   * A frame is emitted. A frame in the actions of a resume is for the reader that resumed; any
+   * other is for every reader of the stream.
    *
    * @param frame the frame
    */
   record Frame(EngineFrame frame) implements EngineAction {}
 
   /**
-   * The prompt of a request is processed.
+   * The prefill of a request is complete.
    *
    * @param request the request
-   * @param cachedTokens prompt tokens that the cache saved
+   * @param cachedTokens prompt tokens read from the prefix cache
    * @param processedTokens prompt tokens that were processed
    */
   record Prefilled(RequestId request, int cachedTokens, int processedTokens)
       implements EngineAction {}
 
   /**
-   * A stream ends without its end mark: cancelled, or its engine died.
+   * A stream ends without its final frame, as it was cancelled or the engine crashed.
    *
    * @param request the request
    */
   record StreamBroken(RequestId request) implements EngineAction {}
 
   /**
-   * No stream of the request is held.
+   * The engine keeps no stream of the request.
    *
    * @param request the request
    */
   record StreamUnknown(RequestId request) implements EngineAction {}
 
-  /** An order is taken. */
+  /** An order is accepted. */
   record OrderAccepted() implements EngineAction {}
 
   /**
-   * An order is refused as that of an older leadership.
+   * An order is refused, as its fencing number is that of an older leadership.
    *
-   * @param newest the greatest number seen
+   * @param newest the greatest fencing number received
    */
   record OrderRefused(FencingNumber newest) implements EngineAction {}
 
   /**
-   * Hands out a KV cache.
+   * A KV cache is exported.
    *
    * @param cache the cache
    */
   record KvExported(KvCache cache) implements EngineAction {}
 
   /**
-   * The announcement goes to every entry VM.
+   * The announcement is sent to every entry VM.
    *
    * @param announcement the announcement
    */
   record Announce(Announcement announcement) implements EngineAction {}
 
   /**
-   * The cache event goes to an entry VM.
+   * The cache event is sent to one entry VM.
    *
    * @param event the event
    */
   record PublishCacheEvent(CacheEvent event) implements EngineAction {}
 
-  /** The engine is leaving and has finished all that it had. */
+  /** The engine is leaving and has completed all its requests. */
   record Drained() implements EngineAction {}
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineCounters.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineCounters.java
@@ -1,19 +1,19 @@
 package org.teaseltrail.standin.model;
 
 /**
- * Counts what an engine has done since it was made; a crash doesn't reset it.
+ * Counters of an engine's work since the model was created; a crash doesn't reset them.
  *
- * @param submitted requests handed in
- * @param refused of these, refused
- * @param duplicates of these, refused since their id was known
- * @param completed requests that ran to their end
- * @param cancelled requests that were stopped
+ * @param submitted requests submitted
+ * @param refused submitted requests that were refused
+ * @param duplicates refused requests whose id was already known
+ * @param completed requests that ran to completion
+ * @param cancelled requests that were cancelled
  * @param broken requests that were lost in a crash
  * @param prefillTokens prompt tokens processed for ended requests
- * @param discardedPrefillTokens of these, for requests that were stopped or lost
- * @param cachedTokens prompt tokens that the cache saved
+ * @param discardedPrefillTokens prefill tokens of requests that were cancelled or lost
+ * @param cachedTokens prompt tokens read from the prefix cache
  * @param outputTokens tokens generated for ended requests
- * @param steps steps run
+ * @param steps batch steps executed
  */
 public record EngineCounters(
     long submitted,
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineEvent.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineEvent.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.RequestId;
 
-/** Is something that happens to an engine. */
+/** Input of the engine model. */
 public sealed interface EngineEvent {
 
   /**
@@ -15,62 +15,62 @@
   record Submit(EngineRequest request) implements EngineEvent {}
 
   /**
-   * A reader asks for a stream from a frame on.
+   * A reader requests a stream, starting at a frame.
    *
    * @param request the request
-   * @param fromSequence number of the first frame wanted
+   * @param fromSequence number of the first frame requested
    */
   record Resume(RequestId request, int fromSequence) implements EngineEvent {}
 
   /**
-   * A request is to be stopped.
+   * A request is cancelled.
    *
    * @param request the request
    */
   record Cancel(RequestId request) implements EngineEvent {}
 
   /**
-   * An order has come.
+   * An order is received.
    *
    * @param order the order
-   * @param fencing the number of the leadership that gives it
+   * @param fencing fencing number of the leadership that issued it
    */
   record Order(EngineOrder order, FencingNumber fencing) implements EngineEvent {}
 
   /**
-   * The KV cache of a request is wanted.
+   * The KV cache of a request is to be exported.
    *
    * @param request the request
    */
   record ExportKv(RequestId request) implements EngineEvent {}
 
   /**
-   * A KV cache is handed in.
+   * A KV cache is imported.
    *
    * @param cache the cache
    */
   record ImportKv(KvCache cache) implements EngineEvent {}
 
   /**
-   * The engine becomes slower or recovers.
+   * The engine slows down or recovers.
    *
-   * @param factor how many times longer steps take than the hardware says
+   * @param factor multiplier of the step times of the hardware profile
    */
   record Straggle(double factor) implements EngineEvent {}
 
-  /** The engine is to finish what it has and take nothing new. */
+  /** The engine is to complete its requests and refuse new ones. */
   record Leave() implements EngineEvent {}
 
-  /** The engine dies, with all that it holds. */
+  /** The engine crashes and loses its state. */
   record Crash() implements EngineEvent {}
 
   /**
-   * The engine starts again, empty.
+   * The engine restarts without state.
    *
-   * @param incarnation its new life
+   * @param incarnation its new incarnation
    */
   record Restart(Incarnation incarnation) implements EngineEvent {}
 
-  /** Time has passed. */
+  /** Time advances without another event. */
   record Tick() implements EngineEvent {}
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineFrame.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineFrame.java
@@ -5,18 +5,18 @@
 import org.teaseltrail.core.message.Usage;
 
 /**
- * Is one frame of a stream.
+ * One frame of an engine's response stream.
  *
- * @param request whose answer it is part of
- * @param sequence its number, counting from zero without gaps
+ * @param request the request that the stream answers
+ * @param sequence its number in the stream, from zero without gaps
  * @param firstToken index of its first token in the answer
- * @param tokens how many tokens it carries; none in the last frame
- * @param usage the work done, present in the last frame and only there
+ * @param tokens number of tokens; zero in the final frame
+ * @param usage token counts of the request, present only in the final frame
  */
 public record EngineFrame(
     RequestId request, int sequence, int firstToken, int tokens, Optional<Usage> usage) {
 
-  /** Returns whether it is the last frame of a whole answer. */
+  /** Returns whether this is the final frame of a complete answer. */
   public boolean isEnd() {
     return usage.isPresent();
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineInvariant.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineInvariant.java
@@ -1,20 +1,20 @@
 package org.teaseltrail.standin.model;
 
-/** Names what the engine model asserts of itself. */
+/** Invariants that the engine and service models check about themselves. */
 public enum EngineInvariant {
-  /** No more sequences run at once than the hardware's batch holds. */
+  /** At most as many sequences or calls run concurrently as the configured limit. */
   BATCH_WITHIN_LIMIT,
-  /** The prefix cache holds no more blocks than fit. */
+  /** The prefix cache doesn't exceed its capacity in blocks. */
   CACHE_WITHIN_LIMIT,
-  /** Each prompt token that isn't cached is processed exactly once in one run of a request. */
+  /** Each uncached prompt token is processed exactly once per execution of a request. */
   PREFILL_COUNTED_ONCE,
-  /** The frames of a stream are numbered from zero without a gap, and none follows the end. */
+  /** Frames of a stream are numbered from zero without gaps; none follows the final one. */
   FRAMES_WITHOUT_GAP,
-  /** Time passed in never goes back. */
+  /** The time passed to a model never decreases. */
   TIME_GROWS;
 
   /**
-   * Checks that the invariant holds.
+   * Throws if the invariant doesn't hold.
    *
    * @param holds whether it holds
    * @throws EngineInvariantViolation if it does not hold
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineInvariantViolation.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineInvariantViolation.java
@@ -1,12 +1,12 @@
 package org.teaseltrail.standin.model;
 
-/** Tells that an invariant of a model does not hold: a fault of the model, never of its input. */
+/** Thrown when an invariant of a model doesn't hold, which is a bug in the model, not its input. */
 public class EngineInvariantViolation extends IllegalStateException {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the failure.
+   * Creates the exception.
    *
    * @param invariant the invariant
    */
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineModel.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineModel.java
@@ -11,11 +11,11 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /**
- * Models a model engine: it batches continuously, caches prompt prefixes in limited memory, knows
- * no priorities and admits requests as they come. Holds no clock, no thread and no socket; equal
- * events at equal times give equal actions.
+ * Deterministic model of an inference engine with continuous batching and a prefix cache of limited
+ * size. Requests have no priorities and are admitted in the order of arrival. It has no clock,
+ * thread or socket; equal events at equal times produce equal actions.
  *
- * <p>Example: hand {@link EngineEvent.Submit} to {@link #handle}, then a {@link EngineEvent.Tick}
+ * <p>Example: pass {@link EngineEvent.Submit} to {@link #handle}, then a {@link EngineEvent.Tick}
  * at each {@link #nextWakeupNs}, and collect the {@link EngineAction.Frame} actions.
  */
 public final class EngineModel implements UpstreamModel<EngineEvent, EngineAction> {
@@ -35,14 +35,14 @@
   private double meanStepMs;
   private Step step;
   private boolean up = true;
-  private boolean drainedTold;
+  private boolean drainedReported;
   private long nowNs;
 
   /**
-   * Makes an engine that is up and idle.
+   * Creates an engine that is up and idle.
    *
    * @param settings its settings
-   * @param startNs monotonic time now, in nanoseconds
+   * @param startNs current monotonic time, in nanoseconds
    */
   public EngineModel(EngineSettings settings, long startNs) {
     this.settings = settings;
@@ -56,7 +56,10 @@
     this.nowNs = startNs;
   }
 
-  /** Takes an event. Steps that should have ended by now end first, each at its own time. */
+  /**
+   * Processes an event. Steps that end by {@code atNs} are completed first, each at its own end
+   * time.
+   */
   @Override
   public List<EngineAction> handle(EngineEvent event, long atNs) {
     EngineInvariant.TIME_GROWS.check(atNs >= nowNs);
@@ -69,7 +72,7 @@
       handleUp(event, actions);
     }
     if (up) {
-      finishMoment(actions);
+      completeEvent(actions);
     }
     return actions;
   }
@@ -91,11 +94,11 @@
   }
 
   /**
-   * Returns a frame of a stream, so that each reader can go at its own pace.
+   * Returns a frame of a stream, so that each reader can read at its own rate.
    *
    * @param request the request
    * @param sequence number of the frame
-   * @return the frame, or empty if it isn't made yet or the stream is unknown
+   * @return the frame, or empty if it isn't generated yet or the stream is unknown
    */
   public Optional<EngineFrame> frame(RequestId request, int sequence) {
     return streams.find(request).flatMap(stream -> stream.at(sequence));
@@ -112,16 +115,16 @@
   }
 
   /**
-   * Returns the counts in all.
+   * Returns the counters over all requests.
    *
-   * @return the counts
+   * @return the counters
    */
   public EngineCounters counters() {
     return ledger.counters();
   }
 
   /**
-   * Returns the work done for each of the last requests.
+   * Returns the work done for each of the most recent requests.
    *
    * @return the work by request
    */
@@ -153,11 +156,11 @@
     } else if (event instanceof EngineEvent.ImportKv kv) {
       importKv(kv.cache());
     } else {
-      changeHealth(event, actions);
+      handleStateChange(event, actions);
     }
   }
 
-  private void changeHealth(EngineEvent event, List<EngineAction> actions) {
+  private void handleStateChange(EngineEvent event, List<EngineAction> actions) {
     if (event instanceof EngineEvent.Straggle straggle) {
       stragglerFactor = straggle.factor();
     } else if (event instanceof EngineEvent.Leave) {
@@ -216,7 +219,7 @@
     if (found.isPresent()) {
       found.get().cancel();
       batch.remove(found.get());
-      breakOff(found.get(), WorkState.CANCELLED, actions);
+      abort(found.get(), WorkState.CANCELLED, actions);
     }
   }
 
@@ -244,7 +247,7 @@
   }
 
   private void crash(List<EngineAction> actions) {
-    batch.all().toList().forEach(sequence -> breakOff(sequence, WorkState.BROKEN, actions));
+    batch.all().toList().forEach(sequence -> abort(sequence, WorkState.BROKEN, actions));
     batch.clear();
     streams.clear();
     cache.clear();
@@ -254,13 +257,13 @@
 
   private void restart(Incarnation incarnation) {
     phase = UpstreamPhase.SERVING;
-    drainedTold = false;
+    drainedReported = false;
     orders.reset();
     reporter.reset(incarnation, nowNs);
     up = true;
   }
 
-  private void breakOff(Sequence sequence, WorkState end, List<EngineAction> actions) {
+  private void abort(Sequence sequence, WorkState end, List<EngineAction> actions) {
     RequestId request = sequence.request().id();
     ledger.ended(sequence, end);
     streams.find(request).ifPresent(EngineStream::breakOff);
@@ -322,7 +325,7 @@
     streams.retain(request, endNs);
   }
 
-  private void finishMoment(List<EngineAction> actions) {
+  private void completeEvent(List<EngineAction> actions) {
     if (step == null) {
       step = nextStep(nowNs);
     }
@@ -331,8 +334,8 @@
       reporter.announceNow(nowNs);
     }
     reporter.advance(this::status, cache, nowNs, actions);
-    if (phase == UpstreamPhase.LEAVING && batch.isEmpty() && !drainedTold) {
-      drainedTold = true;
+    if (phase == UpstreamPhase.LEAVING && batch.isEmpty() && !drainedReported) {
+      drainedReported = true;
       actions.add(new EngineAction.Drained());
     }
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineOrder.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineOrder.java
@@ -5,11 +5,11 @@
 import org.teaseltrail.core.id.ModelVersion;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Is an order to an engine. */
+/** Order to an engine that changes its models or its role. */
 public sealed interface EngineOrder {
 
   /**
-   * Load a version of a model.
+   * Loads a version of a model.
    *
    * @param model the model
    * @param version the version
@@ -17,7 +17,7 @@
   record LoadModel(ModelId model, ModelVersion version) implements EngineOrder {}
 
   /**
-   * Drop a version of a model; what runs on it goes on.
+   * Unloads a version of a model; requests that use it continue.
    *
    * @param model the model
    * @param version the version
@@ -25,7 +25,7 @@
   record UnloadModel(ModelId model, ModelVersion version) implements EngineOrder {}
 
   /**
-   * Load an adapter beside a loaded model.
+   * Loads an adapter for a loaded model.
    *
    * @param model the model
    * @param version its version
@@ -35,9 +35,9 @@
       implements EngineOrder {}
 
   /**
-   * Take another role.
+   * Changes the engine's role.
    *
-   * @param role the role
+   * @param role the new role
    */
   record ChangeRole(UpstreamRole role) implements EngineOrder {}
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineRefusal.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineRefusal.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.standin.model;
 
-/** Says why an engine refused a request. In no case did it run because of this submission. */
+/** Reasons for which an engine refuses a request; the refused submission was not executed. */
 public enum EngineRefusal {
   /** The engine is leaving. */
   LEAVING,
   /** The model, version or adapter isn't loaded. */
   MODEL_NOT_LOADED,
-  /** Too many requests wait already. */
+  /** The queue has reached its limit. */
   QUEUE_FULL,
-  /** The request id is known: an earlier submission runs or has run. */
+  /** The request id is known from an earlier submission that runs or has run. */
   DUPLICATE_REQUEST
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineReporter.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineReporter.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.LoadReport;
 
-/** Tells the entry VMs of an engine: announcements with stale load, and late cache events. */
+/** Reports an engine to the entry VMs: announcements with stale load, and late cache events. */
 final class EngineReporter {
 
   private static final long NS_PER_MS = 1_000_000;
@@ -28,13 +28,14 @@
     this.nextAnnounceNs = startNs;
   }
 
-  /** Announces as soon as it is asked next, out of turn. */
+  /** Makes the next call of {@link #advance} announce, regardless of the interval. */
   void announceNow(long nowNs) {
     nextAnnounceNs = nowNs;
   }
 
   /**
-   * Tells what is due. The status is worked out only then, since it costs a walk over the queue.
+   * Adds the announcements and cache events that are due. The status is computed only if needed, as
+   * that iterates over the queue.
    */
   void advance(
       Supplier<EngineStatus> status, PrefixCache cache, long nowNs, List<EngineAction> actions) {
@@ -52,11 +53,11 @@
 
   long nextWakeupNs(PrefixCache cache) {
     OptionalLong cacheNs = cacheEvents.nextWakeupNs(cache);
-    long ownNs = Math.min(nextAnnounceNs, loads.nextWakeupNs());
-    return Math.min(ownNs, cacheNs.orElse(Long.MAX_VALUE));
+    long reportNs = Math.min(nextAnnounceNs, loads.nextWakeupNs());
+    return Math.min(reportNs, cacheNs.orElse(Long.MAX_VALUE));
   }
 
-  /** Starts over as another life. */
+  /** Restarts with a new incarnation. */
   void reset(Incarnation incarnation, long nowNs) {
     identity = identity.withIncarnation(incarnation);
     loads.reset(nowNs);
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineRequest.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineRequest.java
@@ -5,13 +5,13 @@
 import org.teaseltrail.core.id.RequestId;
 
 /**
- * Is a request as an engine sees it.
+ * Request as an engine receives it.
  *
- * @param id the request
+ * @param id the request id
  * @param target the model, version and adapter
  * @param promptTokens length of the prompt, one or greater
- * @param prefixBlocks hash chain of the prompt's whole blocks, first block first
- * @param maxTokens most tokens of the answer, one or greater
+ * @param prefixBlocks hash chain of the prompt's complete blocks, first block first
+ * @param maxTokens maximum number of tokens of the answer, one or greater
  * @param answerSeed seed of the answer's text
  */
 public record EngineRequest(
@@ -22,14 +22,14 @@
     int maxTokens,
     long answerSeed) {
 
-  /** Copies the list and checks the figures. */
+  /** Copies the list and validates the values. */
   public EngineRequest {
     prefixBlocks = List.copyOf(prefixBlocks);
     if (promptTokens < 1 || maxTokens < 1) {
-      throw new IllegalArgumentException("a prompt and an answer have at least one token");
+      throw new IllegalArgumentException("promptTokens and maxTokens must be at least 1");
     }
     if (prefixBlocks.size() > promptTokens / HardwareProfile.BLOCK_TOKENS) {
-      throw new IllegalArgumentException("more whole blocks than the prompt is long");
+      throw new IllegalArgumentException("prefixBlocks has more blocks than promptTokens can fill");
     }
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineSettings.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineSettings.java
@@ -4,20 +4,20 @@
 import org.teaseltrail.core.upstream.ServedModel;
 
 /**
- * Sets up an engine model.
+ * Configuration of an engine model.
  *
- * @param identity who it is
- * @param hardware how fast it is
- * @param reporting how it tells of itself
- * @param models what it has loaded at the start
- * @param answerLength how long answers are
+ * @param identity the engine's identity
+ * @param hardware its speed and capacity
+ * @param reporting timing and loss of its reports
+ * @param models models loaded at the start
+ * @param answerLength rule for the length of answers
  * @param tokensPerFrame tokens in each frame after the first, which has one
- * @param honoursFencing whether it refuses an order with an old fencing number
- * @param resumeRetentionMs how long an ended stream can be read again, in milliseconds
+ * @param honoursFencing whether it refuses an order with an outdated fencing number
+ * @param resumeRetentionMs time for which an ended stream can be resumed, in milliseconds
  * @param modelLoadMs time to load a model's weights, in milliseconds
- * @param maxQueuedRequests requests that may wait for the batch; one more is refused
- * @param stragglerFactor how many times longer steps take than the hardware says
- * @param seed of all that is random
+ * @param maxQueuedRequests maximum number of requests that wait for the batch; more are refused
+ * @param stragglerFactor multiplier of the step times of the hardware profile
+ * @param seed seed of the random generators
  */
 public record EngineSettings(
     UpstreamIdentity identity,
@@ -33,27 +33,28 @@
     double stragglerFactor,
     long seed) {
 
-  /** Time that docs/INTERNALS.md gives for reading an ended stream again, in milliseconds. */
+  /** Time for which an ended stream can be resumed, in milliseconds (docs/INTERNALS.md). */
   public static final long RESUME_RETENTION_MS = 60_000;
 
   private static final long DEFAULT_MODEL_LOAD_MS = 5_000;
   private static final int DEFAULT_MAX_QUEUED_REQUESTS = 100_000;
 
-  /** Copies the list and checks the figures. */
+  /** Copies the list and validates the values. */
   public EngineSettings {
     models = List.copyOf(models);
     if (tokensPerFrame < 1 || stragglerFactor <= 0 || maxQueuedRequests < 0) {
-      throw new IllegalArgumentException("figures must be positive");
+      throw new IllegalArgumentException(
+          "tokensPerFrame and stragglerFactor must be positive, maxQueuedRequests not negative");
     }
   }
 
   /**
-   * Sets up a healthy engine with usual figures.
+   * Returns the configuration of a healthy engine with default values.
    *
-   * @param identity who it is
-   * @param hardware how fast it is
-   * @param models what it has loaded
-   * @param seed of all that is random
+   * @param identity the engine's identity
+   * @param hardware its speed and capacity
+   * @param models models loaded at the start
+   * @param seed seed of the random generators
    * @return the settings
    */
   public static EngineSettings standard(
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineStatus.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineStatus.java
@@ -7,12 +7,12 @@
 import org.teaseltrail.core.upstream.UpstreamRole;
 
 /**
- * Is what an engine could say of itself at one moment.
+ * Snapshot of an engine's state.
  *
- * @param role what it does
- * @param phase whether it wants work
- * @param models what it has loaded
- * @param load its load at this moment
+ * @param role its role
+ * @param phase whether it serves requests or is leaving
+ * @param models its loaded models
+ * @param load its current load
  */
 record EngineStatus(
     UpstreamRole role, UpstreamPhase phase, List<ServedModel> models, LoadReport load) {}
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineStream.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineStream.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.message.Usage;
 
-/** Keeps the frames of one stream, so that it can be read again from any frame on. */
+/** Frames of one response stream, kept so that readers can resume it at any frame. */
 final class EngineStream {
 
   private final EngineRequest request;
@@ -28,7 +28,10 @@
     return request.id();
   }
 
-  /** Returns a frame if enough tokens have come for one; the first token goes out at once. */
+  /**
+   * Returns a new frame if enough tokens have been generated. The first frame has a single token,
+   * so that the first token is sent without delay.
+   */
   Optional<EngineFrame> tokens(int tokensSoFar) {
     int wanted = frames.isEmpty() ? 1 : tokensPerFrame;
     if (tokensSoFar - framedTokens < wanted) {
@@ -37,7 +40,7 @@
     return Optional.of(frame(tokensSoFar));
   }
 
-  /** Returns the last frames: the tokens left over, and the end mark. */
+  /** Returns the last frames: the remaining tokens, if any, and the final frame with the usage. */
   List<EngineFrame> finish(Usage usage) {
     List<EngineFrame> last = new ArrayList<>();
     if (usage.outputTokens() > framedTokens) {
@@ -62,7 +65,7 @@
     return List.copyOf(frames.subList(first, frames.size()));
   }
 
-  /** Returns a frame if it has been made already. */
+  /** Returns a frame, or empty if it isn't generated yet. */
   Optional<EngineFrame> at(int sequence) {
     return sequence < frames.size() ? Optional.of(frames.get(sequence)) : Optional.empty();
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/FencingGate.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/FencingGate.java
@@ -2,7 +2,7 @@
 
 import org.teaseltrail.core.id.FencingNumber;
 
-/** Remembers the greatest fencing number and, if it honours fencing, refuses smaller ones. */
+/** Tracks the greatest fencing number and, if fencing is honoured, rejects smaller ones. */
 final class FencingGate {
 
   private final boolean honoured;
--- a/standin/src/main/java/org/teaseltrail/standin/model/HardwareProfile.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/HardwareProfile.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.standin.model;
 
 /**
- * Says how fast an engine is and how much it holds. A step takes {@code stepBaseMs}, plus {@code
- * stepPerSequenceMs} for each sequence that decodes, plus {@code prefillPerTokenMs} for each prompt
- * token processed in it.
+ * Speed and capacity of an engine's hardware. A step takes {@code stepBaseMs}, plus {@code
+ * stepPerSequenceMs} for each decoding sequence, plus {@code prefillPerTokenMs} for each prompt
+ * token that it processes.
  *
  * @param stepBaseMs time of an empty step, in milliseconds
  * @param stepPerSequenceMs time that each decoding sequence adds, in milliseconds
  * @param prefillPerTokenMs time that each prompt token adds, in milliseconds
- * @param maxBatch sequences that run at once
- * @param prefillChunkTokens most prompt tokens processed in one step
- * @param cacheTokens tokens that the prefix cache holds
+ * @param maxBatch maximum number of concurrent sequences
+ * @param prefillChunkTokens maximum number of prompt tokens processed in one step
+ * @param cacheTokens capacity of the prefix cache, in tokens
  */
 public record HardwareProfile(
     double stepBaseMs,
@@ -20,18 +20,20 @@
     int prefillChunkTokens,
     long cacheTokens) {
 
-  /** Tokens of one block of the prefix cache. */
+  /** Tokens per block of the prefix cache. */
   public static final int BLOCK_TOKENS = 256;
 
   private static final double NS_PER_MS = 1e6;
 
-  /** Checks the figures. */
+  /** Validates the values. */
   public HardwareProfile {
     if (stepBaseMs <= 0 || stepPerSequenceMs < 0 || prefillPerTokenMs < 0) {
-      throw new IllegalArgumentException("times must be positive");
+      throw new IllegalArgumentException(
+          "stepBaseMs must be positive, stepPerSequenceMs and prefillPerTokenMs not negative");
     }
     if (maxBatch < 1 || prefillChunkTokens < 1 || cacheTokens < 0) {
-      throw new IllegalArgumentException("sizes must be positive");
+      throw new IllegalArgumentException(
+          "maxBatch and prefillChunkTokens must be positive, cacheTokens not negative");
     }
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/model/KvCache.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/KvCache.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.core.id.RequestId;
 
 /**
- * Is the exported KV cache of a request, as the hashes of the blocks that it stands for.
+ * Exported KV cache of a request, represented by the hashes of its blocks.
  *
  * @param request the request
  * @param blocks hash chain of the blocks, first block first
--- a/standin/src/main/java/org/teaseltrail/standin/model/LoadHistory.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/LoadHistory.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 import org.teaseltrail.core.upstream.LoadReport;
 
-/** Keeps samples of the load, so that reports can be as stale as the profile says. */
+/** Recent samples of the load, from which reports of the configured staleness are made. */
 final class LoadHistory {
 
   private static final long NS_PER_MS = 1_000_000;
@@ -23,7 +23,7 @@
     return nowNs >= nextSampleNs;
   }
 
-  /** Takes the load as it is now; its age is filled in when it is reported. */
+  /** Records the current load; its age is set when it is reported. */
   void sample(LoadReport fresh, long nowNs) {
     samples.add(new Sample(fresh, nowNs));
     nextSampleNs = nowNs + SAMPLE_INTERVAL_NS;
@@ -32,22 +32,22 @@
     }
   }
 
-  /** Returns the newest load that is at least as old as the lag, or the oldest there is. */
+  /** Returns the newest load whose age is at least the lag, or else the oldest sample. */
   LoadReport report(long nowNs) {
-    Sample best = samples.peek();
+    Sample reported = samples.peek();
     for (Sample sample : samples) {
       if (sample.atNs() <= nowNs - lagNs) {
-        best = sample;
+        reported = sample;
       }
     }
-    LoadReport load = best.load();
+    LoadReport load = reported.load();
     return new LoadReport(
         load.runningRequests(),
         load.queuedRequests(),
         load.queuedPrefillTokens(),
         load.stepMs(),
         load.cacheUsedFraction(),
-        (nowNs - best.atNs()) / NS_PER_MS);
+        (nowNs - reported.atNs()) / NS_PER_MS);
   }
 
   long nextWakeupNs() {
--- a/standin/src/main/java/org/teaseltrail/standin/model/ModelShelf.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ModelShelf.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.id.ModelVersion;
 import org.teaseltrail.core.upstream.ServedModel;
 
-/** Holds the models that an engine has loaded, and those that it is loading. */
+/** Registry of the models that an engine has loaded or is loading. */
 final class ModelShelf {
 
   private static final long NS_PER_MS = 1_000_000;
@@ -28,7 +28,7 @@
   }
 
   boolean serves(ModelTarget target) {
-    return loaded.stream().anyMatch(model -> fits(model, target));
+    return loaded.stream().anyMatch(model -> matches(model, target));
   }
 
   List<ServedModel> loaded() {
@@ -39,7 +39,7 @@
     loading.add(new Loading(new ServedModel(model, version, Set.of()), nowNs + loadNs));
   }
 
-  /** Adapters are small, so that loading one takes no time here. */
+  /** Adds an adapter immediately; adapters are small, so their load time is not modelled. */
   void loadAdapter(ModelId model, ModelVersion version, AdapterId adapter) {
     for (int i = 0; i < loaded.size(); i++) {
       if (isVersion(loaded.get(i), model, version)) {
@@ -55,7 +55,7 @@
     loading.removeIf(pending -> isVersion(pending.model(), model, version));
   }
 
-  /** Takes up the models whose loading has ended. */
+  /** Adds the models whose load time is over, and returns whether there were any. */
   boolean advance(long nowNs) {
     boolean changed = false;
     for (Loading pending : List.copyOf(loading)) {
@@ -80,7 +80,7 @@
     loaded.addAll(initial);
   }
 
-  private static boolean fits(ServedModel model, ModelTarget target) {
+  private static boolean matches(ServedModel model, ModelTarget target) {
     return isVersion(model, target.model(), target.version())
         && target.adapter().stream().allMatch(model.adapters()::contains);
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/OrderDesk.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/OrderDesk.java
@@ -2,7 +2,7 @@
 
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Takes orders to an engine, and holds what they change: its models and its role. */
+/** Applies orders to an engine's models and role. */
 final class OrderDesk {
 
   private final FencingGate fencing;
--- a/standin/src/main/java/org/teaseltrail/standin/model/PrefixCache.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/PrefixCache.java
@@ -7,9 +7,9 @@
 import java.util.Set;
 
 /**
- * Holds prefix blocks up to a limit and drops those least recently used. Of one chain the last
- * block is dropped first, since a block is of no use without those before it. Notes what has
- * changed since it was last asked; a block that came and went in between counts as removed.
+ * LRU cache of prefix blocks with a limited size. The last block of a chain is evicted first, since
+ * a block is unusable without its predecessors. Changes are recorded until they are taken; a block
+ * that was stored and evicted in between counts as removed.
  */
 final class PrefixCache {
 
@@ -24,7 +24,7 @@
     this.maxBlocks = maxBlocks;
   }
 
-  /** Returns how many blocks from the start of a chain it holds, and marks them as used. */
+  /** Returns the length of the longest cached prefix of a chain, and marks its blocks as used. */
   int match(List<Long> chain) {
     int held = 0;
     while (held < chain.size() && blocks.containsKey(chain.get(held))) {
@@ -34,7 +34,7 @@
     return held;
   }
 
-  /** Stores blocks of a chain and marks all before them as used. */
+  /** Stores blocks of a chain, and marks them and all earlier ones as used. */
   void store(List<Long> chain, int fromBlock, int endBlock) {
     for (int i = fromBlock; i < endBlock; i++) {
       if (blocks.put(chain.get(i), Boolean.TRUE) == null) {
@@ -43,7 +43,7 @@
       }
     }
     touch(chain, endBlock);
-    dropOldest();
+    evictOldest();
     EngineInvariant.CACHE_WITHIN_LIMIT.check(blocks.size() <= maxBlocks);
   }
 
@@ -59,7 +59,10 @@
     return !stored.isEmpty() || !removed.isEmpty();
   }
 
-  /** Returns what was stored since the last call; to be called together with the other. */
+  /**
+   * Returns the blocks stored since the last call. Must be called together with {@link
+   * #takeRemoved}, so that both cover the same period.
+   */
   List<Long> takeStored() {
     List<Long> taken = List.copyOf(stored);
     stored.clear();
@@ -84,13 +87,13 @@
     }
   }
 
-  private void dropOldest() {
+  private void evictOldest() {
     var oldest = blocks.keySet().iterator();
     while (blocks.size() > maxBlocks) {
-      long dropped = oldest.next();
+      long evicted = oldest.next();
       oldest.remove();
-      stored.remove(dropped);
-      removed.add(dropped);
+      stored.remove(evicted);
+      removed.add(evicted);
     }
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/ReportingProfile.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ReportingProfile.java
@@ -1,15 +1,15 @@
 package org.teaseltrail.standin.model;
 
 /**
- * Says how an upstream tells of itself, and how late.
+ * Timing, delay and loss of the reports that an upstream sends about itself.
  *
  * @param announceIntervalMs time between announcements, in milliseconds
- * @param announcementLifetimeMs how long an announcement is good for, in milliseconds
- * @param loadLagMs least age of the load in an announcement, in milliseconds
- * @param cacheEventIntervalMs time over which changes of the cache are put into one event, in
+ * @param announcementLifetimeMs time for which an announcement is valid, in milliseconds
+ * @param loadLagMs minimum age of the load in an announcement, in milliseconds
+ * @param cacheEventIntervalMs time over which cache changes are collected into one event, in
  *     milliseconds
- * @param cacheEventLagMs how late a cache event goes out, in milliseconds
- * @param cacheEventGapRate part of the cache events that are lost, from zero to one
+ * @param cacheEventLagMs delay of a cache event, in milliseconds
+ * @param cacheEventGapRate fraction of the cache events that are lost, from zero to one
  */
 public record ReportingProfile(
     long announceIntervalMs,
@@ -19,22 +19,24 @@
     long cacheEventLagMs,
     double cacheEventGapRate) {
 
-  /** Checks the figures. */
+  /** Validates the values. */
   public ReportingProfile {
     if (announceIntervalMs < 1 || announcementLifetimeMs < announceIntervalMs) {
-      throw new IllegalArgumentException("an announcement must outlive the interval");
+      throw new IllegalArgumentException(
+          "announceIntervalMs must be positive and not exceed announcementLifetimeMs");
     }
     if (loadLagMs < 0 || cacheEventIntervalMs < 1 || cacheEventLagMs < 0) {
-      throw new IllegalArgumentException("lags must not be negative");
+      throw new IllegalArgumentException(
+          "loadLagMs and cacheEventLagMs must be at least 0, cacheEventIntervalMs at least 1");
     }
     if (cacheEventGapRate < 0 || cacheEventGapRate > 1) {
-      throw new IllegalArgumentException("the gap rate must lie between zero and one");
+      throw new IllegalArgumentException("cacheEventGapRate must be between 0 and 1");
     }
   }
 
   /**
-   * Returns usual figures: announcements each second, load and cache events late by some hundred
-   * milliseconds, one cache event in a hundred lost.
+   * Returns the default profile: an announcement each second, load and cache events delayed by some
+   * hundred milliseconds, one cache event in a hundred lost.
    *
    * @return the profile
    */
--- a/standin/src/main/java/org/teaseltrail/standin/model/RequestWork.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/RequestWork.java
@@ -1,14 +1,14 @@
 package org.teaseltrail.standin.model;
 
 /**
- * Is the work that an upstream did for one request.
+ * Work that an engine did for one request.
  *
- * @param submissions how often it was handed in
- * @param executions how often it began to run; more than one is a doubled run
+ * @param submissions number of times it was submitted
+ * @param executions number of times its execution started; more than one is a duplicate execution
  * @param prefillTokens prompt tokens processed
- * @param cachedTokens prompt tokens that the cache saved
+ * @param cachedTokens prompt tokens read from the prefix cache
  * @param outputTokens tokens generated
- * @param state how far it has come
+ * @param state its latest state
  */
 public record RequestWork(
     int submissions,
--- a/standin/src/main/java/org/teaseltrail/standin/model/Sequence.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/Sequence.java
@@ -2,7 +2,7 @@
 
 import org.teaseltrail.core.message.Usage;
 
-/** Is the progress of one request through an engine. */
+/** Progress of one request through an engine. */
 final class Sequence {
 
   private final EngineRequest request;
@@ -21,7 +21,10 @@
     return request;
   }
 
-  /** Begins to run. At least one prompt token is always processed, to make the first token. */
+  /**
+   * Starts the execution. At least one prompt token is always processed, as the first output token
+   * is computed from it.
+   */
   void begin(int cachedBlocks) {
     int inBlocks = cachedBlocks * HardwareProfile.BLOCK_TOKENS;
     cachedTokens = Math.min(inBlocks, request.promptTokens() - 1);
@@ -31,7 +34,7 @@
     return request.promptTokens() - cachedTokens - processedTokens;
   }
 
-  /** Processes prompt tokens and stores the blocks that are now whole. */
+  /** Processes prompt tokens and caches the blocks that they complete. */
   void prefill(int tokens, PrefixCache cache) {
     int blocksBefore = wholeBlocks();
     processedTokens += tokens;
--- a/standin/src/main/java/org/teaseltrail/standin/model/ServiceEvent.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ServiceEvent.java
@@ -3,36 +3,36 @@
 import org.teaseltrail.core.id.Incarnation;
 import org.teaseltrail.core.id.RequestId;
 
-/** Is something that happens to a plain service. */
+/** Input of the model of a plain service. */
 public sealed interface ServiceEvent {
 
   /**
-   * A call has come.
+   * A call is received.
    *
    * @param request the request
    */
   record Call(RequestId request) implements ServiceEvent {}
 
   /**
-   * The service becomes slower or recovers; calls that run already keep their time.
+   * The service slows down or recovers; calls that already run keep their duration.
    *
-   * @param factor how many times longer calls take
+   * @param factor multiplier of the duration of calls
    */
   record Straggle(double factor) implements ServiceEvent {}
 
-  /** The service is to tell that it leaves, and to finish what still reaches it. */
+  /** The service is to announce that it is leaving, and to complete calls that still arrive. */
   record Leave() implements ServiceEvent {}
 
-  /** The service dies, with all that it holds. */
+  /** The service crashes and loses its calls. */
   record Crash() implements ServiceEvent {}
 
   /**
-   * The service starts again, empty.
+   * The service restarts without calls.
    *
-   * @param incarnation its new life
+   * @param incarnation its new incarnation
    */
   record Restart(Incarnation incarnation) implements ServiceEvent {}
 
-  /** Time has passed. */
+  /** Time advances without another event. */
   record Tick() implements ServiceEvent {}
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/ServiceModel.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ServiceModel.java
@@ -15,14 +15,15 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 
 /**
- * Models a plain service: each call takes a log-normal time, and each run is counted by its request
- * id, so that doubled runs show. It refuses no known id: that is the callers' affair. Plain
- * services have no way to say "not run", so a leaving one still takes the calls that reach it.
+ * Deterministic model of a plain service. The duration of a call is log-normal. Executions are
+ * counted by request id, so that duplicate executions are visible; avoiding them is the callers'
+ * responsibility, so a known id isn't refused. The protocol of plain services can't report that a
+ * call was not executed, so a leaving service still accepts calls.
  */
 public final class ServiceModel implements UpstreamModel<ServiceEvent, ServiceAction> {
 
-  /** Requests whose runs are remembered. */
-  private static final int MAX_REQUESTS = 200_000;
+  /** Maximum number of requests whose executions are counted; the oldest are removed. */
+  private static final int MAX_TRACKED_REQUESTS = 200_000;
 
   private static final double NS_PER_MS = 1e6;
 
@@ -36,14 +37,14 @@
   private UpstreamPhase phase = UpstreamPhase.SERVING;
   private double stragglerFactor;
   private boolean up = true;
-  private boolean drainedTold;
+  private boolean drainedReported;
   private long nowNs;
 
   /**
-   * Makes a service that is up and idle.
+   * Creates a service that is up and idle.
    *
    * @param settings its settings
-   * @param startNs monotonic time now, in nanoseconds
+   * @param startNs current monotonic time, in nanoseconds
    */
   public ServiceModel(ServiceSettings settings, long startNs) {
     this.settings = settings;
@@ -59,13 +60,13 @@
     nowNs = atNs;
     List<ServiceAction> actions = new ArrayList<>();
     if (up) {
-      finishCalls(actions);
+      completeCalls(actions);
       handleUp(event, actions);
     } else {
       handleDown(event, actions);
     }
     if (up) {
-      finishMoment(actions);
+      completeEvent(actions);
     }
     return actions;
   }
@@ -85,7 +86,7 @@
   }
 
   /**
-   * Returns how often each of the last requests has begun to run.
+   * Returns how many executions of each of the most recent requests have started.
    *
    * @return the count by request
    */
@@ -95,7 +96,7 @@
 
   private void handleUp(ServiceEvent event, List<ServiceAction> actions) {
     if (event instanceof ServiceEvent.Call call) {
-      drainedTold = false;
+      drainedReported = false;
       queued.add(call.request());
     } else if (event instanceof ServiceEvent.Straggle straggle) {
       stragglerFactor = straggle.factor();
@@ -112,7 +113,7 @@
       actions.add(new ServiceAction.Unreachable(call.request(), false));
     } else if (event instanceof ServiceEvent.Restart restart) {
       phase = UpstreamPhase.SERVING;
-      drainedTold = false;
+      drainedReported = false;
       reporter.reset(restart.incarnation(), nowNs);
       up = true;
     }
@@ -126,7 +127,7 @@
     up = false;
   }
 
-  private void finishCalls(List<ServiceAction> actions) {
+  private void completeCalls(List<ServiceAction> actions) {
     while (!running.isEmpty() && running.peek().endNs() <= nowNs) {
       Running ended = running.remove();
       actions.add(new ServiceAction.Respond(ended.request(), ended.execution()));
@@ -138,25 +139,25 @@
     while (running.size() < settings.maxRunning() && !queued.isEmpty()) {
       RequestId request = queued.remove();
       int execution = executions.merge(request, 1, Integer::sum);
-      running.add(new Running(request, execution, startNs + drawNs()));
+      running.add(new Running(request, execution, startNs + sampleDurationNs()));
     }
-    while (executions.size() > MAX_REQUESTS) {
+    while (executions.size() > MAX_TRACKED_REQUESTS) {
       executions.remove(executions.keySet().iterator().next());
     }
     EngineInvariant.BATCH_WITHIN_LIMIT.check(running.size() <= settings.maxRunning());
   }
 
-  private long drawNs() {
+  private long sampleDurationNs() {
     double ms = settings.medianMs() * Math.exp(settings.sigma() * random.nextGaussian());
     return Math.max(1, Math.round(ms * stragglerFactor * NS_PER_MS));
   }
 
-  private void finishMoment(List<ServiceAction> actions) {
+  private void completeEvent(List<ServiceAction> actions) {
     start(nowNs);
     LoadReport load = new LoadReport(running.size(), queued.size(), 0, settings.medianMs(), 0, 0);
     reporter.advance(load, phase, nowNs, actions);
-    if (phase == UpstreamPhase.LEAVING && isIdle() && !drainedTold) {
-      drainedTold = true;
+    if (phase == UpstreamPhase.LEAVING && isIdle() && !drainedReported) {
+      drainedReported = true;
       actions.add(new ServiceAction.Drained());
     }
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/ServiceReporter.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ServiceReporter.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Announces a plain service, with stale load. */
+/** Produces the announcements of a plain service, with stale load. */
 final class ServiceReporter {
 
   private static final long NS_PER_MS = 1_000_000;
@@ -44,7 +44,7 @@
     return Math.min(nextAnnounceNs, loads.nextWakeupNs());
   }
 
-  /** Starts over as another life. */
+  /** Restarts with a new incarnation. */
   void reset(Incarnation incarnation, long nowNs) {
     identity = identity.withIncarnation(incarnation);
     loads.reset(nowNs);
--- a/standin/src/main/java/org/teaseltrail/standin/model/ServiceSettings.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ServiceSettings.java
@@ -3,16 +3,16 @@
 import org.teaseltrail.core.id.ServiceId;
 
 /**
- * Sets up the model of a plain service.
+ * Configuration of the model of a plain service.
  *
- * @param identity who it is
- * @param service the service it answers for
- * @param reporting how it tells of itself; it has no cache events
- * @param medianMs median time of a call, in milliseconds
- * @param sigma standard deviation of the logarithm of that time
- * @param maxRunning calls that run at once; the others wait in order
- * @param stragglerFactor how many times longer calls take
- * @param seed of all that is random
+ * @param identity the identity of the upstream
+ * @param service the service that it provides
+ * @param reporting timing of its announcements; it sends no cache events
+ * @param medianMs median duration of a call, in milliseconds
+ * @param sigma standard deviation of the logarithm of the duration
+ * @param maxRunning maximum number of concurrent calls; more are queued in the order of arrival
+ * @param stragglerFactor multiplier of the duration of calls
+ * @param seed seed of the random generator
  */
 public record ServiceSettings(
     UpstreamIdentity identity,
@@ -24,10 +24,11 @@
     double stragglerFactor,
     long seed) {
 
-  /** Checks the figures. */
+  /** Validates the values. */
   public ServiceSettings {
     if (medianMs <= 0 || sigma < 0 || maxRunning < 1 || stragglerFactor <= 0) {
-      throw new IllegalArgumentException("figures must be positive");
+      throw new IllegalArgumentException(
+          "medianMs, maxRunning and stragglerFactor must be positive, sigma not negative");
     }
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/Step.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/Step.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Is a step that runs.
+ * Step of the batch that is being executed.
  *
- * @param parts what it does for each sequence
- * @param endNs when it ends, on the caller's monotonic clock
- * @param durationNs how long it takes, in nanoseconds
+ * @param parts its work for each sequence
+ * @param endNs end time on the caller's monotonic clock, in nanoseconds
+ * @param durationNs duration, in nanoseconds
  */
 record Step(List<StepPart> parts, long endNs, long durationNs) {}
--- a/standin/src/main/java/org/teaseltrail/standin/model/StepPart.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/StepPart.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.standin.model;
 
 /**
- * Is what one step does for one sequence.
+ * Work of one step for one sequence.
  *
  * @param sequence the sequence
- * @param prefillTokens prompt tokens to process; zero if it decodes
+ * @param prefillTokens prompt tokens to process; zero if the sequence decodes
  */
 record StepPart(Sequence sequence, int prefillTokens) {}
--- a/standin/src/main/java/org/teaseltrail/standin/model/StreamStore.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/StreamStore.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.teaseltrail.core.id.RequestId;
 
-/** Holds the streams that run, and those that have ended for as long as they can be read again. */
+/** Holds the active streams, and the ended ones until their retention time is over. */
 final class StreamStore {
 
   private static final long NS_PER_MS = 1_000_000;
@@ -30,7 +30,7 @@
     return Optional.ofNullable(streams.get(request));
   }
 
-  /** Starts the retention time of a stream that has just ended. */
+  /** Starts the retention time of a stream that has ended. */
   void retain(RequestId request, long nowNs) {
     expiries.add(new Expiry(request, nowNs + retentionNs));
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/UpstreamIdentity.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/UpstreamIdentity.java
@@ -6,12 +6,12 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /**
- * Says who an upstream is and where.
+ * Identity and location of an upstream.
  *
- * @param upstream its name
- * @param incarnation which of its lives
- * @param address where it takes requests
- * @param dataCenter where it stands
+ * @param upstream its id
+ * @param incarnation the current incarnation of its process
+ * @param address the address on which it accepts requests
+ * @param dataCenter the data centre in which it runs
  */
 public record UpstreamIdentity(
     UpstreamId upstream, Incarnation incarnation, SocketAddress address, DataCenterId dataCenter) {
--- a/standin/src/main/java/org/teaseltrail/standin/model/UpstreamModel.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/UpstreamModel.java
@@ -4,31 +4,31 @@
 import java.util.OptionalLong;
 
 /**
- * Is a deterministic model of an upstream. Holds no clock, no thread and no socket.
+ * Deterministic model of an upstream, without clock, thread or socket.
  *
- * @param <E> what happens to it
- * @param <A> what it does
+ * @param <E> type of its events
+ * @param <A> type of its actions
  */
 public interface UpstreamModel<E, A> {
 
   /**
-   * Takes an event.
+   * Processes an event.
    *
-   * @param event what has happened
-   * @param atNs monotonic time in nanoseconds, never less than at the call before
-   * @return what the upstream does, in order
+   * @param event the event
+   * @param atNs monotonic time in nanoseconds, never less than in the previous call
+   * @return the upstream's actions, in order
    */
   List<A> handle(E event, long atNs);
 
   /**
-   * Returns when the upstream next wants a tick if nothing else happens.
+   * Returns when the upstream needs the next tick if no other event arrives.
    *
    * @return monotonic time in nanoseconds, or empty if the upstream is down
    */
   OptionalLong nextWakeupNs();
 
   /**
-   * Returns whether nothing waits or runs.
+   * Returns whether no request is queued or running.
    *
    * @return whether it is idle
    */
--- a/standin/src/main/java/org/teaseltrail/standin/model/WorkLedger.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/WorkLedger.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import org.teaseltrail.core.id.RequestId;
 
-/** Counts an engine's work, in all and by request. */
+/** Tracks an engine's work, in total and by request. */
 final class WorkLedger {
 
-  /** Requests remembered one by one; older ones count in the totals only. */
-  private static final int MAX_REQUESTS = 200_000;
+  /** Maximum number of requests tracked individually; older ones count only in the totals. */
+  private static final int MAX_TRACKED_REQUESTS = 200_000;
 
   private final Map<RequestId, RequestWork> byRequest = new LinkedHashMap<>();
   private final Map<WorkState, Long> endedRequests = new EnumMap<>(WorkState.class);
@@ -24,7 +24,7 @@
   void submitted(RequestId request) {
     submitted++;
     byRequest.put(request, work(request).submitted());
-    if (byRequest.size() > MAX_REQUESTS) {
+    if (byRequest.size() > MAX_TRACKED_REQUESTS) {
       byRequest.remove(byRequest.keySet().iterator().next());
     }
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/WorkState.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/WorkState.java
@@ -1,15 +1,15 @@
 package org.teaseltrail.standin.model;
 
-/** Says how far a request has come at an upstream. */
+/** State of a request at an engine. */
 public enum WorkState {
-  /** It was refused and did not run. */
+  /** Refused and not executed. */
   REFUSED,
-  /** It waits or runs. */
+  /** Queued or running. */
   RUNNING,
-  /** It has run to its end. */
+  /** Ran to completion. */
   COMPLETED,
-  /** It was stopped on the way. */
+  /** Cancelled before its completion. */
   CANCELLED,
-  /** The engine died under it. */
+  /** Lost in a crash of the engine. */
   BROKEN
 }
--- a/standin/src/main/java/org/teaseltrail/standin/package-info.java
+++ b/standin/src/main/java/org/teaseltrail/standin/package-info.java
@@ -1,2 +1,2 @@
-/** The stand-in program: runs the model of an engine or of a plain service on a socket. */
+/** Simulated upstream: a daemon that serves the model of an engine or a plain service over HTTP. */
 package org.teaseltrail.standin;
--- a/standin/src/test/java/org/teaseltrail/standin/EntryLaneTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/EntryLaneTest.java
@@ -19,9 +19,9 @@
             return answers.get(answers.size() - 1).asMono();
           });
 
-  // Announcements of one engine go out over several connections. The user would see work sent to
-  // an engine that has left: an entry VM hears "serving" after "leaving", since the older
-  // announcement was overtaken. Only one may be under way, and the newest goes next.
+  // Announcements of one engine are sent over several connections, so a newer one could overtake an
+  // older one. An entry VM would then receive "serving" after "leaving" and send requests to an
+  // engine that has left. Only one may be in flight, and the newest is sent next.
   @Test
   void announcementsDoNotOvertakeEachOther() {
     lane.send("serving 1");
--- a/standin/src/test/java/org/teaseltrail/standin/FakeEntryVm.java
+++ b/standin/src/test/java/org/teaseltrail/standin/FakeEntryVm.java
@@ -12,7 +12,7 @@
 import reactor.netty.DisposableServer;
 import reactor.netty.http.server.HttpServer;
 
-/** Takes announcements and cache events as an entry VM does, and keeps them. */
+/** Receives announcements and cache events over HTTP, as an entry VM does, and records them. */
 final class FakeEntryVm implements AutoCloseable {
 
   private static final int NO_CONTENT = 204;
@@ -86,7 +86,7 @@
     try {
       JsonNode next = queue.poll(10, TimeUnit.SECONDS);
       if (next == null) {
-        throw new AssertionError("nothing came");
+        throw new AssertionError("no message received within 10 seconds");
       }
       return next;
     } catch (InterruptedException interrupted) {
--- a/standin/src/test/java/org/teaseltrail/standin/SettingsPagesTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/SettingsPagesTest.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.runtime.settings.SettingsSpec;
 import org.teaseltrail.runtime.settings.SettingsTable;
 
-/** Holds the example file and the page of the settings to the program's declarations. */
+/** Checks that the example file and the settings page match the program's declarations. */
 class SettingsPagesTest {
 
   private static final Path EXAMPLE = Path.of("../conf/teaseltrail-standin.ini");
--- a/standin/src/test/java/org/teaseltrail/standin/StandinDaemonTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/StandinDaemonTest.java
@@ -81,8 +81,8 @@
   @Test
   void endedStreamCanBeReadAgainFromAnyFrame() throws Exception {
     start(ENGINE, "0ms");
-    List<JsonNode> whole = lines(generate("r1", "p", 5));
-    assertThat(lines(get("/v1/streams/r1?from=3"))).isEqualTo(whole.subList(3, 6));
+    List<JsonNode> complete = lines(generate("r1", "p", 5));
+    assertThat(lines(get("/v1/streams/r1?from=3"))).isEqualTo(complete.subList(3, 6));
     assertThat(get("/v1/streams/other").statusCode()).isEqualTo(404);
     assertThat(get("/v1/streams/r1?from=x").statusCode()).isEqualTo(400);
   }
@@ -150,9 +150,9 @@
         .isEqualTo(400);
   }
 
-  // An operator ends an engine's process while it generates. The user would see a report cut in
-  // the middle. The engine must tell that it leaves, finish the stream, refuse what still comes as
-  // not run, and only then end.
+  // An operator stops an engine's process during generation, which would truncate the caller's
+  // response. The engine must announce that it is leaving, complete the stream, refuse later
+  // requests as not run, and only then exit.
   @Test
   void gracefulEndCutsNoStreamAndRefusesNewWork() throws Exception {
     start(SLOW_ENGINE, "300ms");
--- a/standin/src/test/java/org/teaseltrail/standin/StreamReadersTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/StreamReadersTest.java
@@ -47,9 +47,9 @@
           0);
   private final StreamReaders readers = new StreamReaders(model);
 
-  // One caller's connection stalls in the middle of a report while another reads on. The user
-  // would see the engine's memory grow, or the other caller wait. A reader gets no more than it
-  // asked for, and holds up no one.
+  // One caller's connection stalls during a response while another caller continues to read. The
+  // engine's memory would grow, or the other caller would be blocked. A reader must receive no more
+  // than its demand, and must not block other readers.
   @Test
   void slowReaderGetsWhatItAsksForAndHoldsUpNoOne() {
     model.handle(new EngineEvent.Submit(REQUEST), 0);
@@ -77,7 +77,7 @@
   void brokenStreamEndsWithFailureLine() {
     model.handle(new EngineEvent.Submit(REQUEST), 0);
     Reader reader = read(1_000);
-    carryOut(model.handle(new EngineEvent.Cancel(ID), 0));
+    dispatch(model.handle(new EngineEvent.Cancel(ID), 0));
     assertThat(reader.lines).hasSize(1);
     assertThat(reader.lines.get(0)).contains("error");
     assertThat(reader.completed).isTrue();
@@ -91,11 +91,11 @@
 
   private void runAll() {
     while (!model.isIdle()) {
-      carryOut(model.handle(new EngineEvent.Tick(), model.nextWakeupNs().orElseThrow()));
+      dispatch(model.handle(new EngineEvent.Tick(), model.nextWakeupNs().orElseThrow()));
     }
   }
 
-  private void carryOut(List<EngineAction> actions) {
+  private void dispatch(List<EngineAction> actions) {
     for (EngineAction action : actions) {
       if (action instanceof EngineAction.Frame frame) {
         readers.wake(frame.frame().request());
--- a/standin/src/test/java/org/teaseltrail/standin/model/EngineModelProperties.java
+++ b/standin/src/test/java/org/teaseltrail/standin/model/EngineModelProperties.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.message.Usage;
 
-/** The model checks its invariants itself; these runs drive it through random histories. */
+/** Runs the engine model with random events; the model checks its own invariants. */
 class EngineModelProperties {
 
   private static final int REQUESTS = 60;
@@ -84,11 +84,11 @@
   }
 
   private static void fault(EngineRun run, SplittableRandom random, int i) {
-    RequestId some = new RequestId("r" + random.nextInt(i + 1));
+    RequestId target = new RequestId("r" + random.nextInt(i + 1));
     switch (random.nextInt(12)) {
-      case 0, 1 -> run.now(new EngineEvent.Cancel(some));
+      case 0, 1 -> run.now(new EngineEvent.Cancel(target));
       case 2 -> run.now(new EngineEvent.Straggle(1 + 3 * random.nextDouble()));
-      case 3 -> run.now(new EngineEvent.ExportKv(some));
+      case 3 -> run.now(new EngineEvent.ExportKv(target));
       case 4 -> {
         run.now(new EngineEvent.Crash());
         run.now(new EngineEvent.Restart(new Incarnation(i + 2)));
--- a/standin/src/test/java/org/teaseltrail/standin/model/EngineModelTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/model/EngineModelTest.java
@@ -23,7 +23,7 @@
   @Test
   void stepTimeCountsPrefillAndDecodingSequences() {
     run.submit("a", 100, 0, 3).untilMs(1_000);
-    // 10 + 100 * 0.1 to the first token, then 10 + 1 for each of the other two.
+    // 10 + 100 * 0.1 ms to the first token, then 10 + 1 ms for each of the other two.
     assertThat(run.firstFrameMs("a")).isEqualTo(20);
     assertThat(frameTimesMs("a")).containsExactly(20.0, 31.0, 42.0, 42.0);
     EngineFrame end = run.frames("a").get(3);
@@ -52,7 +52,7 @@
     run.submit("a", 600, 0, 1).untilMs(1_000).submit("b", 600, 0, 1).untilMs(2_000);
     assertThat(usage("b").cachedTokens()).isEqualTo(512);
     run.submit("c", 800, 100, 1).untilMs(3_000).submit("d", 600, 0, 1).untilMs(4_000);
-    // The cache holds four blocks: c's three push out the second of a's two, never the first.
+    // The cache holds four blocks: the three of c evict the second of the two of a, not the first.
     assertThat(usage("d").cachedTokens()).isEqualTo(256);
   }
 
@@ -149,9 +149,10 @@
     run.now(new EngineEvent.Order(order, new FencingNumber(5)));
     assertThat(run.now(new EngineEvent.Order(order, new FencingNumber(4))))
         .contains(new EngineAction.OrderRefused(new FencingNumber(5)));
-    EngineRun heedless = new EngineRun(EngineRun.settings(ReportingProfile.standard(), false));
-    heedless.now(new EngineEvent.Order(order, new FencingNumber(5)));
-    assertThat(heedless.now(new EngineEvent.Order(order, new FencingNumber(4))))
+    EngineRun withoutFencing =
+        new EngineRun(EngineRun.settings(ReportingProfile.standard(), false));
+    withoutFencing.now(new EngineEvent.Order(order, new FencingNumber(5)));
+    assertThat(withoutFencing.now(new EngineEvent.Order(order, new FencingNumber(4))))
         .contains(new EngineAction.OrderAccepted());
   }
 
--- a/standin/src/test/java/org/teaseltrail/standin/model/EngineRun.java
+++ b/standin/src/test/java/org/teaseltrail/standin/model/EngineRun.java
@@ -17,20 +17,20 @@
 import org.teaseltrail.core.upstream.ServedModel;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Runs an engine model under virtual time and keeps what it does. */
+/** Runs an engine model under virtual time and records its actions. */
 final class EngineRun {
 
   static final long MS = 1_000_000;
   static final ModelTarget TARGET =
       new ModelTarget(new ModelId("tutor"), new ModelVersion("1"), Optional.empty());
 
-  /** Steps of 10 ms, 1 ms for each decoding sequence, 0.1 ms for each prompt token. */
+  /** A step takes 10 ms, plus 1 ms per decoding sequence, plus 0.1 ms per prompt token. */
   static final HardwareProfile HARDWARE = new HardwareProfile(10, 1, 0.1, 2, 512, 4 * 256);
 
   /**
-   * Is an action with its time.
+   * Action with the time at which it occurred.
    *
-   * @param atMs when, in milliseconds from the start
+   * @param atMs time since the start, in milliseconds
    * @param action the action
    */
   record Done(double atMs, EngineAction action) {}
@@ -71,7 +71,7 @@
         7);
   }
 
-  /** Makes a request whose whole blocks are numbered from a first one on. */
+  /** Creates a request whose complete blocks have consecutive hashes from {@code firstBlock}. */
   static EngineRequest request(String id, int promptTokens, long firstBlock, int maxTokens) {
     int blocks = promptTokens / HardwareProfile.BLOCK_TOKENS;
     List<Long> chain = LongStream.range(firstBlock, firstBlock + blocks).boxed().toList();
@@ -95,7 +95,7 @@
     return this;
   }
 
-  /** Lets time pass, with a tick at each time that the engine asks for. */
+  /** Advances virtual time, with a tick at each wakeup time that the engine requests. */
   EngineRun untilMs(double atMs) {
     long endNs = Math.round(atMs * MS);
     OptionalLong wakeupNs = model.nextWakeupNs();
@@ -123,7 +123,7 @@
         .toList();
   }
 
-  /** Returns when the first frame of a request went out, in milliseconds. */
+  /** Returns the time of the first frame of a request, in milliseconds. */
   double firstFrameMs(String id) {
     return done.stream()
         .filter(
--- a/standin/src/test/java/org/teaseltrail/standin/model/ServiceModelTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/model/ServiceModelTest.java
@@ -32,9 +32,9 @@
     assertThat(responses()).hasSize(2);
   }
 
-  // A quiz submission goes to the service a second time because an entry VM tried again. The user
-  // would see a muddled completion record. The service must run it and count it, so that a
-  // measurement shows the doubled run.
+  // An entry VM retries a call that the service has already executed, which would corrupt the
+  // caller's data. The model must execute and count the second call, so that a measurement detects
+  // the duplicate execution.
   @Test
   void doubledRunShows() {
     now(new ServiceEvent.Call(A));
