--- a/load/src/main/java/org/teaseltrail/load/LoadMain.java
+++ b/load/src/main/java/org/teaseltrail/load/LoadMain.java
@@ -3,7 +3,7 @@
 import org.teaseltrail.load.command.LoadCommandLine;
 import org.teaseltrail.runtime.process.ExitCode;
 
-/** Starts the load and experiment tool. */
+/** Entry point of the tool for load tests and policy experiments. */
 public final class LoadMain {
 
   private LoadMain() {}
--- a/load/src/main/java/org/teaseltrail/load/command/CompareCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/CompareCommand.java
@@ -11,7 +11,9 @@
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
 
-/** Measures what the whole path adds to a direct call of an engine. */
+/**
+ * Measures the overhead of the path through an entry VM, compared with direct calls of an engine.
+ */
 final class CompareCommand implements LoadCommand {
 
   @Override
--- a/load/src/main/java/org/teaseltrail/load/command/LoadCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/LoadCommand.java
@@ -5,22 +5,22 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 
-/** Is a subcommand of the program. */
+/** Subcommand of the program. */
 interface LoadCommand {
 
-  /** Returns its name on the command line. */
+  /** Returns the subcommand's name on the command line. */
   String name();
 
-  /** Adds its help and arguments. */
+  /** Adds the subcommand's description and arguments to its parser. */
   void addArguments(Subparser parser);
 
   /**
-   * Runs it.
+   * Runs the subcommand.
    *
    * @param arguments the parsed command line
-   * @param out takes the report
-   * @return whether every check held
-   * @throws IOException if a report's file can't be written
+   * @param out receives the report
+   * @return whether all checks passed
+   * @throws IOException if a file can't be read or written
    */
   boolean run(Namespace arguments, PrintStream out) throws IOException;
 }
--- a/load/src/main/java/org/teaseltrail/load/command/LoadCommandLine.java
+++ b/load/src/main/java/org/teaseltrail/load/command/LoadCommandLine.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.load.workload.InvalidWorkloadException;
 import org.teaseltrail.runtime.process.ExitCode;
 
-/** Parses the command line and runs the subcommand that it names. */
+/** Parses the command line and runs the selected subcommand. */
 public final class LoadCommandLine {
 
   private static final String COMMAND = "command";
@@ -25,7 +25,7 @@
   private final PrintStream out;
   private final PrintStream err;
 
-  /** Creates the command line with the streams for reports and complaints. */
+  /** Creates the command line with the output streams for reports and error messages. */
   public LoadCommandLine(PrintStream out, PrintStream err) {
     this.out = out;
     this.err = err;
--- a/load/src/main/java/org/teaseltrail/load/command/PolicyCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/PolicyCommand.java
@@ -18,7 +18,7 @@
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
 
-/** Compares policies in virtual time on paired seeds. */
+/** Compares policies in virtual time; all policies run on the same seeds. */
 final class PolicyCommand implements LoadCommand {
 
   private static final long NS_PER_SECOND = 1_000_000_000L;
--- a/load/src/main/java/org/teaseltrail/load/command/PolicySet.java
+++ b/load/src/main/java/org/teaseltrail/load/command/PolicySet.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.teaseltrail.load.policy.Policy;
 
-/** Names the policies to compare. */
+/** Set of policies to compare. */
 enum PolicySet {
   /** The pool scheduler alone. */
   SCHEDULER {
@@ -12,14 +12,17 @@
       return List.of(Policy.scheduler());
     }
   },
-  /** The pool scheduler and each baseline. */
+  /** The pool scheduler and all baselines. */
   BASELINES {
     @Override
     List<Policy> policies() {
       return Policy.withBaselines();
     }
   },
-  /** The pool scheduler whole and with each part of its policy off. */
+  /**
+   * The complete pool scheduler and, for each part of its policy, a variant with that part
+   * disabled.
+   */
   PARTS {
     @Override
     List<Policy> policies() {
--- a/load/src/main/java/org/teaseltrail/load/command/PrepareCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/PrepareCommand.java
@@ -9,7 +9,10 @@
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
 
-/** Writes the settings of a deployment on loopback; {@code bin/deployment} starts it. */
+/**
+ * Writes the settings of a deployment on the loopback interface, which {@code bin/deployment}
+ * starts.
+ */
 final class PrepareCommand implements LoadCommand {
 
   @Override
--- a/load/src/main/java/org/teaseltrail/load/command/RunCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/RunCommand.java
@@ -16,7 +16,9 @@
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
 
-/** Sends a deployment's workload to real entry VMs, open-loop, and checks each answer. */
+/**
+ * Runs an open-loop load test of a deployment against real entry VMs and validates each response.
+ */
 final class RunCommand implements LoadCommand {
 
   private static final double NS_PER_SECOND = 1e9;
--- a/load/src/main/java/org/teaseltrail/load/command/package-info.java
+++ b/load/src/main/java/org/teaseltrail/load/command/package-info.java
@@ -1,2 +1,2 @@
-/** The program's subcommands: arguments in, a report out. */
+/** Subcommands of the program, which parse arguments and print reports. */
 package org.teaseltrail.load.command;
--- a/load/src/main/java/org/teaseltrail/load/http/AnswerFault.java
+++ b/load/src/main/java/org/teaseltrail/load/http/AnswerFault.java
@@ -1,19 +1,19 @@
 package org.teaseltrail.load.http;
 
-/** Says what is wrong with an answer that must never be so. */
+/** Violation of the protocol or of a guarantee that was detected in a response. */
 public enum AnswerFault {
-  /** Its frames have a gap or come out of order. */
+  /** The sequence numbers of its events have a gap or are out of order. */
   OUT_OF_ORDER,
-  /** Its text is not that of its own request. */
+  /** Its text isn't the expected response to its request. */
   NOT_ITS_OWN,
-  /** It is said to be complete and is not. */
+  /** It was reported as completed, but is incomplete. */
   NOT_WHOLE,
-  /** It ended without a closing event. */
+  /** It ended without the closing event. */
   NO_CLOSING_EVENT,
-  /** It isn't what the protocol says. */
+  /** It violates the protocol. */
   MALFORMED,
   /** A non-idempotent request ran more than once. */
   RAN_TWICE,
-  /** A request that the caller was told had not run did run. */
+  /** A request ran although the system had reported to the caller that it didn't. */
   RAN_THOUGH_DENIED
 }
--- a/load/src/main/java/org/teaseltrail/load/http/AnswerReader.java
+++ b/load/src/main/java/org/teaseltrail/load/http/AnswerReader.java
@@ -7,7 +7,10 @@
 import org.teaseltrail.load.measure.RequestOutcome;
 import org.teaseltrail.load.workload.PlannedRequest;
 
-/** Follows the answer to one generation and checks that it is whole and its own. */
+/**
+ * Reads the streamed response to one generation request and validates that it is complete and
+ * belongs to the request.
+ */
 final class AnswerReader {
 
   private static final int OK = 200;
@@ -20,7 +23,7 @@
   private final long intendedNs;
   private final SseDecoder events = new SseDecoder();
   private final StringBuilder text = new StringBuilder();
-  private final StringBuilder problem = new StringBuilder();
+  private final StringBuilder problemBody = new StringBuilder();
   private final Set<AnswerFault> faults = EnumSet.noneOf(AnswerFault.class);
   private Optional<String> requestId = Optional.empty();
   private Optional<CallerJson.OutcomeData> closing = Optional.empty();
@@ -30,11 +33,11 @@
   private long nextSequence;
 
   /**
-   * Creates the reader of one answer.
+   * Creates the reader of one response.
    *
    * @param planned the request
-   * @param expectedText what the stand-ins answer to it
-   * @param intendedNs when the request was to be sent
+   * @param expectedText the response text that the stand-ins (simulated upstreams) generate for it
+   * @param intendedNs when the request should have been sent
    */
   AnswerReader(PlannedRequest planned, String expectedText, long intendedNs) {
     this.planned = planned;
@@ -42,16 +45,16 @@
     this.intendedNs = intendedNs;
   }
 
-  /** Takes the answer's status and the id that the system gave the request. */
+  /** Handles the response's status and the request id that the system assigned. */
   void head(int httpStatus, String id) {
     status = httpStatus;
     requestId = Optional.ofNullable(id);
   }
 
-  /** Takes a part of the body. */
+  /** Handles a chunk of the response body. */
   void chunk(String chunk, long nowNs) {
     if (status != OK) {
-      problem.append(chunk);
+      problemBody.append(chunk);
       return;
     }
     try {
@@ -61,12 +64,12 @@
     }
   }
 
-  /** Takes the failure of the connection. */
+  /** Handles a connection failure or timeout. */
   void broken(Throwable cause) {
     failure = Optional.of(cause);
   }
 
-  /** Returns what the caller got, once the answer has ended. */
+  /** Returns the result of the call after the response has ended. */
   CallResult result(long nowNs) {
     long endNs = nowNs - intendedNs;
     if (failure.isPresent()) {
@@ -119,7 +122,7 @@
   }
 
   private CallResult refusal(long endNs) {
-    Refusal refusal = Refusal.parse(problem.toString());
+    Refusal refusal = Refusal.parse(problemBody.toString());
     if (requestId.isEmpty()) {
       requestId = refusal.requestId();
     }
--- a/load/src/main/java/org/teaseltrail/load/http/CallResult.java
+++ b/load/src/main/java/org/teaseltrail/load/http/CallResult.java
@@ -7,17 +7,17 @@
 import org.teaseltrail.load.workload.PlannedRequest;
 
 /**
- * Is what a caller got for one request.
+ * Result of one request from the caller's point of view.
  *
  * @param planned the request
  * @param outcome how it ended
- * @param reason what the system called it, such as {@code completed} or {@code shed}
- * @param saidNotRun whether the caller was told that it did not run
- * @param requestId the id that the system gave it, if the caller heard it
+ * @param reason the reason that the system reported, such as {@code completed} or {@code shed}
+ * @param saidNotRun whether the system reported that the request did not run
+ * @param requestId the id that the system assigned, if the caller received it
  * @param firstTokenNs time from the intended start to the first token
  * @param endNs time from the intended start to the end
- * @param usage the work done, if told
- * @param faults what is wrong with the answer
+ * @param usage the tokens used, if reported
+ * @param faults the faults detected in the response
  */
 record CallResult(
     PlannedRequest planned,
@@ -30,7 +30,7 @@
     Optional<CallerJson.UsageData> usage,
     Set<AnswerFault> faults) {
 
-  /** Copies the set. */
+  /** Creates the result with a copy of the faults. */
   CallResult {
     faults = Set.copyOf(faults);
   }
--- a/load/src/main/java/org/teaseltrail/load/http/CallerJson.java
+++ b/load/src/main/java/org/teaseltrail/load/http/CallerJson.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.PropertyNamingStrategies;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** Reads and writes the JSON of the callers' protocol (docs/INTERNALS.md). */
+/** Serializes and parses the JSON messages of the callers' protocol (docs/INTERNALS.md). */
 final class CallerJson {
 
   private static final ObjectMapper MAPPER =
@@ -25,7 +25,7 @@
     try {
       return MAPPER.writeValueAsString(value);
     } catch (JsonProcessingException e) {
-      throw new MalformedAnswerException("a request can't be written", e);
+      throw new MalformedAnswerException("request can't be serialized as JSON", e);
     }
   }
 
@@ -33,20 +33,20 @@
     try {
       return MAPPER.readValue(json, type);
     } catch (JsonProcessingException e) {
-      throw new MalformedAnswerException("not the JSON of " + type.getSimpleName(), e);
+      throw new MalformedAnswerException("invalid JSON for " + type.getSimpleName(), e);
     }
   }
 
   /**
-   * Is a caller's request for a generation.
+   * Body of a caller's generation request.
    *
    * @param model the model
    * @param version its version
    * @param prompt the prompt
-   * @param maxTokens bound on the answer
-   * @param idempotent whether it may run twice
+   * @param maxTokens maximum number of tokens to generate
+   * @param idempotent whether it may run more than once
    * @param deadlineMs the caller's deadline, or null
-   * @param stream whether to answer as it is generated
+   * @param stream whether to stream the response
    */
   record GenerateBody(
       String model,
@@ -58,39 +58,39 @@
       boolean stream) {}
 
   /**
-   * Is a part of an answer.
+   * Data of a token event.
    *
-   * @param seq its number, from zero without gaps
+   * @param seq its sequence number, from zero without gaps
    * @param text its text
    */
   record TokenData(long seq, String text) {}
 
   /**
-   * Is the event that closes an answer.
+   * Data of the closing event of a response.
    *
-   * @param requestId the request
-   * @param outcome how it ended
-   * @param type the problem, if there was one
-   * @param usage the work done, if known
+   * @param requestId the request's id
+   * @param outcome how the request ended
+   * @param type the problem type, if there was a problem
+   * @param usage the tokens used, if known
    */
   record OutcomeData(String requestId, String outcome, String type, UsageData usage) {}
 
   /**
-   * Is the work done for a request.
+   * Tokens used by a request.
    *
    * @param promptTokens prompt tokens
-   * @param cachedTokens of them, tokens that a cache saved
-   * @param outputTokens tokens generated
+   * @param cachedTokens prompt tokens that were found in a cache
+   * @param outputTokens generated tokens
    */
   record UsageData(int promptTokens, int cachedTokens, int outputTokens) {}
 
   /**
-   * Is a refusal.
+   * Problem document of an error response.
    *
-   * @param type what kind
+   * @param type the problem type
    * @param ran whether the request ran: {@code no} or {@code maybe}
-   * @param requestId the request, if it got an id
-   * @param retryAfterMs when the caller may come back, or null
+   * @param requestId the request's id, if it was assigned one
+   * @param retryAfterMs time after which the caller may retry, or null
    */
   record ProblemData(String type, String ran, String requestId, Long retryAfterMs) {}
 }
--- a/load/src/main/java/org/teaseltrail/load/http/EntryClient.java
+++ b/load/src/main/java/org/teaseltrail/load/http/EntryClient.java
@@ -15,13 +15,16 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.resources.ConnectionProvider;
 
-/** Sends requests to entry VMs as callers do, each VM in turn as a balancer would. */
+/**
+ * HTTP client that sends requests to the entry VMs in round-robin order, as callers behind a load
+ * balancer do.
+ */
 final class EntryClient implements AutoCloseable {
 
   private static final int MAX_CONNECTIONS = 4_000;
 
-  /** Time beyond the useful deadline after which the caller stops waiting. */
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  /** Time after the useful deadline at which the client stops waiting for the response. */
+  private static final Duration TIMEOUT_AFTER_DEADLINE = Duration.ofSeconds(10);
 
   private final Deployment deployment;
   private final List<String> entryUrls;
@@ -33,10 +36,10 @@
   /**
    * Creates the client.
    *
-   * @param deployment whose requests it sends
+   * @param deployment the deployment that receives the requests
    * @param entryUrls base URLs of the entry VMs
    * @param apiKeys an API key for each customer
-   * @param runId tells this run's idempotency keys from those of other runs
+   * @param runId prefix that keeps the idempotency keys of different runs distinct
    */
   EntryClient(
       Deployment deployment, List<String> entryUrls, Map<CustomerId, String> apiKeys, long runId) {
@@ -53,22 +56,23 @@
   }
 
   /**
-   * Sends a generation and follows its answer to the end. Never fails: what goes wrong is told by
-   * the result.
+   * Sends a generation request and reads its response to the end. The returned {@code Mono} never
+   * signals an error; failures are reported in the result.
    *
    * @param planned the request
-   * @param intendedNs when it was to be sent; times count from there, so that a slow sender doesn't
-   *     hide waiting (no coordinated omission)
+   * @param intendedNs when it should have been sent; latencies are measured from this time to avoid
+   *     coordinated omission, that is, a late sender hiding waiting time
    */
   Mono<CallResult> generate(PlannedRequest planned, long intendedNs) {
     String prompt = planned.prompt().text();
     String expected = ExpectedAnswer.text(prompt, planned.outputTokens(), AnswerLength.EXACT);
     AnswerReader reader = new AnswerReader(planned, expected, intendedNs);
-    Duration limit = Duration.ofMillis(planned.kind().usefulDeadlineMs()).plus(PATIENCE);
+    Duration limit =
+        Duration.ofMillis(planned.kind().usefulDeadlineMs()).plus(TIMEOUT_AFTER_DEADLINE);
     return client
         .headers(h -> addHeaders(h, planned))
         .post()
-        .uri(urlOf(planned) + "/v1/generate")
+        .uri(baseUrl(planned) + "/v1/generate")
         .send(ByteBufFlux.fromString(Mono.just(body(planned, prompt))))
         .response(
             (response, content) -> {
@@ -87,21 +91,22 @@
   }
 
   /**
-   * Calls the plain service and waits for its whole answer. Never fails: what goes wrong is told by
-   * the result.
+   * Calls the plain service and reads the complete response. The returned {@code Mono} never
+   * signals an error; failures are reported in the result.
    *
    * @param planned the request
-   * @param intendedNs when it was to be sent
+   * @param intendedNs when it should have been sent
    */
   Mono<CallResult> callService(PlannedRequest planned, long intendedNs) {
     ServiceAnswer answer = new ServiceAnswer(planned, intendedNs);
-    Duration limit = Duration.ofMillis(planned.kind().usefulDeadlineMs()).plus(PATIENCE);
+    Duration limit =
+        Duration.ofMillis(planned.kind().usefulDeadlineMs()).plus(TIMEOUT_AFTER_DEADLINE);
     HttpMethod method = planned.kind().idempotent() ? HttpMethod.GET : HttpMethod.POST;
     String path = "/v1/services/" + deployment.service() + "/" + planned.kind().name();
     return client
         .headers(h -> addHeaders(h, planned))
         .request(method)
-        .uri(urlOf(planned) + path + "?n=" + planned.index())
+        .uri(baseUrl(planned) + path + "?n=" + planned.index())
         .responseSingle(
             (response, content) -> {
               answer.head(response.status().code(), response.responseHeaders());
@@ -123,7 +128,7 @@
     connections.dispose();
   }
 
-  private String urlOf(PlannedRequest planned) {
+  private String baseUrl(PlannedRequest planned) {
     return entryUrls.get(planned.index() % entryUrls.size());
   }
 
--- a/load/src/main/java/org/teaseltrail/load/http/ExecutionCheck.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ExecutionCheck.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Set;
 
-/** Compares what callers were told with what ran at the stand-ins. */
+/**
+ * Compares the results that callers received with the executions that the stand-ins (simulated
+ * upstreams) counted.
+ */
 final class ExecutionCheck {
 
   private final StandinCounters counters;
@@ -13,7 +16,7 @@
     this.counters = counters;
   }
 
-  /** Returns the results with the faults added that the counters show. */
+  /** Returns the results, extended by the faults that the counters reveal. */
   List<CallResult> check(List<CallResult> results) {
     return results.stream().map(this::check).toList();
   }
--- a/load/src/main/java/org/teaseltrail/load/http/ExpectedAnswer.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ExpectedAnswer.java
@@ -3,17 +3,20 @@
 import org.teaseltrail.standin.model.AnswerLength;
 import org.teaseltrail.standin.model.AnswerText;
 
-/** Knows what a stand-in answers to a prompt, so that each answer can be checked. */
+/**
+ * Computes the response that a stand-in (simulated upstream) generates for a prompt, so that
+ * received responses can be validated.
+ */
 final class ExpectedAnswer {
 
   private ExpectedAnswer() {}
 
   /**
-   * Returns the whole answer.
+   * Returns the complete response text.
    *
    * @param prompt the prompt
-   * @param maxTokens the bound that the caller sets
-   * @param length how the stand-ins choose lengths
+   * @param maxTokens maximum number of tokens that the caller requests
+   * @param length how the stand-ins choose the length of a response
    */
   static String text(String prompt, int maxTokens, AnswerLength length) {
     long seed = AnswerText.seedOf(prompt);
--- a/load/src/main/java/org/teaseltrail/load/http/HttpMeasurement.java
+++ b/load/src/main/java/org/teaseltrail/load/http/HttpMeasurement.java
@@ -12,17 +12,18 @@
 import org.teaseltrail.load.workload.WorkloadPlan;
 
 /**
- * Is one open-loop run against real entry VMs, from its plan to its report.
+ * Open-loop load test against real entry VMs: plans the requests, sends them and prints a report.
  *
- * @param deployment whose workload
- * @param load how much of it, as a factor on what fits
+ * @param deployment the deployment that defines the workload
+ * @param load the offered load as a factor of the pool's capacity
  * @param durationNs how long requests are sent
- * @param maxRequests bound on their number
- * @param seed what the plan follows from
+ * @param maxRequests maximum number of requests
+ * @param seed seed of the workload plan
  * @param entryUrls base URLs of the entry VMs
  * @param apiKeys an API key for each customer
- * @param standinUrls base URLs of the stand-ins, to check what ran there; may be empty
- * @param csv file for one line for each request, if wanted
+ * @param standinUrls base URLs of the stand-ins (simulated upstreams), whose execution counters are
+ *     checked; may be empty
+ * @param csv optional file for the results, one line for each request
  */
 public record HttpMeasurement(
     Deployment deployment,
@@ -36,10 +37,10 @@
     Optional<Path> csv) {
 
   /**
-   * Runs it.
+   * Runs the load test.
    *
-   * @param out takes the report
-   * @return whether no answer had a fault
+   * @param out receives the report
+   * @return whether no response had a fault
    * @throws IOException if the CSV file can't be written
    */
   public boolean run(PrintStream out) throws IOException {
--- a/load/src/main/java/org/teaseltrail/load/http/HttpReport.java
+++ b/load/src/main/java/org/teaseltrail/load/http/HttpReport.java
@@ -12,10 +12,10 @@
 import org.teaseltrail.load.measure.RequestOutcome;
 import org.teaseltrail.load.measure.TierTally;
 
-/** Sums a run's results up by tier, customer and kind. */
+/** Summarizes the results of a run by tier, customer and kind. */
 final class HttpReport {
 
-  private static final int DIGITS = 3;
+  private static final int HISTOGRAM_DIGITS = 3;
   private static final double NS_PER_US = 1e3;
   private static final double US_PER_MS = 1e3;
   private static final double P50 = 50;
@@ -28,7 +28,7 @@
     this.results = List.copyOf(results);
   }
 
-  /** Returns the report in Markdown. */
+  /** Returns the lines of the report in Markdown. */
   List<String> lines() {
     List<String> lines = new ArrayList<>();
     lines.add(
@@ -43,7 +43,7 @@
     return lines;
   }
 
-  /** Returns how often each fault was seen. */
+  /** Returns the number of occurrences of each fault. */
   Map<AnswerFault, Long> faults() {
     Map<AnswerFault, Long> faults = new EnumMap<>(AnswerFault.class);
     results.forEach(r -> r.faults().forEach(f -> faults.merge(f, 1L, Long::sum)));
@@ -58,8 +58,8 @@
 
   private static String line(String name, List<CallResult> members) {
     TierTally tally = new TierTally();
-    Histogram firstTokenUs = new Histogram(DIGITS);
-    Histogram endUs = new Histogram(DIGITS);
+    Histogram firstTokenUs = new Histogram(HISTOGRAM_DIGITS);
+    Histogram endUs = new Histogram(HISTOGRAM_DIGITS);
     for (CallResult member : members) {
       tally.offered();
       tally.ended(member.outcome());
--- a/load/src/main/java/org/teaseltrail/load/http/HttpRun.java
+++ b/load/src/main/java/org/teaseltrail/load/http/HttpRun.java
@@ -8,8 +8,8 @@
 import reactor.core.publisher.Mono;
 
 /**
- * Sends planned requests at their planned times, whatever becomes of those before: the load is
- * open-loop.
+ * Sends planned requests at their planned times without waiting for the responses to earlier ones
+ * (open-loop load).
  */
 final class HttpRun {
 
@@ -21,7 +21,7 @@
     this.plan = List.copyOf(plan);
   }
 
-  /** Runs to the end and returns a result for each request. */
+  /** Sends all requests and returns a result for each of them. */
   List<CallResult> run() {
     long startNs = System.nanoTime();
     return Flux.fromIterable(plan)
--- a/load/src/main/java/org/teaseltrail/load/http/MalformedAnswerException.java
+++ b/load/src/main/java/org/teaseltrail/load/http/MalformedAnswerException.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.load.http;
 
-/** Tells that an answer isn't what the protocol says. */
+/** Thrown when a message of the callers' protocol can't be parsed or serialized. */
 final class MalformedAnswerException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/load/src/main/java/org/teaseltrail/load/http/PathComparison.java
+++ b/load/src/main/java/org/teaseltrail/load/http/PathComparison.java
@@ -12,11 +12,14 @@
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.resources.ConnectionProvider;
 
-/** Compares a request to an engine with the same request through the whole path. */
+/**
+ * Benchmark of the overhead of the request path: compares requests that go directly to an engine
+ * with the same requests sent through an entry VM.
+ */
 public final class PathComparison implements AutoCloseable {
 
-  private static final int WARM_UP = 300;
-  private static final int DIGITS = 3;
+  private static final int WARM_UP_REQUESTS = 300;
+  private static final int HISTOGRAM_DIGITS = 3;
   private static final double NS_PER_US = 1e3;
   private static final double NS_PER_SECOND = 1e9;
   private static final double US_PER_MS = 1e3;
@@ -33,12 +36,12 @@
   private long sent;
 
   /**
-   * Prepares the comparison.
+   * Creates the benchmark.
    *
-   * @param deployment whose model is asked for
+   * @param deployment the deployment whose model is requested
    * @param entryUrl base URL of an entry VM
-   * @param standinUrl base URL of an engine
-   * @param apiKey a customer's key
+   * @param standinUrl base URL of a simulated engine
+   * @param apiKey API key of a customer
    */
   public PathComparison(Deployment deployment, String entryUrl, String standinUrl, String apiKey) {
     this.deployment = deployment;
@@ -53,40 +56,46 @@
     this.client = HttpClient.create(connections).disableRetry(true);
   }
 
-  /** Measures the time to the first part of an answer, one request after the other, in turn. */
+  /**
+   * Measures the time to the first chunk of the response body. Requests are sent one at a time,
+   * alternating between both paths.
+   */
   public List<String> latency(int requests) {
-    for (int i = 0; i < WARM_UP; i++) {
-      firstPartNs(direct()).block();
-      firstPartNs(wholePath()).block();
+    for (int i = 0; i < WARM_UP_REQUESTS; i++) {
+      firstChunkNs(direct()).block();
+      firstChunkNs(throughEntryVm()).block();
     }
-    Histogram directUs = new Histogram(DIGITS);
-    Histogram wholeUs = new Histogram(DIGITS);
+    Histogram directUs = new Histogram(HISTOGRAM_DIGITS);
+    Histogram entryVmUs = new Histogram(HISTOGRAM_DIGITS);
     for (int i = 0; i < requests; i++) {
-      directUs.recordValue((long) (firstPartNs(direct()).block() / NS_PER_US));
-      wholeUs.recordValue((long) (firstPartNs(wholePath()).block() / NS_PER_US));
+      directUs.recordValue((long) (firstChunkNs(direct()).block() / NS_PER_US));
+      entryVmUs.recordValue((long) (firstChunkNs(throughEntryVm()).block() / NS_PER_US));
     }
     List<String> lines = new ArrayList<>();
     lines.add("| first token, " + requests + " requests each, idle | p50 ms | p99 ms |");
     lines.add("| --- | --- | --- |");
     lines.add(line("engine directly", directUs, 1));
-    lines.add(line("whole path", wholeUs, 1));
+    lines.add(line("whole path", entryVmUs, 1));
     lines.add(
         String.format(
             Locale.ROOT,
             "| added | %.2f | %.2f |",
-            (wholeUs.getValueAtPercentile(50) - directUs.getValueAtPercentile(50)) / US_PER_MS,
-            (wholeUs.getValueAtPercentile(99) - directUs.getValueAtPercentile(99)) / US_PER_MS));
+            (entryVmUs.getValueAtPercentile(50) - directUs.getValueAtPercentile(50)) / US_PER_MS,
+            (entryVmUs.getValueAtPercentile(99) - directUs.getValueAtPercentile(99)) / US_PER_MS));
     return lines;
   }
 
-  /** Measures requests a second through the entry VM with so many requests at once. */
+  /**
+   * Measures the throughput through the entry VM, in requests per second, with the given number of
+   * concurrent requests.
+   */
   public String rate(int streams) {
     int requests = Math.max(MIN_RATE_REQUESTS, streams * RATE_REQUESTS_PER_STREAM);
-    Histogram firstUs = new Histogram(DIGITS);
+    Histogram firstUs = new Histogram(HISTOGRAM_DIGITS);
     long startNs = System.nanoTime();
     long failed =
         Flux.range(0, requests)
-            .flatMap(i -> firstPartNs(wholePath()).onErrorReturn(-1L), streams, 1)
+            .flatMap(i -> firstChunkNs(throughEntryVm()).onErrorReturn(-1L), streams, 1)
             .doOnNext(ns -> firstUs.recordValue((long) (Math.max(0, ns) / NS_PER_US)))
             .filter(ns -> ns < 0)
             .count()
@@ -130,7 +139,7 @@
         .send(ByteBufFlux.fromString(Mono.just(body)));
   }
 
-  private HttpClient.ResponseReceiver<?> wholePath() {
+  private HttpClient.ResponseReceiver<?> throughEntryVm() {
     String body =
         CallerJson.write(
             new CallerJson.GenerateBody(
@@ -151,8 +160,11 @@
         .send(ByteBufFlux.fromString(Mono.just(body)));
   }
 
-  /** Returns the time to the first part of the answer, once the whole answer has come. */
-  private static Mono<Long> firstPartNs(HttpClient.ResponseReceiver<?> call) {
+  /**
+   * Returns the time to the first chunk of the response body, after the complete response has been
+   * received.
+   */
+  private static Mono<Long> firstChunkNs(HttpClient.ResponseReceiver<?> call) {
     return Mono.defer(
         () -> {
           long startNs = System.nanoTime();
@@ -167,13 +179,13 @@
   }
 
   /**
-   * Is a request to an engine (docs/INTERNALS.md).
+   * Body of a request to an engine (docs/INTERNALS.md).
    *
-   * @param requestId the request
+   * @param requestId the request's id
    * @param model the model
    * @param version its version
    * @param prompt the prompt
-   * @param maxTokens bound on the answer
+   * @param maxTokens maximum number of tokens to generate
    */
   private record EngineBody(
       String requestId, String model, String version, String prompt, int maxTokens) {}
--- a/load/src/main/java/org/teaseltrail/load/http/Refusal.java
+++ b/load/src/main/java/org/teaseltrail/load/http/Refusal.java
@@ -6,12 +6,12 @@
 import org.teaseltrail.load.measure.RequestOutcome;
 
 /**
- * Is an answer other than success, as the caller understands it.
+ * Error response or connection failure, as the caller interprets it.
  *
- * @param name the kind of problem, without its prefix
- * @param outcome how the request counts
- * @param notRun whether the caller was told that the request did not run
- * @param requestId the request's id, if told
+ * @param name the problem type without its prefix, or the kind of connection failure
+ * @param outcome the outcome that the request is counted under
+ * @param notRun whether the system reported that the request did not run
+ * @param requestId the request's id, if reported
  */
 record Refusal(String name, RequestOutcome outcome, boolean notRun, Optional<String> requestId) {
 
@@ -19,7 +19,9 @@
   private static final String RAN_NO = "no";
   private static final String UNTYPED = "untyped";
 
-  /** Reads a problem document; what isn't one counts as a failure that may have run. */
+  /**
+   * Parses a problem document. Any other text counts as a failure of a request that may have run.
+   */
   static Refusal parse(String json) {
     CallerJson.ProblemData data;
     try {
@@ -33,7 +35,7 @@
     return new Refusal(name, outcome, notRun, Optional.ofNullable(data.requestId()));
   }
 
-  /** Understands a broken or never made connection, or the caller's own giving up. */
+  /** Interprets a failed or broken connection, or the caller's own timeout. */
   static Refusal ofBroken(Throwable cause) {
     RequestOutcome outcome = RequestOutcome.FAILED;
     if (cause instanceof TimeoutException) {
@@ -44,7 +46,7 @@
     return new Refusal(cause.getClass().getSimpleName(), outcome, false, Optional.empty());
   }
 
-  /** Returns a problem's type without its prefix. */
+  /** Returns a problem type without its prefix. */
   static String shortName(String type) {
     if (type == null) {
       return UNTYPED;
--- a/load/src/main/java/org/teaseltrail/load/http/RefusedException.java
+++ b/load/src/main/java/org/teaseltrail/load/http/RefusedException.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.load.http;
 
-/** Tells that a request was not answered with success. */
+/** Thrown when the status of a response is not 200. */
 final class RefusedException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
   RefusedException(int status) {
-    super("answered with status " + status);
+    super("unexpected response status " + status);
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/http/ResultsCsv.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ResultsCsv.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes one line for each request, for other tools. */
+/** Writes results as CSV with one line for each request. */
 final class ResultsCsv {
 
   private static final String HEADER =
--- a/load/src/main/java/org/teaseltrail/load/http/ServiceAnswer.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ServiceAnswer.java
@@ -7,7 +7,7 @@
 import org.teaseltrail.load.measure.RequestOutcome;
 import org.teaseltrail.load.workload.PlannedRequest;
 
-/** Follows the answer to one plain call. */
+/** Reads the response to one call of the plain service. */
 final class ServiceAnswer {
 
   private static final int SUCCESS_CLASS = 2;
--- a/load/src/main/java/org/teaseltrail/load/http/SseDecoder.java
+++ b/load/src/main/java/org/teaseltrail/load/http/SseDecoder.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Splits the text of an event stream into events as its chunks arrive. */
+/** Incremental decoder that splits a server-sent event stream into events as chunks arrive. */
 final class SseDecoder {
 
   private static final String EVENT = "event:";
@@ -14,7 +14,7 @@
   private String type = DEFAULT_TYPE;
   private String data = "";
 
-  /** Takes a chunk and returns the events that it completes. */
+  /** Adds a chunk and returns the events that it completes. */
   List<SseEvent> feed(String chunk) {
     unread.append(chunk);
     List<SseEvent> events = new ArrayList<>();
--- a/load/src/main/java/org/teaseltrail/load/http/SseEvent.java
+++ b/load/src/main/java/org/teaseltrail/load/http/SseEvent.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.load.http;
 
 /**
- * Is one server-sent event.
+ * Server-sent event.
  *
  * @param type its type
  * @param data its data
--- a/load/src/main/java/org/teaseltrail/load/http/StandinCounters.java
+++ b/load/src/main/java/org/teaseltrail/load/http/StandinCounters.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import reactor.netty.http.client.HttpClient;
 
-/** Reads from the stand-ins what ran there, which no answer on the way can be mistaken about. */
+/**
+ * Execution and token counters read from the stand-ins (simulated upstreams). They show what
+ * actually ran, independent of the responses that passed through the system.
+ */
 final class StandinCounters {
 
   private static final String PATH = "/admin/counters";
@@ -16,7 +19,7 @@
   private long discardedPrefillTokens;
   private long cachedTokens;
 
-  /** Reads the counters of stand-ins by their base URLs. */
+  /** Reads the counters of the stand-ins with the given base URLs. */
   static StandinCounters read(List<String> urls) {
     StandinCounters counters = new StandinCounters();
     for (String url : urls) {
@@ -33,12 +36,12 @@
     return counters;
   }
 
-  /** Returns how often a request ran, on all stand-ins together. */
+  /** Returns how often a request ran on all stand-ins together. */
   int executions(String requestId) {
     return executions.getOrDefault(requestId, 0);
   }
 
-  /** Returns what the engines have counted, since they started, as one line. */
+  /** Returns a one-line summary of the engines' token counters since their start. */
   String summary() {
     double discarded = prefillTokens == 0 ? 0 : 100.0 * discardedPrefillTokens / prefillTokens;
     return String.format(
@@ -68,7 +71,10 @@
     executions.merge(requestId, count, Integer::sum);
   }
 
-  /** An engine tells totals and requests, a plain service executions; the rest is null. */
+  /**
+   * Counters of one stand-in: engines report totals and requests, plain services report executions;
+   * the other components are null.
+   */
   private record Counters(
       Totals totals, Map<String, Work> requests, Map<String, Integer> executions) {
 
--- a/load/src/main/java/org/teaseltrail/load/http/package-info.java
+++ b/load/src/main/java/org/teaseltrail/load/http/package-info.java
@@ -1,2 +1,2 @@
-/** Open-loop load over the callers' HTTP protocol against the real entry VMs. */
+/** Open-loop load tests against real entry VMs over the callers' HTTP protocol. */
 package org.teaseltrail.load.http;
--- a/load/src/main/java/org/teaseltrail/load/measure/RequestOutcome.java
+++ b/load/src/main/java/org/teaseltrail/load/measure/RequestOutcome.java
@@ -1,22 +1,25 @@
 package org.teaseltrail.load.measure;
 
-/** Says how an offered request ended; each request ends in exactly one of these. */
+/** Outcome of a request that a caller has sent; each request ends with exactly one. */
 public enum RequestOutcome {
-  /** The whole answer came within the kind's useful deadline. */
+  /** The complete response arrived within the useful deadline of the request's kind. */
   USEFUL(true),
-  /** The whole answer came, but too late to be of use. */
+  /** The complete response arrived after the useful deadline. */
   LATE(true),
-  /** Load was shed; it did not run. */
+  /** The request was rejected to shed load; it did not run. */
   SHED(false),
-  /** A limit of its customer, or a pool without upstreams; it did not run. */
+  /**
+   * The request was rejected due to a limit of its customer or a pool without upstreams; it did not
+   * run.
+   */
   REFUSED(false),
-  /** Its deadline passed while it waited; it did not run. */
+  /** The deadline passed while the request was waiting; it did not run. */
   DEADLINE(false),
-  /** Its caller hung up at the deadline while it ran. */
+  /** The caller disconnected at the deadline while the request was running. */
   HUNG_UP(false),
-  /** Its upstream died or failed while it ran. */
+  /** The upstream crashed or failed while the request was running. */
   FAILED(false),
-  /** It still waited or ran when the run ended, later than its useful deadline. */
+  /** The request was still waiting or running when the run ended, after its useful deadline. */
   UNFINISHED(false);
 
   private final boolean completed;
@@ -25,7 +28,7 @@
     this.completed = completed;
   }
 
-  /** Returns whether the caller got the whole answer. */
+  /** Returns whether the caller received the complete response. */
   public boolean completed() {
     return completed;
   }
--- a/load/src/main/java/org/teaseltrail/load/measure/TierTally.java
+++ b/load/src/main/java/org/teaseltrail/load/measure/TierTally.java
@@ -3,13 +3,13 @@
 import java.util.EnumMap;
 import java.util.Map;
 
-/** Counts the requests of one tier by outcome. */
+/** Counts requests by outcome, for example those of one tier. */
 public final class TierTally {
 
   private final Map<RequestOutcome, Long> counts = new EnumMap<>(RequestOutcome.class);
   private long offered;
 
-  /** Counts a request that a caller sent. */
+  /** Counts a request that a caller has sent. */
   public void offered() {
     offered++;
   }
@@ -19,22 +19,22 @@
     counts.merge(outcome, 1L, Long::sum);
   }
 
-  /** Returns how many requests callers sent. */
+  /** Returns the number of requests that callers have sent. */
   public long offeredCount() {
     return offered;
   }
 
-  /** Returns how many requests ended so. */
+  /** Returns the number of requests with the given outcome. */
   public long count(RequestOutcome outcome) {
     return counts.getOrDefault(outcome, 0L);
   }
 
-  /** Returns how many requests have ended. */
+  /** Returns the number of requests that have ended. */
   public long endedCount() {
     return counts.values().stream().mapToLong(Long::longValue).sum();
   }
 
-  /** Returns the useful part of the offered requests. */
+  /** Returns the fraction of offered requests that got a useful response. */
   public double goodput() {
     return offered == 0 ? 1 : (double) count(RequestOutcome.USEFUL) / offered;
   }
--- a/load/src/main/java/org/teaseltrail/load/measure/package-info.java
+++ b/load/src/main/java/org/teaseltrail/load/measure/package-info.java
@@ -1,2 +1,4 @@
-/** What is counted of each request, in virtual time and over HTTP alike. */
+/**
+ * Request outcomes and counters, shared by simulations in virtual time and load tests over HTTP.
+ */
 package org.teaseltrail.load.measure;
--- a/load/src/main/java/org/teaseltrail/load/policy/BlockCache.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/BlockCache.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.teaseltrail.load.workload.Prompt;
 
-/** Holds prefix blocks up to a limit and drops the one used longest ago, as engines do. */
+/** LRU cache of prefix blocks with a fixed capacity, which models the prefix cache of an engine. */
 final class BlockCache {
 
   private final long capacityBlocks;
@@ -14,18 +14,21 @@
     this.capacityBlocks = capacityTokens / Prompt.BLOCK_TOKENS;
   }
 
-  /** Looks a prompt up, stores it, and returns how many of its tokens were there. */
+  /**
+   * Looks up the blocks of a prompt, stores them and returns the number of prompt tokens found in
+   * the cache.
+   */
   long use(List<Long> prompt) {
     int hits = 0;
     while (hits < prompt.size() && blocks.containsKey(prompt.get(hits))) {
       hits++;
     }
-    // Later blocks go in first, so that a chain loses its end before its beginning.
+    // Stores the last block first, so that a chain is evicted from its end.
     for (int i = prompt.size() - 1; i >= 0; i--) {
       blocks.putIfAbsent(prompt.get(i), true);
       blocks.get(prompt.get(i));
     }
-    dropOverflow();
+    evictExcess();
     return (long) hits * Prompt.BLOCK_TOKENS;
   }
 
@@ -37,7 +40,7 @@
     blocks.clear();
   }
 
-  private void dropOverflow() {
+  private void evictExcess() {
     var oldest = blocks.entrySet().iterator();
     long excess = blocks.size() - capacityBlocks;
     for (long i = 0; i < excess; i++) {
--- a/load/src/main/java/org/teaseltrail/load/policy/EngineListener.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/EngineListener.java
@@ -6,21 +6,24 @@
 import org.teaseltrail.core.message.DeclineReason;
 import org.teaseltrail.standin.model.EngineFrame;
 
-/** Hears what an engine does, at the time it does it. */
+/** Receives the events of a simulated engine at the virtual time at which they occur. */
 interface EngineListener {
 
-  /** A request did not run. */
+  /** Called when a request was refused before it ran. */
   void refused(RequestId request, UpstreamId engine, DeclineReason reason);
 
-  /** A request's prompt is processed, or the part of it before its stream broke. */
+  /**
+   * Called when a request's prompt has been processed, or the part of it that was processed before
+   * the stream broke.
+   */
   void prefilled(RequestId request, UpstreamId engine, int cachedTokens, int processedTokens);
 
-  /** Frames of answers have been made at one moment. */
+  /** Called with all response frames that the engine generated at one point in time. */
   void frames(UpstreamId engine, List<EngineFrame> frames);
 
-  /** A request's stream broke before its end. */
+  /** Called when a request's stream broke before the end of the response. */
   void broken(RequestId request, UpstreamId engine);
 
-  /** The engine has died. */
+  /** Called when the engine has crashed. */
   void crashed(UpstreamId engine);
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/EngineNode.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/EngineNode.java
@@ -25,7 +25,10 @@
 import org.teaseltrail.standin.model.HardwareProfile;
 import org.teaseltrail.standin.model.UpstreamIdentity;
 
-/** Runs one engine model in virtual time. */
+/**
+ * Simulates one engine in virtual time with the engine model of the stand-ins (simulated
+ * upstreams).
+ */
 final class EngineNode {
 
   private static final int PREFILL_CHUNK_TOKENS = 512;
@@ -40,7 +43,7 @@
   private final UpstreamNews news;
   private final Set<RequestId> inPrefill = new HashSet<>();
   private long incarnation = 1;
-  private long tickAtNs = NO_TICK;
+  private long nextTickNs = NO_TICK;
 
   EngineNode(
       VirtualTime time,
@@ -78,14 +81,14 @@
                 AnswerText.seedOf(request.id()))));
   }
 
-  /** Stops a request; what was processed of its prompt counts as processed. */
+  /** Cancels a request; the tokens of its prompt that were already processed count as processed. */
   void cancel(RequestId request) {
     handle(new EngineEvent.Tick());
     var before = model.counters();
     if (inPrefill.contains(request)) {
       handle(new EngineEvent.Cancel(request));
       var after = model.counters();
-      notePartPrefill(
+      recordPartialPrefill(
           request,
           after.cachedTokens() - before.cachedTokens(),
           after.prefillTokens() - before.prefillTokens());
@@ -108,7 +111,7 @@
     var work = model.workByRequest();
     for (RequestId request : List.copyOf(inPrefill)) {
       var done = work.get(request);
-      notePartPrefill(request, done.cachedTokens(), done.prefillTokens());
+      recordPartialPrefill(request, done.cachedTokens(), done.prefillTokens());
     }
     listener.crashed(id);
   }
@@ -118,7 +121,7 @@
     handle(new EngineEvent.Restart(new Incarnation(incarnation)));
   }
 
-  private void notePartPrefill(RequestId request, long cachedTokens, long processedTokens) {
+  private void recordPartialPrefill(RequestId request, long cachedTokens, long processedTokens) {
     if (inPrefill.remove(request) && processedTokens > 0) {
       listener.prefilled(request, id, (int) cachedTokens, (int) processedTokens);
     }
@@ -127,15 +130,15 @@
   private void handle(EngineEvent event) {
     List<EngineFrame> frames = new ArrayList<>();
     for (EngineAction action : model.handle(event, time.nowNs())) {
-      carryOut(action, frames);
+      execute(action, frames);
     }
     if (!frames.isEmpty()) {
       listener.frames(id, frames);
     }
-    planTick();
+    scheduleTick();
   }
 
-  private void carryOut(EngineAction action, List<EngineFrame> frames) {
+  private void execute(EngineAction action, List<EngineFrame> frames) {
     if (action instanceof EngineAction.Frame frame) {
       frames.add(frame.frame());
     } else if (action instanceof EngineAction.Prefilled done) {
@@ -156,18 +159,18 @@
     }
   }
 
-  private void planTick() {
+  private void scheduleTick() {
     OptionalLong wakeupNs = model.nextWakeupNs();
-    if (wakeupNs.isPresent() && wakeupNs.getAsLong() < tickAtNs) {
+    if (wakeupNs.isPresent() && wakeupNs.getAsLong() < nextTickNs) {
       long atNs = wakeupNs.getAsLong();
-      tickAtNs = atNs;
+      nextTickNs = atNs;
       time.at(atNs, () -> tick(atNs));
     }
   }
 
-  private void tick(long plannedNs) {
-    if (plannedNs == tickAtNs) {
-      tickAtNs = NO_TICK;
+  private void tick(long scheduledNs) {
+    if (scheduledNs == nextTickNs) {
+      nextTickNs = NO_TICK;
       handle(new EngineEvent.Tick());
     }
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/EntryVms.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/EntryVms.java
@@ -20,18 +20,21 @@
 import org.teaseltrail.load.workload.PlannedRequest;
 import org.teaseltrail.standin.model.EngineFrame;
 
-/** Plays the entry VMs and their callers: offers requests, dispatches grants, passes tokens on. */
+/**
+ * Simulates the entry VMs and their callers in virtual time: submits tickets to the schedulers,
+ * dispatches granted requests to the engines and forwards the generated tokens to the callers.
+ */
 final class EntryVms implements EngineListener {
 
   private static final long NS_PER_MS = 1_000_000;
-  private static final long PROGRESS_INTERVAL_NS = 1_000 * NS_PER_MS;
+  private static final long PROGRESS_REPORT_INTERVAL_NS = 1_000 * NS_PER_MS;
 
   private final VirtualTime time;
   private final Deployment deployment;
   private final Measures measures;
   private final Network network;
   private final Map<RequestId, TrackedRequest> requests = new HashMap<>();
-  private final Map<RequestId, Long> progressNs = new HashMap<>();
+  private final Map<RequestId, Long> lastProgressNs = new HashMap<>();
   private Map<VmId, SchedulerNode> schedulers = Map.of();
   private Map<UpstreamId, EngineNode> engines = Map.of();
 
@@ -47,26 +50,29 @@
     engines = toEngines;
   }
 
-  /** Plans a request's arrival, and its caller's hanging up if it won't wait for ever. */
+  /**
+   * Schedules a request's arrival and, if the caller sends a deadline, its disconnect at the
+   * deadline.
+   */
   void plan(PlannedRequest planned, VmId vm, boolean counted) {
     TrackedRequest request = new TrackedRequest(planned, vm, counted);
     requests.put(request.id(), request);
     time.at(planned.atNs() + network.clientNs(), () -> arrive(request));
     if (planned.kind().sendsDeadline()) {
-      time.at(request.usefulUntilNs() + network.clientNs(), () -> hangUp(request));
+      time.at(request.usefulUntilNs() + network.clientNs(), () -> disconnect(request));
     }
   }
 
-  /** Takes a scheduler's message. */
+  /** Handles a message from a scheduler. */
   void receive(SchedulerAction.Send send) {
     if (send.message() instanceof ControlMessage.Grant grant) {
       granted(send.vm(), grant);
     } else if (send.message() instanceof ControlMessage.Refused refused) {
-      giveUp(requests.get(refused.request()), refused.kind());
+      onRefused(requests.get(refused.request()), refused.kind());
     }
   }
 
-  /** Ends what still waits or runs. */
+  /** Records an outcome for each request that is still waiting or running. */
   void finish() {
     for (TrackedRequest request : List.copyOf(requests.values())) {
       if (!request.ended() && request.planned().atNs() <= time.nowNs()) {
@@ -104,7 +110,7 @@
 
   private void arrive(TrackedRequest request) {
     measures.offered(request);
-    tell(request, new EntryMessage.Offer(request.ticket(deployment, time.nowNs())));
+    sendToScheduler(request, new EntryMessage.Offer(request.ticket(deployment, time.nowNs())));
   }
 
   private void granted(VmId vm, ControlMessage.Grant grant) {
@@ -124,8 +130,8 @@
 
   private void declined(TrackedRequest request, UpstreamId engine, DeclineReason reason) {
     request.refusedByUpstream();
-    DeclineReason told = request.ended() ? DeclineReason.UNKNOWN_REQUEST : reason;
-    tell(request, new EntryMessage.Declined(request.id(), engine, told));
+    DeclineReason reportedReason = request.ended() ? DeclineReason.UNKNOWN_REQUEST : reason;
+    sendToScheduler(request, new EntryMessage.Declined(request.id(), engine, reportedReason));
   }
 
   private void received(UpstreamId engine, EngineFrame frame) {
@@ -145,11 +151,12 @@
     long nowNs = time.nowNs();
     if (request.tokens() == 0) {
       long sinceMs = (nowNs - request.dispatchedNs()) / NS_PER_MS;
-      tell(request, new EntryMessage.FirstToken(request.id(), engine, sinceMs));
-      progressNs.put(request.id(), nowNs);
-    } else if (nowNs - progressNs.get(request.id()) >= PROGRESS_INTERVAL_NS) {
-      tell(request, new EntryMessage.Progress(request.id(), engine, request.tokens() + count));
-      progressNs.put(request.id(), nowNs);
+      sendToScheduler(request, new EntryMessage.FirstToken(request.id(), engine, sinceMs));
+      lastProgressNs.put(request.id(), nowNs);
+    } else if (nowNs - lastProgressNs.get(request.id()) >= PROGRESS_REPORT_INTERVAL_NS) {
+      sendToScheduler(
+          request, new EntryMessage.Progress(request.id(), engine, request.tokens() + count));
+      lastProgressNs.put(request.id(), nowNs);
     }
     measures.tokens(request, count, nowNs + network.clientNs());
   }
@@ -169,13 +176,13 @@
     measures.ended(request, RequestOutcome.FAILED);
   }
 
-  private void hangUp(TrackedRequest request) {
+  private void disconnect(TrackedRequest request) {
     if (request.ended()) {
       return;
     }
     Optional<UpstreamId> engine = request.upstream();
     if (engine.isEmpty()) {
-      tell(request, new EntryMessage.Withdraw(request.id(), WithdrawReason.DEADLINE));
+      sendToScheduler(request, new EntryMessage.Withdraw(request.id(), WithdrawReason.DEADLINE));
       measures.ended(request, RequestOutcome.DEADLINE);
       return;
     }
@@ -184,7 +191,7 @@
     measures.ended(request, RequestOutcome.HUNG_UP);
   }
 
-  private void giveUp(TrackedRequest request, RefusalKind kind) {
+  private void onRefused(TrackedRequest request, RefusalKind kind) {
     if (request.ended()) {
       return;
     }
@@ -199,14 +206,14 @@
 
   private void end(TrackedRequest request, UpstreamId engine, EndKind kind, Usage usage) {
     long sinceMs = (time.nowNs() - request.dispatchedNs()) / NS_PER_MS;
-    tell(request, new EntryMessage.Ended(request.id(), engine, kind, usage, sinceMs));
+    sendToScheduler(request, new EntryMessage.Ended(request.id(), engine, kind, usage, sinceMs));
   }
 
   private static Usage usageSoFar(TrackedRequest request) {
     return new Usage(request.planned().prompt().tokens(), 0, request.tokens());
   }
 
-  private void tell(TrackedRequest request, EntryMessage message) {
+  private void sendToScheduler(TrackedRequest request, EntryMessage message) {
     schedulers.get(request.vm()).send(request.vm(), message);
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/Experiment.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Experiment.java
@@ -9,14 +9,17 @@
 import java.util.concurrent.Future;
 import java.util.stream.LongStream;
 
-/** Runs each policy through each scenario on the same seeds. */
+/**
+ * Runs each combination of policy and scenario on the same seeds, so that results can be compared
+ * in pairs.
+ */
 public final class Experiment {
 
   private final List<Policy> policies;
   private final List<Scenario> scenarios;
   private final List<Long> seeds;
 
-  /** Creates the experiment with a number of seeds from a first one on. */
+  /** Creates an experiment on consecutive seeds, starting with the first one. */
   public Experiment(
       List<Policy> policies, List<Scenario> scenarios, long firstSeed, int seedCount) {
     this.policies = List.copyOf(policies);
@@ -25,10 +28,10 @@
   }
 
   /**
-   * Runs all, several runs at once; each run is by itself and deterministic.
+   * Runs all combinations in parallel. Each run is deterministic and independent of the others.
    *
-   * @param threads runs at once
-   * @throws ExperimentFailedException if a run broke an invariant or was interrupted
+   * @param threads maximum number of concurrent runs
+   * @throws ExperimentFailedException if a run violated an invariant or was interrupted
    */
   public List<GroupResult> run(int threads) {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
--- a/load/src/main/java/org/teaseltrail/load/policy/Fault.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Fault.java
@@ -2,21 +2,27 @@
 
 import java.util.List;
 
-/** Is what goes wrong in a run. */
+/** Fault that is injected into a run. */
 public enum Fault {
-  /** Nothing. */
+  /** No fault. */
   NONE {
     @Override
     void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {}
   },
-  /** The first engine's steps take five times as long from a third of the measured time on. */
+  /**
+   * The steps of the first engine take five times as long after the first third of the measurement
+   * interval.
+   */
   STRAGGLER {
     @Override
     void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
       time.at(scenario.thirdNs(), () -> engines.get(0).straggle(STRAGGLER_FACTOR));
     }
   },
-  /** The second engine dies in the middle of the measured time and is back, empty, after 20 s. */
+  /**
+   * The second engine crashes in the middle of the measurement interval and restarts with an empty
+   * cache after 20 s.
+   */
   CRASH {
     @Override
     void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
@@ -24,19 +30,25 @@
       time.at(scenario.middleNs() + DOWN_NS, engines.get(1)::restart);
     }
   },
-  /** The second engine announces in the middle that it leaves, and finishes what it has. */
+  /**
+   * The second engine announces in the middle of the measurement interval that it is leaving, and
+   * finishes the requests that it has accepted.
+   */
   LEAVING {
     @Override
     void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
       time.at(scenario.middleNs(), engines.get(1)::leave);
     }
   },
-  /** Three times the load for a tenth of the measured time, by the scenario's plan. */
+  /**
+   * Three times the load for a tenth of the measurement interval; {@link Scenario} plans the
+   * additional requests.
+   */
   BURST {
     @Override
     void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {}
   },
-  /** A straggler, and an engine that leaves. */
+  /** Combines {@link #STRAGGLER} and {@link #LEAVING}. */
   STRAGGLER_AND_LEAVING {
     @Override
     void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
@@ -48,6 +60,6 @@
   private static final double STRAGGLER_FACTOR = 5;
   private static final long DOWN_NS = 20_000_000_000L;
 
-  /** Plans the fault's events. */
+  /** Schedules the events of the fault. */
   abstract void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines);
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/GoodputChart.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/GoodputChart.java
@@ -10,7 +10,10 @@
 import org.knowm.xchart.VectorGraphicsEncoder.VectorGraphicsFormat;
 import org.teaseltrail.core.id.Tier;
 
-/** Draws goodput by tier, a group of bars for each policy in each scenario, as SVG. */
+/**
+ * Bar chart of goodput by tier in SVG format, with one group of bars for each policy in each
+ * scenario.
+ */
 public final class GoodputChart {
 
   private static final int WIDTH_PX = 1200;
@@ -20,12 +23,12 @@
 
   private final List<GroupResult> groups;
 
-  /** Creates the chart of one or more groups of one deployment. */
+  /** Creates a chart of one or more result groups, all of the same deployment. */
   public GoodputChart(List<GroupResult> groups) {
     this.groups = List.copyOf(groups);
   }
 
-  /** Writes the file; its name ends in {@code .svg}. */
+  /** Writes the chart to a file whose name ends in {@code .svg}. */
   public void write(Path file) throws IOException {
     VectorGraphicsEncoder.saveVectorGraphic(chart(), file.toString(), VectorGraphicsFormat.SVG);
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/GroupResult.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/GroupResult.java
@@ -8,45 +8,45 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Is one policy in one scenario over all seeds.
+ * Results of one policy in one scenario over all seeds.
  *
  * @param policy the policy
  * @param scenario the scenario
- * @param runs a result for each seed
+ * @param runs the results, one for each seed
  */
 public record GroupResult(Policy policy, Scenario scenario, List<RunResult> runs) {
 
   private static final double US_PER_MS = 1_000;
 
-  /** Returns a measure's spread over the seeds. */
+  /** Returns the statistics of a metric over the seeds. */
   public Spread spread(ToDoubleFunction<RunResult> measure) {
     return Spread.of(runs.stream().map(measure::applyAsDouble).toList());
   }
 
-  /** Returns the useful part of what a tier offered. */
+  /** Returns a tier's goodput: the fraction of its offered requests that got a useful response. */
   public Spread goodput(Tier tier) {
     return spread(r -> r.tiers().get(tier).goodput());
   }
 
-  /** Returns the useful part of what a tier and all higher ones offered. */
+  /** Returns the combined goodput of a tier and all higher tiers. */
   public Spread prefixGoodput(Tier lowest) {
     return spread(r -> r.prefixGoodput(lowest));
   }
 
-  /** Returns a percentile of the time to the first token, in milliseconds, over all seeds. */
+  /** Returns a percentile of the time to first token over all seeds, in milliseconds. */
   public double firstTokenMs(Tier tier, double percentile) {
     return percentileMs(RunResult::firstTokenUs, tier, percentile);
   }
 
-  /** Returns a percentile of the time between tokens, in milliseconds, over all seeds. */
+  /** Returns a percentile of the time between tokens over all seeds, in milliseconds. */
   public double interTokenMs(Tier tier, double percentile) {
     return percentileMs(RunResult::interTokenUs, tier, percentile);
   }
 
   private double percentileMs(
-      Function<RunResult, SortedMap<Tier, Histogram>> of, Tier tier, double percentile) {
+      Function<RunResult, SortedMap<Tier, Histogram>> histogramsOf, Tier tier, double percentile) {
     Histogram all = new Histogram(3);
-    runs.forEach(r -> all.add(of.apply(r).get(tier)));
+    runs.forEach(r -> all.add(histogramsOf.apply(r).get(tier)));
     return all.getValueAtPercentile(percentile) / US_PER_MS;
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/Measures.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Measures.java
@@ -10,10 +10,10 @@
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.KindSpec;
 
-/** Gathers the measures of one run. */
+/** Collects the metrics of one run. */
 final class Measures {
 
-  private static final int DIGITS = 3;
+  private static final int HISTOGRAM_DIGITS = 3;
   private static final double NS_PER_US = 1_000;
 
   private final SortedMap<Tier, TierTally> tiers = new TreeMap<>();
@@ -26,8 +26,8 @@
   Measures(Deployment deployment) {
     for (Tier tier : deployment.tiers()) {
       tiers.put(tier, new TierTally());
-      firstToken.put(tier, new Histogram(DIGITS));
-      interToken.put(tier, new Histogram(DIGITS));
+      firstToken.put(tier, new Histogram(HISTOGRAM_DIGITS));
+      interToken.put(tier, new Histogram(HISTOGRAM_DIGITS));
     }
     for (KindSpec kind : deployment.kinds()) {
       kinds.put(kind.name(), new TierTally());
@@ -47,7 +47,8 @@
         prefill.processed(
             engine, request.blocks(), cachedTokens, processedTokens, request.counted());
     request.prefilled(done);
-    // A caller may have hung up before its engine has heard of it and tells what it processed.
+    // The outcome can be known before the prefill is reported: a caller disconnects, and only
+    // later the engine receives the cancellation and reports what it has processed.
     request.outcome().ifPresent(outcome -> prefill.ended(done, outcome));
   }
 
@@ -55,7 +56,7 @@
     prefill.crashed(engine);
   }
 
-  /** Notes tokens that reach the caller at a time. */
+  /** Records tokens that reach the caller at the given time. */
   void tokens(TrackedRequest request, int count, long nowNs) {
     if (request.counted()) {
       boolean first = request.tokens() == 0;
--- a/load/src/main/java/org/teaseltrail/load/policy/Network.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Network.java
@@ -2,12 +2,12 @@
 
 import org.teaseltrail.load.workload.Deployment;
 
-/** Holds the fixed one-way message times of a deployment. */
+/** One-way network delays of a deployment and the commit time of a claim, all constant. */
 final class Network {
 
   private static final double NS_PER_MS = 1e6;
 
-  /** Time to sync a claim to a disk; two milliseconds is slow for a solid-state disk. */
+  /** Duration of syncing a claim to disk; two milliseconds is slow for a solid-state disk. */
   private static final double SYNC_MS = 2;
 
   private final long betweenDataCentersNs;
@@ -30,7 +30,7 @@
     return betweenDataCentersNs;
   }
 
-  /** Returns the time until a claim is synced on a quorum: a round trip and a sync. */
+  /** Returns the time until a claim is synced on a quorum: one round trip and one disk sync. */
   long claimNs() {
     return (long) (2 * betweenDataCentersNs + SYNC_MS * NS_PER_MS);
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/PolicyRun.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PolicyRun.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.load.workload.EngineSpec;
 import org.teaseltrail.load.workload.PlannedRequest;
 
-/** Runs one policy through one scenario with one seed. */
+/** Simulates one policy in one scenario with one seed. */
 public final class PolicyRun {
 
   private final Scenario scenario;
@@ -30,7 +30,7 @@
   private final Map<UpstreamId, EngineNode> engines = new LinkedHashMap<>();
   private int nextVm;
 
-  /** Prepares the run. */
+  /** Creates a run. */
   public PolicyRun(Scenario scenario, Policy policy, long seed) {
     this.scenario = scenario;
     this.policy = policy;
@@ -41,7 +41,7 @@
     this.entryVms = new EntryVms(time, deployment, measures);
   }
 
-  /** Runs to the end. */
+  /** Runs the simulation to its end. */
   public RunResult run() {
     createVms();
     createEngines();
@@ -83,13 +83,18 @@
 
   private void createEngines() {
     for (EngineSpec spec : deployment.engines()) {
-      engines.put(spec.id(), new EngineNode(time, deployment, spec, entryVms, new News(), seed));
+      engines.put(
+          spec.id(),
+          new EngineNode(time, deployment, spec, entryVms, new UpstreamEventForwarder(), seed));
     }
     engines.values().forEach(EngineNode::start);
   }
 
-  /** Passes upstreams' news on: over any one VM to the pool's scheduler, else to every VM. */
-  private void tellNews(EntryMessage message) {
+  /**
+   * Forwards an upstream's event to the schedulers: through one entry VM in rotation to the pool
+   * scheduler, or to the baseline instance of every VM.
+   */
+  private void forwardUpstreamEvent(EntryMessage message) {
     if (policy.isPerVm()) {
       schedulers.forEach((vm, node) -> node.send(vm, message));
       return;
@@ -98,18 +103,18 @@
     schedulers.get(vm).send(vm, message);
   }
 
-  private final class News implements UpstreamNews {
+  private final class UpstreamEventForwarder implements UpstreamNews {
 
     @Override
     public void announced(Announcement announcement) {
       EntryMessage message = new EntryMessage.UpstreamSeen(announcement, 0);
-      time.after(network.upstreamNs(), () -> tellNews(message));
+      time.after(network.upstreamNs(), () -> forwardUpstreamEvent(message));
     }
 
     @Override
     public void cacheChanged(CacheEvent event) {
       EntryMessage message = new EntryMessage.CacheSeen(event);
-      time.after(network.upstreamNs(), () -> tellNews(message));
+      time.after(network.upstreamNs(), () -> forwardUpstreamEvent(message));
     }
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/PoolConfiguration.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PoolConfiguration.java
@@ -20,10 +20,10 @@
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.EngineSpec;
 
-/** Makes the configuration of a deployment's engine pool. */
+/** Creates the scheduler's configuration for the engine pool of a deployment. */
 final class PoolConfiguration {
 
-  /** Work that may wait, in milliseconds of the pool's time. */
+  /** Maximum backlog, in milliseconds of the pool's processing time. */
   private static final long MAX_WAITING_MS = 30_000;
 
   private PoolConfiguration() {}
--- a/load/src/main/java/org/teaseltrail/load/policy/PrefillLedger.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PrefillLedger.java
@@ -12,17 +12,17 @@
 import org.teaseltrail.load.workload.Prompt;
 
 /**
- * Counts prompt processing and the part of it that was wasted. A prompt whose answer was discarded
- * counts as discarded only; of the others, each block that some engine had processed before counts
- * as repeated.
+ * Counts prompt tokens that engines process (prefill) and the part of them that is wasted. A prompt
+ * whose response was discarded counts only as discarded; for other prompts, each block that some
+ * engine had processed before counts as repeated.
  *
- * <p>The bound on cache hits is one cache as large as all engines' together, which every request
- * reaches. No placement on real engines hits more under the same rule of dropping, for each engine
- * holds a part of what this one holds.
+ * <p>The upper bound of cache hits is modelled by a single cache with the capacity of all engine
+ * caches together, which every request can use. With the same eviction rule, no placement on real
+ * engines achieves more hits, because each engine holds only a part of the content of this cache.
  */
 final class PrefillLedger {
 
-  private final BlockCache perfectCache;
+  private final BlockCache idealCache;
   private final Map<UpstreamId, BlockCache> engineCaches = new HashMap<>();
   private final Set<Long> processedBefore = new HashSet<>();
   private final Map<PrefillWaste, Long> wastedTokens = new EnumMap<>(PrefillWaste.class);
@@ -32,15 +32,16 @@
 
   PrefillLedger(List<EngineSpec> engines) {
     long poolTokens = engines.stream().mapToLong(EngineSpec::cacheTokens).sum();
-    this.perfectCache = new BlockCache(poolTokens);
+    this.idealCache = new BlockCache(poolTokens);
     engines.forEach(e -> engineCaches.put(e.id(), new BlockCache(e.cacheTokens())));
   }
 
   /**
-   * Notes that an engine has processed a prompt.
+   * Records that an engine has processed a prompt.
    *
-   * @param counted whether the request is in the measured part of the run
-   * @return what it cost, to be booked once the request's outcome is known
+   * @param counted whether the request arrived in the measurement interval
+   * @return the cost of the prefill, to be passed to {@link #ended} once the request's outcome is
+   *     known
    */
   Prefill processed(
       UpstreamId engine, List<Long> blocks, int cached, int processed, boolean counted) {
@@ -56,33 +57,33 @@
       }
     }
     engineCaches.get(engine).use(blocks);
-    long perfect = perfectCache.use(blocks);
+    long idealCached = idealCache.use(blocks);
     if (counted) {
       processedTokens += processed;
       cachedTokens += cached;
-      perfectCachedTokens += perfect;
+      perfectCachedTokens += idealCached;
     }
     return new Prefill(processed, evicted, elsewhere, counted);
   }
 
-  /** Notes that an engine has died, and its cache with it. */
+  /** Records that an engine has crashed and lost its cache. */
   void crashed(UpstreamId engine) {
     engineCaches.get(engine).clear();
   }
 
-  /** Books a prompt's waste by the request's outcome. */
+  /** Attributes a prompt's wasted tokens according to the request's outcome. */
   void ended(Prefill prefill, RequestOutcome outcome) {
     if (!prefill.counted()) {
       return;
     }
     switch (outcome) {
       case USEFUL -> {
-        waste(PrefillWaste.REPEATED_EVICTED, prefill.evictedTokens());
-        waste(PrefillWaste.REPEATED_ELSEWHERE, prefill.elsewhereTokens());
+        addWaste(PrefillWaste.REPEATED_EVICTED, prefill.evictedTokens());
+        addWaste(PrefillWaste.REPEATED_ELSEWHERE, prefill.elsewhereTokens());
       }
-      case HUNG_UP -> waste(PrefillWaste.DISCARDED_CANCEL, prefill.processedTokens());
-      case FAILED -> waste(PrefillWaste.DISCARDED_FAILURE, prefill.processedTokens());
-      default -> waste(PrefillWaste.DISCARDED_LATE, prefill.processedTokens());
+      case HUNG_UP -> addWaste(PrefillWaste.DISCARDED_CANCEL, prefill.processedTokens());
+      case FAILED -> addWaste(PrefillWaste.DISCARDED_FAILURE, prefill.processedTokens());
+      default -> addWaste(PrefillWaste.DISCARDED_LATE, prefill.processedTokens());
     }
   }
 
@@ -91,12 +92,12 @@
         processedTokens, cachedTokens, perfectCachedTokens, Map.copyOf(wastedTokens));
   }
 
-  private void waste(PrefillWaste cause, long tokens) {
+  private void addWaste(PrefillWaste cause, long tokens) {
     if (tokens > 0) {
       wastedTokens.merge(cause, tokens, Long::sum);
     }
   }
 
-  /** Is what one prompt's processing cost. */
+  /** Prefill cost of one prompt, in tokens. */
   record Prefill(long processedTokens, long evictedTokens, long elsewhereTokens, boolean counted) {}
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/PrefillTally.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PrefillTally.java
@@ -3,12 +3,13 @@
 import java.util.Map;
 
 /**
- * Is the prompt processing of a run.
+ * Prefill totals of a run.
  *
- * @param processedTokens tokens processed
- * @param cachedTokens tokens that engines' caches saved
- * @param perfectCachedTokens tokens that the perfect cache would have saved
- * @param wastedTokens tokens wasted, by cause
+ * @param processedTokens prompt tokens that engines processed
+ * @param cachedTokens prompt tokens found in the engines' caches
+ * @param perfectCachedTokens prompt tokens that an ideal cache, shared by all engines, would have
+ *     contained
+ * @param wastedTokens wasted tokens by cause
  */
 public record PrefillTally(
     long processedTokens,
@@ -16,18 +17,18 @@
     long perfectCachedTokens,
     Map<PrefillWaste, Long> wastedTokens) {
 
-  /** Returns the wasted part of the processed tokens. */
+  /** Returns the fraction of processed tokens that was wasted. */
   public double wastedFraction() {
     long wasted = wastedTokens.values().stream().mapToLong(Long::longValue).sum();
     return fraction(wasted, processedTokens);
   }
 
-  /** Returns the part of the processed tokens wasted for one cause. */
+  /** Returns the fraction of processed tokens that was wasted for the given cause. */
   public double wastedFraction(PrefillWaste cause) {
     return fraction(wastedTokens.getOrDefault(cause, 0L), processedTokens);
   }
 
-  /** Returns the cache hits as a part of the perfect cache's. */
+  /** Returns the ratio of the cache hits to those of the ideal cache. */
   public double hitsOfPerfect() {
     return perfectCachedTokens == 0 ? 1 : fraction(cachedTokens, perfectCachedTokens);
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/PrefillWaste.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PrefillWaste.java
@@ -1,16 +1,22 @@
 package org.teaseltrail.load.policy;
 
-/** Says why prompt processing was wasted. */
+/** Reason why prompt processing (prefill) was wasted. */
 public enum PrefillWaste {
-  /** No engine held the prefix any more. */
+  /** Repeated, because no engine had the prefix in its cache any longer. */
   REPEATED_EVICTED("evicted"),
-  /** Some engine held the prefix, and the request ran on another, or before it was stored. */
+  /**
+   * Repeated, although some engine had the prefix cached: the request ran on another engine, or
+   * before the prefix was stored.
+   */
   REPEATED_ELSEWHERE("elsewhere"),
-  /** The caller hung up. */
+  /** Discarded, because the caller disconnected. */
   DISCARDED_CANCEL("hung up"),
-  /** The upstream failed. */
+  /** Discarded, because the upstream failed. */
   DISCARDED_FAILURE("failed"),
-  /** The answer came after its useful deadline, or not before the run's end. */
+  /**
+   * Discarded, because the response arrived after its useful deadline or not before the end of the
+   * run.
+   */
   DISCARDED_LATE("late");
 
   private final String label;
@@ -19,7 +25,7 @@
     this.label = label;
   }
 
-  /** Returns the name in reports. */
+  /** Returns the label in reports. */
   public String label() {
     return label;
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/ResultCsv.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/ResultCsv.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.load.measure.RequestOutcome;
 import org.teaseltrail.load.measure.TierTally;
 
-/** Writes one line for each run and tier, for other tools. */
+/** Formats results as CSV with one line for each run and tier. */
 public final class ResultCsv {
 
   private static final double P50 = 50;
@@ -20,17 +20,17 @@
 
   private final List<GroupResult> groups;
 
-  /** Creates the lines of groups. */
+  /** Creates the CSV of result groups. */
   public ResultCsv(List<GroupResult> groups) {
     this.groups = List.copyOf(groups);
   }
 
-  /** Writes the file. */
+  /** Writes the lines to a file. */
   public void write(Path file) throws IOException {
     Files.write(file, lines());
   }
 
-  /** Returns the lines, the header first. */
+  /** Returns all lines, starting with the header. */
   public List<String> lines() {
     List<String> lines = new ArrayList<>();
     lines.add(header());
--- a/load/src/main/java/org/teaseltrail/load/policy/ResultTable.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/ResultTable.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import org.teaseltrail.core.id.Tier;
 
-/** Prints results as a table in Markdown, a line for each policy in each scenario. */
+/** Formats results as a Markdown table with one row for each policy in each scenario. */
 public final class ResultTable {
 
   private static final double P50 = 50;
@@ -13,12 +13,12 @@
 
   private final List<GroupResult> groups;
 
-  /** Creates the table of one or more groups of one deployment. */
+  /** Creates a table of one or more result groups, all of the same deployment. */
   public ResultTable(List<GroupResult> groups) {
     this.groups = List.copyOf(groups);
   }
 
-  /** Returns the lines. */
+  /** Returns the lines of the table. */
   public List<String> lines() {
     List<Tier> tiers = groups.get(0).scenario().deployment().tiers();
     List<String> lines = new ArrayList<>();
--- a/load/src/main/java/org/teaseltrail/load/policy/RunResult.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/RunResult.java
@@ -7,16 +7,16 @@
 import org.teaseltrail.load.measure.TierTally;
 
 /**
- * Is what one run has measured.
+ * Metrics of one run.
  *
  * @param policy the policy's name
  * @param seed the run's seed
- * @param tiers requests by tier and outcome
- * @param kinds requests by kind and outcome
- * @param prefill the prompt processing
- * @param firstTokenUs microseconds from the caller's sending to its first token, by tier
- * @param interTokenUs microseconds between tokens, by tier
- * @param decisions decisions logged by the policy
+ * @param tiers request counts by tier and outcome
+ * @param kinds request counts by kind and outcome
+ * @param prefill the prefill totals
+ * @param firstTokenUs time from sending the request to its first token in microseconds, by tier
+ * @param interTokenUs time between tokens in microseconds, by tier
+ * @param decisions number of decisions that the policy logged
  */
 public record RunResult(
     String policy,
@@ -28,7 +28,7 @@
     SortedMap<Tier, Histogram> interTokenUs,
     long decisions) {
 
-  /** Returns the useful part of what a tier and all higher ones offered. */
+  /** Returns the combined goodput of a tier and all higher tiers. */
   public double prefixGoodput(Tier lowest) {
     long useful = 0;
     long offered = 0;
--- a/load/src/main/java/org/teaseltrail/load/policy/Scenario.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Scenario.java
@@ -7,39 +7,40 @@
 import org.teaseltrail.load.workload.WorkloadPlan;
 
 /**
- * Is what a policy is put to. Requests that arrive between warm-up and end of the measured time
- * count; others go on arriving until the most patient of those has had its useful deadline, so that
- * the load doesn't ease while answers are still awaited.
+ * Workload and fault under which a policy is simulated. Only requests that arrive in the
+ * measurement interval, which follows the warm-up, are measured. Further requests arrive after the
+ * interval until the longest useful deadline has passed, so that the load doesn't drop while
+ * responses to measured requests are pending.
  *
- * @param deployment whose workload and engines
- * @param load how much of it, as a factor on what fits
- * @param fault what goes wrong
- * @param warmUpNs time before requests count
- * @param measuredNs time in which requests count
+ * @param deployment the deployment that defines workload and engines
+ * @param load the offered load as a factor of the pool's capacity
+ * @param fault the fault to inject
+ * @param warmUpNs duration of the warm-up, whose requests aren't measured
+ * @param measuredNs duration of the measurement interval
  */
 public record Scenario(
     Deployment deployment, double load, Fault fault, long warmUpNs, long measuredNs) {
 
   private static final long NS_PER_MS = 1_000_000;
   private static final double BURST_FACTOR = 3;
-  private static final int BURST_PART = 10;
+  private static final int BURST_DURATION_DIVISOR = 10;
 
-  /** Returns whether a request counts. */
+  /** Returns whether a request arrives in the measurement interval. */
   boolean counts(PlannedRequest request) {
     return request.atNs() >= warmUpNs && request.atNs() < warmUpNs + measuredNs;
   }
 
-  /** Returns when the run ends. */
+  /** Returns the end of the run. */
   long endNs() {
     return warmUpNs + measuredNs + deployment.longestUsefulDeadlineMs() * NS_PER_MS;
   }
 
-  /** Returns the middle of the measured time. */
+  /** Returns the middle of the measurement interval. */
   long middleNs() {
     return warmUpNs + measuredNs / 2;
   }
 
-  /** Returns a third of the measured time after its start. */
+  /** Returns the end of the first third of the measurement interval. */
   long thirdNs() {
     return warmUpNs + measuredNs / 3;
   }
@@ -50,7 +51,8 @@
 
   private List<Burst> bursts() {
     return fault == Fault.BURST
-        ? List.of(new Burst(middleNs(), middleNs() + measuredNs / BURST_PART, BURST_FACTOR))
+        ? List.of(
+            new Burst(middleNs(), middleNs() + measuredNs / BURST_DURATION_DIVISOR, BURST_FACTOR))
         : List.of();
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/SchedulerNode.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/SchedulerNode.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.schedule.SchedulerAction;
 import org.teaseltrail.core.schedule.SchedulerEvent;
 
-/** Runs one scheduler in virtual time: messages take a fixed delay, claims a fixed time. */
+/** Simulates one scheduler in virtual time; messages and claims have constant delays. */
 final class SchedulerNode {
 
   private static final long NO_TICK = Long.MAX_VALUE;
@@ -19,14 +19,14 @@
   private final long claimNs;
   private final Consumer<SchedulerAction.Send> toEntry;
   private final Measures measures;
-  private long tickAtNs = NO_TICK;
+  private long nextTickNs = NO_TICK;
 
   /**
-   * Creates the node.
+   * Creates the simulator of a scheduler.
    *
-   * @param delayNs one-way time of a message between an entry VM and the scheduler
+   * @param delayNs one-way message delay between an entry VM and the scheduler
    * @param claimNs time until a claim is committed
-   * @param toEntry takes each message at the time it reaches its entry VM
+   * @param toEntry receives each message when it reaches its entry VM
    */
   SchedulerNode(
       VirtualTime time,
@@ -43,19 +43,19 @@
     this.measures = measures;
   }
 
-  /** Takes a message that an entry VM sends now. */
+  /** Sends a message from an entry VM to the scheduler. */
   void send(VmId vm, EntryMessage message) {
     time.after(delayNs, () -> handle(new SchedulerEvent.FromEntry(vm, message)));
   }
 
   void handle(SchedulerEvent event) {
     for (SchedulerAction action : scheduler.handle(event, time.nowNs())) {
-      carryOut(action);
+      execute(action);
     }
-    planTick();
+    scheduleTick();
   }
 
-  private void carryOut(SchedulerAction action) {
+  private void execute(SchedulerAction action) {
     if (action instanceof SchedulerAction.Send send) {
       time.after(delayNs, () -> toEntry.accept(send));
     } else if (action instanceof SchedulerAction.CommitClaim commit) {
@@ -66,18 +66,18 @@
     }
   }
 
-  private void planTick() {
+  private void scheduleTick() {
     OptionalLong wakeupNs = scheduler.nextWakeupNs();
-    if (wakeupNs.isPresent() && wakeupNs.getAsLong() < tickAtNs) {
+    if (wakeupNs.isPresent() && wakeupNs.getAsLong() < nextTickNs) {
       long atNs = Math.max(wakeupNs.getAsLong(), time.nowNs() + 1);
-      tickAtNs = atNs;
+      nextTickNs = atNs;
       time.at(atNs, () -> tick(atNs));
     }
   }
 
-  private void tick(long plannedNs) {
-    if (plannedNs == tickAtNs) {
-      tickAtNs = NO_TICK;
+  private void tick(long scheduledNs) {
+    if (scheduledNs == nextTickNs) {
+      nextTickNs = NO_TICK;
       handle(new SchedulerEvent.Tick());
     }
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/TrackedRequest.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/TrackedRequest.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.PlannedRequest;
 
-/** Follows one request of a run from its offer to its one outcome. */
+/** State of one request of a run from its arrival to its outcome. */
 final class TrackedRequest {
 
   private static final long NS_PER_MS = 1_000_000;
@@ -38,11 +38,11 @@
     this.blocks = planned.prompt().blocks();
   }
 
-  /** Returns the ticket as the entry VM offers it at a time. */
+  /** Returns the ticket that the entry VM submits at the given time. */
   Ticket ticket(Deployment deployment, long nowNs) {
     long waitedMs = (nowNs - planned.atNs()) / NS_PER_MS;
     long deadlineMs = planned.kind().sendsDeadline() ? usefulUntilNs() / NS_PER_MS : 0;
-    long leftMs = deadlineMs == 0 ? 0 : Math.max(1, deadlineMs - nowNs / NS_PER_MS);
+    long remainingMs = deadlineMs == 0 ? 0 : Math.max(1, deadlineMs - nowNs / NS_PER_MS);
     return new Ticket(
         id,
         planned.customer(),
@@ -54,11 +54,14 @@
         maxTokens(),
         blocks,
         waitedMs,
-        leftMs,
+        remainingMs,
         claim());
   }
 
-  /** Returns the bound that the caller sets on the answer: the next power of two. */
+  /**
+   * Returns the maximum response length that the caller requests: the smallest power of two that
+   * isn't less than the planned length.
+   */
   int maxTokens() {
     return Integer.highestOneBit(Math.max(1, 2 * planned.outputTokens() - 1));
   }
@@ -75,7 +78,7 @@
     return vm;
   }
 
-  /** Returns whether the request arrived in the measured part of the run. */
+  /** Returns whether the request arrived in the measurement interval. */
   boolean counted() {
     return counted;
   }
@@ -125,7 +128,7 @@
     dispatchedNs = nowNs;
   }
 
-  /** Takes the dispatch back: the upstream refused the request before it ran. */
+  /** Reverts the dispatch after the upstream refused the request before running it. */
   void refusedByUpstream() {
     upstream = Optional.empty();
   }
@@ -141,7 +144,7 @@
 
   void end(RequestOutcome reached) {
     if (ended()) {
-      throw new IllegalStateException(id + " has ended as " + outcome.get());
+      throw new IllegalStateException(id + " already has the outcome " + outcome.get());
     }
     outcome = Optional.of(reached);
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/UpstreamNews.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/UpstreamNews.java
@@ -3,12 +3,12 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.CacheEvent;
 
-/** Hears what upstreams say of themselves, at the time they say it. */
+/** Receives the events that upstreams publish, at the virtual time at which they are published. */
 interface UpstreamNews {
 
-  /** An upstream announces itself. */
+  /** Called when an upstream announces its state. */
   void announced(Announcement announcement);
 
-  /** An engine tells what its cache holds. */
+  /** Called when an engine reports a change of its cache content. */
   void cacheChanged(CacheEvent event);
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/VirtualTime.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/VirtualTime.java
@@ -3,29 +3,32 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Runs tasks in the order of their times, and tasks of one time in the order of their adding. */
+/**
+ * Executor of a discrete-event simulation: runs tasks by their scheduled virtual time, and tasks
+ * with equal times in the order in which they were added.
+ */
 final class VirtualTime {
 
   private final PriorityQueue<Task> tasks =
       new PriorityQueue<>(Comparator.comparingLong(Task::atNs).thenComparingLong(Task::number));
   private long nowNs;
-  private long added;
+  private long nextNumber;
 
   long nowNs() {
     return nowNs;
   }
 
-  /** Adds a task; a time that has passed counts as now. */
+  /** Schedules a task at a time; a time in the past is treated as the current time. */
   void at(long atNs, Runnable action) {
-    tasks.add(new Task(Math.max(atNs, nowNs), added++, action));
+    tasks.add(new Task(Math.max(atNs, nowNs), nextNumber++, action));
   }
 
-  /** Adds a task after a delay. */
+  /** Schedules a task after a delay. */
   void after(long delayNs, Runnable action) {
     at(nowNs + delayNs, action);
   }
 
-  /** Runs all tasks up to a time. */
+  /** Runs all tasks that are due until the given time, inclusive. */
   void runUntil(long endNs) {
     while (!tasks.isEmpty() && tasks.peek().atNs() <= endNs) {
       Task task = tasks.poll();
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/Baseline.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/Baseline.java
@@ -2,30 +2,33 @@
 
 import org.teaseltrail.core.schedule.Scheduler;
 
-/** Names a baseline and makes one VM's part of it. */
+/**
+ * Baseline policy that the pool scheduler is compared with; creates the baseline's instance for one
+ * VM.
+ */
 public enum Baseline {
-  /** Each upstream in turn. */
+  /** Round robin over the upstreams. */
   ROUND_ROBIN {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
       return new ImmediateDispatch(UpstreamChoice.ROUND_ROBIN, seed);
     }
   },
-  /** The upstream that last reported the least load. */
+  /** Selects the upstream with the least load in its last announcement. */
   LEAST_LOADED {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
       return new ImmediateDispatch(UpstreamChoice.LEAST_LOADED, seed);
     }
   },
-  /** The less loaded of two drawn upstreams, by their last reports. */
+  /** Selects the less loaded of two randomly chosen upstreams, by their last announcements. */
   POWER_OF_TWO {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
       return new ImmediateDispatch(UpstreamChoice.POWER_OF_TWO, seed);
     }
   },
-  /** A priority queue on each VM. */
+  /** Keeps a priority queue on each VM. */
   VM_QUEUE {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
@@ -34,11 +37,12 @@
   };
 
   /**
-   * Makes the part that one VM runs.
+   * Creates the instance that runs on one VM.
    *
-   * @param vmCount how many VMs there are
-   * @param maxWaitingInFleet requests that may wait on all VMs together, where it queues
-   * @param seed of its draws
+   * @param vmCount number of entry VMs
+   * @param maxWaitingInFleet maximum number of requests that wait on all VMs together, if the
+   *     baseline queues requests
+   * @param seed seed of random choices
    */
   public abstract Scheduler create(int vmCount, int maxWaitingInFleet, long seed);
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/ImmediateDispatch.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/ImmediateDispatch.java
@@ -18,8 +18,8 @@
 import org.teaseltrail.core.upstream.Announcement;
 
 /**
- * Sends each request on as it comes, so that the backlog waits inside the engines. One VM's part of
- * the fleet: it sees no other VM's requests.
+ * Dispatches each request on arrival, so that the backlog builds up in the engines. Each VM runs
+ * its own instance, which has no information about the requests of other VMs.
  */
 final class ImmediateDispatch implements Scheduler {
 
@@ -40,7 +40,7 @@
   @Override
   public List<SchedulerAction> handle(SchedulerEvent event, long nowNs) {
     if (event instanceof SchedulerEvent.FromEntry fromEntry) {
-      take(fromEntry.vm(), fromEntry.message(), nowNs);
+      apply(fromEntry.vm(), fromEntry.message(), nowNs);
     }
     return dispatchAll(nowNs);
   }
@@ -50,16 +50,16 @@
     return OptionalLong.empty();
   }
 
-  private void take(VmId vm, EntryMessage message, long nowNs) {
+  private void apply(VmId vm, EntryMessage message, long nowNs) {
     if (message instanceof EntryMessage.Offer offer) {
       waiting.put(offer.ticket().request(), new Offered(vm, offer.ticket()));
     } else if (message instanceof EntryMessage.Withdraw withdraw) {
       waiting.remove(withdraw.request());
     } else if (message instanceof EntryMessage.Declined declined) {
       upstreams.avoid(declined.upstream());
-      Offered again = granted.remove(declined.request());
-      if (again != null) {
-        waiting.put(declined.request(), again);
+      Offered returned = granted.remove(declined.request());
+      if (returned != null) {
+        waiting.put(declined.request(), returned);
       }
     } else if (message instanceof EntryMessage.Ended ended) {
       granted.remove(ended.request());
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/UpstreamChoice.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/UpstreamChoice.java
@@ -5,16 +5,16 @@
 import java.util.random.RandomGenerator;
 import org.teaseltrail.core.upstream.Announcement;
 
-/** Chooses an upstream from what its last announcement says. */
+/** Strategy for selecting an upstream by the last announcements. */
 enum UpstreamChoice {
-  /** Takes each in turn. */
+  /** Round robin. */
   ROUND_ROBIN {
     @Override
     Announcement choose(List<Announcement> serving, long turn, RandomGenerator random) {
       return serving.get((int) (turn % serving.size()));
     }
   },
-  /** Takes the one that reported the least load; equal loads are drawn. */
+  /** Selects the upstream with the least reported load; ties are broken at random. */
   LEAST_LOADED {
     @Override
     Announcement choose(List<Announcement> serving, long turn, RandomGenerator random) {
@@ -26,7 +26,7 @@
       return best;
     }
   },
-  /** Draws two and takes the one that reported less load. */
+  /** Picks two upstreams at random and selects the one with less reported load. */
   POWER_OF_TWO {
     @Override
     Announcement choose(List<Announcement> serving, long turn, RandomGenerator random) {
@@ -39,7 +39,7 @@
   private static final Comparator<Announcement> BY_LOAD =
       Comparator.comparingDouble(UpstreamChoice::reportedLoad);
 
-  /** Returns the chosen one of one or more upstreams. */
+  /** Selects one of the given upstreams, of which there is at least one. */
   abstract Announcement choose(List<Announcement> serving, long turn, RandomGenerator random);
 
   private static Announcement lessLoaded(Announcement first, Announcement second) {
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/VmPriorityQueue.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/VmPriorityQueue.java
@@ -22,9 +22,11 @@
 import org.teaseltrail.core.upstream.Announcement;
 
 /**
- * Keeps a priority queue on one VM that sees no other VM's: higher tiers first, then in the order
- * of arrival. It dispatches while its own part of the upstream's batch is free, or while the last
- * report shows room, and sheds the newest of the lowest tier over its part of the backlog.
+ * Priority queue on one VM, without information about the queues of other VMs. Requests are ordered
+ * by tier, highest first, then by arrival. A request is dispatched while the VM's share of the
+ * upstream's batch is free or the upstream's last announcement reports spare capacity. When the
+ * number of waiting requests exceeds the VM's share of the fleet's limit, the newest request of the
+ * lowest tier is shed.
  */
 final class VmPriorityQueue implements Scheduler {
 
@@ -49,7 +51,7 @@
   @Override
   public List<SchedulerAction> handle(SchedulerEvent event, long nowNs) {
     if (event instanceof SchedulerEvent.FromEntry fromEntry) {
-      take(fromEntry.vm(), fromEntry.message(), nowNs);
+      apply(fromEntry.vm(), fromEntry.message(), nowNs);
     }
     List<SchedulerAction> actions = new ArrayList<>();
     dispatch(actions, nowNs);
@@ -62,16 +64,16 @@
     return OptionalLong.empty();
   }
 
-  private void take(VmId vm, EntryMessage message, long nowNs) {
+  private void apply(VmId vm, EntryMessage message, long nowNs) {
     if (message instanceof EntryMessage.Offer offer) {
       queue.add(new Waiting(vm, offer.ticket(), offers++));
     } else if (message instanceof EntryMessage.Withdraw withdraw) {
       queue.removeIf(w -> w.ticket().request().equals(withdraw.request()));
     } else if (message instanceof EntryMessage.Declined declined) {
       upstreams.avoid(declined.upstream());
-      Running again = running.remove(declined.request());
-      if (again != null) {
-        queue.add(again.waiting());
+      Running returned = running.remove(declined.request());
+      if (returned != null) {
+        queue.add(returned.waiting());
       }
     } else if (message instanceof EntryMessage.Ended ended) {
       running.remove(ended.request());
@@ -84,7 +86,9 @@
     List<Announcement> serving = upstreams.serving(nowNs);
     while (!queue.isEmpty()) {
       Optional<Announcement> free =
-          serving.stream().filter(a -> room(a) > 0).max(Comparator.comparingDouble(this::room));
+          serving.stream()
+              .filter(a -> spareCapacity(a) > 0)
+              .max(Comparator.comparingDouble(this::spareCapacity));
       if (free.isEmpty()) {
         return;
       }
@@ -94,12 +98,13 @@
     }
   }
 
-  /** Returns the free part of the upstream's batch, as far as this VM can tell. */
-  private double room(Announcement a) {
-    long own = running.values().stream().filter(r -> r.upstream().equals(a.upstream())).count();
-    double ownPart = Math.max(1.0, Math.ceil((double) a.maxBatch() / vmCount));
+  /** Estimates the spare capacity of the upstream's batch from what this VM knows. */
+  private double spareCapacity(Announcement a) {
+    long inFlight =
+        running.values().stream().filter(r -> r.upstream().equals(a.upstream())).count();
+    double ownShare = Math.max(1.0, Math.ceil((double) a.maxBatch() / vmCount));
     double reported = a.maxBatch() - a.load().runningRequests() - a.load().queuedRequests();
-    return Math.max(ownPart, reported / vmCount + ownPart) - own;
+    return Math.max(ownShare, reported / vmCount + ownShare) - inFlight;
   }
 
   private void shed(List<SchedulerAction> actions) {
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/package-info.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/package-info.java
@@ -1,2 +1,2 @@
-/** The ways of routing that the pool scheduler is weighed against. */
+/** Baseline routing policies that the pool scheduler is compared with. */
 package org.teaseltrail.load.policy.baseline;
--- a/load/src/main/java/org/teaseltrail/load/prepare/ConfigurationChange.java
+++ b/load/src/main/java/org/teaseltrail/load/prepare/ConfigurationChange.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * Is the change that configures a deployment, as {@code teaseltrail apply} reads it.
+ * Configuration change that sets up a deployment, in the JSON format read by {@code teaseltrail
+ * apply}.
  *
- * @param changeId names it
- * @param changes its items
+ * @param changeId id of the change
+ * @param changes the items of the change
  */
 record ConfigurationChange(String changeId, List<Item> changes) {
 
   /**
-   * Is one item; one field is set, the others are null.
+   * Item of a change; exactly one component is set, the others are null.
    *
    * @param putTier a tier
    * @param putCustomer a customer
@@ -48,7 +49,7 @@
   }
 
   /**
-   * Is a tier.
+   * Configuration of a tier.
    *
    * @param rank its rank
    * @param name its name
@@ -56,35 +57,35 @@
   record TierItem(int rank, String name) {}
 
   /**
-   * Is a customer.
+   * Configuration of a customer.
    *
-   * @param id its name
+   * @param id its id
    * @param tier its tier's rank
    * @param keyHashes hashes of its API keys
-   * @param weight its share within the tier
+   * @param weight its share of engine time relative to other customers of the tier
    */
   record CustomerItem(String id, int tier, List<String> keyHashes, int weight) {}
 
   /**
-   * Is a pool.
+   * Configuration of a pool.
    *
-   * @param id its name
-   * @param maxWaitingMs work that may wait
+   * @param id its id
+   * @param maxWaitingMs maximum backlog in milliseconds of processing time
    */
   record PoolItem(String id, long maxWaitingMs) {}
 
   /**
-   * Is a route; the model or the service is null.
+   * Configuration of a route; either the model or the service is null.
    *
-   * @param id its name
-   * @param model the model it leads to
-   * @param service the service it leads to
-   * @param pool its pool
+   * @param id its id
+   * @param model the model that it routes to
+   * @param service the service that it routes to
+   * @param pool id of its pool
    */
   record RouteItem(String id, ModelItem model, ServiceItem service, String pool) {}
 
   /**
-   * Is a model.
+   * Model that a route targets.
    *
    * @param model its name
    * @param version its version
@@ -92,20 +93,20 @@
   record ModelItem(String model, String version) {}
 
   /**
-   * Is a plain service.
+   * Plain service that a route targets.
    *
    * @param service its name
-   * @param nonIdempotentMethods methods whose calls may run at most once
+   * @param nonIdempotentMethods HTTP methods whose calls must run at most once
    */
   record ServiceItem(String service, List<String> nonIdempotentMethods) {}
 
   /**
-   * Is an upstream.
+   * Configuration of an upstream.
    *
-   * @param id its name
-   * @param pool its pool
+   * @param id its id
+   * @param pool id of its pool
    * @param secretHash hash of its secret
-   * @param honoursFencing whether it refuses old orders
+   * @param honoursFencing whether it rejects requests with an outdated fencing number
    */
   record UpstreamItem(String id, String pool, String secretHash, boolean honoursFencing) {}
 }
--- a/load/src/main/java/org/teaseltrail/load/prepare/DeploymentFolder.java
+++ b/load/src/main/java/org/teaseltrail/load/prepare/DeploymentFolder.java
@@ -30,9 +30,9 @@
 import org.teaseltrail.load.workload.EngineSpec;
 
 /**
- * Writes a folder from which a deployment starts on loopback: settings, secrets and keys, the
- * change that configures it ({@code apply.json}) and the programs to start ({@code programs}, a
- * name, a program and its arguments a line).
+ * Writes a folder with everything needed to start a deployment on the loopback interface: settings,
+ * secrets, API keys, the configuration change ({@code apply.json}) and the list of programs to
+ * start ({@code programs}, each line with a name, a program and its arguments).
  */
 public final class DeploymentFolder {
 
@@ -59,12 +59,12 @@
   /**
    * Creates the writer.
    *
-   * @param deployment what to start
-   * @param folder where to write; made if missing
-   * @param basePort first of a hundred loopback ports
-   * @param members control members
-   * @param entries entry VMs
-   * @param services processes of the plain service
+   * @param deployment the deployment to start
+   * @param folder the target folder; created if missing
+   * @param basePort first of a hundred consecutive loopback ports
+   * @param members number of members of the control group
+   * @param entries number of entry VMs
+   * @param services number of processes of the plain service
    */
   public DeploymentFolder(
       Deployment deployment, Path folder, int basePort, int members, int entries, int services) {
--- a/load/src/main/java/org/teaseltrail/load/prepare/Ports.java
+++ b/load/src/main/java/org/teaseltrail/load/prepare/Ports.java
@@ -1,35 +1,35 @@
 package org.teaseltrail.load.prepare;
 
 /**
- * Gives each process its loopback addresses, from a first port on.
+ * Assigns loopback addresses to the processes of a deployment.
  *
- * @param base the first port
+ * @param base the base port, to which offsets are added
  */
 record Ports(int base) {
 
-  private static final int OPERATORS = 10;
-  private static final int METRICS = 20;
-  private static final int ENTRIES = 30;
-  private static final int UPSTREAMS = 50;
+  private static final int OPERATORS_OFFSET = 10;
+  private static final int METRICS_OFFSET = 20;
+  private static final int ENTRIES_OFFSET = 30;
+  private static final int UPSTREAMS_OFFSET = 50;
 
   String control(int number) {
     return address(number);
   }
 
   String operators(int number) {
-    return address(OPERATORS + number);
+    return address(OPERATORS_OFFSET + number);
   }
 
   String metrics(int number) {
-    return address(METRICS + number);
+    return address(METRICS_OFFSET + number);
   }
 
   String entry(int number) {
-    return address(ENTRIES + number);
+    return address(ENTRIES_OFFSET + number);
   }
 
   String upstream(int number) {
-    return address(UPSTREAMS + number);
+    return address(UPSTREAMS_OFFSET + number);
   }
 
   private String address(int offset) {
--- a/load/src/main/java/org/teaseltrail/load/prepare/package-info.java
+++ b/load/src/main/java/org/teaseltrail/load/prepare/package-info.java
@@ -1,2 +1,5 @@
-/** Writes the settings of a whole deployment on loopback, for measurements on one machine. */
+/**
+ * Writer for the settings of a complete deployment on the loopback interface, used for measurements
+ * on a single machine.
+ */
 package org.teaseltrail.load.prepare;
--- a/load/src/main/java/org/teaseltrail/load/workload/Conversations.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/Conversations.java
@@ -8,45 +8,49 @@
 import java.util.random.RandomGenerator;
 import org.teaseltrail.core.id.CustomerId;
 
-/** Keeps the last prompts of each kind and customer, which follow-ups carry on. */
+/** Store of recent conversations by kind and customer, from which follow-up requests continue. */
 final class Conversations {
 
-  /** Time between a request and its follow-up; a reader's pause. */
+  /** Minimum time between a request and its follow-up, in which the user reads the response. */
   private static final long PAUSE_NS = 10_000_000_000L;
 
-  /** Time after which a conversation is carried on no more. */
-  private static final long FORGOTTEN_NS = 40_000_000_000L;
+  /** Age at which a conversation expires and isn't continued any more. */
+  private static final long EXPIRY_NS = 40_000_000_000L;
 
-  /** Longest prompt that is carried on, so that conversations end. */
+  /**
+   * Exclusive upper bound on the length of a conversation that is continued; it ensures that
+   * conversations end.
+   */
   private static final int MAX_TOKENS = 24_000;
 
-  private final Map<Key, List<Turn>> turns = new HashMap<>();
+  private final Map<Key, List<ConversationTurn>> turns = new HashMap<>();
 
-  /** Remembers a prompt with its answer as the beginning of a follow-up. */
+  /** Adds a prompt with its response as the prefix of a possible follow-up. */
   void add(KindSpec kind, CustomerId customer, long atNs, Prompt withAnswer) {
     if (withAnswer.tokens() < MAX_TOKENS) {
-      turnsOf(kind, customer).add(new Turn(atNs, withAnswer));
+      turnsOf(kind, customer).add(new ConversationTurn(atNs, withAnswer));
     }
   }
 
-  /** Takes out a conversation whose last turn is a pause ago; each is carried on once. */
+  /**
+   * Removes and returns a random conversation whose last turn is at least the pause ago. Each turn
+   * is continued at most once.
+   */
   Optional<Prompt> take(KindSpec kind, CustomerId customer, long atNs, RandomGenerator random) {
-    List<Turn> kept = turnsOf(kind, customer);
-    kept.removeIf(t -> t.atNs() + FORGOTTEN_NS < atNs);
-    int rested = 0;
-    while (rested < kept.size() && kept.get(rested).atNs() + PAUSE_NS <= atNs) {
-      rested++;
+    List<ConversationTurn> kept = turnsOf(kind, customer);
+    kept.removeIf(t -> t.atNs() + EXPIRY_NS < atNs);
+    int ready = 0;
+    while (ready < kept.size() && kept.get(ready).atNs() + PAUSE_NS <= atNs) {
+      ready++;
     }
-    return rested == 0
-        ? Optional.empty()
-        : Optional.of(kept.remove(random.nextInt(rested)).prompt());
+    return ready == 0 ? Optional.empty() : Optional.of(kept.remove(random.nextInt(ready)).prompt());
   }
 
-  private List<Turn> turnsOf(KindSpec kind, CustomerId customer) {
+  private List<ConversationTurn> turnsOf(KindSpec kind, CustomerId customer) {
     return turns.computeIfAbsent(new Key(kind.name(), customer), k -> new ArrayList<>());
   }
 
   private record Key(String kind, CustomerId customer) {}
 
-  private record Turn(long atNs, Prompt prompt) {}
+  private record ConversationTurn(long atNs, Prompt prompt) {}
 }
--- a/load/src/main/java/org/teaseltrail/load/workload/CustomerShare.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/CustomerShare.java
@@ -3,9 +3,9 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /**
- * Is a customer's part of the requests of one kind.
+ * Customer's share of the requests of one kind.
  *
  * @param customer the customer
- * @param share its part, relative to the other customers' parts
+ * @param share its share, relative to the shares of the other customers
  */
 public record CustomerShare(CustomerId customer, double share) {}
--- a/load/src/main/java/org/teaseltrail/load/workload/CustomerSpec.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/CustomerSpec.java
@@ -4,11 +4,12 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Is a customer of a deployment.
+ * Customer of a deployment.
  *
- * @param id who it is
- * @param tier the tier it pays for
- * @param weight its share of engine time against the others of its tier
- * @param systemPromptTokens length of the prompt that opens each of its generations
+ * @param id its id
+ * @param tier its tier
+ * @param weight its share of engine time relative to other customers of the tier
+ * @param systemPromptTokens length of the system prompt at the start of each of its generation
+ *     prompts
  */
 public record CustomerSpec(CustomerId id, Tier tier, int weight, int systemPromptTokens) {}
--- a/load/src/main/java/org/teaseltrail/load/workload/Deployment.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/Deployment.java
@@ -11,20 +11,20 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Is a deployment's size and workload.
+ * Topology and workload of a deployment.
  *
  * @param name its name
  * @param region its region
  * @param pool the pool of its engines
- * @param model the model they serve
+ * @param model the model that the engines serve
  * @param version the model's version
  * @param service its plain service
- * @param entryVms how many entry VMs it has
+ * @param entryVms number of entry VMs
  * @param networkMs one-way latency between its data centres
- * @param clientMs one-way latency to its clients
+ * @param clientMs one-way latency between callers and entry VMs
  * @param engines its engines
  * @param customers its customers
- * @param kinds what they send
+ * @param kinds the kinds of requests that the customers send
  */
 public record Deployment(
     String name,
@@ -40,7 +40,11 @@
     List<CustomerSpec> customers,
     List<KindSpec> kinds) {
 
-  /** Copies the lists and checks that each kind has one tier. */
+  /**
+   * Creates the deployment with copies of the lists.
+   *
+   * @throws InvalidWorkloadException if a kind isn't sent by customers of exactly one tier
+   */
   public Deployment {
     engines = List.copyOf(engines);
     customers = List.copyOf(customers);
@@ -50,22 +54,22 @@
     }
   }
 
-  /** Returns a customer by its id. */
+  /** Returns the customer with the given id. */
   public CustomerSpec customer(CustomerId id) {
     return find(customers, id);
   }
 
-  /** Returns the tier of the customers that send a kind. */
+  /** Returns the tier of the customers that send the given kind. */
   public Tier tierOf(KindSpec kind) {
     return customer(kind.customers().get(0).customer()).tier();
   }
 
-  /** Returns the useful deadline of the most patient kind. */
+  /** Returns the longest useful deadline of all kinds. */
   public long longestUsefulDeadlineMs() {
     return kinds.stream().mapToLong(KindSpec::usefulDeadlineMs).max().orElse(0);
   }
 
-  /** Returns the tiers in use, highest first. */
+  /** Returns the tiers of all customers, highest first. */
   public List<Tier> tiers() {
     return customers.stream().map(CustomerSpec::tier).distinct().sorted().toList();
   }
@@ -75,7 +79,11 @@
         kind.customers().stream().map(s -> find(customers, s.customer()).tier()).distinct().count();
     if (tiers != 1) {
       throw new InvalidWorkloadException(
-          "kind " + kind.name() + " is sent by " + tiers + " tiers, not one");
+          "kind "
+              + kind.name()
+              + " must be sent by customers of exactly one tier, not by "
+              + tiers
+              + " tiers");
     }
   }
 
@@ -83,6 +91,6 @@
     return customers.stream()
         .filter(c -> c.id().equals(id))
         .findFirst()
-        .orElseThrow(() -> new NoSuchElementException("customer " + id));
+        .orElseThrow(() -> new NoSuchElementException("unknown customer " + id));
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/workload/DeploymentReader.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/DeploymentReader.java
@@ -7,7 +7,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 
-/** Reads the deployments that ship with the program, by name. */
+/** Reads the deployments that are bundled with the program as resources. */
 public final class DeploymentReader {
 
   private static final ObjectMapper MAPPER =
@@ -25,12 +25,13 @@
    *
    * @param name {@code gopherfield} or {@code cymru}
    * @return the deployment
-   * @throws InvalidWorkloadException if there is none of that name or its file is malformed
+   * @throws InvalidWorkloadException if there is no deployment with that name or its file is
+   *     malformed
    */
   public static Deployment read(String name) {
     try (InputStream in = DeploymentReader.class.getResourceAsStream(name + ".json")) {
       if (in == null) {
-        throw new InvalidWorkloadException("there is no deployment " + name);
+        throw new InvalidWorkloadException("unknown deployment " + name);
       }
       return MAPPER.readValue(in, Deployment.class);
     } catch (IOException e) {
--- a/load/src/main/java/org/teaseltrail/load/workload/EngineSpec.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/EngineSpec.java
@@ -4,15 +4,15 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Is an engine of a deployment's pool.
+ * Engine of a deployment's pool, with its timing model.
  *
- * @param id its name
- * @param dataCenter where it stands
- * @param stepMs time of a step with an empty batch
+ * @param id its id
+ * @param dataCenter its data centre
+ * @param stepMs duration of a step with an empty batch
  * @param stepPerSequenceMs time that each sequence in the batch adds to a step
  * @param prefillPerTokenMs time that each prompt token adds to the step that processes it
- * @param maxBatch sequences it runs at once
- * @param cacheTokens tokens that its prefix cache holds
+ * @param maxBatch maximum number of sequences in the batch
+ * @param cacheTokens capacity of the prefix cache in tokens
  */
 public record EngineSpec(
     UpstreamId id,
@@ -24,10 +24,10 @@
     long cacheTokens) {
 
   /**
-   * Returns the engine's time that one request takes when the batch is full.
+   * Returns the engine time of one request when the batch is full.
    *
-   * @param prefillTokens prompt tokens that aren't cached
-   * @param outputTokens tokens to generate
+   * @param prefillTokens number of prompt tokens that aren't cached
+   * @param outputTokens number of tokens to generate
    */
   public double costMs(long prefillTokens, long outputTokens) {
     double decodeMs = stepMs / maxBatch + stepPerSequenceMs;
--- a/load/src/main/java/org/teaseltrail/load/workload/IdsAsText.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/IdsAsText.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.core.id.Tier;
 import org.teaseltrail.core.id.UpstreamId;
 
-/** Reads ids from plain texts, and tiers from their ranks. */
+/** Jackson module that deserializes ids from strings and tiers from their ranks. */
 final class IdsAsText {
 
   private IdsAsText() {}
@@ -36,16 +36,16 @@
   }
 
   private static <T> void add(SimpleModule module, Class<T> type, Function<String, T> fromText) {
-    module.addDeserializer(type, new FromText<>(type, fromText));
+    module.addDeserializer(type, new FromTextDeserializer<>(type, fromText));
   }
 
-  private static final class FromText<T> extends StdDeserializer<T> {
+  private static final class FromTextDeserializer<T> extends StdDeserializer<T> {
 
     private static final long serialVersionUID = 1L;
 
     private final transient Function<String, T> fromText;
 
-    FromText(Class<T> type, Function<String, T> fromText) {
+    FromTextDeserializer(Class<T> type, Function<String, T> fromText) {
       super(type);
       this.fromText = fromText;
     }
--- a/load/src/main/java/org/teaseltrail/load/workload/InvalidWorkloadException.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/InvalidWorkloadException.java
@@ -1,16 +1,16 @@
 package org.teaseltrail.load.workload;
 
-/** Tells that a workload file is missing or says something that can't be. */
+/** Thrown when a workload file is missing or invalid. */
 public final class InvalidWorkloadException extends IllegalArgumentException {
 
   private static final long serialVersionUID = 1L;
 
-  /** Creates the failure with its reason. */
+  /** Creates an exception with a reason. */
   public InvalidWorkloadException(String reason) {
     super(reason);
   }
 
-  /** Creates the failure with its reason and cause. */
+  /** Creates an exception with a reason and a cause. */
   public InvalidWorkloadException(String reason, Throwable cause) {
     super(reason, cause);
   }
--- a/load/src/main/java/org/teaseltrail/load/workload/KindSpec.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/KindSpec.java
@@ -4,19 +4,20 @@
 import org.teaseltrail.core.message.RequestKind;
 
 /**
- * Is a kind of request.
+ * Kind of request in a workload.
  *
  * @param name its name in reports
- * @param target what it asks for
- * @param workShare its part of the pool's engine time at load 1.0; for service calls, requests a
- *     second at load 1.0
+ * @param target type of the request
+ * @param workShare its share of the pool's engine time at load 1.0, relative to the other kinds;
+ *     for service calls, requests per second at load 1.0
  * @param promptTokens length of the new part of the prompt
- * @param outputTokens length of the answer
- * @param customers who sends it; all of one tier
- * @param followUpFraction part of the requests that carry on an earlier conversation
- * @param usefulDeadlineMs an answer that ends later than this after the request is of no use
- * @param sendsDeadline whether the caller tells the deadline and hangs up when it has passed
- * @param idempotent whether the request may run twice
+ * @param outputTokens length of the response
+ * @param customers the customers that send it, all of the same tier
+ * @param followUpFraction fraction of the requests that continue an earlier conversation
+ * @param usefulDeadlineMs time after the request at which the response is no longer useful
+ * @param sendsDeadline whether the caller sends the deadline with the request and disconnects when
+ *     it has passed
+ * @param idempotent whether the request may run more than once
  */
 public record KindSpec(
     String name,
@@ -30,7 +31,7 @@
     boolean sendsDeadline,
     boolean idempotent) {
 
-  /** Copies the list. */
+  /** Creates the kind with a copy of the customers. */
   public KindSpec {
     customers = List.copyOf(customers);
   }
--- a/load/src/main/java/org/teaseltrail/load/workload/LengthSpec.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/LengthSpec.java
@@ -3,24 +3,30 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Is a log-normal distribution of lengths, cut at both ends. Requests of one kind differ a
- * hundredfold in length (users' brief), which a normal distribution would not show.
+ * Log-normal distribution of lengths, clamped at both ends. The lengths of requests of one kind
+ * differ by a factor of 100 according to the requirements, which a normal distribution would not
+ * reproduce.
  *
- * @param minTokens the least length
- * @param medianTokens the median before the cut
- * @param maxTokens the greatest length
+ * @param minTokens the minimum length
+ * @param medianTokens the median before clamping
+ * @param maxTokens the maximum length
  * @param sigma standard deviation of the logarithm
  */
 public record LengthSpec(int minTokens, int medianTokens, int maxTokens, double sigma) {
 
-  /** Checks the order of the bounds. */
+  /**
+   * Creates the distribution.
+   *
+   * @throws InvalidWorkloadException if the bounds are out of order or sigma is negative
+   */
   public LengthSpec {
     if (minTokens < 1 || medianTokens < minTokens || maxTokens < medianTokens || sigma < 0) {
-      throw new InvalidWorkloadException("length bounds are not in order");
+      throw new InvalidWorkloadException(
+          "min_tokens, median_tokens, max_tokens must be ascending and >= 1, sigma must be >= 0");
     }
   }
 
-  /** Draws a length. */
+  /** Samples a length. */
   public int draw(RandomGenerator random) {
     double tokens = medianTokens * Math.exp(sigma * random.nextGaussian());
     return (int) Math.max(minTokens, Math.min(maxTokens, Math.round(tokens)));
--- a/load/src/main/java/org/teaseltrail/load/workload/PlannedRequest.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/PlannedRequest.java
@@ -4,15 +4,15 @@
 import org.teaseltrail.core.id.Tier;
 
 /**
- * Is one request of a plan.
+ * Request of a workload plan.
  *
- * @param index its place in the plan
- * @param atNs when the caller sends it, from the start of the run
+ * @param index its position in the plan
+ * @param atNs when the caller sends it, relative to the start of the run
  * @param kind its kind
- * @param customer who sends it
+ * @param customer the customer that sends it
  * @param tier the customer's tier
  * @param prompt its prompt
- * @param outputTokens how long its answer is
+ * @param outputTokens length of its response
  */
 public record PlannedRequest(
     int index,
--- a/load/src/main/java/org/teaseltrail/load/workload/PoolCapacity.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/PoolCapacity.java
@@ -6,8 +6,8 @@
 import org.teaseltrail.core.message.RequestKind;
 
 /**
- * Tells how often each kind arrives at load 1.0: what fits on the pool when every batch is full and
- * each prefix that was processed once is never processed again.
+ * Computes the arrival rate of each kind at load 1.0, which is the capacity of the pool if all
+ * batches are full and each prefix is processed only once.
  */
 public final class PoolCapacity {
 
@@ -17,17 +17,18 @@
 
   private final Deployment deployment;
 
-  /** Creates the capacity of a deployment. */
+  /** Creates the calculator for a deployment. */
   public PoolCapacity(Deployment deployment) {
     this.deployment = deployment;
   }
 
-  /** Returns the requests a second of a kind at load 1.0. */
+  /** Returns the arrival rate of a kind at load 1.0, in requests per second. */
   public double ratePerSecond(KindSpec kind) {
     if (kind.target() == RequestKind.SERVICE_CALL) {
       return kind.workShare();
     }
-    // Engines share each kind as their speeds allow: the pool's rate is the sum of their rates.
+    // Each engine serves every kind at the rate that its speed allows, so the rate of the pool is
+    // the sum of the engines' rates.
     Means means = means(kind);
     double ratePerSecond = 0;
     for (EngineSpec engine : deployment.engines()) {
--- a/load/src/main/java/org/teaseltrail/load/workload/Prompt.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/Prompt.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Is a prompt as a list of segments; prompts that begin with equal segments share a prefix.
+ * Prompt as a list of segments. Prompts that start with equal segments share a prefix.
  *
- * @param segments its parts in order
+ * @param segments its segments in order
  */
 public record Prompt(List<Segment> segments) {
 
@@ -15,12 +15,12 @@
 
   private static final long MIX_FACTOR = 0x9E3779B97F4A7C15L;
 
-  /** Copies the list. */
+  /** Creates the prompt with a copy of the segments. */
   public Prompt {
     segments = List.copyOf(segments);
   }
 
-  /** Returns the length. */
+  /** Returns the length in tokens. */
   public int tokens() {
     return segments.stream().mapToInt(Segment::tokens).sum();
   }
@@ -32,7 +32,7 @@
     return text.toString();
   }
 
-  /** Returns this prompt followed by more segments. */
+  /** Returns a prompt that consists of this prompt and the given segments. */
   public Prompt then(Segment... more) {
     List<Segment> all = new ArrayList<>(segments);
     all.addAll(List.of(more));
@@ -40,19 +40,20 @@
   }
 
   /**
-   * Returns a chain of one number for each whole block, equal for equal beginnings. It stands for
-   * the hash chain of the real prompt's bytes, without the cost of making the bytes.
+   * Returns a hash chain with one value for each complete block; equal prefixes have equal values.
+   * It replaces the hash chain over the real prompt's bytes, so that the bytes need not be
+   * generated.
    */
   public List<Long> blocks() {
     List<Long> blocks = new ArrayList<>();
     long chain = 0;
     int filledTokens = 0;
     for (Segment segment : segments) {
-      int leftTokens = segment.tokens();
-      while (leftTokens > 0) {
-        int takenTokens = Math.min(leftTokens, BLOCK_TOKENS - filledTokens);
-        chain = mix(chain, segment.seed(), segment.tokens() - leftTokens, takenTokens);
-        leftTokens -= takenTokens;
+      int remainingTokens = segment.tokens();
+      while (remainingTokens > 0) {
+        int takenTokens = Math.min(remainingTokens, BLOCK_TOKENS - filledTokens);
+        chain = mix(chain, segment.seed(), segment.tokens() - remainingTokens, takenTokens);
+        remainingTokens -= takenTokens;
         filledTokens += takenTokens;
         if (filledTokens == BLOCK_TOKENS) {
           blocks.add(chain);
--- a/load/src/main/java/org/teaseltrail/load/workload/RequestDrawer.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/RequestDrawer.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 import org.teaseltrail.core.id.CustomerId;
 
-/** Draws the requests of one kind: customer, prompt and answer length. */
+/** Generates random requests of one kind: customer, prompt and response length. */
 final class RequestDrawer {
 
   private final Deployment deployment;
@@ -19,8 +19,8 @@
   }
 
   PlannedRequest draw(long atNs) {
-    CustomerId customer = drawCustomer();
-    Prompt prompt = beginning(customer, atNs).then(drawSegment(kind.promptTokens()));
+    CustomerId customer = sampleCustomer();
+    Prompt prompt = prefix(customer, atNs).then(sampleSegment(kind.promptTokens()));
     int outputTokens = kind.outputTokens().draw(random);
     Prompt withAnswer = prompt.then(new Segment(random.nextLong(), outputTokens));
     conversations.add(kind, customer, atNs, withAnswer);
@@ -28,12 +28,12 @@
         0, atNs, kind, customer, deployment.tierOf(kind), prompt, outputTokens);
   }
 
-  /** Returns the time until the next request at a rate, exponentially distributed. */
+  /** Samples the time until the next request at a given rate from an exponential distribution. */
   long drawGapNs(double ratePerSecond) {
     return (long) (-Math.log(1 - random.nextDouble()) / ratePerSecond * 1e9);
   }
 
-  private Prompt beginning(CustomerId customer, long atNs) {
+  private Prompt prefix(CustomerId customer, long atNs) {
     if (random.nextDouble() < kind.followUpFraction()) {
       return conversations
           .take(kind, customer, atNs, random)
@@ -48,11 +48,11 @@
     return new Prompt(List.of(new Segment(seed, tokens)));
   }
 
-  private Segment drawSegment(LengthSpec length) {
+  private Segment sampleSegment(LengthSpec length) {
     return new Segment(random.nextLong(), length.draw(random));
   }
 
-  private CustomerId drawCustomer() {
+  private CustomerId sampleCustomer() {
     double total = kind.customers().stream().mapToDouble(CustomerShare::share).sum();
     double left = random.nextDouble() * total;
     for (CustomerShare share : kind.customers()) {
--- a/load/src/main/java/org/teaseltrail/load/workload/WorkloadPlan.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/WorkloadPlan.java
@@ -7,8 +7,9 @@
 import org.teaseltrail.core.message.RequestKind;
 
 /**
- * Plans the requests of a run before it begins, so that runs with the same seed offer the same
- * requests whatever the system does with them: the load is open-loop and the seeds are paired.
+ * Plans all requests of a run before it starts. The load is open-loop: runs with the same seed
+ * offer the same requests, independent of how the system handles them, so that their results can be
+ * compared in pairs.
  */
 public final class WorkloadPlan {
 
@@ -17,11 +18,11 @@
   private final List<Burst> bursts;
 
   /**
-   * Creates a plan.
+   * Creates a planner.
    *
-   * @param deployment whose workload
-   * @param load how much of it, as a factor on what fits
-   * @param bursts times of more load
+   * @param deployment the deployment that defines the workload
+   * @param load the offered load as a factor of the pool's capacity
+   * @param bursts intervals with a higher load
    */
   public WorkloadPlan(Deployment deployment, double load, List<Burst> bursts) {
     this.deployment = deployment;
@@ -30,10 +31,10 @@
   }
 
   /**
-   * Plans the generations of a run, earliest first.
+   * Plans the generation requests of a run, earliest first.
    *
-   * @param durationNs until when requests are sent
-   * @param seed what the draws follow from
+   * @param durationNs time until which requests are sent
+   * @param seed seed of the random workload
    */
   public List<PlannedRequest> generations(long durationNs, long seed) {
     return plan(durationNs, seed, List.of(RequestKind.GENERATION));
@@ -42,8 +43,8 @@
   /**
    * Plans all requests of a run, earliest first.
    *
-   * @param durationNs until when requests are sent
-   * @param seed what the draws follow from
+   * @param durationNs time until which requests are sent
+   * @param seed seed of the random workload
    */
   public List<PlannedRequest> all(long durationNs, long seed) {
     return plan(durationNs, seed, List.of(RequestKind.values()));
--- a/load/src/main/java/org/teaseltrail/load/workload/package-info.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/package-info.java
@@ -1,2 +1,5 @@
-/** Workloads of the two deployments: who sends what, how often, and until when it is useful. */
+/**
+ * Workloads of the bundled deployments: which customers send which requests, at which rates and
+ * with which useful deadlines.
+ */
 package org.teaseltrail.load.workload;
--- a/load/src/test/java/org/teaseltrail/load/policy/PolicyRunTest.java
+++ b/load/src/test/java/org/teaseltrail/load/policy/PolicyRunTest.java
@@ -22,10 +22,13 @@
 class PolicyRunTest {
 
   private static final long SECOND_NS = 1_000_000_000L;
-  private static final long PATIENT_MS = 6_000;
+  private static final long MAX_USEFUL_DEADLINE_MS = 6_000;
   private static final long SEED = 11;
 
-  /** Every policy under every fault: each request ends once, and answers are whole. */
+  /**
+   * Runs each policy under each fault. Guards against requests that are lost or counted twice, and
+   * against incomplete responses, which the run itself rejects.
+   */
   @ParameterizedTest
   @MethodSource("policiesAndFaults")
   void eachOfferedRequestEndsInOneClass(Policy policy, Fault fault) {
@@ -48,8 +51,8 @@
 
     List<GroupResult> results = new Experiment(policies, List.of(scenario), SEED, 2).run(2);
 
-    String measured = String.join("\n", new ResultCsv(results).lines()) + "\n";
-    assertThat(measured).isEqualTo(golden("baselines.csv"));
+    String actual = String.join("\n", new ResultCsv(results).lines()) + "\n";
+    assertThat(actual).isEqualTo(golden("baselines.csv"));
   }
 
   @Test
@@ -87,11 +90,14 @@
     return tallies.stream().mapToLong(TierTally::offeredCount).sum();
   }
 
-  /** Gopherfield with less patient callers, so that the run is short. */
+  /**
+   * Returns a scenario on the gopherfield deployment with shorter deadlines, which keeps the run
+   * short.
+   */
   private static Scenario scenario(double load, Fault fault) {
     Deployment d = DeploymentReader.read("gopherfield");
-    List<KindSpec> kinds = d.kinds().stream().map(PolicyRunTest::lessPatient).toList();
-    Deployment small =
+    List<KindSpec> kinds = d.kinds().stream().map(PolicyRunTest::withShorterDeadline).toList();
+    Deployment shortened =
         new Deployment(
             d.name(),
             d.region(),
@@ -105,10 +111,10 @@
             d.engines(),
             d.customers(),
             kinds);
-    return new Scenario(small, load, fault, SECOND_NS, 3 * SECOND_NS);
+    return new Scenario(shortened, load, fault, SECOND_NS, 3 * SECOND_NS);
   }
 
-  private static KindSpec lessPatient(KindSpec k) {
+  private static KindSpec withShorterDeadline(KindSpec k) {
     return new KindSpec(
         k.name(),
         k.target(),
@@ -117,7 +123,7 @@
         k.outputTokens(),
         k.customers(),
         k.followUpFraction(),
-        Math.min(k.usefulDeadlineMs(), PATIENT_MS),
+        Math.min(k.usefulDeadlineMs(), MAX_USEFUL_DEADLINE_MS),
         k.sendsDeadline(),
         k.idempotent());
   }
