--- a/session/src/test/java/org/teaseltrail/session/Call.java
+++ b/session/src/test/java/org/teaseltrail/session/Call.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.standin.model.AnswerText;
 import org.teaseltrail.standin.model.EngineRequest;
 
-/** Is what one caller wants, over all the times that it asks for it, and the answer so far. */
+/** One logical call of a caller over all its submissions, with the answer received so far. */
 final class Call {
 
   private static final int TOKEN_BYTES = 4;
@@ -71,7 +71,10 @@
         answerSeed);
   }
 
-  /** Takes the next piece of the answer; any other piece is another caller's or out of place. */
+  /**
+   * Checks that the frame is the next one of this call's answer; another one belongs to another
+   * caller or is out of order.
+   */
   void delivered(StreamFrame.Text frame) {
     assertThat(frame.sequence()).describedAs("frame of %s", spec.name()).isEqualTo(nextFrame);
     assertThat(frame.text())
--- a/session/src/test/java/org/teaseltrail/session/CallSpec.java
+++ b/session/src/test/java/org/teaseltrail/session/CallSpec.java
@@ -3,15 +3,15 @@
 import java.util.Optional;
 
 /**
- * Says what a caller asks for.
+ * Parameters of a call.
  *
  * @param name the call's name in the script
  * @param tier rank of the customer's tier
  * @param promptTokens length of the prompt
  * @param maxTokens length of the answer
- * @param key the idempotency key, if it carries one
- * @param once whether it must not run twice
- * @param deadlineMs time until its deadline; zero if it has none
+ * @param key the idempotency key, if any
+ * @param once whether it must run at most once
+ * @param deadlineMs time until the deadline; zero for none
  */
 record CallSpec(
     String name,
--- a/session/src/test/java/org/teaseltrail/session/CallerBook.java
+++ b/session/src/test/java/org/teaseltrail/session/CallerBook.java
@@ -10,21 +10,21 @@
 import org.teaseltrail.core.request.ExecutionStatus;
 import org.teaseltrail.core.request.Outcome;
 
-/** Keeps all that callers have asked for and been told. */
+/** Registry of all submissions of the callers, with their outcomes. */
 final class CallerBook {
 
-  private final SessionWorld world;
+  private final SessionWorld cluster;
   private final Map<RequestId, Submission> submissions = new LinkedHashMap<>();
 
-  CallerBook(SessionWorld world) {
-    this.world = world;
+  CallerBook(SessionWorld cluster) {
+    this.cluster = cluster;
   }
 
   Submission submit(Call call, EntryProcess entry) {
     RequestId id = new RequestId("r" + (submissions.size() + 1));
-    Submission submission = new Submission(world, id, call, entry);
+    Submission submission = new Submission(cluster, id, call, entry);
     submissions.put(id, submission);
-    world
+    cluster
         .trace()
         .line("caller " + call.spec().name(), "asks " + entry.name() + ", which calls it " + id);
     entry.arrive(submission);
@@ -39,13 +39,17 @@
     return submissions.values();
   }
 
-  /** Checks what may only be said once all is over. */
+  /**
+   * Checks the guarantees that can only be checked when no request is in flight: each submission
+   * has ended, one reported as not run did not run, and a key with at-most-once execution ran at
+   * most once.
+   */
   void checkAtEnd() {
     Map<String, Integer> runsByKey = new HashMap<>();
     for (Submission submission : submissions.values()) {
-      int runs = world.engineHistory().runs(submission.id());
-      assertThat(submission.isOver()).describedAs("%s is over", submission.id()).isTrue();
-      checkRan(submission, runs);
+      int runs = cluster.engineHistory().runs(submission.id());
+      assertThat(submission.isOver()).describedAs("%s has ended", submission.id()).isTrue();
+      checkNotRun(submission, runs);
       CallSpec spec = submission.call().spec();
       if (spec.once()) {
         int total = runsByKey.merge(spec.key().orElseThrow(), runs, Integer::sum);
@@ -54,11 +58,13 @@
     }
   }
 
-  private static void checkRan(Submission submission, int runs) {
-    boolean toldNotRun =
+  private static void checkNotRun(Submission submission, int runs) {
+    boolean reportedNotRun =
         submission.outcome().map(Outcome::ran).filter(ran -> ran == ExecutionStatus.NO).isPresent();
-    if (toldNotRun) {
-      assertThat(runs).describedAs("runs of %s, told not run", submission.id()).isZero();
+    if (reportedNotRun) {
+      assertThat(runs)
+          .describedAs("runs of %s, which was reported as not run", submission.id())
+          .isZero();
     }
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/ControlConnection.java
+++ b/session/src/test/java/org/teaseltrail/session/ControlConnection.java
@@ -3,21 +3,21 @@
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.EntryMessage;
 
-/** Is one TCP connection from an entry VM to a control member. */
+/** Simulated TCP connection from an entry VM to a control member. */
 final class ControlConnection {
 
   private final EntryProcess entry;
   private final ControlProcess member;
-  private final Pipe up;
-  private final Pipe down;
+  private final Pipe memberPipe;
+  private final Pipe entryPipe;
   private boolean entryOpen = true;
   private boolean memberOpen = true;
 
   ControlConnection(EntryProcess entry, ControlProcess member) {
     this.entry = entry;
     this.member = member;
-    this.up = new Pipe(entry, member);
-    this.down = new Pipe(member, entry);
+    this.memberPipe = new Pipe(entry, member);
+    this.entryPipe = new Pipe(member, entry);
   }
 
   EntryProcess entry() {
@@ -29,18 +29,18 @@
   }
 
   void open() {
-    up.send(() -> member.opened(this));
+    memberPipe.send(() -> member.opened(this));
   }
 
   void toMember(EntryMessage message) {
     if (entryOpen) {
-      up.send(() -> member.received(entry.vm(), message));
+      memberPipe.send(() -> member.received(entry.vm(), message));
     }
   }
 
   void toEntry(ControlMessage message) {
     if (memberOpen) {
-      down.send(
+      entryPipe.send(
           () -> {
             if (entryOpen) {
               entry.received(member, message);
@@ -49,11 +49,11 @@
     }
   }
 
-  /** Closes from the entry VM's side; what it sent before still arrives. */
+  /** Closes the connection from the entry VM's side; messages sent before still arrive. */
   void closeByEntry() {
     if (entryOpen) {
       entryOpen = false;
-      up.send(
+      memberPipe.send(
           () -> {
             memberOpen = false;
             member.closed(this);
@@ -64,7 +64,7 @@
   void closeByMember() {
     if (memberOpen) {
       memberOpen = false;
-      down.send(
+      entryPipe.send(
           () -> {
             if (entryOpen) {
               entryOpen = false;
--- a/session/src/test/java/org/teaseltrail/session/ControlProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/ControlProcess.java
@@ -26,7 +26,10 @@
 import org.teaseltrail.core.schedule.PoolScheduler;
 import org.teaseltrail.core.schedule.SchedulerSettings;
 
-/** Runs a control member with its disk, its connections and its queue of outward actions. */
+/**
+ * Simulated control member with its disk, its connections and the queue of actions that require the
+ * lease.
+ */
 final class ControlProcess extends FakeProcess {
 
   private static final long SYNC_NS = Timeline.MS;
@@ -35,13 +38,13 @@
   private final SyncedDisk disk;
   private final ReplicaSettings settings;
   private final Map<VmId, ControlConnection> connections = new LinkedHashMap<>();
-  private final Deque<ControlAction> outward = new ArrayDeque<>();
+  private final Deque<ControlAction> leaseActions = new ArrayDeque<>();
   private final Map<Long, Consumer<OperatorResult>> calls = new HashMap<>();
   private ControlMember member;
   private boolean syncing;
   private boolean serving;
-  private long lastCall;
-  private boolean freezesAtGrant;
+  private long lastCallId;
+  private boolean pausesAtGrant;
 
   ControlProcess(SessionWorld world, String name, LogEntry first, ReplicaSettings settings) {
     super(world, name);
@@ -86,8 +89,8 @@
     disk.loseUnsynced();
     syncing = false;
     serving = false;
-    freezesAtGrant = false;
-    outward.clear();
+    pausesAtGrant = false;
+    leaseActions.clear();
     calls.clear();
     List.copyOf(connections.values()).forEach(ControlConnection::closeByMember);
     connections.clear();
@@ -118,16 +121,16 @@
     handle(new ControlEvent.FromEntry(vm, message));
   }
 
-  /** Asks as an operator; no answer comes if the process ends first. */
-  void ask(OperatorRequest request, Consumer<OperatorResult> answer) {
-    lastCall++;
-    calls.put(lastCall, answer);
-    handle(new ControlEvent.OperatorCall(lastCall, request));
+  /** Submits an operator request; the callback isn't invoked if the process dies first. */
+  void ask(OperatorRequest request, Consumer<OperatorResult> callback) {
+    lastCallId++;
+    calls.put(lastCallId, callback);
+    handle(new ControlEvent.OperatorCall(lastCallId, request));
   }
 
-  /** Freezes the process between its next grant and the sending of it. */
+  /** Pauses the process after it has decided its next grant and before it sends it. */
   void freezeAtNextGrant() {
-    freezesAtGrant = true;
+    pausesAtGrant = true;
   }
 
   void handOver() {
@@ -138,15 +141,15 @@
     if (!isUp()) {
       return;
     }
-    member.handle(event, localNs()).forEach(this::carryOut);
+    member.handle(event, localNs()).forEach(this::execute);
     flush();
     startSync();
     rearm();
   }
 
-  private void carryOut(ControlAction action) {
+  private void execute(ControlAction action) {
     if (action.requiresLease()) {
-      outward.addLast(action);
+      leaseActions.addLast(action);
     } else if (action instanceof ControlAction.Persist persist) {
       disk.write(persist.write());
     } else if (action instanceof ControlAction.SendToPeer send) {
@@ -171,20 +174,20 @@
       world.trace().line(name(), serving ? "leads" : "leads no longer");
     }
     if (!serving) {
-      outward.clear();
+      leaseActions.clear();
     }
   }
 
-  /** Sends what waits for the lease, looking at it before each message. */
+  /** Sends the queued messages that require the lease, and checks the lease before each. */
   private void flush() {
-    while (!outward.isEmpty() && member.isLeaseValid(localNs())) {
-      ControlAction.SendToEntryVm send = (ControlAction.SendToEntryVm) outward.getFirst();
-      if (freezesAtGrant && send.message() instanceof ControlMessage.Grant) {
-        freezesAtGrant = false;
+    while (!leaseActions.isEmpty() && member.isLeaseValid(localNs())) {
+      ControlAction.SendToEntryVm send = (ControlAction.SendToEntryVm) leaseActions.getFirst();
+      if (pausesAtGrant && send.message() instanceof ControlMessage.Grant) {
+        pausesAtGrant = false;
         freeze();
         return;
       }
-      outward.removeFirst();
+      leaseActions.removeFirst();
       ControlConnection connection = connections.get(send.vm());
       if (connection != null) {
         world.trace().fromControl(this, send.vm(), send.message());
--- a/session/src/test/java/org/teaseltrail/session/EngineHistory.java
+++ b/session/src/test/java/org/teaseltrail/session/EngineHistory.java
@@ -6,32 +6,40 @@
 import java.util.Map;
 import org.teaseltrail.core.id.RequestId;
 
-/** Keeps what the engines have seen over all their lives, and checks it. */
+/**
+ * Tracks the requests that engines received over all their incarnations. Checks that each request
+ * is dispatched at most once, and none to an engine that began to leave or drain longer ago than
+ * {@link #MAX_DISPATCH_DELAY_NS}.
+ */
 final class EngineHistory {
 
-  /** A session's lifetime and an announcement's, with what clocks may drift apart meanwhile. */
-  private static final long LEAVING_NS = 3_060 * Timeline.MS;
+  /**
+   * Maximum time for which an engine that leaves or drains may still receive new requests: the
+   * lifetime of a session and of an announcement, plus the drift between two clocks in that time.
+   */
+  private static final long MAX_DISPATCH_DELAY_NS = 3_060 * Timeline.MS;
 
-  private final SessionWorld world;
+  private final SessionWorld cluster;
   private final Map<RequestId, Integer> submissions = new HashMap<>();
   private final Map<RequestId, Integer> runs = new HashMap<>();
 
-  EngineHistory(SessionWorld world) {
-    this.world = world;
+  EngineHistory(SessionWorld cluster) {
+    this.cluster = cluster;
   }
 
   void submitted(RequestId request) {
     assertThat(submissions.merge(request, 1, Integer::sum))
-        .describedAs("dispatches of %s as the engines saw it", request)
+        .describedAs("dispatches of %s received by the engines", request)
         .isEqualTo(1);
   }
 
   void transmitted(RequestId request, EngineProcess engine) {
-    long nowNs = world.timeline().nowNs();
+    long nowNs = cluster.timeline().nowNs();
     assertThat(nowNs)
-        .describedAs("time of new work %s for leaving %s", request, engine.name())
-        .isLessThanOrEqualTo(saturated(engine.leavingSinceNs()))
-        .isLessThanOrEqualTo(saturated(world.drainedSinceNs(engine.id())));
+        .describedAs(
+            "time at which %s was dispatched to %s, which leaves or drains", request, engine.name())
+        .isLessThanOrEqualTo(latestDispatchNs(engine.leavingSinceNs()))
+        .isLessThanOrEqualTo(latestDispatchNs(cluster.drainedSinceNs(engine.id())));
   }
 
   void ran(RequestId request) {
@@ -42,7 +50,7 @@
     return runs.getOrDefault(request, 0);
   }
 
-  private static long saturated(long sinceNs) {
-    return sinceNs == Long.MAX_VALUE ? Long.MAX_VALUE : sinceNs + LEAVING_NS;
+  private static long latestDispatchNs(long sinceNs) {
+    return sinceNs == Long.MAX_VALUE ? Long.MAX_VALUE : sinceNs + MAX_DISPATCH_DELAY_NS;
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/EngineProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/EngineProcess.java
@@ -26,7 +26,7 @@
 import org.teaseltrail.standin.model.ReportingProfile;
 import org.teaseltrail.standin.model.UpstreamIdentity;
 
-/** Runs an engine with the connections that read its streams. */
+/** Simulated engine process with the connections that read its streams. */
 final class EngineProcess extends FakeProcess {
 
   private static final HardwareProfile HARDWARE = new HardwareProfile(10, 1, 0.1, 4, 512, 10_240);
@@ -35,9 +35,9 @@
   private final UpstreamId id;
   private final SocketAddress address;
   private final List<EngineReader> readers = new ArrayList<>();
-  private final Set<RequestId> brokenOff = new HashSet<>();
+  private final Set<RequestId> abortedStreams = new HashSet<>();
   private EngineModel model;
-  private Runnable whenDrained = () -> {};
+  private Runnable drainedListener = () -> {};
   private long leavingSinceNs = Long.MAX_VALUE;
 
   EngineProcess(SessionWorld world, String name) {
@@ -85,7 +85,7 @@
 
   @Override
   void ended() {
-    brokenOff.clear();
+    abortedStreams.clear();
     readers.forEach(EngineReader::broken);
     readers.clear();
   }
@@ -100,8 +100,8 @@
     handle(new EngineEvent.Tick());
   }
 
-  void leave(Runnable afterwards) {
-    whenDrained = afterwards;
+  void leave(Runnable onDrained) {
+    drainedListener = onDrained;
     leavingSinceNs = world.timeline().nowNs();
     handle(new EngineEvent.Leave());
   }
@@ -114,7 +114,7 @@
     handle(new EngineEvent.Cancel(request));
   }
 
-  /** Takes a connection, which breaks when this life ends. */
+  /** Registers a connection, which breaks when this incarnation ends. */
   void opened(EngineReader reader) {
     if (isUp()) {
       readers.add(reader);
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Takes a request that an entry VM transmits. */
+  /** Accepts a request from an entry VM. */
   void submit(EngineRequest request) {
     world.engineHistory().submitted(request.id());
     handle(new EngineEvent.Submit(request));
@@ -134,41 +134,41 @@
       reader.unknown();
       return;
     }
-    pump();
+    forwardFrames();
   }
 
-  /** Breaks the connections on which a stream is read. */
+  /** Breaks all connections that read the given stream. */
   void breakConnections(RequestId stream) {
     readersOf(stream).forEach(EngineReader::broken);
   }
 
-  void disturb(RequestId stream, EngineReader.Mischief mischief) {
-    readersOf(stream).forEach(reader -> reader.disturb(mischief));
+  void disturb(RequestId stream, EngineReader.Mischief frameFault) {
+    readersOf(stream).forEach(reader -> reader.disturb(frameFault));
   }
 
   private void handle(EngineEvent event) {
     List<EngineAction> actions = model.handle(event, localNs());
     for (EngineAction action : actions) {
-      carryOut(action);
+      execute(action);
     }
-    pump();
+    forwardFrames();
     rearm();
   }
 
-  private void carryOut(EngineAction action) {
+  private void execute(EngineAction action) {
     if (action instanceof EngineAction.Accept accept) {
       world.engineHistory().ran(accept.request());
     } else if (action instanceof EngineAction.Refuse refuse) {
       refuse(refuse);
     } else if (action instanceof EngineAction.StreamBroken broken) {
-      brokenOff.add(broken.request());
+      abortedStreams.add(broken.request());
     } else if (action instanceof EngineAction.Announce announce) {
       world.anyEntry(this).ifPresent(entry -> entry.hear(announce.announcement()));
     } else if (action instanceof EngineAction.PublishCacheEvent publish) {
       world.anyEntry(this).ifPresent(entry -> entry.hear(publish.event()));
     } else if (action instanceof EngineAction.Drained) {
       world.trace().line(name(), "is drained");
-      whenDrained.run();
+      drainedListener.run();
     }
   }
 
@@ -182,20 +182,20 @@
     }
   }
 
-  private void pump() {
+  private void forwardFrames() {
     readers.removeIf(reader -> !reader.isOpen());
     for (EngineReader reader : List.copyOf(readers)) {
-      pump(reader);
+      forwardFrames(reader);
     }
   }
 
-  private void pump(EngineReader reader) {
+  private void forwardFrames(EngineReader reader) {
     Optional<EngineFrame> next = model.frame(reader.stream(), reader.nextFrame());
     while (reader.isOpen() && next.isPresent()) {
       reader.frame(text(next.get()));
       next = model.frame(reader.stream(), reader.nextFrame());
     }
-    if (brokenOff.contains(reader.stream())) {
+    if (abortedStreams.contains(reader.stream())) {
       reader.broken();
     }
   }
--- a/session/src/test/java/org/teaseltrail/session/EngineReader.java
+++ b/session/src/test/java/org/teaseltrail/session/EngineReader.java
@@ -5,7 +5,7 @@
 import org.teaseltrail.core.request.FailureReason;
 import org.teaseltrail.core.request.StreamFrame;
 
-/** Is one connection on which an entry VM reads a stream from an engine. */
+/** Connection on which an entry VM reads one response stream from an engine. */
 final class EngineReader {
 
   private final EntryProcess entry;
@@ -15,14 +15,17 @@
   private final Pipe pipe;
   private int nextFrame;
   private boolean open = true;
-  private StreamFrame heldBack;
-  private Mischief mischief = Mischief.NONE;
+  private StreamFrame delayedFrame;
+  private Mischief nextFault = Mischief.NONE;
 
-  /** Says what goes wrong with the next frame. */
+  /** Faults that can be injected into the next frame of a stream. */
   enum Mischief {
     NONE,
+    /** The frame arrives after the one that follows it. */
     SWAP,
+    /** The frame arrives twice. */
     DOUBLE,
+    /** A frame of another request arrives before it. */
     FOREIGN
   }
 
@@ -57,8 +60,8 @@
     return open;
   }
 
-  void disturb(Mischief next) {
-    mischief = next;
+  void disturb(Mischief fault) {
+    nextFault = fault;
   }
 
   void close() {
@@ -67,22 +70,22 @@
 
   void frame(StreamFrame frame) {
     nextFrame++;
-    if (mischief == Mischief.SWAP) {
-      mischief = Mischief.NONE;
-      heldBack = frame;
+    if (nextFault == Mischief.SWAP) {
+      nextFault = Mischief.NONE;
+      delayedFrame = frame;
       return;
     }
-    if (mischief == Mischief.FOREIGN) {
-      tell(new EntryEvent.FrameReceived(request, attempt, foreign(frame)));
-    } else if (mischief == Mischief.DOUBLE) {
-      tell(new EntryEvent.FrameReceived(request, attempt, frame));
+    if (nextFault == Mischief.FOREIGN) {
+      sendToEntry(new EntryEvent.FrameReceived(request, attempt, foreignFrame(frame)));
+    } else if (nextFault == Mischief.DOUBLE) {
+      sendToEntry(new EntryEvent.FrameReceived(request, attempt, frame));
     }
-    mischief = Mischief.NONE;
-    tell(new EntryEvent.FrameReceived(request, attempt, frame));
-    if (heldBack != null) {
-      StreamFrame late = heldBack;
-      heldBack = null;
-      tell(new EntryEvent.FrameReceived(request, attempt, late));
+    nextFault = Mischief.NONE;
+    sendToEntry(new EntryEvent.FrameReceived(request, attempt, frame));
+    if (delayedFrame != null) {
+      StreamFrame late = delayedFrame;
+      delayedFrame = null;
+      sendToEntry(new EntryEvent.FrameReceived(request, attempt, late));
     }
     if (frame instanceof StreamFrame.End) {
       broken();
@@ -91,31 +94,31 @@
 
   void broken() {
     if (open) {
-      tell(new EntryEvent.StreamBroken(request, attempt));
+      sendToEntry(new EntryEvent.StreamBroken(request, attempt));
       open = false;
     }
   }
 
   void unknown() {
-    tell(new EntryEvent.StreamUnknown(request, attempt));
+    sendToEntry(new EntryEvent.StreamUnknown(request, attempt));
     open = false;
   }
 
   void refused() {
-    tell(new EntryEvent.UpstreamRefused(request, attempt));
+    sendToEntry(new EntryEvent.UpstreamRefused(request, attempt));
     open = false;
   }
 
   void alreadyKnown() {
-    tell(new EntryEvent.UpstreamFailed(request, attempt, FailureReason.UPSTREAM_PROTOCOL));
+    sendToEntry(new EntryEvent.UpstreamFailed(request, attempt, FailureReason.UPSTREAM_PROTOCOL));
     open = false;
   }
 
-  private void tell(EntryEvent event) {
+  private void sendToEntry(EntryEvent event) {
     pipe.send(() -> entry.handle(event));
   }
 
-  private static StreamFrame foreign(StreamFrame frame) {
+  private static StreamFrame foreignFrame(StreamFrame frame) {
     return new StreamFrame.Text(new RequestId("foreign"), frame.sequence(), "not yours");
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/EntryProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/EntryProcess.java
@@ -20,7 +20,7 @@
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.CacheEvent;
 
-/** Runs an entry VM with its connections to control members, engines and callers. */
+/** Simulated entry VM with its connections to control members, engines and callers. */
 final class EntryProcess extends FakeProcess {
 
   private static final long RECONNECT_NS = 50 * Timeline.MS;
@@ -138,10 +138,10 @@
     ControlConnection connection = new ControlConnection(this, member);
     control.put(member.id(), connection);
     connection.open();
-    later(2 * world.network().delayNs(), () -> established(connection));
+    later(2 * world.network().delayNs(), () -> onEstablished(connection));
   }
 
-  private void established(ControlConnection connection) {
+  private void onEstablished(ControlConnection connection) {
     if (control.get(connection.member().id()) == connection) {
       handle(new EntryEvent.ControlConnected(connection.member().id()));
     }
@@ -158,11 +158,11 @@
     if (arrived && actions.stream().noneMatch(EntryAction.Conclude.class::isInstance)) {
       world.checks().admitted(this);
     }
-    actions.forEach(this::carryOut);
+    actions.forEach(this::execute);
     rearm();
   }
 
-  private void carryOut(EntryAction action) {
+  private void execute(EntryAction action) {
     world.trace().fromEntry(this, action);
     if (action instanceof EntryAction.SendControl send) {
       ControlConnection connection = control.get(send.member());
@@ -172,9 +172,9 @@
     } else if (action instanceof EntryAction.ReconnectControl reconnect) {
       reconnect(reconnect.member());
     } else if (action instanceof EntryAction.Deliver deliver) {
-      caller(deliver.request(), s -> s.delivered(deliver.frame()));
+      withSubmission(deliver.request(), s -> s.delivered(deliver.frame()));
     } else if (action instanceof EntryAction.Conclude conclude) {
-      caller(conclude.request(), s -> s.concluded(conclude.outcome()));
+      withSubmission(conclude.request(), s -> s.concluded(conclude.outcome()));
       submissions.remove(conclude.request());
     } else if (action instanceof EntryAction.CloseListener) {
       listening = false;
@@ -182,11 +182,11 @@
       world.checks().exits(this, submissions.values());
       later(0, this::kill);
     } else {
-      carryOutUpstream(action);
+      executeUpstream(action);
     }
   }
 
-  private void carryOutUpstream(EntryAction action) {
+  private void executeUpstream(EntryAction action) {
     if (action instanceof EntryAction.Connect connect) {
       connectUpstream(connect);
     } else if (action instanceof EntryAction.Transmit transmit) {
@@ -262,7 +262,7 @@
     }
   }
 
-  private void caller(RequestId request, Consumer<Submission> step) {
+  private void withSubmission(RequestId request, Consumer<Submission> step) {
     Submission submission = submissions.get(request);
     if (submission != null) {
       step.accept(submission);
--- a/session/src/test/java/org/teaseltrail/session/FailedSeedsTest.java
+++ b/session/src/test/java/org/teaseltrail/session/FailedSeedsTest.java
@@ -3,13 +3,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Plays the random sessions again that once showed a fault. */
+/** Repeats the random sessions whose seeds revealed a fault. */
 class FailedSeedsTest {
 
   /**
-   * Seed 3137811655120930206: an upstream leaves while an entry VM is frozen. The VM thaws, reads
-   * an older announcement as new, and a new leader that hears it first gives the upstream work 4.2
-   * s after it left.
+   * Seed 3137811655120930206: an upstream leaves while an entry VM is paused. When the VM
+   * continues, it treats an older announcement as new, and a new leader that receives this
+   * announcement first dispatches work to the upstream 4.2 s after it left.
    */
   @ParameterizedTest
   @ValueSource(longs = {3137811655120930206L})
--- a/session/src/test/java/org/teaseltrail/session/FakeProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/FakeProcess.java
@@ -4,11 +4,14 @@
 import java.util.Deque;
 import java.util.OptionalLong;
 
-/** Is a process with a clock of its own. It can be killed, started, frozen and thawed. */
+/**
+ * Simulated operating system process. It can be started, killed, paused and unpaused, and its clock
+ * has its own offset and drift.
+ */
 abstract class FakeProcess {
 
-  private static final double MAX_DRIFT = 0.01;
-  private static final long MAX_OFFSET_NS = 1_000_000_000_000L;
+  private static final double MAX_CLOCK_DRIFT = 0.01;
+  private static final long MAX_CLOCK_OFFSET_NS = 1_000_000_000_000L;
   private static final long ROUNDING_NS = 1_000;
 
   final SessionWorld world;
@@ -18,20 +21,20 @@
   private final Deque<Runnable> held = new ArrayDeque<>();
   private int life;
   private boolean up;
-  private boolean frozen;
+  private boolean paused;
   private long wakeupNs = Long.MAX_VALUE;
 
   FakeProcess(SessionWorld world, String name) {
     this.world = world;
     this.name = name;
-    this.offsetNs = world.random().nextLong(MAX_OFFSET_NS);
-    this.rate = 1 + (world.random().nextDouble() * 2 - 1) * MAX_DRIFT;
+    this.offsetNs = world.random().nextLong(MAX_CLOCK_OFFSET_NS);
+    this.rate = 1 + (world.random().nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
   }
 
-  /** Makes the role's object for a new life. */
+  /** Creates the state machine for a new incarnation of the process. */
   abstract void begin();
 
-  /** Ends what the kernel ends when a process dies. */
+  /** Closes the connections that the kernel closes when a process dies. */
   abstract void ended();
 
   abstract OptionalLong nextWakeupNs();
@@ -51,7 +54,7 @@
   }
 
   boolean isFrozen() {
-    return frozen;
+    return paused;
   }
 
   long localNs() {
@@ -70,7 +73,7 @@
   void kill() {
     if (up) {
       up = false;
-      frozen = false;
+      paused = false;
       life++;
       held.clear();
       ended();
@@ -78,12 +81,12 @@
   }
 
   void freeze() {
-    frozen = up;
+    paused = up;
   }
 
   void thaw() {
-    frozen = false;
-    while (!frozen && !held.isEmpty()) {
+    paused = false;
+    while (!paused && !held.isEmpty()) {
       held.removeFirst().run();
     }
     if (up) {
@@ -91,12 +94,15 @@
     }
   }
 
-  /** Runs a step if the given life goes on, at once or when the process thaws. */
-  void deliver(int ofLife, Runnable step) {
-    if (!up || life != ofLife) {
+  /**
+   * Runs a step in the given incarnation: at once, or when a paused process continues. The step is
+   * dropped if that incarnation has ended.
+   */
+  void deliver(int expectedIncarnation, Runnable step) {
+    if (!up || life != expectedIncarnation) {
       return;
     }
-    if (frozen) {
+    if (paused) {
       held.addLast(step);
     } else {
       step.run();
@@ -104,11 +110,11 @@
   }
 
   void later(long delayNs, Runnable step) {
-    int ofLife = life;
-    world.timeline().after(delayNs, () -> deliver(ofLife, step));
+    int expectedIncarnation = life;
+    world.timeline().after(delayNs, () -> deliver(expectedIncarnation, step));
   }
 
-  /** Looks at the role's next wake-up again; to be called after each event. */
+  /** Schedules the state machine's next wake-up; must be called after each event. */
   void rearm() {
     OptionalLong wanted = up ? nextWakeupNs() : OptionalLong.empty();
     if (wanted.isEmpty() || wanted.getAsLong() >= wakeupNs) {
--- a/session/src/test/java/org/teaseltrail/session/GoldenSessionTest.java
+++ b/session/src/test/java/org/teaseltrail/session/GoldenSessionTest.java
@@ -10,11 +10,11 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Compares the message flow of whole sessions with golden files. Each story stands at the top of
- * its script in src/test/resources/sessions.
+ * Compares the message flow of complete sessions with golden files. The scenario is described at
+ * the top of each script in src/test/resources/sessions.
  *
- * <p>After a change that is meant to change the flow, {@code -Dteaseltrail.golden.rewrite=true}
- * writes the files anew; read the difference before it is committed.
+ * <p>After an intended change of the message flow, {@code -Dteaseltrail.golden.rewrite=true}
+ * regenerates the golden files; review the difference before committing it.
  */
 class GoldenSessionTest {
 
@@ -26,14 +26,14 @@
   @ParameterizedTest(name = "{0}")
   @MethodSource("scripts")
   void flowIsAsBefore(String name) throws IOException {
-    SessionWorld world = new SessionWorld(1, ENTRY_VMS, ENGINES, false);
-    world.begin();
-    new SessionScript(world).run(Files.readAllLines(FOLDER.resolve(name + ".session")));
+    SessionWorld cluster = new SessionWorld(1, ENTRY_VMS, ENGINES, false);
+    cluster.begin();
+    new SessionScript(cluster).run(Files.readAllLines(FOLDER.resolve(name + ".session")));
     Path golden = FOLDER.resolve(name + ".golden");
     if (REWRITE) {
-      Files.writeString(golden, world.trace().text());
+      Files.writeString(golden, cluster.trace().text());
     }
-    assertThat(world.trace().text()).isEqualTo(Files.readString(golden));
+    assertThat(cluster.trace().text()).isEqualTo(Files.readString(golden));
   }
 
   static Stream<String> scripts() throws IOException {
--- a/session/src/test/java/org/teaseltrail/session/LeaderKillTest.java
+++ b/session/src/test/java/org/teaseltrail/session/LeaderKillTest.java
@@ -8,13 +8,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Story: the scheduler's leader is killed while requests come in all the time. Users see that new
- * answers begin a little later; the design's target is within two seconds.
+ * Kills the scheduler's leader under steady load and checks that grants resume within two seconds,
+ * the design target. Until then no new response starts.
  */
 class LeaderKillTest {
 
-  private static final long TARGET_NS = 2_000 * Timeline.MS;
-  private static final long CALL_EVERY_NS = 50 * Timeline.MS;
+  private static final long MAX_OUTAGE_NS = 2_000 * Timeline.MS;
+  private static final long CALL_INTERVAL_NS = 50 * Timeline.MS;
   private static final int CALLS = 200;
 
   private int calls;
@@ -22,25 +22,25 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void schedulingGoesOnWithinTwoSeconds(long seed) {
-    SessionWorld world = new SessionWorld(seed, 3, 3, true);
-    world.begin();
-    load(world);
-    world.timeline().runFor(2_000 * Timeline.MS);
-    long killedNs = world.timeline().nowNs();
-    world.leader().orElseThrow().kill();
-    world.timeline().runFor(15_000 * Timeline.MS);
-    long awayNs = firstAfter(world.checks().grantedAtNs(), killedNs) - killedNs;
-    System.out.println("seed " + seed + ": no grant for " + awayNs / Timeline.MS + " ms");
-    assertThat(awayNs).isLessThan(TARGET_NS);
-    world.callers().checkAtEnd();
+    SessionWorld cluster = new SessionWorld(seed, 3, 3, true);
+    cluster.begin();
+    load(cluster);
+    cluster.timeline().runFor(2_000 * Timeline.MS);
+    long killedNs = cluster.timeline().nowNs();
+    cluster.leader().orElseThrow().kill();
+    cluster.timeline().runFor(15_000 * Timeline.MS);
+    long outageNs = firstAfter(cluster.checks().grantedAtNs(), killedNs) - killedNs;
+    System.out.println("seed " + seed + ": no grant for " + outageNs / Timeline.MS + " ms");
+    assertThat(outageNs).isLessThan(MAX_OUTAGE_NS);
+    cluster.callers().checkAtEnd();
   }
 
-  private void load(SessionWorld world) {
+  private void load(SessionWorld cluster) {
     if (calls < CALLS) {
       calls++;
       CallSpec spec = new CallSpec("c" + calls, 1, 12, 5, Optional.empty(), false, 0);
-      world.callers().submit(new Call(spec), world.entries().get(calls % 3));
-      world.timeline().after(CALL_EVERY_NS, () -> load(world));
+      cluster.callers().submit(new Call(spec), cluster.entries().get(calls % 3));
+      cluster.timeline().after(CALL_INTERVAL_NS, () -> load(cluster));
     }
   }
 
--- a/session/src/test/java/org/teaseltrail/session/LongRunTest.java
+++ b/session/src/test/java/org/teaseltrail/session/LongRunTest.java
@@ -8,8 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Runs random sessions with fresh seeds for {@code -Dteaseltrail.longrun.minutes}, and tells the
- * seed of one that fails. {@code -Dteaseltrail.longrun.seed} runs just that one again.
+ * Runs random sessions with fresh seeds for {@code -Dteaseltrail.longrun.minutes} and reports the
+ * seed of a session that fails. {@code -Dteaseltrail.longrun.seed} repeats only the session of that
+ * seed.
  */
 @Tag("long-run")
 class LongRunTest {
--- a/session/src/test/java/org/teaseltrail/session/Network.java
+++ b/session/src/test/java/org/teaseltrail/session/Network.java
@@ -6,28 +6,28 @@
 import java.util.List;
 import java.util.Set;
 
-/** Knows which ways between processes are cut, and how long a message takes. */
+/** Simulated network with one-way partitions, message delays and duplicated datagrams. */
 final class Network {
 
-  private static final long FIXED_NS = Timeline.MS;
-  private static final long SLOW_NS = 250 * Timeline.MS;
+  private static final long FIXED_DELAY_NS = Timeline.MS;
+  private static final long MAX_SLOW_DELAY_NS = 250 * Timeline.MS;
   private static final int SLOW_PERCENT = 2;
-  private static final int DOUBLED_PERCENT = 2;
+  private static final int DUPLICATED_PERCENT = 2;
 
-  private record Way(String from, String to) {}
+  private record Link(String from, String to) {}
 
-  private final SessionWorld world;
+  private final SessionWorld cluster;
   private final boolean jitter;
-  private final Set<Way> cuts = new HashSet<>();
-  private final Set<Pipe> holding = new LinkedHashSet<>();
+  private final Set<Link> partitionedLinks = new HashSet<>();
+  private final Set<Pipe> pendingPipes = new LinkedHashSet<>();
 
-  Network(SessionWorld world, boolean jitter) {
-    this.world = world;
+  Network(SessionWorld cluster, boolean jitter) {
+    this.cluster = cluster;
     this.jitter = jitter;
   }
 
   void cutOneWay(FakeProcess from, FakeProcess to) {
-    cuts.add(new Way(from.name(), to.name()));
+    partitionedLinks.add(new Link(from.name(), to.name()));
   }
 
   void cut(FakeProcess one, FakeProcess other) {
@@ -36,48 +36,51 @@
   }
 
   void heal() {
-    cuts.clear();
-    sendKept();
+    partitionedLinks.clear();
+    flushPending();
   }
 
-  /** Heals the ways from and to one process. */
+  /** Heals the partitions from and to one process. */
   void heal(FakeProcess process) {
-    cuts.removeIf(way -> way.from().equals(process.name()) || way.to().equals(process.name()));
-    sendKept();
+    partitionedLinks.removeIf(
+        link -> link.from().equals(process.name()) || link.to().equals(process.name()));
+    flushPending();
   }
 
-  /** Sends what connections have kept meanwhile; what still can't pass is kept again. */
-  private void sendKept() {
-    List<Pipe> pipes = new ArrayList<>(holding);
-    holding.clear();
+  /**
+   * Sends the messages that pipes buffered; those of links still partitioned are buffered again.
+   */
+  private void flushPending() {
+    List<Pipe> pipes = new ArrayList<>(pendingPipes);
+    pendingPipes.clear();
     pipes.forEach(Pipe::flush);
   }
 
   boolean isCut(FakeProcess from, FakeProcess to) {
-    return cuts.contains(new Way(from.name(), to.name()));
+    return partitionedLinks.contains(new Link(from.name(), to.name()));
   }
 
   void holds(Pipe pipe) {
-    holding.add(pipe);
+    pendingPipes.add(pipe);
   }
 
   long delayNs() {
     if (!jitter) {
-      return FIXED_NS;
+      return FIXED_DELAY_NS;
     }
-    boolean slow = world.random().nextInt(100) < SLOW_PERCENT;
-    return world.random().nextLong(Timeline.MS / 5, slow ? SLOW_NS : 4 * Timeline.MS);
+    boolean slow = cluster.random().nextInt(100) < SLOW_PERCENT;
+    return cluster.random().nextLong(Timeline.MS / 5, slow ? MAX_SLOW_DELAY_NS : 4 * Timeline.MS);
   }
 
-  /** Sends a message that may get lost, doubled and overtaken. */
-  void datagram(FakeProcess from, FakeProcess to, Runnable arrival) {
+  /** Sends a message that may be lost, duplicated and reordered. */
+  void datagram(FakeProcess from, FakeProcess to, Runnable onArrival) {
     if (isCut(from, to)) {
       return;
     }
-    boolean doubled = jitter && world.random().nextInt(100) < DOUBLED_PERCENT;
-    for (int copy = doubled ? 0 : 1; copy < 2; copy++) {
+    boolean duplicated = jitter && cluster.random().nextInt(100) < DUPLICATED_PERCENT;
+    for (int copy = duplicated ? 0 : 1; copy < 2; copy++) {
       int life = to.life();
-      world.timeline().after(delayNs(), () -> to.deliver(life, arrival));
+      cluster.timeline().after(delayNs(), () -> to.deliver(life, onArrival));
     }
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/Operator.java
+++ b/session/src/test/java/org/teaseltrail/session/Operator.java
@@ -13,19 +13,23 @@
 import org.teaseltrail.core.id.Revision;
 import org.teaseltrail.core.state.ChangeResult;
 
-/** Sends changes to one member after the other until one gives a final answer. */
+/**
+ * Operator's client. It retries a change on one member after the other until it receives a final
+ * result, and checks that retries return the same result and that no two changes are accepted as
+ * the same revision.
+ */
 final class Operator {
 
-  private static final long RESEND_NS = 700 * Timeline.MS;
+  private static final long RETRY_INTERVAL_NS = 700 * Timeline.MS;
 
-  private final SessionWorld world;
-  private final int lostAnswersPercent;
+  private final SessionWorld cluster;
+  private final int lostResponsesPercent;
   private final Map<ChangeId, ChangeResult> results = new HashMap<>();
-  private final Map<Revision, ChangeId> winners = new HashMap<>();
+  private final Map<Revision, ChangeId> acceptedChanges = new HashMap<>();
 
-  Operator(SessionWorld world, int lostAnswersPercent) {
-    this.world = world;
-    this.lostAnswersPercent = lostAnswersPercent;
+  Operator(SessionWorld cluster, int lostResponsesPercent) {
+    this.cluster = cluster;
+    this.lostResponsesPercent = lostResponsesPercent;
   }
 
   Optional<ChangeResult> result(ChangeId change) {
@@ -40,33 +44,39 @@
     if (results.containsKey(change.change())) {
       return;
     }
-    ControlProcess member = world.members().get(attempt % world.members().size());
+    ControlProcess member = cluster.members().get(attempt % cluster.members().size());
     int life = member.life();
-    world
+    cluster
         .timeline()
         .after(
-            world.network().delayNs(),
-            () -> member.deliver(life, () -> member.ask(change, r -> answered(change, r))));
-    world.timeline().after(RESEND_NS, () -> send(change, attempt + 1));
+            cluster.network().delayNs(),
+            () ->
+                member.deliver(
+                    life, () -> member.ask(change, response -> onResponse(change, response))));
+    cluster.timeline().after(RETRY_INTERVAL_NS, () -> send(change, attempt + 1));
   }
 
-  private void answered(OperatorRequest.Change change, OperatorResult result) {
-    boolean lost = world.random().nextInt(100) < lostAnswersPercent;
+  private void onResponse(OperatorRequest.Change change, OperatorResult result) {
+    boolean lost = cluster.random().nextInt(100) < lostResponsesPercent;
     if (result instanceof OperatorResult.Changed changed && !lost) {
-      world.timeline().after(world.network().delayNs(), () -> decided(change, changed.result()));
+      cluster
+          .timeline()
+          .after(cluster.network().delayNs(), () -> onResult(change, changed.result()));
     }
   }
 
-  private void decided(OperatorRequest.Change change, ChangeResult result) {
+  private void onResult(OperatorRequest.Change change, ChangeResult result) {
     ChangeResult before = results.putIfAbsent(change.change(), result);
     if (before != null) {
-      assertThat(result).describedAs("result of resent %s", change.change()).isEqualTo(before);
+      assertThat(result)
+          .describedAs("result of retried change %s", change.change())
+          .isEqualTo(before);
       return;
     }
-    world.trace().line("operator", "change " + change.change() + " came to " + result);
+    cluster.trace().line("operator", "change " + change.change() + " came to " + result);
     if (result instanceof ChangeResult.Accepted accepted) {
-      assertThat(winners.putIfAbsent(accepted.revision(), change.change()))
-          .describedAs("other winner of revision %s", accepted.revision())
+      assertThat(acceptedChanges.putIfAbsent(accepted.revision(), change.change()))
+          .describedAs("other change accepted as revision %s", accepted.revision())
           .isNull();
     }
   }
--- a/session/src/test/java/org/teaseltrail/session/Pipe.java
+++ b/session/src/test/java/org/teaseltrail/session/Pipe.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Carries messages one way and in order, as one direction of a TCP connection: while the way is cut
- * it keeps them and sends them again afterwards.
+ * Delivers messages in order, as one direction of a TCP connection. It buffers them during a
+ * network partition and sends them afterwards.
  */
 final class Pipe {
 
@@ -13,7 +13,7 @@
   private final FakeProcess from;
   private final FakeProcess to;
   private final int life;
-  private final List<Runnable> kept = new ArrayList<>();
+  private final List<Runnable> pending = new ArrayList<>();
   private long lastArrivalNs;
 
   Pipe(FakeProcess from, FakeProcess to) {
@@ -23,20 +23,20 @@
     this.life = to.life();
   }
 
-  void send(Runnable arrival) {
+  void send(Runnable onArrival) {
     if (world.network().isCut(from, to)) {
-      kept.add(arrival);
+      pending.add(onArrival);
       world.network().holds(this);
       return;
     }
     long nowNs = world.timeline().nowNs();
     lastArrivalNs = Math.max(lastArrivalNs, nowNs + world.network().delayNs());
-    world.timeline().after(lastArrivalNs - nowNs, () -> to.deliver(life, arrival));
+    world.timeline().after(lastArrivalNs - nowNs, () -> to.deliver(life, onArrival));
   }
 
   void flush() {
-    List<Runnable> late = new ArrayList<>(kept);
-    kept.clear();
+    List<Runnable> late = new ArrayList<>(pending);
+    pending.clear();
     late.forEach(this::send);
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/RandomSession.java
+++ b/session/src/test/java/org/teaseltrail/session/RandomSession.java
@@ -9,55 +9,58 @@
 import java.util.SplittableRandom;
 import org.teaseltrail.core.request.Outcome;
 
-/** Runs a session of random load under random faults, ends the faults and looks at what is left. */
+/**
+ * Runs a session with random load under random faults, ends the faults and checks that all entry
+ * VMs serve requests again.
+ */
 final class RandomSession {
 
   private static final int ENTRY_VMS = 3;
   private static final int ENGINES = 3;
   private static final long FAULTS_NS = 25_000 * Timeline.MS;
-  private static final long REST_NS = 15_000 * Timeline.MS;
+  private static final long RECOVERY_NS = 15_000 * Timeline.MS;
   private static final long PROBE_NS = 3_000 * Timeline.MS;
-  private static final int MAX_TRIES = 5;
+  private static final int MAX_ATTEMPTS = 5;
 
-  private final SessionWorld world;
+  private final SessionWorld cluster;
   private final SplittableRandom random;
   private final Map<Fault, Integer> struck = new EnumMap<>(Fault.class);
   private long faultsEndNs;
   private int calls;
 
   RandomSession(long seed) {
-    world = new SessionWorld(seed, ENTRY_VMS, ENGINES, true);
-    random = world.random().split();
+    cluster = new SessionWorld(seed, ENTRY_VMS, ENGINES, true);
+    random = cluster.random().split();
   }
 
-  SessionWorld world() {
-    return world;
+  SessionWorld cluster() {
+    return cluster;
   }
 
-  /** Returns how often each fault struck. */
+  /** Returns how often each fault was injected. */
   Map<Fault, Integer> struck() {
     return struck;
   }
 
-  /** Runs the whole session; what is promised is checked meanwhile and at its end. */
+  /** Runs the session and checks the guarantees after each step and at the end. */
   void run() {
-    world.begin();
-    faultsEndNs = world.timeline().nowNs() + FAULTS_NS;
+    cluster.begin();
+    faultsEndNs = cluster.timeline().nowNs() + FAULTS_NS;
     load();
     faults();
-    world.timeline().runFor(FAULTS_NS);
-    world.network().heal();
-    world.processes().forEach(FakeProcess::thaw);
-    world.processes().forEach(FakeProcess::start);
-    world.timeline().runFor(REST_NS);
-    world.processes().forEach(FakeProcess::start);
-    world.timeline().runFor(REST_NS);
-    world.callers().checkAtEnd();
+    cluster.timeline().runFor(FAULTS_NS);
+    cluster.network().heal();
+    cluster.processes().forEach(FakeProcess::thaw);
+    cluster.processes().forEach(FakeProcess::start);
+    cluster.timeline().runFor(RECOVERY_NS);
+    cluster.processes().forEach(FakeProcess::start);
+    cluster.timeline().runFor(RECOVERY_NS);
+    cluster.callers().checkAtEnd();
     probe();
   }
 
   private boolean isOver() {
-    return world.timeline().nowNs() >= faultsEndNs;
+    return cluster.timeline().nowNs() >= faultsEndNs;
   }
 
   private void load() {
@@ -66,82 +69,89 @@
     }
     int count = random.nextInt(25) == 0 ? 30 : 1;
     for (int i = 0; i < count; i++) {
-      ask(new Call(spec()), 1);
+      sendCall(new Call(spec()), 1);
     }
-    world.timeline().after(random.nextLong(120 * Timeline.MS), this::load);
+    cluster.timeline().after(random.nextLong(120 * Timeline.MS), this::load);
   }
 
   private void faults() {
     if (isOver()) {
       return;
     }
-    world.timeline().after(random.nextLong(1_500 * Timeline.MS), this::faults);
+    cluster.timeline().after(random.nextLong(1_500 * Timeline.MS), this::faults);
     Fault fault = Fault.any(random);
     struck.merge(fault, 1, Integer::sum);
-    world.trace().line("fault", fault.toString());
-    fault.strike(world);
+    cluster.trace().line("fault", fault.toString());
+    fault.strike(cluster);
   }
 
   private CallSpec spec() {
     calls++;
     boolean keyed = random.nextInt(3) == 0;
-    boolean longOne = random.nextInt(5) == 0;
+    boolean isLong = random.nextInt(5) == 0;
     return new CallSpec(
         "c" + calls,
         1 + random.nextInt(SessionWorld.TIERS),
-        1 + random.nextInt(longOne ? 1_200 : 60),
-        1 + random.nextInt(longOne ? 200 : 20),
+        1 + random.nextInt(isLong ? 1_200 : 60),
+        1 + random.nextInt(isLong ? 200 : 20),
         keyed ? Optional.of("k" + calls) : Optional.empty(),
         keyed && random.nextBoolean(),
         random.nextInt(10) == 0 ? 1 + random.nextInt(4_000) : 0);
   }
 
-  /** Asks over any VM whose process is there; a balancer finds no other. */
-  private void ask(Call call, int tries) {
-    List<EntryProcess> open = world.entries().stream().filter(EntryProcess::isListening).toList();
-    if (open.isEmpty()) {
+  /** Sends a call to a random listening entry VM; a load balancer selects no other. */
+  private void sendCall(Call call, int attempts) {
+    List<EntryProcess> listening =
+        cluster.entries().stream().filter(EntryProcess::isListening).toList();
+    if (listening.isEmpty()) {
       return;
     }
-    Submission submission = world.callers().submit(call, open.get(random.nextInt(open.size())));
-    submission.whenOver(() -> over(submission, tries));
+    Submission submission =
+        cluster.callers().submit(call, listening.get(random.nextInt(listening.size())));
+    submission.whenOver(() -> onFinished(submission, attempts));
     if (random.nextInt(20) == 0) {
-      world.timeline().after(random.nextLong(2_000 * Timeline.MS), () -> hangUp(submission, tries));
+      cluster
+          .timeline()
+          .after(random.nextLong(2_000 * Timeline.MS), () -> hangUp(submission, attempts));
     }
   }
 
-  private void hangUp(Submission submission, int tries) {
+  private void hangUp(Submission submission, int attempts) {
     if (!submission.isOver()) {
       submission.hangUp();
-      over(submission, tries);
+      onFinished(submission, attempts);
     }
   }
 
-  /** Comes back with the same key, as a caller who has no whole answer yet. */
-  private void over(Submission submission, int tries) {
-    boolean done = submission.outcome().filter(Outcome.Completed.class::isInstance).isPresent();
-    if (!done && submission.call().spec().key().isPresent() && tries < MAX_TRIES) {
-      world
+  /** Retries with the same key, as a caller does that has no complete answer yet. */
+  private void onFinished(Submission submission, int attempts) {
+    boolean completed =
+        submission.outcome().filter(Outcome.Completed.class::isInstance).isPresent();
+    if (!completed && submission.call().spec().key().isPresent() && attempts < MAX_ATTEMPTS) {
+      cluster
           .timeline()
-          .after(random.nextLong(1_500 * Timeline.MS), () -> ask(submission.call(), tries + 1));
+          .after(
+              random.nextLong(1_500 * Timeline.MS),
+              () -> sendCall(submission.call(), attempts + 1));
     }
   }
 
-  /** Asks each VM once more: all must serve again. */
+  /** Sends a request to each entry VM; all must complete it after the faults have ended. */
   private void probe() {
-    for (EntryProcess entry : world.entries()) {
+    for (EntryProcess entry : cluster.entries()) {
       assertThat(entry.isReady()).describedAs("%s is ready", entry.name()).isTrue();
       calls++;
       CallSpec spec = new CallSpec("probe" + calls, 2, 10, 5, Optional.empty(), false, 0);
-      world.callers().submit(new Call(spec), entry);
+      cluster.callers().submit(new Call(spec), entry);
     }
-    world.timeline().runFor(PROBE_NS);
-    world.callers().all().stream()
+    cluster.timeline().runFor(PROBE_NS);
+    cluster.callers().all().stream()
         .filter(submission -> submission.call().spec().name().startsWith("probe"))
         .forEach(
             probe ->
                 assertThat(probe.outcome())
                     .describedAs("outcome of %s over %s", probe.id(), probe.entry().name())
                     .containsInstanceOf(Outcome.Completed.class));
-    world.callers().checkAtEnd();
+    cluster.callers().checkAtEnd();
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/RandomSessionProperties.java
+++ b/session/src/test/java/org/teaseltrail/session/RandomSessionProperties.java
@@ -5,9 +5,10 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Story: callers ask without pause while VMs, members and engines die, freeze, leave and are cut
- * off, and operators race. Users would see an answer that is short or another's, a submission that
- * ran twice, a "not run" that isn't true, or a service that doesn't come back.
+ * Checks the guarantees to callers under random load while VMs, members and engines crash, pause,
+ * deregister and are partitioned, and operators submit conflicting changes. Guards against
+ * truncated answers, answers of another request, requests that run twice, requests wrongly reported
+ * as not run, and a service that doesn't recover.
  */
 class RandomSessionProperties {
 
--- a/session/src/test/java/org/teaseltrail/session/SessionChecks.java
+++ b/session/src/test/java/org/teaseltrail/session/SessionChecks.java
@@ -11,19 +11,22 @@
 import org.teaseltrail.core.configuration.Configuration;
 import org.teaseltrail.core.id.UpstreamId;
 
-/** Checks what is promised of all processes together, at each step. */
+/** Checks the invariants that span several processes, after each step. */
 final class SessionChecks {
 
-  /** A session's lifetime, and what two clocks may drift apart meanwhile. */
-  private static final long LIFETIME_NS = 3_060 * Timeline.MS;
+  /**
+   * Maximum age of a replaced configuration under which an entry VM still admits requests: the
+   * lifetime of a session, plus the drift between two clocks in that time.
+   */
+  private static final long MAX_CONFIGURATION_AGE_NS = 3_060 * Timeline.MS;
 
-  private final SessionWorld world;
+  private final SessionWorld cluster;
   private final Map<UpstreamId, Long> drainedSinceNs = new HashMap<>();
   private final List<Long> grantedAtNs = new ArrayList<>();
-  private final List<Long> acceptedAtNs = new ArrayList<>(List.of(0L));
+  private final List<Long> acceptTimesNs = new ArrayList<>(List.of(0L));
 
-  SessionChecks(SessionWorld world) {
-    this.world = world;
+  SessionChecks(SessionWorld cluster) {
+    this.cluster = cluster;
   }
 
   long drainedSinceNs(UpstreamId upstream) {
@@ -31,19 +34,19 @@
   }
 
   long newestRevision() {
-    return acceptedAtNs.size() - 1;
+    return acceptTimesNs.size() - 1;
   }
 
-  /** Looks at the members: one lease at most, and what the newest accepted configuration is. */
+  /** Checks that at most one member holds a valid lease, and tracks the accepted configurations. */
   void afterEach() {
     int leases = 0;
-    for (ControlProcess member : world.members()) {
+    for (ControlProcess member : cluster.members()) {
       leases += member.leaseHolds() ? 1 : 0;
       if (member.isUp() && member.revision() > newestRevision()) {
-        accepted(member.configuration());
+        onConfigurationAccepted(member.configuration());
       }
     }
-    assertThat(leases).describedAs("members whose lease holds").isLessThanOrEqualTo(1);
+    assertThat(leases).describedAs("members with a valid lease").isLessThanOrEqualTo(1);
   }
 
   void configured(EntryProcess entry, long before, long after) {
@@ -53,30 +56,32 @@
   void admitted(EntryProcess entry) {
     long revision = entry.revision();
     if (revision < newestRevision()) {
-      long sinceNs = world.timeline().nowNs() - acceptedAtNs.get((int) revision + 1);
+      long sinceNs = cluster.timeline().nowNs() - acceptTimesNs.get((int) revision + 1);
       assertThat(sinceNs)
           .describedAs("age of the configuration after %d on %s", revision, entry.name())
-          .isLessThanOrEqualTo(LIFETIME_NS);
+          .isLessThanOrEqualTo(MAX_CONFIGURATION_AGE_NS);
     }
   }
 
-  void exits(EntryProcess entry, Collection<Submission> left) {
-    assertThat(left).describedAs("requests cut off by the exit of %s", entry.name()).isEmpty();
+  void exits(EntryProcess entry, Collection<Submission> unfinished) {
+    assertThat(unfinished)
+        .describedAs("requests aborted by the exit of %s", entry.name())
+        .isEmpty();
   }
 
-  /** Notes a grant that leaves, for the time without scheduling. */
+  /** Records the time at which a grant is sent, to measure how long scheduling was interrupted. */
   void granted() {
-    grantedAtNs.add(world.timeline().nowNs());
+    grantedAtNs.add(cluster.timeline().nowNs());
   }
 
   List<Long> grantedAtNs() {
     return grantedAtNs;
   }
 
-  private void accepted(Configuration configuration) {
-    long nowNs = world.timeline().nowNs();
+  private void onConfigurationAccepted(Configuration configuration) {
+    long nowNs = cluster.timeline().nowNs();
     while (newestRevision() < configuration.revision().value()) {
-      acceptedAtNs.add(nowNs);
+      acceptTimesNs.add(nowNs);
     }
     for (AllowedUpstream upstream : configuration.upstreams().values()) {
       if (upstream.draining()) {
--- a/session/src/test/java/org/teaseltrail/session/SessionScript.java
+++ b/session/src/test/java/org/teaseltrail/session/SessionScript.java
@@ -14,8 +14,8 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /**
- * Runs a session from its script: a line holds a time in milliseconds, a verb and its words; lines
- * that begin with a # tell the story. A call is
+ * Runs a session from a script. Each line holds a time in milliseconds, a verb and its arguments;
+ * lines that begin with # are comments. The syntax of a call is
  *
  * <pre>
  * 100 call NAME ENTRY tier 1 prompt 40 tokens 20 [key KEY] [once] [deadline MS]
@@ -23,23 +23,23 @@
  */
 final class SessionScript {
 
-  private final SessionWorld world;
+  private final SessionWorld cluster;
   private final Map<String, Call> calls = new HashMap<>();
   private final Map<String, Submission> submissions = new HashMap<>();
 
-  SessionScript(SessionWorld world) {
-    this.world = world;
+  SessionScript(SessionWorld cluster) {
+    this.cluster = cluster;
   }
 
   void run(List<String> lines) {
-    long startNs = world.timeline().nowNs();
+    long startNs = cluster.timeline().nowNs();
     for (String line : lines) {
       if (line.isBlank() || line.startsWith("#")) {
         continue;
       }
       Deque<String> words = new ArrayDeque<>(Arrays.asList(line.trim().split(" +")));
       long atNs = startNs + Long.parseLong(words.poll()) * Timeline.MS;
-      world.timeline().runFor(atNs - world.timeline().nowNs());
+      cluster.timeline().runFor(atNs - cluster.timeline().nowNs());
       step(words.poll(), words);
     }
   }
@@ -54,7 +54,7 @@
       case "swap" -> disturb(words.poll(), EngineReader.Mischief.SWAP);
       case "double" -> disturb(words.poll(), EngineReader.Mischief.DOUBLE);
       case "foreign" -> disturb(words.poll(), EngineReader.Mischief.FOREIGN);
-      case "end" -> world.callers().checkAtEnd();
+      case "end" -> cluster.callers().checkAtEnd();
       default -> fault(verb, words);
     }
   }
@@ -65,23 +65,23 @@
       return;
     }
     if (verb.equals("heal")) {
-      world.trace().line("fault", verb);
-      world.network().heal();
+      cluster.trace().line("fault", verb);
+      cluster.network().heal();
       return;
     }
-    FakeProcess process = world.process(words.poll());
-    world.trace().line("fault", verb + " " + process.name());
+    FakeProcess process = cluster.process(words.poll());
+    cluster.trace().line("fault", verb + " " + process.name());
     switch (verb) {
       case "kill" -> process.kill();
       case "start" -> process.start();
       case "freeze" -> process.freeze();
       case "thaw" -> process.thaw();
       case "freeze-at-grant" -> ((ControlProcess) process).freezeAtNextGrant();
-      case "isolate" -> world.processes().forEach(other -> world.network().cut(process, other));
+      case "isolate" -> cluster.processes().forEach(other -> cluster.network().cut(process, other));
       case "drain-vm" -> ((EntryProcess) process).drain();
       case "leave" -> ((EngineProcess) process).leave(() -> {});
       case "straggle" -> ((EngineProcess) process).straggle(Double.parseDouble(words.poll()));
-      default -> throw new IllegalArgumentException("no such verb: " + verb);
+      default -> throw new IllegalArgumentException("unknown verb in session script: " + verb);
     }
   }
 
@@ -91,67 +91,67 @@
     submit(new Call(spec(name, words)), entry);
   }
 
-  /** Makes several calls at once, over all entry VMs in turn. */
+  /** Sends several calls at once, distributed round-robin over the entry VMs. */
   private void calls(Deque<String> words) {
     String name = words.poll();
     int count = Integer.parseInt(words.poll());
-    CallSpec first = spec(name, words);
+    CallSpec template = spec(name, words);
     for (int i = 1; i <= count; i++) {
       CallSpec spec =
           new CallSpec(
               name + i,
-              first.tier(),
-              first.promptTokens(),
-              first.maxTokens(),
-              first.key(),
-              first.once(),
-              first.deadlineMs());
-      submit(new Call(spec), world.entries().get(i % world.entries().size()).name());
+              template.tier(),
+              template.promptTokens(),
+              template.maxTokens(),
+              template.key(),
+              template.once(),
+              template.deadlineMs());
+      submit(new Call(spec), cluster.entries().get(i % cluster.entries().size()).name());
     }
   }
 
   private void submit(Call call, String entry) {
     calls.put(call.spec().name(), call);
-    EntryProcess at = (EntryProcess) world.process(entry);
-    submissions.put(call.spec().name(), world.callers().submit(call, at));
+    EntryProcess entryProcess = (EntryProcess) cluster.process(entry);
+    submissions.put(call.spec().name(), cluster.callers().submit(call, entryProcess));
   }
 
   private static CallSpec spec(String name, Deque<String> words) {
-    Map<String, String> given = new HashMap<>();
+    Map<String, String> options = new HashMap<>();
     boolean once = false;
     while (!words.isEmpty()) {
       String word = words.poll();
       if (word.equals("once")) {
         once = true;
       } else {
-        given.put(word, words.poll());
+        options.put(word, words.poll());
       }
     }
     return new CallSpec(
         name,
-        Integer.parseInt(given.get("tier")),
-        Integer.parseInt(given.get("prompt")),
-        Integer.parseInt(given.get("tokens")),
-        Optional.ofNullable(given.get("key")),
+        Integer.parseInt(options.get("tier")),
+        Integer.parseInt(options.get("prompt")),
+        Integer.parseInt(options.get("tokens")),
+        Optional.ofNullable(options.get("key")),
         once,
-        Long.parseLong(given.getOrDefault("deadline", "0")));
+        Long.parseLong(options.getOrDefault("deadline", "0")));
   }
 
   private void hangUp(String name) {
-    world.trace().line("caller " + name, "hangs up");
+    cluster.trace().line("caller " + name, "hangs up");
     submissions.get(name).hangUp();
   }
 
   private void breakConnection(String name) {
     Submission submission = submissions.get(name);
-    world.trace().line("fault", "break the connection of " + submission.id());
+    cluster.trace().line("fault", "break the connection of " + submission.id());
     submission.engine().breakConnections(submission.id());
   }
 
-  private void disturb(String name, EngineReader.Mischief mischief) {
+  private void disturb(String name, EngineReader.Mischief frameFault) {
     Submission submission = submissions.get(name);
-    world.trace().line("fault", mischief + " the next frame of " + submission.id());
-    submission.engine().disturb(submission.id(), mischief);
+    cluster.trace().line("fault", frameFault + " the next frame of " + submission.id());
+    submission.engine().disturb(submission.id(), frameFault);
   }
 
   /** Changes a tier's name ({@code ID REVISION rename NAME}) or drains an upstream. */
@@ -162,7 +162,7 @@
         words.poll().equals("drain")
             ? new ConfigurationChange.SetDraining(new UpstreamId(words.poll()), true)
             : new ConfigurationChange.PutTier(new TierDefinition(new Tier(1), words.poll()));
-    world.trace().line("operator", "sends change " + id + " for revision " + expected.get());
-    world.operator().change(id, expected, List.of(item));
+    cluster.trace().line("operator", "sends change " + id + " for revision " + expected.get());
+    cluster.operator().change(id, expected, List.of(item));
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/SessionWorld.java
+++ b/session/src/test/java/org/teaseltrail/session/SessionWorld.java
@@ -30,7 +30,10 @@
 import org.teaseltrail.core.state.StateCodec;
 import org.teaseltrail.core.upstream.SocketAddress;
 
-/** Joins the processes of a small deployment under one timeline. */
+/**
+ * Simulates a small deployment: control members, entry VMs, engines, callers and an operator under
+ * one virtual clock.
+ */
 final class SessionWorld {
 
   static final GroupId GROUP = new GroupId("group");
@@ -39,9 +42,9 @@
   static final String SECRET_HASH = "5e".repeat(32);
   static final int TIERS = 3;
   private static final int MEMBERS = 3;
-  private static final int STAND_STEP_MS = 100;
+  private static final int ELECTION_TIMEOUT_STEP_MS = 100;
   private static final long MAX_WAITING_MS = 2_000;
-  private static final int LOST_ANSWERS_PERCENT = 20;
+  private static final int LOST_RESPONSES_PERCENT = 20;
   private static final long SETTLE_NS = 6_000 * Timeline.MS;
 
   private final Timeline timeline = new Timeline();
@@ -60,7 +63,7 @@
   SessionWorld(long seed, int entryCount, int engineCount, boolean jitter) {
     this.random = new SplittableRandom(seed);
     this.network = new Network(this, jitter);
-    this.operator = new Operator(this, jitter ? LOST_ANSWERS_PERCENT : 0);
+    this.operator = new Operator(this, jitter ? LOST_RESPONSES_PERCENT : 0);
     LogEntry first = firstEntry();
     for (int i = 1; i <= MEMBERS; i++) {
       members.add(new ControlProcess(this, memberName(i), first, replicaSettings(i, jitter)));
@@ -74,11 +77,11 @@
     timeline.afterEach(checks::afterEach);
   }
 
-  /** Starts all, configures them and lets them come to rest. */
+  /** Starts all processes, applies the initial configuration and waits until they settle. */
   void begin() {
     processes().forEach(FakeProcess::start);
     timeline.runFor(SETTLE_NS / 2);
-    operator.change("setup", Optional.empty(), setup());
+    operator.change("setup", Optional.empty(), initialConfiguration());
     timeline.runFor(SETTLE_NS / 2);
     trace.begin();
   }
@@ -87,25 +90,28 @@
     return "control-" + number;
   }
 
-  /** Returns the defaults; without jitter each member stands a little later than the one before. */
+  /**
+   * Returns the default settings. Without jitter, the election timeouts are fixed and increase from
+   * member to member, so that the outcome of elections is deterministic.
+   */
   private static ReplicaSettings replicaSettings(int number, boolean jitter) {
-    ReplicaSettings usual = ReplicaSettings.defaults();
-    int standsAfterMs = usual.electionTimeoutMinMs() + (number - 1) * STAND_STEP_MS;
+    ReplicaSettings base = ReplicaSettings.defaults();
+    int electionTimeoutMs = base.electionTimeoutMinMs() + (number - 1) * ELECTION_TIMEOUT_STEP_MS;
     return jitter
-        ? usual
+        ? base
         : new ReplicaSettings(
-            usual.heartbeatMs(),
-            usual.leaseMs(),
-            usual.leaseMarginPerMille(),
-            standsAfterMs,
-            standsAfterMs,
-            usual.maxBatchEntries(),
-            usual.maxBatchBytes(),
-            usual.maxInflightMessages(),
-            usual.maxUncommittedBytes(),
-            usual.snapshotPartBytes(),
-            usual.snapshotEveryEntries(),
-            usual.keptEntries());
+            base.heartbeatMs(),
+            base.leaseMs(),
+            base.leaseMarginPerMille(),
+            electionTimeoutMs,
+            electionTimeoutMs,
+            base.maxBatchEntries(),
+            base.maxBatchBytes(),
+            base.maxInflightMessages(),
+            base.maxUncommittedBytes(),
+            base.snapshotPartBytes(),
+            base.snapshotEveryEntries(),
+            base.keptEntries());
   }
 
   private static LogEntry firstEntry() {
@@ -117,7 +123,7 @@
         1, 0, new EntryPayload.MembershipPayload(new Membership(voters, List.of())));
   }
 
-  private List<ConfigurationChange> setup() {
+  private List<ConfigurationChange> initialConfiguration() {
     PoolId pool = new PoolId("pool");
     List<ConfigurationChange> items = new ArrayList<>();
     items.add(new ConfigurationChange.PutPool(new Pool(pool, MAX_WAITING_MS, 0)));
@@ -210,7 +216,7 @@
     return members.stream().filter(ControlProcess::leaseHolds).findFirst();
   }
 
-  /** Finds a process by its name in a script; "leader" is the present leader. */
+  /** Returns the process with the given name in a script; "leader" is the current leader. */
   FakeProcess process(String name) {
     if (name.equals("leader")) {
       return leader().orElseThrow();
@@ -218,13 +224,15 @@
     return processes().stream().filter(p -> p.name().equals(name)).findFirst().orElseThrow();
   }
 
-  /** Draws an entry VM that takes an upstream's call. */
+  /** Returns a random entry VM that listens and is not partitioned from the given process. */
   Optional<EntryProcess> anyEntry(FakeProcess caller) {
-    List<EntryProcess> open =
+    List<EntryProcess> candidates =
         entries.stream()
             .filter(EntryProcess::isListening)
             .filter(entry -> !network.isCut(caller, entry))
             .toList();
-    return open.isEmpty() ? Optional.empty() : Optional.of(open.get(random.nextInt(open.size())));
+    return candidates.isEmpty()
+        ? Optional.empty()
+        : Optional.of(candidates.get(random.nextInt(candidates.size())));
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/Submission.java
+++ b/session/src/test/java/org/teaseltrail/session/Submission.java
@@ -9,10 +9,10 @@
 import org.teaseltrail.core.request.StreamFrame;
 import org.teaseltrail.standin.model.EngineRequest;
 
-/** Is one time that a caller asks an entry VM. */
+/** One attempt of a call at one entry VM. */
 final class Submission {
 
-  private final SessionWorld world;
+  private final SessionWorld cluster;
   private final RequestId id;
   private final Call call;
   private final EntryProcess entry;
@@ -20,11 +20,11 @@
   private EngineProcess engine;
   private Outcome outcome;
   private boolean lost;
-  private boolean hungUp;
+  private boolean disconnected;
   private Runnable whenOver = () -> {};
 
-  Submission(SessionWorld world, RequestId id, Call call, EntryProcess entry) {
-    this.world = world;
+  Submission(SessionWorld cluster, RequestId id, Call call, EntryProcess entry) {
+    this.cluster = cluster;
     this.id = id;
     this.call = call;
     this.entry = entry;
@@ -59,17 +59,17 @@
     return Optional.ofNullable(outcome);
   }
 
-  /** Returns whether its entry VM died before the outcome. */
+  /** Returns whether the entry VM died before the outcome. */
   boolean isLost() {
     return lost;
   }
 
   boolean isOver() {
-    return outcome != null || lost || hungUp;
+    return outcome != null || lost || disconnected;
   }
 
-  void whenOver(Runnable next) {
-    whenOver = next;
+  void whenOver(Runnable listener) {
+    whenOver = listener;
   }
 
   void goesTo(EngineProcess granted) {
@@ -77,34 +77,36 @@
   }
 
   void delivered(StreamFrame.Text frame) {
-    assertThat(outcome).describedAs("outcome of %s before its answer's end", id).isNull();
+    assertThat(outcome).describedAs("outcome of %s before the end of its answer", id).isNull();
     if (call.nextFrame() == 0) {
-      world.trace().line("caller " + call.spec().name(), "gets the first token of " + id);
+      cluster.trace().line("caller " + call.spec().name(), "gets the first token of " + id);
     }
     call.delivered(frame);
   }
 
-  void concluded(Outcome last) {
+  void concluded(Outcome finalOutcome) {
     assertThat(outcome).describedAs("earlier outcome of %s", id).isNull();
-    outcome = last;
-    if (last instanceof Outcome.Completed) {
-      assertThat(call.isWhole()).describedAs("whole answer of %s", id).isTrue();
+    outcome = finalOutcome;
+    if (finalOutcome instanceof Outcome.Completed) {
+      assertThat(call.isWhole()).describedAs("complete answer of %s", id).isTrue();
     }
-    world
+    cluster
         .trace()
-        .line("caller " + call.spec().name(), "has " + call.nextFrame() + " tokens and " + last);
+        .line(
+            "caller " + call.spec().name(),
+            "has " + call.nextFrame() + " tokens and " + finalOutcome);
     whenOver.run();
   }
 
   void hangUp() {
-    hungUp = true;
+    disconnected = true;
     entry.hangUp(this);
   }
 
   void lost() {
     if (!isOver()) {
       lost = true;
-      world.trace().line("caller " + call.spec().name(), "loses the connection of " + id);
+      cluster.trace().line("caller " + call.spec().name(), "loses the connection of " + id);
       whenOver.run();
     }
   }
--- a/session/src/test/java/org/teaseltrail/session/SyncedDisk.java
+++ b/session/src/test/java/org/teaseltrail/session/SyncedDisk.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.replication.Snapshot;
 import org.teaseltrail.core.replication.Vote;
 
-/** Keeps synced writes over a kill and loses the others. */
+/** Simulated disk that keeps synced writes over a process kill and loses unsynced ones. */
 final class SyncedDisk {
 
   private final Deque<ReplicaAction.Write> unsynced = new ArrayDeque<>();
--- a/session/src/test/java/org/teaseltrail/session/TableCodec.java
+++ b/session/src/test/java/org/teaseltrail/session/TableCodec.java
@@ -7,7 +7,9 @@
 import org.teaseltrail.core.state.Command;
 import org.teaseltrail.core.state.StateCodec;
 
-/** Keeps immutable objects in a table and writes their places in it. */
+/**
+ * State codec that keeps the immutable objects in memory and encodes them as indexes into a table.
+ */
 final class TableCodec implements StateCodec {
 
   private final List<Object> table = new ArrayList<>();
--- a/session/src/test/java/org/teaseltrail/session/Trace.java
+++ b/session/src/test/java/org/teaseltrail/session/Trace.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.message.EntryMessage;
 import org.teaseltrail.core.message.Ticket;
 
-/** Writes down the message flow of a session, without what goes on all the time. */
+/** Records the message flow of a session, except periodic messages. */
 final class Trace {
 
   private final Timeline timeline;
@@ -32,10 +32,10 @@
     return String.join("\n", lines) + "\n";
   }
 
-  void line(String who, String text) {
+  void line(String source, String text) {
     if (on) {
       double ms = (double) (timeline.nowNs() - startNs) / Timeline.MS;
-      lines.add(String.format(Locale.ROOT, "%9.1f  %s: %s", ms, who, text));
+      lines.add(String.format(Locale.ROOT, "%9.1f  %s: %s", ms, source, text));
     }
   }
 
@@ -43,7 +43,7 @@
     if (action instanceof EntryAction.SendControl send) {
       message(send.message())
           .ifPresent(text -> line(entry.name(), "to " + send.member() + " " + text));
-    } else if (isToldElsewhere(action)) {
+    } else if (isTracedElsewhere(action)) {
       return;
     } else if (action instanceof EntryAction.Connect connect) {
       line(
@@ -53,7 +53,7 @@
     }
   }
 
-  private static boolean isToldElsewhere(EntryAction action) {
+  private static boolean isTracedElsewhere(EntryAction action) {
     return action instanceof EntryAction.Deliver
         || action instanceof EntryAction.Conclude
         || action instanceof EntryAction.Log
@@ -61,25 +61,25 @@
   }
 
   private static Optional<String> message(EntryMessage message) {
-    boolean goesOnAllTheTime =
+    boolean isPeriodic =
         message instanceof EntryMessage.Hello
             || message instanceof EntryMessage.UpstreamSeen
             || message instanceof EntryMessage.CacheSeen
             || message instanceof EntryMessage.Progress;
-    if (goesOnAllTheTime) {
+    if (isPeriodic) {
       return Optional.empty();
     }
     if (message instanceof EntryMessage.Offer offer) {
-      return Optional.of("Offer " + brief(offer.ticket()));
+      return Optional.of("Offer " + summary(offer.ticket()));
     }
     if (message instanceof EntryMessage.StillRunning running) {
       return Optional.of(
-          "StillRunning " + brief(running.ticket()) + " upstream=" + running.upstream());
+          "StillRunning " + summary(running.ticket()) + " upstream=" + running.upstream());
     }
     return Optional.of(message.toString());
   }
 
-  private static String brief(Ticket ticket) {
+  private static String summary(Ticket ticket) {
     return ticket.request()
         + " tier="
         + ticket.tier()
--- a/session/src/test/java/org/teaseltrail/session/package-info.java
+++ b/session/src/test/java/org/teaseltrail/session/package-info.java
@@ -1,2 +1,5 @@
-/** Drives the real role objects together under virtual time, with fakes at the interfaces. */
+/**
+ * Tests the real state machines of all roles together under virtual time. Network, disks, clocks
+ * and callers are simulated.
+ */
 package org.teaseltrail.session;
