--- a/bench/src/main/java/org/teaseltrail/bench/control/BenchGroup.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/BenchGroup.java
@@ -16,10 +16,10 @@
 import org.teaseltrail.storage.NioFileSystem;
 import org.teaseltrail.storage.StorageFolder;
 
-/** Runs a group of members on temporary folders, grown from one member step by step. */
+/** Replication group on temporary folders that starts with one member and adds the others. */
 final class BenchGroup implements AutoCloseable {
 
-  private static final long WAIT_NS = 20_000_000L;
+  private static final long POLL_NS = 20_000_000L;
 
   private final Map<MemberId, BenchNode> peers = new ConcurrentHashMap<>();
   private final List<BenchNode> nodes = new ArrayList<>();
@@ -52,21 +52,21 @@
 
   private void awaitLeader() {
     while (!leader().isLeading()) {
-      LockSupport.parkNanos(WAIT_NS);
+      LockSupport.parkNanos(POLL_NS);
     }
   }
 
-  /** Asks again until the step is taken: a learner must catch up before it may vote. */
+  /** Repeats the proposals, since a learner must catch up before it can be promoted to a voter. */
   private void join(Member member) {
     for (int i = 0; i < 50; i++) {
       leader()
           .post(new ReplicaEvent.ProposeMembership(-1, new MembershipChange.AddLearner(member)));
-      LockSupport.parkNanos(WAIT_NS);
+      LockSupport.parkNanos(POLL_NS);
       leader()
           .post(
               new ReplicaEvent.ProposeMembership(
                   -1, new MembershipChange.PromoteLearner(member.id())));
-      LockSupport.parkNanos(WAIT_NS);
+      LockSupport.parkNanos(POLL_NS);
     }
   }
 }
--- a/bench/src/main/java/org/teaseltrail/bench/control/BenchNode.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/BenchNode.java
@@ -34,8 +34,8 @@
 import org.teaseltrail.wire.MessagePackStateCodec;
 
 /**
- * Runs a replica with its state on a thread, and its synced writes on another. Messages between
- * nodes are encoded and decoded as on the wire, but pass through memory.
+ * Node that runs a replica with its state on one thread and the synced writes on another. Messages
+ * between nodes are encoded and decoded as on the wire, but are passed in memory.
  */
 final class BenchNode implements AutoCloseable {
 
@@ -48,21 +48,24 @@
   private final MessageCodec codec = new MessageCodec();
   private final MessagePackStateCodec states = new MessagePackStateCodec(codec);
   private final Map<MemberId, BenchNode> peers;
-  private final Map<Long, Long> proposed = new HashMap<>();
+  private final Map<Long, Long> proposalIds = new HashMap<>();
   private final StorageFolder folder;
   private final Replica replica;
   private final ExecutorService snapshots = Executors.newSingleThreadExecutor();
   private final Thread loop = new Thread(this::runLoop, "member");
   private final Thread writer = new Thread(this::runWrites, "writes");
-  private final LongConsumer committed;
+  private final LongConsumer commitListener;
   private ClusterState state = new ClusterState(ClusterSnapshot.empty());
   private volatile boolean leading;
-  private volatile boolean ending;
+  private volatile boolean closing;
 
-  /** Makes a node on a folder that holds a member; it tells of each own proposal that commits. */
-  BenchNode(Path path, Map<MemberId, BenchNode> peers, LongConsumer committed) {
+  /**
+   * Creates a node on the data folder of a member. The listener receives the id of each proposal of
+   * this node that commits.
+   */
+  BenchNode(Path path, Map<MemberId, BenchNode> peers, LongConsumer commitListener) {
     this.peers = peers;
-    this.committed = committed;
+    this.commitListener = commitListener;
     folder = StorageFolder.open(new NioFileSystem(), path, GROUP);
     RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
     replica =
@@ -105,7 +108,7 @@
 
   @Override
   public void close() {
-    ending = true;
+    closing = true;
     join(loop);
     snapshots.shutdownNow();
     join(writer);
@@ -127,7 +130,7 @@
   private void runLoop() {
     try {
       handle(new ReplicaEvent.Tick());
-      while (!ending) {
+      while (!closing) {
         List<ReplicaEvent> batch = new ArrayList<>();
         ReplicaEvent first = events.poll(POLL_MS, TimeUnit.MILLISECONDS);
         if (first != null) {
@@ -146,10 +149,10 @@
   }
 
   private void handle(ReplicaEvent event) {
-    replica.handle(event, now()).forEach(this::carryOut);
+    replica.handle(event, now()).forEach(this::executeAction);
   }
 
-  private void carryOut(ReplicaAction action) {
+  private void executeAction(ReplicaAction action) {
     if (action instanceof ReplicaAction.Write write) {
       writes.add(write);
     } else if (action instanceof ReplicaAction.SendPeer send) {
@@ -169,7 +172,7 @@
     } else if (action instanceof ReplicaAction.LostLeadership) {
       leading = false;
     } else if (action instanceof ReplicaAction.ProposalAppended appended) {
-      proposed.put(appended.index(), appended.proposalId());
+      proposalIds.put(appended.index(), appended.proposalId());
     }
   }
 
@@ -182,15 +185,15 @@
     if (entry.payload() instanceof EntryPayload.CommandPayload payload) {
       state.apply(states.decodeCommand(payload.bytes()));
     }
-    Long proposal = proposed.remove(entry.index());
+    Long proposal = proposalIds.remove(entry.index());
     if (proposal != null) {
-      committed.accept(proposal);
+      commitListener.accept(proposal);
     }
   }
 
   private void runWrites() {
     try {
-      while (!ending || !writes.isEmpty()) {
+      while (!closing || !writes.isEmpty()) {
         ReplicaAction.Write first = writes.poll(POLL_MS, TimeUnit.MILLISECONDS);
         if (first != null) {
           List<ReplicaAction.Write> batch = new ArrayList<>(List.of(first));
--- a/bench/src/main/java/org/teaseltrail/bench/control/ClaimBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/ClaimBench.java
@@ -12,18 +12,18 @@
 import org.HdrHistogram.Histogram;
 import org.teaseltrail.core.replication.ReplicaEvent;
 
-/** Measures claims a second and their latency against how many are under way at once. */
+/** Measures the throughput and latency of claims by the number of claims in flight. */
 final class ClaimBench {
 
   private static final int[] WINDOWS = {1, 10, 100, 1_000};
   private static final long WARM_UP_MS = 3_000;
-  private static final int GIVE_UP_S = 5;
+  private static final int ACQUIRE_TIMEOUT_S = 5;
   private static final long RUN_MS = 5_000;
 
   private final Map<Long, Long> startedNs = new ConcurrentHashMap<>();
   private final Histogram latencyUs = new ConcurrentHistogram(60_000_000L, 3);
-  private final AtomicLong done = new AtomicLong();
-  private volatile Semaphore room = new Semaphore(0);
+  private final AtomicLong committedCount = new AtomicLong();
+  private volatile Semaphore inFlightPermits = new Semaphore(0);
   private long lastId;
 
   void run(Path folder, int members, PrintStream out) throws IOException {
@@ -32,8 +32,8 @@
       load(group.leader(), 100, WARM_UP_MS);
       for (int window : WINDOWS) {
         latencyUs.reset();
-        done.set(0);
-        long tookNs = load(group.leader(), window, RUN_MS);
+        committedCount.set(0);
+        long elapsedNs = load(group.leader(), window, RUN_MS);
         if (!group.leader().isLeading()) {
           out.printf("%d,%d,leadership lost under load: not measured%n", members, window);
           return;
@@ -42,7 +42,7 @@
             "%d,%d,%.0f,%.2f,%.2f,%.2f%n",
             members,
             window,
-            done.get() * 1e9 / tookNs,
+            committedCount.get() * 1e9 / elapsedNs,
             latencyUs.getValueAtPercentile(50) / 1e3,
             latencyUs.getValueAtPercentile(99) / 1e3,
             latencyUs.getMaxValue() / 1e3);
@@ -51,7 +51,7 @@
   }
 
   private long load(BenchNode leader, int window, long runMs) {
-    room = new Semaphore(window);
+    inFlightPermits = new Semaphore(window);
     long beginNs = System.nanoTime();
     while (System.nanoTime() - beginNs < runMs * 1_000_000L) {
       if (!acquire(1)) {
@@ -66,10 +66,13 @@
     return System.nanoTime() - beginNs;
   }
 
-  /** Gives up after a while: what a lost leadership had under way never commits here. */
+  /**
+   * Acquires permits with a timeout, since proposals in flight when leadership is lost never commit
+   * here.
+   */
   private boolean acquire(int permits) {
     try {
-      return room.tryAcquire(permits, GIVE_UP_S, TimeUnit.SECONDS);
+      return inFlightPermits.tryAcquire(permits, ACQUIRE_TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
@@ -80,8 +83,8 @@
     Long started = startedNs.remove(id);
     if (started != null) {
       latencyUs.recordValue((System.nanoTime() - started) / 1_000);
-      done.incrementAndGet();
-      room.release();
+      committedCount.incrementAndGet();
+      inFlightPermits.release();
     }
   }
 }
--- a/bench/src/main/java/org/teaseltrail/bench/control/ControlBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/ControlBench.java
@@ -5,19 +5,19 @@
 import java.nio.file.Path;
 
 /**
- * Runs the measurements of the shared state and prints them as CSV.
+ * Runs the benchmarks of the replicated state and prints the results as CSV.
  *
- * <p>Arguments: the folder for the members' data, which should lie on the disk to be measured.
+ * <p>Argument: the folder for the members' data, which should be on the disk to be measured.
  */
 public final class ControlBench {
 
   private ControlBench() {}
 
   /**
-   * Runs all.
+   * Runs all benchmarks.
    *
    * @param args the folder
-   * @throws IOException if the folder can't be used
+   * @throws IOException if the folder is not accessible
    */
   public static void main(String[] args) throws IOException {
     Path folder = Files.createTempDirectory(Path.of(args[0]), "control-bench");
--- a/bench/src/main/java/org/teaseltrail/bench/control/RestartBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/RestartBench.java
@@ -14,11 +14,14 @@
 import org.teaseltrail.storage.NioFileSystem;
 import org.teaseltrail.storage.StorageFolder;
 
-/** Measures the time from opening a data folder until its only member leads, against changes. */
+/**
+ * Measures the time from opening a data folder until its only member becomes leader, by the number
+ * of changes in the log.
+ */
 final class RestartBench {
 
   private static final int[] CHANGES = {100, 1_000, 5_000, 20_000};
-  private static final long WAIT_NS = 1_000_000L;
+  private static final long POLL_NS = 1_000_000L;
 
   private RestartBench() {}
 
@@ -59,7 +62,7 @@
     BenchNode node = new BenchNode(path, new ConcurrentHashMap<>(), id -> done.release());
     node.start();
     while (!node.isLeading()) {
-      LockSupport.parkNanos(WAIT_NS);
+      LockSupport.parkNanos(POLL_NS);
     }
     return node;
   }
--- a/bench/src/main/java/org/teaseltrail/bench/control/SampleState.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/SampleState.java
@@ -28,7 +28,7 @@
 import org.teaseltrail.core.state.ClusterState;
 import org.teaseltrail.core.state.Command;
 
-/** Makes states of a given size, with ids as long as those of a deployment. */
+/** Creates cluster states of a given size, with ids of the same length as in a deployment. */
 final class SampleState {
 
   private static final int POOLS = 5;
@@ -49,7 +49,7 @@
         number);
   }
 
-  /** Returns a state with so many parts; claims are finished ones. */
+  /** Returns a state with the given numbers of customers, upstreams and completed claims. */
   static ClusterState of(int customers, int upstreams, int claims) {
     ClusterState state = new ClusterState(ClusterSnapshot.empty());
     state.apply(new Command.ExpireClaims(new ClaimLimits(10_000_000, 1L << 40, 1L << 40), 0));
@@ -63,7 +63,9 @@
     return state;
   }
 
-  /** Returns the change numbered so, which puts one of fifty customers. */
+  /**
+   * Returns the configuration change of the given number, which replaces one of fifty customers.
+   */
   static Command change(int number) {
     return new Command.ChangeConfiguration(
         new ChangeId("change-" + number),
--- a/bench/src/main/java/org/teaseltrail/bench/control/SizeBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/SizeBench.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.MessagePackStateCodec;
 
-/** Measures sizes: of snapshots against the state, and of what control costs an entry VM. */
+/** Measures the size of snapshots by the size of the state, and the size of control messages. */
 final class SizeBench {
 
   private static final int FRAME_BYTES = 4;
@@ -73,7 +73,7 @@
     return FRAME_BYTES + codec.encode(ControlMessage.class, update).length;
   }
 
-  /** Returns the shortest of a few rounds, so that warm-up and other load count little. */
+  /** Returns the minimum over several rounds, to reduce the influence of warm-up and other load. */
   private static double timeMs(Runnable step) {
     long bestNs = Long.MAX_VALUE;
     for (int i = 0; i < ROUNDS; i++) {
--- a/bench/src/main/java/org/teaseltrail/bench/control/package-info.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/package-info.java
@@ -1,2 +1,5 @@
-/** Measures the shared state: claims, snapshots, restarts and the bytes of control. */
+/**
+ * Benchmarks of the replicated state: claims, snapshots, restarts, and the sizes of control
+ * messages.
+ */
 package org.teaseltrail.bench.control;
--- a/bench/src/main/java/org/teaseltrail/bench/process/ClassOrigins.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ClassOrigins.java
@@ -6,15 +6,15 @@
 import java.util.List;
 
 /**
- * Counts where the classes of a process came from, by the JVM's own log of loaded classes.
+ * Numbers of loaded classes of a process by their source, taken from the JVM's class loading log.
  *
- * @param archived from the archive
- * @param made made while the program ran: lambdas, method handles, proxies
- * @param other read from the jar or the JDK's files
+ * @param archived classes from the CDS archive
+ * @param made classes generated at run time: lambdas, method handles, proxies
+ * @param other classes read from the jar or from the JDK's files
  */
 record ClassOrigins(long archived, long made, long other) {
 
-  /** Returns the option by which a JVM writes the log. */
+  /** Returns the JVM option that enables the class loading log. */
   static String option(Path file) {
     return "-Xlog:class+load:file=" + file;
   }
--- a/bench/src/main/java/org/teaseltrail/bench/process/ColdProcess.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ColdProcess.java
@@ -21,12 +21,12 @@
 import org.teaseltrail.platform.LoopbackSite;
 
 /**
- * Measures what an entry VM's process costs from its cold start on, in the load of one VM of a
- * large deployment: a plan and sixty upstreams at the start, idle seconds, a handful of requests a
- * second with streams of fifty events, upstreams that come, plans that change.
+ * Measures the resource usage of an entry VM's process from its cold start, under the load of one
+ * VM of a large deployment: a plan and sixty upstreams at the start, idle periods, a few requests
+ * per second with streams of fifty events, new upstreams, and plan changes.
  *
- * <p>Prints a table by phase and kind of thread; runs some forty seconds. Started in the root of a
- * built checkout, whose deploy file says how programs run.
+ * <p>Prints a table by phase and kind of thread; a run takes about forty seconds. Must be started
+ * in the root directory of a built checkout, whose deploy file holds the commands of the programs.
  */
 public final class ColdProcess {
 
@@ -35,7 +35,7 @@
   private static final long HEARTBEAT_EVERY_MS = 1_200;
   private static final String CONTROL_ROLE = "teaseltrail-control";
   private static final String ENTRY_ROLE = "teaseltrail-entry";
-  private static final Duration EVENT_PAUSE = Duration.ofMillis(18);
+  private static final Duration EVENT_INTERVAL = Duration.ofMillis(18);
   private static final int ROUTES = 40;
   private static final int CALLERS = 32;
   private static final int PLAN_CHANGES = 4;
@@ -51,7 +51,7 @@
   }
 
   /**
-   * Runs the measure.
+   * Runs the measurement.
    *
    * @param args see {@code --help}
    * @throws Exception if a program can't be run
@@ -82,7 +82,7 @@
     RunLine entry = RunLine.of(deploy, ENTRY_ROLE).withOptions(jvmOptions());
     try (LoopbackSite site =
             new LoopbackSite(
-                folder, options.getInt("upstreams"), options.getInt("events"), EVENT_PAUSE);
+                folder, options.getInt("upstreams"), options.getInt("events"), EVENT_INTERVAL);
         MeasuredProgram member =
             new MeasuredProgram(
                 control.withArguments("--settings", site.controlSettings().toString()),
@@ -91,13 +91,14 @@
       heartbeats.scheduleWithFixedDelay(
           () -> register(site), 0, HEARTBEAT_EVERY_MS, TimeUnit.MILLISECONDS);
       String settings = site.entrySettings().toString();
-      RunLine started = entry.withArguments("--settings", settings);
-      try (MeasuredProgram vm = new MeasuredProgram(started, folder.resolve("front.log"))) {
-        live(site, vm);
+      RunLine entryCommand = entry.withArguments("--settings", settings);
+      try (MeasuredProgram vm = new MeasuredProgram(entryCommand, folder.resolve("front.log"))) {
+        measurePhases(site, vm);
       }
-      // A start of its own: to write the log costs more than the idle program.
-      RunLine logged = started.withOptions(List.of(ClassOrigins.option(classLog)));
-      try (MeasuredProgram vm = new MeasuredProgram(logged, folder.resolve("classes.out"))) {
+      // Uses a separate process, as writing the class log costs more than the idle program.
+      RunLine classLogCommand = entryCommand.withOptions(List.of(ClassOrigins.option(classLog)));
+      try (MeasuredProgram vm =
+          new MeasuredProgram(classLogCommand, folder.resolve("classes.out"))) {
         site.awaitReady();
       }
     } finally {
@@ -116,7 +117,7 @@
         .toList();
   }
 
-  private void live(LoopbackSite site, MeasuredProgram vm) throws Exception {
+  private void measurePhases(LoopbackSite site, MeasuredProgram vm) throws Exception {
     site.awaitReady();
     phases.add(new Phase("start to ready", 1, vm.reading().since(ProcessReading.START)));
     settle();
@@ -138,16 +139,16 @@
 
   private Void load(LoopbackSite site, int requests)
       throws InterruptedException, ExecutionException {
-    long gapMs = MS_PER_S / options.getInt("per_second");
+    long intervalMs = MS_PER_S / options.getInt("per_second");
     ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
     try {
       List<Future<Integer>> answers = new ArrayList<>();
       for (int i = 0; i < requests; i++) {
         answers.add(callers.submit(site::call));
-        sleep(gapMs);
+        sleep(intervalMs);
       }
       for (Future<Integer> answer : answers) {
-        requireServed(answer.get());
+        requireSuccess(answer.get());
       }
     } finally {
       callers.shutdown();
@@ -155,18 +156,20 @@
     return null;
   }
 
-  private static void requireServed(int status) {
+  private static void requireSuccess(int status) {
     if (status >= 300) {
-      throw new IllegalStateException("a request got status " + status);
+      throw new IllegalStateException("request failed with HTTP status " + status);
     }
   }
 
-  /** Upstreams whose heartbeats fail are registered with the next ones. */
+  /**
+   * Sends the upstreams' heartbeats. After a failure, the next heartbeats register the upstreams.
+   */
   private static void register(LoopbackSite site) {
     try {
       site.register();
     } catch (IOException e) {
-      LOGGER.log(System.Logger.Level.WARNING, "[process] no heartbeat", e);
+      LOGGER.log(System.Logger.Level.WARNING, "[process] heartbeat of the upstreams failed", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/bench/src/main/java/org/teaseltrail/bench/process/MeasuredProgram.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/MeasuredProgram.java
@@ -4,14 +4,14 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** Is one program of the system, started as a process and ended with it. */
+/** Child process that runs one program of the system; closing it terminates the process. */
 final class MeasuredProgram implements AutoCloseable {
 
-  private static final long END_WAIT_S = 10;
+  private static final long STOP_TIMEOUT_S = 10;
 
   private final Process process;
 
-  /** Starts the program; what it prints goes to a file. */
+  /** Starts the program and redirects its output to a file. */
   MeasuredProgram(RunLine line, Path output) throws IOException {
     process =
         new ProcessBuilder(line.words())
@@ -20,7 +20,7 @@
             .start();
   }
 
-  /** Returns what the process has used until now. */
+  /** Returns the current resource counters of the process. */
   ProcessReading reading() throws IOException {
     return ProcessReading.of(process.pid());
   }
@@ -29,7 +29,7 @@
   public void close() {
     process.destroy();
     try {
-      if (!process.waitFor(END_WAIT_S, TimeUnit.SECONDS)) {
+      if (!process.waitFor(STOP_TIMEOUT_S, TimeUnit.SECONDS)) {
         process.destroyForcibly();
       }
     } catch (InterruptedException e) {
--- a/bench/src/main/java/org/teaseltrail/bench/process/Phase.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/Phase.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.bench.process;
 
 /**
- * Is a part of a process's life and what it cost.
+ * Phase of a process's run with its resource usage.
  *
- * @param name what happened
- * @param units what the cost is divided by: starts, seconds, requests, upstreams, plans
- * @param used what the process used in it
+ * @param name name of the phase in the report
+ * @param units divisor of the usage: number of starts, seconds, requests, upstreams or plans
+ * @param used resource usage of the process in the phase
  */
 record Phase(String name, int units, ProcessUse used) {
 
--- a/bench/src/main/java/org/teaseltrail/bench/process/ProcFile.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ProcFile.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** Reads numbers from the files that the kernel keeps of a process. */
+/** Parses numbers from the files of a process under {@code /proc}. */
 final class ProcFile {
 
   private ProcFile() {}
 
-  /** Returns the number of the line that begins with a name, 0 if there is none. */
+  /** Returns the number in the first line that begins with the name, or 0 if there is none. */
   static long number(List<String> lines, String name) {
     return lines.stream()
         .filter(line -> line.startsWith(name))
--- a/bench/src/main/java/org/teaseltrail/bench/process/ProcessReading.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ProcessReading.java
@@ -11,27 +11,30 @@
 import java.util.stream.Stream;
 
 /**
- * Is what a process had used at one moment, as the kernel counts it.
+ * Resource counters of a process at one moment, as counted by the kernel.
  *
- * @param threads its threads, by id
- * @param processorMs processor time in all, also of threads that have ended, in milliseconds
- * @param calls reads and writes of files and sockets
- * @param peakMemoryKb memory at its peak, in KiB
+ * @param threads counters of its threads, by thread id
+ * @param processorMs total processor time, including threads that have ended, in milliseconds
+ * @param calls number of read and write system calls on files and sockets
+ * @param peakMemoryKb peak resident memory, in KiB
  */
 record ProcessReading(
     Map<String, ThreadReading> threads, double processorMs, long calls, long peakMemoryKb) {
 
   static final ProcessReading START = new ProcessReading(Map.of(), 0, 0, 0);
 
-  /** The kernel tells a process's whole time in hundredths of a second. */
+  /** The kernel reports the processor time of a process in hundredths of a second. */
   private static final double MS_PER_TICK = 10;
 
-  /** Place of the user's time behind the name in {@code /proc/PID/stat}; the system's follows. */
-  private static final int USER_TIME = 11;
+  /**
+   * Index of the user time among the fields after the command name in {@code /proc/PID/stat}; the
+   * system time follows it.
+   */
+  private static final int USER_TIME_FIELD = 11;
 
   private static final ThreadReading NO_THREAD = new ThreadReading(ThreadKind.OTHER, 0, 0);
 
-  /** Reads the counts of a process; threads that end meanwhile are left out. */
+  /** Reads the counters of a process, without threads that end while it reads. */
   static ProcessReading of(long pid) throws IOException {
     Path folder = Path.of("/proc", Long.toString(pid));
     Map<String, ThreadReading> threads = new HashMap<>();
@@ -42,7 +45,8 @@
     }
     String stat = Files.readString(folder.resolve("stat"));
     String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    double ticks = Long.parseLong(fields[USER_TIME]) + Long.parseLong(fields[USER_TIME + 1]);
+    double ticks =
+        Long.parseLong(fields[USER_TIME_FIELD]) + Long.parseLong(fields[USER_TIME_FIELD + 1]);
     List<String> io = Files.readAllLines(folder.resolve("io"));
     List<String> status = Files.readAllLines(folder.resolve("status"));
     return new ProcessReading(
@@ -56,26 +60,26 @@
     try {
       threads.put(thread.getFileName().toString(), ThreadReading.of(thread));
     } catch (NoSuchFileException e) {
-      // The thread has ended since the folder was listed; its time is in the process's.
+      // The thread has ended since the directory was listed; the process's time includes its time.
       threads.remove(thread.getFileName().toString());
     }
   }
 
-  /** Returns what was used between an earlier reading and this one. */
+  /** Returns the usage between the earlier counters and these. */
   ProcessUse since(ProcessReading earlier) {
     Map<ThreadKind, Double> byKind = new EnumMap<>(ThreadKind.class);
     long wakeups = 0;
-    double seenMs = 0;
+    double threadsMs = 0;
     for (Map.Entry<String, ThreadReading> thread : threads.entrySet()) {
       ThreadReading before = earlier.threads.getOrDefault(thread.getKey(), NO_THREAD);
       ThreadReading used = thread.getValue().since(before);
       byKind.merge(used.kind(), used.processorMs(), Double::sum);
       wakeups += used.wakeups();
-      seenMs += used.processorMs();
+      threadsMs += used.processorMs();
     }
-    double allMs = processorMs - earlier.processorMs;
-    byKind.put(ThreadKind.ENDED, Math.max(0, allMs - seenMs));
+    double totalMs = processorMs - earlier.processorMs;
+    byKind.put(ThreadKind.ENDED, Math.max(0, totalMs - threadsMs));
     return new ProcessUse(
-        Math.max(allMs, seenMs), byKind, wakeups, calls - earlier.calls, peakMemoryKb);
+        Math.max(totalMs, threadsMs), byKind, wakeups, calls - earlier.calls, peakMemoryKb);
   }
 }
--- a/bench/src/main/java/org/teaseltrail/bench/process/ProcessReport.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ProcessReport.java
@@ -7,10 +7,10 @@
 import java.util.Locale;
 
 /**
- * Is what a run has measured.
+ * Results of a run.
  *
- * @param phases the parts of the process's life, in order
- * @param classes where its classes came from
+ * @param phases phases of the run, in order
+ * @param classes numbers of loaded classes by source
  */
 record ProcessReport(List<Phase> phases, ClassOrigins classes) {
 
@@ -20,7 +20,7 @@
     new ObjectMapper().writerWithDefaultPrettyPrinter().writeValue(file.toFile(), this);
   }
 
-  /** Returns a table in Markdown. */
+  /** Returns the results as a Markdown table. */
   String table() {
     StringBuilder text = new StringBuilder("| phase | units | ms a unit | in all, ms |");
     for (ThreadKind kind : ThreadKind.values()) {
--- a/bench/src/main/java/org/teaseltrail/bench/process/ProcessUse.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ProcessUse.java
@@ -3,13 +3,13 @@
 import java.util.Map;
 
 /**
- * Is what a process used in one phase.
+ * Resource usage of a process in one phase.
  *
- * @param processorMs processor time in all, in milliseconds
+ * @param processorMs total processor time, in milliseconds
  * @param byKind processor time by kind of thread, in milliseconds
- * @param wakeups times that a thread was put back to work, without threads that have ended
- * @param calls reads and writes of files and sockets
- * @param peakMemoryKb memory at its peak until the end of the phase, in KiB
+ * @param wakeups number of voluntary context switches, without threads that have ended
+ * @param calls number of read and write system calls on files and sockets
+ * @param peakMemoryKb peak resident memory until the end of the phase, in KiB
  */
 record ProcessUse(
     double processorMs,
--- a/bench/src/main/java/org/teaseltrail/bench/process/RunLine.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/RunLine.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Is the command by which a deployment starts one role, read from the deploy file, so that what is
- * measured is what runs.
+ * Command that starts one role. It is read from the deploy file, so that the measured command is
+ * the one that a deployment runs.
  *
  * @param words the program and its arguments
  */
@@ -35,14 +35,14 @@
     return new RunLine(List.of(matcher.group(1).split(" ")));
   }
 
-  /** Returns the command with options for the JVM behind the program's own. */
+  /** Returns the command with additional JVM options, inserted directly after the program. */
   RunLine withOptions(List<String> options) {
     List<String> all = new ArrayList<>(words);
     all.addAll(1, options);
     return new RunLine(all);
   }
 
-  /** Returns the command with arguments for the program. */
+  /** Returns the command with additional arguments for the program. */
   RunLine withArguments(String... arguments) {
     List<String> all = new ArrayList<>(words);
     all.addAll(List.of(arguments));
--- a/bench/src/main/java/org/teaseltrail/bench/process/ThreadKind.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ThreadKind.java
@@ -3,21 +3,24 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Groups the threads of a JVM by what they do; the kernel cuts names after 15 characters. */
+/**
+ * Kinds of threads of a JVM, recognised by their name prefixes. The kernel truncates thread names
+ * to 15 characters.
+ */
 enum ThreadKind {
-  /** Starts the program and waits for its end. */
+  /** Thread that starts the program and waits for its end. */
   MAIN(List.of("java", "main")),
-  /** Carries connections. */
+  /** Event loop threads that serve connections. */
   EVENT_LOOP(List.of("entry-", "multiThread", "reactor-", "parallel-")),
-  /** Compiles methods. */
+  /** JIT compiler threads. */
   COMPILER(List.of("C1 Compiler", "C2 Compiler")),
-  /** Collects garbage and runs the JVM's own operations. */
+  /** Garbage collector threads and the thread that runs VM operations. */
   COLLECTOR(List.of("VM Thread", "GC ", "G1 ")),
-  /** Writes log lines. */
+  /** Thread that writes the log. */
   LOG(List.of("event-log")),
-  /** Whatever is none of these. */
+  /** All other threads. */
   OTHER(List.of()),
-  /** Have ended since the phase began; the JVM ends compilers that it doesn't need. */
+  /** Threads that have ended since the phase began; the JVM stops idle compiler threads. */
   ENDED(List.of());
 
   private final List<String> prefixes;
@@ -26,7 +29,7 @@
     this.prefixes = prefixes;
   }
 
-  /** Returns the kind of a thread. */
+  /** Returns the kind of the thread with the given name. */
   static ThreadKind of(String threadName) {
     return Arrays.stream(values())
         .filter(kind -> kind.prefixes.stream().anyMatch(threadName::startsWith))
--- a/bench/src/main/java/org/teaseltrail/bench/process/ThreadReading.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ThreadReading.java
@@ -5,17 +5,17 @@
 import java.nio.file.Path;
 
 /**
- * Is what one thread had used at one moment.
+ * Resource counters of one thread at one moment.
  *
- * @param kind what the thread does
+ * @param kind kind of the thread
  * @param processorMs processor time, in milliseconds
- * @param wakeups times that it was put back to work after it had waited
+ * @param wakeups number of voluntary context switches
  */
 record ThreadReading(ThreadKind kind, double processorMs, long wakeups) {
 
   private static final double NS_PER_MS = 1e6;
 
-  /** Reads the counts of a thread from its folder under {@code /proc}. */
+  /** Reads the counters of a thread from its directory under {@code /proc}. */
   static ThreadReading of(Path folder) throws IOException {
     String name = Files.readString(folder.resolve("comm")).trim();
     String[] times = Files.readString(folder.resolve("schedstat")).trim().split(" ");
--- a/bench/src/main/java/org/teaseltrail/bench/process/package-info.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/package-info.java
@@ -1,2 +1,4 @@
-/** What one entry VM's process costs from its cold start on, by phase and by thread. */
+/**
+ * Measures the resource usage of an entry VM's process from its cold start, by phase and thread.
+ */
 package org.teaseltrail.bench.process;
--- a/bench/src/main/java/org/teaseltrail/bench/replica/AppendLoad.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/AppendLoad.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.core.replication.LogEntry;
 import org.teaseltrail.core.replication.ReplicaEvent;
 
-/** Keeps a number of commands under way on a leader and measures each until it is applied. */
+/** Keeps a fixed number of commands in flight on a leader and measures their latency to apply. */
 final class AppendLoad {
 
   private static final int SIGNIFICANT_DIGITS = 3;
@@ -31,8 +31,8 @@
   /**
    * Runs the load.
    *
-   * @param window commands under way at once
-   * @return seconds taken
+   * @param window maximum number of commands in flight
+   * @return duration in seconds
    */
   double run(int window) throws InterruptedException {
     final long startNs = System.nanoTime();
@@ -51,7 +51,9 @@
     return latenciesNs;
   }
 
-  /** Takes commands in the order in which they were proposed, which is the log's. */
+  /**
+   * Records an applied command; the log keeps commands in the order in which they were proposed.
+   */
   private synchronized void applied(LogEntry entry) {
     if (!(entry.payload() instanceof EntryPayload.CommandPayload)) {
       return;
--- a/bench/src/main/java/org/teaseltrail/bench/replica/BenchGroup.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/BenchGroup.java
@@ -16,7 +16,7 @@
 import org.teaseltrail.storage.NioFileSystem;
 import org.teaseltrail.storage.StorageFolder;
 
-/** Is a group whose members run in this process, each with a data folder of its own. */
+/** Replication group whose members run in this process, each with its own data folder. */
 final class BenchGroup implements AutoCloseable {
 
   private static final GroupId GROUP = new GroupId("bench");
@@ -34,8 +34,8 @@
     this.root = root;
     this.settings = settings;
     this.state = new byte[stateBytes];
-    FolderIdentity founder = identity(0);
-    StorageFolder.createGroup(files, root.resolve("0"), founder);
+    FolderIdentity initialMember = identity(0);
+    StorageFolder.createGroup(files, root.resolve("0"), initialMember);
     start(0);
     await(() -> leader().isLeading());
   }
@@ -44,7 +44,7 @@
     return started.get(0);
   }
 
-  /** Adds members until the group has so many voters. */
+  /** Adds members until the group has the given number of voters. */
   BenchGroup grownTo(int voters) throws InterruptedException {
     for (int i = started.size(); i < voters; i++) {
       BenchMember added = addLearner();
@@ -54,7 +54,7 @@
     return this;
   }
 
-  /** Starts a member with an empty folder that follows the log. */
+  /** Starts a member with an empty folder and adds it to the group as a learner. */
   BenchMember addLearner() throws InterruptedException {
     int number = started.size();
     FolderIdentity identity = identity(number);
@@ -64,7 +64,7 @@
     return added;
   }
 
-  /** Waits for a condition. */
+  /** Polls until the condition is true. */
   static void await(BooleanSupplier condition) throws InterruptedException {
     while (!condition.getAsBoolean()) {
       Thread.sleep(POLL_MS);
--- a/bench/src/main/java/org/teaseltrail/bench/replica/BenchMember.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/BenchMember.java
@@ -16,12 +16,12 @@
 import org.teaseltrail.storage.StorageFolder;
 
 /**
- * Runs one replica on its own thread and data folder. What has come in meanwhile is handled before
- * one sync for all of it.
+ * Member that runs one replica on its own thread and data folder. It handles all queued events
+ * before it syncs their writes together.
  */
 final class BenchMember implements AutoCloseable {
 
-  private static final int MAX_EVENTS_A_SYNC = 4_096;
+  private static final int MAX_EVENTS_PER_SYNC = 4_096;
   private static final long MAX_WAIT_NS = 50_000_000L;
 
   private final LinkedBlockingQueue<ReplicaEvent> inbox = new LinkedBlockingQueue<>();
@@ -34,7 +34,7 @@
   private volatile boolean leading;
   private volatile long appliedIndex;
   private volatile boolean stopped;
-  private boolean written;
+  private boolean unsynced;
   private long syncs;
 
   BenchMember(
@@ -58,7 +58,7 @@
     thread.start();
   }
 
-  /** Hears of each entry applied, on the member's thread. */
+  /** Receives each applied entry on the member's thread. */
   interface CommitListener {
 
     void applied(LogEntry entry);
@@ -103,15 +103,15 @@
   private void run() {
     while (!stopped) {
       ReplicaEvent event = next();
-      for (int i = 0; i < MAX_EVENTS_A_SYNC && event != null; i++) {
+      for (int i = 0; i < MAX_EVENTS_PER_SYNC && event != null; i++) {
         handle(event);
         event = inbox.poll();
       }
       if (event != null) {
         handle(event);
       }
-      if (written) {
-        written = false;
+      if (unsynced) {
+        unsynced = false;
         syncs++;
         handle(new ReplicaEvent.Persisted(folder.sync()));
       }
@@ -119,9 +119,9 @@
   }
 
   private ReplicaEvent next() {
-    long untilNs = replica.nextWakeupNs().orElse(Long.MAX_VALUE) - System.nanoTime();
+    long remainingNs = replica.nextWakeupNs().orElse(Long.MAX_VALUE) - System.nanoTime();
     try {
-      long waitNs = Math.min(MAX_WAIT_NS, Math.max(1, untilNs));
+      long waitNs = Math.min(MAX_WAIT_NS, Math.max(1, remainingNs));
       ReplicaEvent event = inbox.poll(waitNs, TimeUnit.NANOSECONDS);
       return event == null ? new ReplicaEvent.Tick() : event;
     } catch (InterruptedException e) {
@@ -131,14 +131,14 @@
   }
 
   private void handle(ReplicaEvent event) {
-    carryOut(replica.handle(event, System.nanoTime()));
+    execute(replica.handle(event, System.nanoTime()));
   }
 
-  private void carryOut(List<ReplicaAction> actions) {
+  private void execute(List<ReplicaAction> actions) {
     for (ReplicaAction action : actions) {
       if (action instanceof ReplicaAction.Write write) {
         folder.write(write);
-        written = true;
+        unsynced = true;
       } else if (action instanceof ReplicaAction.SendPeer send) {
         deliver(send.envelope());
       } else if (action instanceof ReplicaAction.Apply apply) {
--- a/bench/src/main/java/org/teaseltrail/bench/replica/ReplicaBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/ReplicaBench.java
@@ -20,10 +20,10 @@
 import org.teaseltrail.storage.StorageFolder;
 
 /**
- * Measures replication with real syncs and prints one line a figure. The members share one process
- * and pass messages in memory, so networks and codecs are left out.
+ * Measures replication with real syncs and prints one line per result. The members share one
+ * process and pass messages in memory, so the costs of the network and of codecs are not included.
  *
- * <p>Argument: a folder on the disk to be measured; what is written there is deleted.
+ * <p>Argument: a folder on the disk to be measured; the files written there are deleted.
  */
 public final class ReplicaBench {
 
@@ -42,8 +42,8 @@
    * Runs all measurements.
    *
    * @param args the folder
-   * @throws IOException if the folder can't be used
-   * @throws InterruptedException if the run is stopped
+   * @throws IOException if the folder is not accessible
+   * @throws InterruptedException if the run is interrupted
    */
   public static void main(String[] args) throws IOException, InterruptedException {
     Path root = Files.createTempDirectory(Path.of(args[0]), "replica-bench");
--- a/bench/src/main/java/org/teaseltrail/bench/replica/package-info.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/package-info.java
@@ -1,2 +1,4 @@
-/** Measures replication and storage on real files: throughput, latency, snapshots, catch-up. */
+/**
+ * Benchmarks of replication and storage on real files: throughput, latency, snapshots, catch-up.
+ */
 package org.teaseltrail.bench.replica;
--- a/bench/src/main/java/org/teaseltrail/bench/schedule/BusyPool.java
+++ b/bench/src/main/java/org/teaseltrail/bench/schedule/BusyPool.java
@@ -45,7 +45,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Drives a scheduler with many upstreams, customers and waiting tickets. */
+/** Generates load for a scheduler with many upstreams, customers and queued tickets. */
 public final class BusyPool {
 
   private static final PoolId POOL = new PoolId("pool");
@@ -70,44 +70,44 @@
   private long nowNs;
   private long created;
 
-  /** Creates the pool with its upstreams announced and nothing waiting. */
+  /** Creates the pool with its upstreams announced and an empty queue. */
   public BusyPool(int upstreams, int customers) {
     this.upstreams = upstreams;
     this.customers = customers;
     handle(new SchedulerEvent.ConfigurationChanged(configuration()));
     for (int i = 0; i < upstreams; i++) {
-      say(new EntryMessage.UpstreamSeen(announcement(i), 0));
+      sendMessage(new EntryMessage.UpstreamSeen(announcement(i), 0));
     }
   }
 
-  /** Offers tickets until all slots are taken and so many tickets wait. */
+  /** Offers tickets until all slots are in use and the given number of tickets is queued. */
   public void fill(int waiting) {
     for (int i = 0; i < upstreams * MAX_BATCH + waiting; i++) {
       int before = running.size();
       offer();
       if (running.size() > before) {
-        sayFirstToken(running.peekLast());
+        sendFirstToken(running.peekLast());
       }
     }
   }
 
-  /** Ends the oldest request, which lets the next one start, and offers a new one. */
+  /** Completes the oldest request, so that the next one is granted, and offers a new one. */
   public int turn() {
     ControlMessage.Grant oldest = running.poll();
-    say(
+    sendMessage(
         new EntryMessage.Ended(
             oldest.request(),
             oldest.upstream(),
             EndKind.COMPLETED,
             new Usage(BLOCKS * BLOCK_TOKENS, 0, 100),
             1_000));
-    sayFirstToken(running.peekLast());
+    sendFirstToken(running.peekLast());
     offer();
     return running.size();
   }
 
-  private void sayFirstToken(ControlMessage.Grant grant) {
-    say(new EntryMessage.FirstToken(grant.request(), grant.upstream(), 100));
+  private void sendFirstToken(ControlMessage.Grant grant) {
+    sendMessage(new EntryMessage.FirstToken(grant.request(), grant.upstream(), 100));
   }
 
   private void offer() {
@@ -117,7 +117,7 @@
       blocks.add(conversation * BLOCKS + i);
     }
     int customer = random.nextInt(customers);
-    say(
+    sendMessage(
         new EntryMessage.Offer(
             new Ticket(
                 new RequestId("request-" + ++created),
@@ -134,7 +134,7 @@
                 Optional.empty())));
   }
 
-  private void say(EntryMessage message) {
+  private void sendMessage(EntryMessage message) {
     handle(new SchedulerEvent.FromEntry(new VmId("vm-" + created % VMS), message));
   }
 
--- a/bench/src/main/java/org/teaseltrail/bench/schedule/DecisionBenchmark.java
+++ b/bench/src/main/java/org/teaseltrail/bench/schedule/DecisionBenchmark.java
@@ -15,8 +15,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Measures one turn of a pool under load: a request ends, the next is chosen and granted, its first
- * token is reported, and a new one is offered. A turn is three events.
+ * Measures one cycle of a pool under load: a request ends, the next one is selected and granted,
+ * its first token is reported, and a new request is offered. A cycle consists of three events.
  */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.SampleTime)
@@ -28,24 +28,24 @@
 
   private static final int CUSTOMERS = 440;
 
-  /** Tickets that wait. */
+  /** Number of queued tickets. */
   @Param({"100", "1000", "10000"})
   public int waiting;
 
-  /** Upstreams of the pool. */
+  /** Number of upstreams of the pool. */
   @Param({"10", "100", "1100"})
   public int upstreams;
 
   private BusyPool pool;
 
-  /** Fills the pool. */
+  /** Creates the pool and fills its queue. */
   @Setup(Level.Trial)
   public void fill() {
     pool = new BusyPool(upstreams, CUSTOMERS);
     pool.fill(waiting);
   }
 
-  /** Ends a request and offers one. */
+  /** Completes one request and offers a new one. */
   @Benchmark
   public int turn() {
     return pool.turn();
--- a/bench/src/main/java/org/teaseltrail/bench/schedule/MemoryMain.java
+++ b/bench/src/main/java/org/teaseltrail/bench/schedule/MemoryMain.java
@@ -1,13 +1,13 @@
 package org.teaseltrail.bench.schedule;
 
-/** Prints the heap that a scheduler takes for each upstream, customer and waiting ticket. */
+/** Prints the heap usage of a scheduler for each upstream, customer and queued ticket. */
 public final class MemoryMain {
 
-  private static final int SETTLING_ROUNDS = 4;
+  private static final int GC_ROUNDS = 4;
 
   private MemoryMain() {}
 
-  /** Measures by the difference of the used heap between a small and a large pool. */
+  /** Measures the difference in used heap between a small and a large pool. */
   public static void main(String[] args) {
     print("upstream", heapOf(1_100, 5, 0) - heapOf(100, 5, 0), 1_000);
     print("customer", heapOf(10, 4_500, 10_000) - heapOf(10, 500, 10_000), 4_000);
@@ -23,7 +23,7 @@
   }
 
   private static long usedHeap() {
-    for (int i = 0; i < SETTLING_ROUNDS; i++) {
+    for (int i = 0; i < GC_ROUNDS; i++) {
       System.gc();
     }
     Runtime runtime = Runtime.getRuntime();
--- a/bench/src/main/java/org/teaseltrail/bench/schedule/package-info.java
+++ b/bench/src/main/java/org/teaseltrail/bench/schedule/package-info.java
@@ -1,2 +1,2 @@
-/** Measures of the scheduler: time for a decision and memory for what it keeps. */
+/** Benchmarks of the scheduler: time of a decision and memory usage. */
 package org.teaseltrail.bench.schedule;
--- a/bench/src/main/java/org/teaseltrail/bench/wire/WireCodecBenchmark.java
+++ b/bench/src/main/java/org/teaseltrail/bench/wire/WireCodecBenchmark.java
@@ -14,7 +14,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import org.teaseltrail.wire.MessageCodec;
 
-/** Measures the time of writing and of reading one message. */
+/** Measures the time of encoding and of decoding one message. */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -23,22 +23,22 @@
 @Fork(2)
 public class WireCodecBenchmark {
 
-  /** The message. */
+  /** Message to encode and decode. */
   @Param public WireSample sample;
 
   private final MessageCodec codec = new MessageCodec();
   private byte[] bytes;
 
-  /** Writes the message once, for reading. */
+  /** Encodes the message once, as input for decoding. */
   @Setup
   public void prepare() {
     bytes = sample.encode(codec);
   }
 
   /**
-   * Writes a message.
+   * Encodes a message.
    *
-   * @return its bytes
+   * @return the encoded message
    */
   @Benchmark
   public byte[] encode() {
@@ -46,7 +46,7 @@
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
    * @return the message
    */
--- a/bench/src/main/java/org/teaseltrail/bench/wire/WireCosts.java
+++ b/bench/src/main/java/org/teaseltrail/bench/wire/WireCosts.java
@@ -9,9 +9,10 @@
 import org.teaseltrail.wire.MessageEncoder;
 
 /**
- * Prints for each measured message its bytes, without the four bytes of its frame's length, and the
- * processor time of writing and reading it. Processor time rather than elapsed time, so that the
- * figures hold on a machine that others use too; {@link WireCodecBenchmark} measures elapsed time.
+ * Prints the encoded size of each sample message, without the four bytes of the frame length, and
+ * the processor time of encoding and decoding it. Processor time is measured rather than elapsed
+ * time, so that the results are valid on a shared machine; {@link WireCodecBenchmark} measures
+ * elapsed time.
  */
 public final class WireCosts {
 
@@ -46,7 +47,9 @@
     printDelta(codec, 440, 1_100);
   }
 
-  /** Prints what a change of one customer costs on a connection that has the one before. */
+  /**
+   * Prints the costs of a delta for one changed customer, relative to the previous configuration.
+   */
   private static void printDelta(MessageCodec codec, int customers, int upstreams) {
     ControlMessage before = WireSamples.configuration(customers, upstreams);
     ControlMessage after = WireSamples.withChangedCustomer(before);
@@ -79,7 +82,7 @@
         "%10.2f (%.2f..%.2f)", batchesUs[BATCHES / 2], batchesUs[0], batchesUs[BATCHES - 1]);
   }
 
-  /** Returns the processor time of one operation, over operations that fill a batch. */
+  /** Returns the average processor time of one operation over a batch. */
   private static double batchUs(Operation operation) {
     long startNs = THREADS.getCurrentThreadCpuTime();
     long usedNs = 0;
@@ -95,7 +98,7 @@
     return unread < 0 ? 0 : usedNs / NS_PER_US / operations;
   }
 
-  /** Is what is measured. */
+  /** Operation to be measured. */
   @FunctionalInterface
   private interface Operation {
     Object run();
--- a/bench/src/main/java/org/teaseltrail/bench/wire/WireSample.java
+++ b/bench/src/main/java/org/teaseltrail/bench/wire/WireSample.java
@@ -4,33 +4,33 @@
 import org.teaseltrail.core.message.EntryMessage;
 import org.teaseltrail.wire.MessageCodec;
 
-/** Names the messages that are measured, each as it is on an ordinary day. */
+/** Messages to be measured, with typical contents. */
 public enum WireSample {
-  /** A hello, twice a second to each member. */
+  /** A hello, which an entry VM sends to each member twice a second. */
   HELLO(WireSamples.hello()),
-  /** The answer to a hello. */
+  /** The reply to a hello. */
   WELCOME(WireSamples.welcome()),
-  /** An offer of a quick question, its prompt shorter than a block. */
+  /** An offer of a short question, whose prompt is shorter than a block. */
   OFFER_SHORT(WireSamples.offer(100, false)),
-  /** An offer of a long report of 12,800 prompt tokens, with a key. */
+  /** An offer of a long report with 12,800 prompt tokens and an idempotency key. */
   OFFER_LONG(WireSamples.offer(12_800, true)),
-  /** A grant. */
+  /** A grant of a slot for a request. */
   GRANT(WireSamples.grant()),
-  /** A first token. */
+  /** The report that a request's first token has arrived. */
   FIRST_TOKEN(WireSamples.firstToken()),
-  /** Progress of a running request. */
+  /** A progress report of a running request. */
   PROGRESS(WireSamples.progress()),
-  /** The end of a request. */
+  /** The report that a request has ended. */
   ENDED(WireSamples.ended()),
-  /** An upstream's announcement passed on. */
+  /** A forwarded announcement of an upstream. */
   UPSTREAM_SEEN(WireSamples.upstreamSeen()),
-  /** A cache event of twenty blocks passed on. */
+  /** A forwarded cache event of twenty blocks. */
   CACHE_SEEN(WireSamples.cacheSeen(20)),
-  /** A configuration of 10 customers and 20 upstreams, about the size of today. */
+  /** A configuration of a small deployment: 10 customers and 20 upstreams. */
   CONFIGURATION_10(WireSamples.configuration(10, 20)),
-  /** A configuration of 100 customers and 250 upstreams. */
+  /** A configuration of a medium deployment: 100 customers and 250 upstreams. */
   CONFIGURATION_100(WireSamples.configuration(100, 250)),
-  /** A configuration of the two-year size: 440 customers and 1,100 upstreams. */
+  /** A configuration of the size planned for two years ahead: 440 customers and 1,100 upstreams. */
   CONFIGURATION_440(WireSamples.configuration(440, 1_100));
 
   private final Object message;
@@ -40,10 +40,10 @@
   }
 
   /**
-   * Writes the message.
+   * Encodes the message.
    *
    * @param codec the codec
-   * @return its bytes
+   * @return the encoded message
    */
   public byte[] encode(MessageCodec codec) {
     if (message instanceof EntryMessage entry) {
@@ -53,10 +53,10 @@
   }
 
   /**
-   * Reads the message.
+   * Decodes the message.
    *
    * @param codec the codec
-   * @param bytes its bytes
+   * @param bytes the encoded message
    * @return the message
    */
   public Object decode(MessageCodec codec, byte[] bytes) {
--- a/bench/src/main/java/org/teaseltrail/bench/wire/WireSamples.java
+++ b/bench/src/main/java/org/teaseltrail/bench/wire/WireSamples.java
@@ -44,7 +44,7 @@
 import org.teaseltrail.core.upstream.UpstreamPhase;
 import org.teaseltrail.core.upstream.UpstreamRole;
 
-/** Makes the messages that are measured, with ids and hashes of realistic length. */
+/** Creates the sample messages, with ids and hashes of realistic length. */
 final class WireSamples {
 
   private static final int BLOCK_TOKENS = 256;
@@ -166,7 +166,7 @@
             upstreams(upstreams)));
   }
 
-  /** Returns the configuration one revision on, with another rate for one customer. */
+  /** Returns the configuration of the next revision, with a changed rate limit of one customer. */
   static ControlMessage withChangedCustomer(ControlMessage before) {
     Configuration from = ((ControlMessage.ConfigurationUpdate) before).configuration();
     CustomerId id = new CustomerId("customer-0");
--- a/bench/src/main/java/org/teaseltrail/bench/wire/package-info.java
+++ b/bench/src/main/java/org/teaseltrail/bench/wire/package-info.java
@@ -1,2 +1,2 @@
-/** Measures the codec: time of writing and reading a message, and bytes by message type. */
+/** Benchmarks of the codec: time of encoding and decoding, and size of each message type. */
 package org.teaseltrail.bench.wire;
