--- a/storage/src/main/java/org/teaseltrail/storage/DamagedFolderException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/DamagedFolderException.java
@@ -9,6 +9,6 @@
 
   /** Creates the exception. */
   public DamagedFolderException(Path path, String reason) {
-    super(path, "corrupt: " + reason, null);
+    super(path, "damaged: " + reason, null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderExistsException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderExistsException.java
@@ -9,6 +9,6 @@
 
   /** Creates the exception. */
   public FolderExistsException(Path path) {
-    super(path, "already holds member state", null);
+    super(path, "holds a member already", null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderInUseException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderInUseException.java
@@ -9,6 +9,6 @@
 
   /** Creates the exception. */
   public FolderInUseException(Path path) {
-    super(path, "is already open in this or another process", null);
+    super(path, "is in use", null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderMissingException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderMissingException.java
@@ -9,6 +9,6 @@
 
   /** Creates the exception. */
   public FolderMissingException(Path path) {
-    super(path, "holds no member state", null);
+    super(path, "holds no member", null);
   }
 }
