--- a/bench/src/main/java/org/teaseltrail/bench/control/BenchGroup.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/BenchGroup.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.replication.MembershipChange;
 import org.teaseltrail.core.replication.ReplicaEvent;
 import org.teaseltrail.storage.NioFileSystem;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.ReplicaStorage;
 
 /** Replication group on temporary folders that starts with one member and adds the others. */
 final class BenchGroup implements AutoCloseable {
@@ -28,9 +28,9 @@
     for (int i = 1; i <= size; i++) {
       Path path = Files.createDirectories(folder.resolve("member-" + i));
       if (i == 1) {
-        StorageFolder.createGroup(new NioFileSystem(), path, BenchNode.identity("vm-" + i));
+        ReplicaStorage.createGroup(new NioFileSystem(), path, BenchNode.identity("vm-" + i));
       } else {
-        StorageFolder.createMember(new NioFileSystem(), path, BenchNode.identity("vm-" + i));
+        ReplicaStorage.createMember(new NioFileSystem(), path, BenchNode.identity("vm-" + i));
       }
       nodes.add(new BenchNode(path, peers, committed));
     }
--- a/bench/src/main/java/org/teaseltrail/bench/control/BenchNode.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/BenchNode.java
@@ -29,7 +29,7 @@
 import org.teaseltrail.core.state.ClusterState;
 import org.teaseltrail.storage.FolderIdentity;
 import org.teaseltrail.storage.NioFileSystem;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.ReplicaStorage;
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.MessagePackStateCodec;
 
@@ -49,7 +49,7 @@
   private final MessagePackStateCodec states = new MessagePackStateCodec(codec);
   private final Map<MemberId, BenchNode> peers;
   private final Map<Long, Long> proposalIds = new HashMap<>();
-  private final StorageFolder folder;
+  private final ReplicaStorage folder;
   private final Replica replica;
   private final ExecutorService snapshots = Executors.newSingleThreadExecutor();
   private final Thread loop = new Thread(this::runLoop, "member");
@@ -66,15 +66,16 @@
   BenchNode(Path path, Map<MemberId, BenchNode> peers, LongConsumer commitListener) {
     this.peers = peers;
     this.commitListener = commitListener;
-    folder = StorageFolder.open(new NioFileSystem(), path, GROUP);
+    folder = ReplicaStorage.open(new NioFileSystem(), path, GROUP);
     RandomGenerator random = RandomGenerator.of("L64X128MixRandom");
     replica =
-        new Replica(GROUP, id(), ReplicaSettings.defaults(), folder.recovered(), random, now());
+        new Replica(
+            GROUP, id(), ReplicaSettings.defaults(), folder.recoveredState(), random, now());
     peers.put(id(), this);
   }
 
   static FolderIdentity identity(String vm) {
-    return FolderIdentity.fresh(GROUP, new VmId(vm), new Incarnation(1));
+    return FolderIdentity.create(GROUP, new VmId(vm), new Incarnation(1));
   }
 
   MemberId id() {
--- a/bench/src/main/java/org/teaseltrail/bench/control/ClaimBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/ClaimBench.java
@@ -58,7 +58,7 @@
         break;
       }
       long id = ++lastId;
-      byte[] command = leader.codec().encodeCommand(SampleState.openClaim(id));
+      byte[] command = leader.codec().encodeCommand(SampleStateFactory.openClaim(id));
       startedNs.put(id, System.nanoTime());
       leader.post(new ReplicaEvent.Propose(id, command));
     }
--- a/bench/src/main/java/org/teaseltrail/bench/control/RestartBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/RestartBench.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.replication.ReplicaEvent;
 import org.teaseltrail.core.state.Command;
 import org.teaseltrail.storage.NioFileSystem;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.ReplicaStorage;
 
 /**
  * Measures the time from opening a data folder until its only member becomes leader, by the number
@@ -29,7 +29,7 @@
     out.println("changes,restart_ms,revision");
     for (int changes : CHANGES) {
       Path path = Files.createDirectories(folder.resolve("restart-" + changes));
-      StorageFolder.createGroup(new NioFileSystem(), path, BenchNode.identity("vm-1"));
+      ReplicaStorage.createGroup(new NioFileSystem(), path, BenchNode.identity("vm-1"));
       fill(path, changes);
       restart(path);
       long beginNs = System.nanoTime();
@@ -44,9 +44,9 @@
       propose(
           node,
           new Command.ChangeConfiguration(
-              new ChangeId("fill"), Optional.empty(), SampleState.parts(50, 14), 0));
+              new ChangeId("fill"), Optional.empty(), SampleStateFactory.parts(50, 14), 0));
       for (int i = 1; i < changes; i++) {
-        propose(node, SampleState.change(i));
+        propose(node, SampleStateFactory.change(i));
       }
       done.acquireUninterruptibly(changes);
     }
--- a/bench/src/main/java/org/teaseltrail/bench/control/SampleState.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/SampleStateFactory.java
@@ -29,12 +29,12 @@
 import org.teaseltrail.core.state.Command;
 
 /** Creates cluster states of a given size, with ids of the same length as in a deployment. */
-final class SampleState {
+final class SampleStateFactory {
 
   private static final int POOLS = 5;
   private static final int TIERS = 5;
 
-  private SampleState() {}
+  private SampleStateFactory() {}
 
   static Command openClaim(long number) {
     return new Command.OpenClaim(
--- a/bench/src/main/java/org/teaseltrail/bench/control/SizeBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/control/SizeBench.java
@@ -33,7 +33,7 @@
       {5, 14, 0}, {440, 1_100, 0}, {440, 1_100, 1_000}, {440, 1_100, 10_000}, {440, 1_100, 100_000}
     };
     for (int[] size : sizes) {
-      ClusterState state = SampleState.of(size[0], size[1], size[2]);
+      ClusterState state = SampleStateFactory.of(size[0], size[1], size[2]);
       byte[] bytes = states.encodeSnapshot(state.snapshot());
       double encodeMs = timeMs(() -> states.encodeSnapshot(state.snapshot()));
       double decodeMs = timeMs(() -> new ClusterState(states.decodeSnapshot(bytes)));
@@ -69,7 +69,7 @@
   private int update(int customers, int upstreams) {
     ControlMessage update =
         new ControlMessage.ConfigurationUpdate(
-            new FencingNumber(12), SampleState.of(customers, upstreams, 0).configuration());
+            new FencingNumber(12), SampleStateFactory.of(customers, upstreams, 0).configuration());
     return FRAME_BYTES + codec.encode(ControlMessage.class, update).length;
   }
 
--- a/bench/src/main/java/org/teaseltrail/bench/process/ClassOrigins.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ClassSourceCounts.java
@@ -12,19 +12,19 @@
  * @param made classes generated at run time: lambdas, method handles, proxies
  * @param other classes read from the jar or from the JDK's files
  */
-record ClassOrigins(long archived, long made, long other) {
+record ClassSourceCounts(long archived, long made, long other) {
 
   /** Returns the JVM option that enables the class loading log. */
   static String option(Path file) {
     return "-Xlog:class+load:file=" + file;
   }
 
-  static ClassOrigins of(Path file) throws IOException {
+  static ClassSourceCounts of(Path file) throws IOException {
     List<String> lines =
         Files.readAllLines(file).stream().filter(line -> line.contains(" source: ")).toList();
     long archived = lines.stream().filter(line -> line.contains("shared objects file")).count();
     long fromFiles =
         lines.stream().filter(line -> line.contains("jrt:/") || line.contains("file:")).count();
-    return new ClassOrigins(archived, lines.size() - archived - fromFiles, fromFiles);
+    return new ClassSourceCounts(archived, lines.size() - archived - fromFiles, fromFiles);
   }
 }
--- a/bench/src/main/java/org/teaseltrail/bench/process/ColdProcess.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ColdProcess.java
@@ -78,33 +78,34 @@
     Path folder = Files.createTempDirectory("teaseltrail-cold");
     Path deploy = Path.of(options.getString("deploy"));
     Path classLog = folder.resolve("classes.log");
-    RunLine control = RunLine.of(deploy, CONTROL_ROLE);
-    RunLine entry = RunLine.of(deploy, ENTRY_ROLE).withOptions(jvmOptions());
+    LaunchCommand control = LaunchCommand.of(deploy, CONTROL_ROLE);
+    LaunchCommand entry = LaunchCommand.of(deploy, ENTRY_ROLE).withOptions(jvmOptions());
     try (LoopbackDeployment site =
             new LoopbackDeployment(
                 folder, options.getInt("upstreams"), options.getInt("events"), EVENT_INTERVAL);
-        MeasuredProgram member =
-            new MeasuredProgram(
+        MeasuredProcess member =
+            new MeasuredProcess(
                 control.withArguments("--settings", site.writeControlSettings().toString()),
                 folder.resolve("core.log"))) {
       site.installPlan(1, ROUTES);
       heartbeats.scheduleWithFixedDelay(
           () -> register(site), 0, HEARTBEAT_EVERY_MS, TimeUnit.MILLISECONDS);
       String settings = site.writeEntrySettings().toString();
-      RunLine entryCommand = entry.withArguments("--settings", settings);
-      try (MeasuredProgram vm = new MeasuredProgram(entryCommand, folder.resolve("front.log"))) {
+      LaunchCommand entryCommand = entry.withArguments("--settings", settings);
+      try (MeasuredProcess vm = new MeasuredProcess(entryCommand, folder.resolve("front.log"))) {
         measurePhases(site, vm);
       }
       // Uses a separate process, as writing the class log costs more than the idle program.
-      RunLine classLogCommand = entryCommand.withOptions(List.of(ClassOrigins.option(classLog)));
-      try (MeasuredProgram vm =
-          new MeasuredProgram(classLogCommand, folder.resolve("classes.out"))) {
+      LaunchCommand classLogCommand =
+          entryCommand.withOptions(List.of(ClassSourceCounts.option(classLog)));
+      try (MeasuredProcess vm =
+          new MeasuredProcess(classLogCommand, folder.resolve("classes.out"))) {
         site.awaitReady();
       }
     } finally {
       heartbeats.shutdownNow();
     }
-    ProcessReport report = new ProcessReport(phases, ClassOrigins.of(classLog));
+    ProcessReport report = new ProcessReport(phases, ClassSourceCounts.of(classLog));
     if (options.getString("json") != null) {
       report.writeJson(Path.of(options.getString("json")));
     }
@@ -117,9 +118,9 @@
         .toList();
   }
 
-  private void measurePhases(LoopbackDeployment site, MeasuredProgram vm) throws Exception {
+  private void measurePhases(LoopbackDeployment site, MeasuredProcess vm) throws Exception {
     site.awaitReady();
-    phases.add(new Phase("start to ready", 1, vm.reading().since(ProcessReading.START)));
+    phases.add(new Phase("start to ready", 1, vm.readCounters().since(ProcessCounters.START)));
     settle();
     int idleS = options.getInt("idle_s");
     phase("idle second", idleS, vm, () -> sleep(idleS * MS_PER_S));
@@ -130,11 +131,11 @@
     phase("idle second, later", idleS, vm, () -> sleep(idleS * MS_PER_S));
   }
 
-  private void phase(String name, int units, MeasuredProgram vm, Callable<Void> action)
+  private void phase(String name, int units, MeasuredProcess vm, Callable<Void> action)
       throws Exception {
-    ProcessReading before = vm.reading();
+    ProcessCounters before = vm.readCounters();
     action.call();
-    phases.add(new Phase(name, units, vm.reading().since(before)));
+    phases.add(new Phase(name, units, vm.readCounters().since(before)));
   }
 
   private Void load(LoopbackDeployment site, int requests)
--- a/bench/src/main/java/org/teaseltrail/bench/process/RunLine.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/LaunchCommand.java
@@ -14,7 +14,7 @@
  *
  * @param words the program and its arguments
  */
-record RunLine(List<String> words) {
+record LaunchCommand(List<String> words) {
 
   /**
    * Reads the command of a role.
@@ -23,7 +23,7 @@
    * @param role the role's name
    * @throws IOException if the file has no such role
    */
-  static RunLine of(Path deployFile, String role) throws IOException {
+  static LaunchCommand of(Path deployFile, String role) throws IOException {
     Pattern pattern =
         Pattern.compile(
             "\\[roles\\." + Pattern.quote(role) + "\\].*?^run = \"([^\"]+)\"",
@@ -32,20 +32,20 @@
     if (!matcher.find()) {
       throw new IOException(deployFile + " has no role " + role);
     }
-    return new RunLine(List.of(matcher.group(1).split(" ")));
+    return new LaunchCommand(List.of(matcher.group(1).split(" ")));
   }
 
   /** Returns the command with additional JVM options, inserted directly after the program. */
-  RunLine withOptions(List<String> options) {
+  LaunchCommand withOptions(List<String> options) {
     List<String> all = new ArrayList<>(words);
     all.addAll(1, options);
-    return new RunLine(all);
+    return new LaunchCommand(all);
   }
 
   /** Returns the command with additional arguments for the program. */
-  RunLine withArguments(String... arguments) {
+  LaunchCommand withArguments(String... arguments) {
     List<String> all = new ArrayList<>(words);
     all.addAll(List.of(arguments));
-    return new RunLine(all);
+    return new LaunchCommand(all);
   }
 }
--- a/bench/src/main/java/org/teaseltrail/bench/process/MeasuredProgram.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/MeasuredProcess.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.TimeUnit;
 
 /** Child process that runs one program of the system; closing it terminates the process. */
-final class MeasuredProgram implements AutoCloseable {
+final class MeasuredProcess implements AutoCloseable {
 
   private static final long STOP_TIMEOUT_S = 10;
 
   private final Process process;
 
   /** Starts the program and redirects its output to a file. */
-  MeasuredProgram(RunLine line, Path output) throws IOException {
+  MeasuredProcess(LaunchCommand line, Path output) throws IOException {
     process =
         new ProcessBuilder(line.words())
             .redirectErrorStream(true)
@@ -21,8 +21,8 @@
   }
 
   /** Returns the current resource counters of the process. */
-  ProcessReading reading() throws IOException {
-    return ProcessReading.of(process.pid());
+  ProcessCounters readCounters() throws IOException {
+    return ProcessCounters.of(process.pid());
   }
 
   @Override
--- a/bench/src/main/java/org/teaseltrail/bench/process/Phase.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/Phase.java
@@ -7,7 +7,7 @@
  * @param units divisor of the usage: number of starts, seconds, requests, upstreams or plans
  * @param used resource usage of the process in the phase
  */
-record Phase(String name, int units, ProcessUse used) {
+record Phase(String name, int units, ProcessUsage used) {
 
   double perUnitMs() {
     return used.processorMs() / units;
--- a/bench/src/main/java/org/teaseltrail/bench/process/ProcessReport.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ProcessReport.java
@@ -12,7 +12,7 @@
  * @param phases phases of the run, in order
  * @param classes numbers of loaded classes by source
  */
-record ProcessReport(List<Phase> phases, ClassOrigins classes) {
+record ProcessReport(List<Phase> phases, ClassSourceCounts classes) {
 
   private static final double KB_PER_MB = 1_024;
 
@@ -41,7 +41,7 @@
   }
 
   private static void row(StringBuilder text, Phase phase) {
-    ProcessUse used = phase.used();
+    ProcessUsage used = phase.used();
     text.append(
         String.format(
             Locale.ROOT,
--- a/bench/src/main/java/org/teaseltrail/bench/process/ProcessUse.java
+++ b/bench/src/main/java/org/teaseltrail/bench/process/ProcessUsage.java
@@ -11,7 +11,7 @@
  * @param calls number of read and write system calls on files and sockets
  * @param peakMemoryKb peak resident memory until the end of the phase, in KiB
  */
-record ProcessUse(
+record ProcessUsage(
     double processorMs,
     Map<ThreadKind, Double> byKind,
     long wakeups,
--- a/bench/src/main/java/org/teaseltrail/bench/replica/AppendLoad.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/AppendWorkload.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.replication.ReplicaEvent;
 
 /** Keeps a fixed number of commands in flight on a leader and measures their latency to apply. */
-final class AppendLoad {
+final class AppendWorkload {
 
   private static final int SIGNIFICANT_DIGITS = 3;
 
@@ -22,7 +22,7 @@
   private long sent;
   private long applied;
 
-  AppendLoad(BenchMember leader, int commands, int commandBytes) {
+  AppendWorkload(BenchMember leader, int commands, int commandBytes) {
     this.leader = leader;
     this.commands = commands;
     this.commandBytes = commandBytes;
--- a/bench/src/main/java/org/teaseltrail/bench/replica/BenchGroup.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/BenchGroup.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.replication.ReplicaSettings;
 import org.teaseltrail.storage.FolderIdentity;
 import org.teaseltrail.storage.NioFileSystem;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.ReplicaStorage;
 
 /** Replication group whose members run in this process, each with its own data folder. */
 final class BenchGroup implements AutoCloseable {
@@ -35,7 +35,7 @@
     this.settings = settings;
     this.state = new byte[stateBytes];
     FolderIdentity initialMember = identity(0);
-    StorageFolder.createGroup(files, root.resolve("0"), initialMember);
+    ReplicaStorage.createGroup(files, root.resolve("0"), initialMember);
     start(0);
     await(() -> leader().isLeading());
   }
@@ -45,7 +45,7 @@
   }
 
   /** Adds members until the group has the given number of voters. */
-  BenchGroup grownTo(int voters) throws InterruptedException {
+  BenchGroup growTo(int voters) throws InterruptedException {
     for (int i = started.size(); i < voters; i++) {
       BenchMember added = addLearner();
       await(() -> added.appliedIndex() >= leader().appliedIndex());
@@ -58,7 +58,7 @@
   BenchMember addLearner() throws InterruptedException {
     int number = started.size();
     FolderIdentity identity = identity(number);
-    StorageFolder.createMember(files, root.resolve(Integer.toString(number)), identity);
+    ReplicaStorage.createMember(files, root.resolve(Integer.toString(number)), identity);
     BenchMember added = start(number);
     change(new MembershipChange.AddLearner(identity.member()));
     return added;
@@ -90,13 +90,13 @@
 
   private BenchMember start(int number) {
     Path path = root.resolve(Integer.toString(number));
-    StorageFolder folder = StorageFolder.open(files, path, GROUP);
+    ReplicaStorage folder = ReplicaStorage.open(files, path, GROUP);
     BenchMember member = new BenchMember(members, folder, settings, state);
     started.add(member);
     return member;
   }
 
   private static FolderIdentity identity(int number) {
-    return FolderIdentity.fresh(GROUP, new VmId("c" + number), new Incarnation(1));
+    return FolderIdentity.create(GROUP, new VmId("c" + number), new Incarnation(1));
   }
 }
--- a/bench/src/main/java/org/teaseltrail/bench/replica/BenchMember.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/BenchMember.java
@@ -13,7 +13,7 @@
 import org.teaseltrail.core.replication.ReplicaAction;
 import org.teaseltrail.core.replication.ReplicaEvent;
 import org.teaseltrail.core.replication.ReplicaSettings;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.ReplicaStorage;
 
 /**
  * Member that runs one replica on its own thread and data folder. It handles all queued events
@@ -26,7 +26,7 @@
 
   private final LinkedBlockingQueue<ReplicaEvent> inbox = new LinkedBlockingQueue<>();
   private final Map<MemberId, BenchMember> peers;
-  private final StorageFolder folder;
+  private final ReplicaStorage folder;
   private final Replica replica;
   private final Thread thread;
   private final byte[] state;
@@ -39,7 +39,7 @@
 
   BenchMember(
       Map<MemberId, BenchMember> peers,
-      StorageFolder folder,
+      ReplicaStorage folder,
       ReplicaSettings settings,
       byte[] state) {
     this.peers = peers;
@@ -50,7 +50,7 @@
             folder.identity().group(),
             id(),
             settings,
-            folder.recovered(),
+            folder.recoveredState(),
             RandomGenerator.getDefault(),
             System.nanoTime());
     this.thread = new Thread(this::run, "member-" + id());
--- a/bench/src/main/java/org/teaseltrail/bench/replica/ReplicaBench.java
+++ b/bench/src/main/java/org/teaseltrail/bench/replica/ReplicaBench.java
@@ -17,7 +17,7 @@
 import org.teaseltrail.core.replication.Snapshot;
 import org.teaseltrail.storage.FolderIdentity;
 import org.teaseltrail.storage.NioFileSystem;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.ReplicaStorage;
 
 /**
  * Measures replication with real syncs and prints one line per result. The members share one
@@ -60,10 +60,10 @@
     for (int window : WINDOWS) {
       Path path = root.resolve("append-" + window);
       try (BenchGroup group =
-          new BenchGroup(path, ReplicaSettings.defaults(), SMALL_STATE_BYTES).grownTo(3)) {
-        new AppendLoad(group.leader(), MIN_COMMANDS, COMMAND_BYTES).run(window);
+          new BenchGroup(path, ReplicaSettings.defaults(), SMALL_STATE_BYTES).growTo(3)) {
+        new AppendWorkload(group.leader(), MIN_COMMANDS, COMMAND_BYTES).run(window);
         int commands = Math.min(MAX_COMMANDS, Math.max(MIN_COMMANDS, window * 200));
-        AppendLoad load = new AppendLoad(group.leader(), commands, COMMAND_BYTES);
+        AppendWorkload load = new AppendWorkload(group.leader(), commands, COMMAND_BYTES);
         long syncsBefore = group.leader().syncs();
         double seconds = load.run(window);
         long syncs = Math.max(1, group.leader().syncs() - syncsBefore);
@@ -81,19 +81,19 @@
   private static void snapshots(Path root) {
     NioFileSystem files = new NioFileSystem();
     GroupId group = new GroupId("bench");
-    FolderIdentity identity = FolderIdentity.fresh(group, new VmId("c0"), new Incarnation(1));
+    FolderIdentity identity = FolderIdentity.create(group, new VmId("c0"), new Incarnation(1));
     Membership members = Membership.of(identity.member());
     for (int stateBytes : STATE_BYTES) {
       Path path = root.resolve("snapshot-" + stateBytes);
-      StorageFolder.createGroup(files, path, identity);
+      ReplicaStorage.createGroup(files, path, identity);
       Snapshot snapshot = new Snapshot(1, 0, members, new byte[stateBytes]);
       long startNs = System.nanoTime();
-      try (StorageFolder folder = StorageFolder.open(files, path, group)) {
+      try (ReplicaStorage folder = ReplicaStorage.open(files, path, group)) {
         folder.write(new ReplicaAction.SaveSnapshot(1, snapshot, 1, false));
       }
       long savedNs = System.nanoTime();
-      try (StorageFolder folder = StorageFolder.open(files, path, group)) {
-        Optional<Snapshot> loaded = folder.recovered().snapshot();
+      try (ReplicaStorage folder = ReplicaStorage.open(files, path, group)) {
+        Optional<Snapshot> loaded = folder.recoveredState().snapshot();
         System.out.printf(
             "snapshot state_bytes=%d save_ms=%.1f load_ms=%.1f%n",
             loaded.orElseThrow().state().length,
@@ -122,7 +122,7 @@
     for (int entries : ENTRIES) {
       Path path = root.resolve("catch-up-" + entries);
       try (BenchGroup group = new BenchGroup(path, withoutSnapshots, SMALL_STATE_BYTES)) {
-        new AppendLoad(group.leader(), entries, COMMAND_BYTES).run(1_024);
+        new AppendWorkload(group.leader(), entries, COMMAND_BYTES).run(1_024);
         long startNs = System.nanoTime();
         BenchMember learner = group.addLearner();
         BenchGroup.await(() -> learner.appliedIndex() >= group.leader().appliedIndex());
@@ -135,9 +135,9 @@
 
   private static void restart(Path path, int entries) {
     long startNs = System.nanoTime();
-    try (StorageFolder folder =
-        StorageFolder.open(new NioFileSystem(), path, new GroupId("bench"))) {
-      RecoveredState recovered = folder.recovered();
+    try (ReplicaStorage folder =
+        ReplicaStorage.open(new NioFileSystem(), path, new GroupId("bench"))) {
+      RecoveredState recovered = folder.recoveredState();
       System.out.printf(
           "reopen entries=%d read=%d ms=%.0f%n",
           entries, recovered.entries().size(), (System.nanoTime() - startNs) / 1e6);
--- a/bench/src/main/java/org/teaseltrail/bench/schedule/DecisionBenchmark.java
+++ b/bench/src/main/java/org/teaseltrail/bench/schedule/DecisionBenchmark.java
@@ -36,12 +36,12 @@
   @Param({"10", "100", "1100"})
   public int upstreams;
 
-  private BusyPool pool;
+  private PoolLoadGenerator pool;
 
   /** Creates the pool and fills its queue. */
   @Setup(Level.Trial)
   public void fill() {
-    pool = new BusyPool(upstreams, CUSTOMERS);
+    pool = new PoolLoadGenerator(upstreams, CUSTOMERS);
     pool.fill(waiting);
   }
 
--- a/bench/src/main/java/org/teaseltrail/bench/schedule/MemoryMain.java
+++ b/bench/src/main/java/org/teaseltrail/bench/schedule/MemoryMain.java
@@ -16,7 +16,7 @@
 
   private static long heapOf(int upstreams, int customers, int waiting) {
     long before = usedHeap();
-    BusyPool pool = new BusyPool(upstreams, customers);
+    PoolLoadGenerator pool = new PoolLoadGenerator(upstreams, customers);
     pool.fill(waiting);
     long after = usedHeap();
     return pool.hashCode() == 0 ? 0 : after - before;
--- a/bench/src/main/java/org/teaseltrail/bench/schedule/BusyPool.java
+++ b/bench/src/main/java/org/teaseltrail/bench/schedule/PoolLoadGenerator.java
@@ -46,7 +46,7 @@
 import org.teaseltrail.core.upstream.UpstreamRole;
 
 /** Generates load for a scheduler with many upstreams, customers and queued tickets. */
-public final class BusyPool {
+public final class PoolLoadGenerator {
 
   private static final PoolId POOL = new PoolId("pool");
   private static final RouteId ROUTE = new RouteId("route");
@@ -71,7 +71,7 @@
   private long created;
 
   /** Creates the pool with its upstreams announced and an empty queue. */
-  public BusyPool(int upstreams, int customers) {
+  public PoolLoadGenerator(int upstreams, int customers) {
     this.upstreams = upstreams;
     this.customers = customers;
     handle(new SchedulerEvent.ConfigurationChanged(configuration()));
--- a/bench/src/main/java/org/teaseltrail/bench/wire/WireCosts.java
+++ b/bench/src/main/java/org/teaseltrail/bench/wire/WireCosts.java
@@ -54,10 +54,10 @@
     ControlMessage before = WireSamples.configuration(customers, upstreams);
     ControlMessage after = WireSamples.withChangedCustomer(before);
     byte[] whole = codec.encode(ControlMessage.class, before);
-    MessageEncoder<ControlMessage> encoder = MessageEncoder.of(ControlMessage.class, codec);
-    encoder.sent(before);
+    MessageEncoder<ControlMessage> encoder = MessageEncoder.forType(ControlMessage.class, codec);
+    encoder.onSent(before);
     byte[] delta = encoder.encode(after);
-    MessageDecoder<ControlMessage> decoder = MessageDecoder.of(ControlMessage.class, codec);
+    MessageDecoder<ControlMessage> decoder = MessageDecoder.forType(ControlMessage.class, codec);
     String readCost =
         cost(
             () -> {
--- a/cli/src/main/java/org/teaseltrail/cli/ChangeFailure.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ChangeFailure.java
@@ -11,9 +11,9 @@
  * Reason why a change was not accepted.
  *
  * @param exitCode the exit code of the command
- * @param sentence the message shown to the operator
+ * @param message the message shown to the operator
  */
-record ChangeFailure(ExitCode exitCode, String sentence) {
+record ChangeFailure(ExitCode exitCode, String message) {
 
   /**
    * Converts a response to a failure.
--- a/cli/src/main/java/org/teaseltrail/cli/ChangeSender.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ChangeSender.java
@@ -54,12 +54,12 @@
     ApplyChangeResponse response = sendUntilOutcomeKnown(change.build());
     if (!response.hasAccepted()) {
       ChangeFailure failure = ChangeFailure.of(response);
-      context.showFailure(
-          response, failure.sentence() + " (change id " + change.getChangeId() + ")");
+      context.printFailure(
+          response, failure.message() + " (change id " + change.getChangeId() + ")");
       return failure.exitCode();
     }
     long revision = response.getAccepted().getRevision();
-    context.show(
+    context.print(
         response,
         () -> "accepted: revision " + revision + ", change id " + change.getChangeId() + "\n");
     return arguments.getBoolean(ChangeArguments.WAIT) ? awaitInForce(revision) : ExitCode.OK;
@@ -87,10 +87,10 @@
     while (true) {
       ApplyChangeResponse response =
           context.client().call(stub -> stub.applyChange(change), ChangeSender::notLeader);
-      if (!response.hasOutcomeUnknown() || context.client().pause().nowNs() >= deadlineNs) {
+      if (!response.hasOutcomeUnknown() || context.client().clock().nowNs() >= deadlineNs) {
         return response;
       }
-      context.client().pause().pauseMs(RETRY_DELAY_MS);
+      context.client().clock().sleepMs(RETRY_DELAY_MS);
     }
   }
 
@@ -106,11 +106,11 @@
                   stub -> stub.awaitInForce(request),
                   a -> a.hasNotLeader() ? Optional.of(a.getNotLeader()) : Optional.empty());
       if (response.getInForce().getEverywhere()) {
-        context.show(response, () -> "in force on every entry VM\n");
+        context.print(response, () -> "in force on every entry VM\n");
         return ExitCode.OK;
       }
-      if (context.client().pause().nowNs() >= deadlineNs) {
-        context.showFailure(
+      if (context.client().clock().nowNs() >= deadlineNs) {
+        context.printFailure(
             response,
             "revision "
                 + revision
@@ -118,12 +118,12 @@
                 + response.getInForce().getWaitingForVmsList());
         return ExitCode.TIMEOUT;
       }
-      context.client().pause().pauseMs(POLL_DELAY_MS);
+      context.client().clock().sleepMs(POLL_DELAY_MS);
     }
   }
 
   private long deadlineNs() {
-    return context.client().pause().nowNs() + context.client().timeoutMs() * NS_PER_MS;
+    return context.client().clock().nowNs() + context.client().timeoutMs() * NS_PER_MS;
   }
 
   private static Optional<NotLeader> notLeader(ApplyChangeResponse response) {
--- a/cli/src/main/java/org/teaseltrail/cli/CliMain.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CliMain.java
@@ -19,7 +19,7 @@
             System.out,
             System.err,
             address -> NettyChannelBuilder.forAddress(address).usePlaintext().build(),
-            Pause.SLEEPING);
+            RetryClock.SYSTEM);
     ExitCode exitCode = commandLine.run(args);
     System.exit(exitCode.code());
   }
--- a/cli/src/main/java/org/teaseltrail/cli/CommandContext.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CommandContext.java
@@ -21,7 +21,7 @@
    * @param response the server's response
    * @param text supplies the human-readable form
    */
-  void show(Message response, Supplier<String> text) {
+  void print(Message response, Supplier<String> text) {
     out.print(format.print(response, text));
   }
 
@@ -32,9 +32,9 @@
    * @param response the server's response
    * @param sentence the message shown to the operator
    */
-  void showFailure(Message response, String sentence) {
+  void printFailure(Message response, String sentence) {
     if (format == OutputFormat.JSON) {
-      show(response, () -> sentence);
+      print(response, () -> sentence);
     }
     err.println("teaseltrail: " + sentence);
   }
--- a/cli/src/main/java/org/teaseltrail/cli/CommandLine.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CommandLine.java
@@ -11,8 +11,8 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
-import org.teaseltrail.runtime.settings.Kinds;
-import org.teaseltrail.runtime.settings.SettingValueException;
+import org.teaseltrail.runtime.settings.InvalidSettingValueException;
+import org.teaseltrail.runtime.settings.ValueKinds;
 
 /** Parses a command line and runs its command. */
 final class CommandLine {
@@ -20,7 +20,7 @@
   private final PrintStream out;
   private final PrintStream err;
   private final ChannelFactory channels;
-  private final Pause clock;
+  private final RetryClock clock;
 
   /**
    * Creates a command line.
@@ -30,7 +30,7 @@
    * @param channels opens channels to control members
    * @param clock the clock for timeouts and retries
    */
-  CommandLine(PrintStream out, PrintStream err, ChannelFactory channels, Pause clock) {
+  CommandLine(PrintStream out, PrintStream err, ChannelFactory channels, RetryClock clock) {
     this.out = out;
     this.err = err;
     this.channels = channels;
@@ -70,8 +70,8 @@
 
   private static List<InetSocketAddress> servers(Namespace arguments) throws ProgramException {
     try {
-      return Kinds.list(Kinds.address()).parse(arguments.getString("server"));
-    } catch (SettingValueException e) {
+      return ValueKinds.list(ValueKinds.address()).parse(arguments.getString("server"));
+    } catch (InvalidSettingValueException e) {
       throw new ProgramException(ExitCode.USAGE, "--server: " + e.getMessage(), e);
     }
   }
--- a/cli/src/main/java/org/teaseltrail/cli/CustomerCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/CustomerCommands.java
@@ -60,12 +60,12 @@
         Customer.newBuilder()
             .setId(arguments.getString(ID))
             .setTier(arguments.getInt("tier"))
-            .addAllKeyHashes(repeated(arguments, "key_hash"))
+            .addAllKeyHashes(repeatedValues(arguments, "key_hash"))
             .setRateRequestsPerSecond(arguments.getDouble("rate"))
             .setBurstRequests(arguments.getDouble("burst"))
             .setWeight(arguments.getInt("weight"));
-    for (String file : repeated(arguments, "key_file")) {
-      customer.addKeyHashes(SecretHash.ofFile(file));
+    for (String file : repeatedValues(arguments, "key_file")) {
+      customer.addKeyHashes(SecretHasher.hashFile(file));
     }
     return Change.newBuilder().setPutCustomer(customer).build();
   }
@@ -76,7 +76,7 @@
   }
 
   @Override
-  Message only(Configuration configuration) {
+  Message selectEntities(Configuration configuration) {
     return Configuration.newBuilder()
         .setRevision(configuration.getRevision())
         .addAllCustomers(configuration.getCustomersList())
@@ -87,7 +87,7 @@
   String table(Configuration configuration) {
     TextTable table = new TextTable("CUSTOMER", "TIER", "KEYS", "RATE/S", "BURST", "WEIGHT");
     for (Customer customer : configuration.getCustomersList()) {
-      table.row(
+      table.addRow(
           customer.getId(),
           customer.getTier(),
           customer.getKeyHashesCount(),
--- a/cli/src/main/java/org/teaseltrail/cli/DecisionsCommand.java
+++ b/cli/src/main/java/org/teaseltrail/cli/DecisionsCommand.java
@@ -46,7 +46,7 @@
                         ? Optional.of(response.getNotLeader())
                         : Optional.empty())
             .getDecisions();
-    context.show(decisions, () -> table(decisions));
+    context.print(decisions, () -> table(decisions));
     return ExitCode.OK;
   }
 
@@ -62,7 +62,7 @@
     TextTable table =
         new TextTable("MS AGO", "DECISION", "REQUEST", "CUSTOMER", "TIER", "UPSTREAM", "REASON");
     for (Decision decision : decisions.getDecisionsList()) {
-      table.row(
+      table.addRow(
           decision.getAgeMs(),
           decision.getKind().name().toLowerCase(Locale.ROOT),
           decision.getRequestId(),
--- a/cli/src/main/java/org/teaseltrail/cli/EntityCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/EntityCommands.java
@@ -44,7 +44,7 @@
     change(actions, "remove", "remove it", this::remove);
     Command list = (context, arguments) -> list(context);
     actions.addParser("list").help("list all").defaultHelp(true).setDefault(Command.KEY, list);
-    addMore(actions);
+    addExtraCommands(actions);
     return actions;
   }
 
@@ -61,15 +61,15 @@
   abstract String table(Configuration configuration);
 
   /** Returns the configuration reduced to the entities of this kind. */
-  abstract Message only(Configuration configuration);
+  abstract Message selectEntities(Configuration configuration);
 
   /** Adds commands that only this kind of entity has. */
-  void addMore(Subparsers actions) {}
+  void addExtraCommands(Subparsers actions) {}
 
   /** Adds a command that sends a single change. */
-  final ArgumentParser change(Subparsers actions, String name, String help, ItemMaker maker) {
+  final ArgumentParser change(Subparsers actions, String name, String help, ChangeFactory maker) {
     Command command =
-        (context, arguments) -> new ChangeSender(context, arguments).send(maker.make(arguments));
+        (context, arguments) -> new ChangeSender(context, arguments).send(maker.create(arguments));
     Subparser parser = actions.addParser(name).help(help).defaultHelp(true);
     parser.addArgument(ID).metavar(idMetavar).help("which " + entity);
     ChangeArguments.add(parser);
@@ -78,23 +78,23 @@
   }
 
   /** Returns the values of a repeatable argument. */
-  static List<String> repeated(Namespace arguments, String name) {
+  static List<String> repeatedValues(Namespace arguments, String name) {
     List<String> values = arguments.getList(name);
     return values == null ? List.of() : values;
   }
 
   private ExitCode list(CommandContext context) throws ProgramException {
     Configuration configuration = ConfigurationFetcher.fetch(context);
-    context.show(
-        only(configuration),
+    context.print(
+        selectEntities(configuration),
         () -> table(configuration) + "revision " + configuration.getRevision() + "\n");
     return ExitCode.OK;
   }
 
   /** Creates a change from the command-line arguments. */
-  interface ItemMaker {
+  interface ChangeFactory {
 
     /** Creates the change. */
-    Change make(Namespace arguments) throws ProgramException;
+    Change create(Namespace arguments) throws ProgramException;
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/ExplainCommand.java
+++ b/cli/src/main/java/org/teaseltrail/cli/ExplainCommand.java
@@ -11,7 +11,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 import net.sourceforge.argparse4j.inf.Subparsers;
-import org.teaseltrail.cli.explain.Explanation;
+import org.teaseltrail.cli.explain.RequestExplainer;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 
@@ -44,23 +44,23 @@
 
   @Override
   public ExitCode run(CommandContext context, Namespace arguments) throws ProgramException {
-    Explanation explanation = new Explanation();
+    RequestExplainer explanation = new RequestExplainer();
     List<String> files = arguments.getList(FILES);
     try {
       if (files.isEmpty()) {
-        explanation.read(
+        explanation.readLog(
             new BufferedReader(new InputStreamReader(standardInput, StandardCharsets.UTF_8)));
       }
       for (String file : files) {
         try (BufferedReader reader = Files.newBufferedReader(Path.of(file))) {
-          explanation.read(reader);
+          explanation.readLog(reader);
         }
       }
     } catch (IOException e) {
       throw new ProgramException(ExitCode.USAGE, "can't read a log: " + e.getMessage(), e);
     }
     String request = arguments.getString(REQUEST);
-    context.out().print(explanation.tell(request));
-    return explanation.knows(request) ? ExitCode.OK : ExitCode.NOT_FOUND;
+    context.out().print(explanation.explain(request));
+    return explanation.hasLinesAbout(request) ? ExitCode.OK : ExitCode.NOT_FOUND;
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/MembersCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/MembersCommands.java
@@ -78,7 +78,7 @@
   private static ExitCode list(CommandContext context) throws ProgramException {
     Status status = StatusCommands.fetch(context, false);
     Status members = Status.newBuilder().addAllMembers(status.getMembersList()).build();
-    context.show(members, () -> StatusText.members(status.getMembersList()));
+    context.print(members, () -> StatusFormatter.members(status.getMembersList()));
     return ExitCode.OK;
   }
 
@@ -91,22 +91,22 @@
                 stub -> stub.changeMembers(request),
                 a -> a.hasNotLeader() ? Optional.of(a.getNotLeader()) : Optional.empty());
     if (response.hasChanged()) {
-      context.show(response, () -> formatChangeResult(response.getChanged().getMembersList()));
+      context.print(response, () -> formatChangeResult(response.getChanged().getMembersList()));
       return ExitCode.OK;
     }
     if (response.hasRejected()) {
       MemberChangeRejected.Reason reason = response.getRejected().getReason();
       String words = reason.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-      context.showFailure(response, "rejected: " + words);
+      context.printFailure(response, "rejected: " + words);
       return exitCode(reason);
     }
-    context.showFailure(response, "not known whether it is done; see 'members list'");
+    context.printFailure(response, "not known whether it is done; see 'members list'");
     return ExitCode.TIMEOUT;
   }
 
   // When a leadership transfer is answered, it has only started, and it changes no member.
   private static String formatChangeResult(List<Member> members) {
-    return members.isEmpty() ? "begun; see 'status'\n" : StatusText.members(members);
+    return members.isEmpty() ? "begun; see 'status'\n" : StatusFormatter.members(members);
   }
 
   private static ExitCode exitCode(MemberChangeRejected.Reason reason) {
--- a/cli/src/main/java/org/teaseltrail/cli/OperatorClient.java
+++ b/cli/src/main/java/org/teaseltrail/cli/OperatorClient.java
@@ -15,8 +15,8 @@
 import org.teaseltrail.api.v1.OperatorGrpc.OperatorBlockingStub;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
-import org.teaseltrail.runtime.settings.Kinds;
-import org.teaseltrail.runtime.settings.SettingValueException;
+import org.teaseltrail.runtime.settings.InvalidSettingValueException;
+import org.teaseltrail.runtime.settings.ValueKinds;
 
 /**
  * Client for the leader's operator API. Follows NotLeader responses to the leader and tries the
@@ -31,7 +31,7 @@
   private final Map<InetSocketAddress, ManagedChannel> channels = new HashMap<>();
   private final List<InetSocketAddress> servers;
   private final ChannelFactory factory;
-  private final Pause clock;
+  private final RetryClock clock;
   private final long timeoutMs;
   private InetSocketAddress target;
   private int nextServer = 1;
@@ -45,7 +45,7 @@
    * @param timeoutMs the timeout of one call including all its attempts
    */
   OperatorClient(
-      List<InetSocketAddress> servers, ChannelFactory factory, Pause clock, long timeoutMs) {
+      List<InetSocketAddress> servers, ChannelFactory factory, RetryClock clock, long timeoutMs) {
     this.servers = List.copyOf(servers);
     this.factory = factory;
     this.clock = clock;
@@ -54,7 +54,7 @@
   }
 
   /** Returns the clock for timeouts and retries. */
-  Pause pause() {
+  RetryClock clock() {
     return clock;
   }
 
@@ -115,7 +115,7 @@
     }
     InetSocketAddress leader = parse(response.getLeaderAddress());
     if (leader.equals(target)) {
-      clock.pauseMs(RETRY_DELAY_MS);
+      clock.sleepMs(RETRY_DELAY_MS);
     }
     target = leader;
   }
@@ -130,7 +130,7 @@
   }
 
   private void tryNextServer() {
-    clock.pauseMs(RETRY_DELAY_MS);
+    clock.sleepMs(RETRY_DELAY_MS);
     target = servers.get(nextServer % servers.size());
     nextServer++;
   }
@@ -145,8 +145,8 @@
 
   private static InetSocketAddress parse(String address) throws ProgramException {
     try {
-      return Kinds.address().parse(address);
-    } catch (SettingValueException e) {
+      return ValueKinds.address().parse(address);
+    } catch (InvalidSettingValueException e) {
       throw new ProgramException(ExitCode.INTERNAL, "leader's address " + e.getMessage(), e);
     }
   }
--- a/cli/src/main/java/org/teaseltrail/cli/OrderCommand.java
+++ b/cli/src/main/java/org/teaseltrail/cli/OrderCommand.java
@@ -67,16 +67,16 @@
   private static ExitCode printResult(CommandContext context, OrderEngineResponse response) {
     if (response.hasAccepted()) {
       long fencingNumber = response.getAccepted().getFencingNumber();
-      context.show(response, () -> "taken under fencing number " + fencingNumber + "\n");
+      context.print(response, () -> "taken under fencing number " + fencingNumber + "\n");
       return ExitCode.OK;
     }
     if (response.hasRejected()) {
       OrderRejected.Reason reason = response.getRejected().getReason();
       String words = reason.name().toLowerCase(Locale.ROOT).replace('_', ' ');
-      context.showFailure(response, "rejected: " + words);
+      context.printFailure(response, "rejected: " + words);
       return exitCode(reason);
     }
-    context.showFailure(response, "not known whether the engine took the order");
+    context.printFailure(response, "not known whether the engine took the order");
     return ExitCode.TIMEOUT;
   }
 
--- a/cli/src/main/java/org/teaseltrail/cli/PoolCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/PoolCommands.java
@@ -49,7 +49,7 @@
   }
 
   @Override
-  Message only(Configuration configuration) {
+  Message selectEntities(Configuration configuration) {
     return Configuration.newBuilder()
         .setRevision(configuration.getRevision())
         .addAllPools(configuration.getPoolsList())
@@ -60,7 +60,7 @@
   String table(Configuration configuration) {
     TextTable table = new TextTable("POOL", "MAX WAITING MS", "TARGET COPIES");
     for (Pool pool : configuration.getPoolsList()) {
-      table.row(pool.getId(), pool.getMaxWaitingMs(), pool.getTargetCopies());
+      table.addRow(pool.getId(), pool.getMaxWaitingMs(), pool.getTargetCopies());
     }
     return table.print();
   }
--- a/cli/src/main/java/org/teaseltrail/cli/Pause.java
+++ b/cli/src/main/java/org/teaseltrail/cli/RetryClock.java
@@ -3,18 +3,18 @@
 import java.util.concurrent.TimeUnit;
 
 /** Monotonic clock that can also sleep between attempts; tests replace it by virtual time. */
-interface Pause {
+interface RetryClock {
 
   /** Uses the clock of this machine. */
-  Pause SLEEPING =
-      new Pause() {
+  RetryClock SYSTEM =
+      new RetryClock() {
         @Override
         public long nowNs() {
           return System.nanoTime();
         }
 
         @Override
-        public void pauseMs(long durationMs) {
+        public void sleepMs(long durationMs) {
           try {
             TimeUnit.MILLISECONDS.sleep(durationMs);
           } catch (InterruptedException e) {
@@ -31,5 +31,5 @@
    *
    * @param durationMs the duration, in milliseconds
    */
-  void pauseMs(long durationMs);
+  void sleepMs(long durationMs);
 }
--- a/cli/src/main/java/org/teaseltrail/cli/RouteCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/RouteCommands.java
@@ -55,7 +55,7 @@
       route.setService(
           ServiceTarget.newBuilder()
               .setService(service)
-              .addAllNonIdempotentMethods(repeated(arguments, "non_idempotent_method")));
+              .addAllNonIdempotentMethods(repeatedValues(arguments, "non_idempotent_method")));
     }
     return Change.newBuilder().setPutRoute(route).build();
   }
@@ -66,7 +66,7 @@
   }
 
   @Override
-  Message only(Configuration configuration) {
+  Message selectEntities(Configuration configuration) {
     return Configuration.newBuilder()
         .setRevision(configuration.getRevision())
         .addAllRoutes(configuration.getRoutesList())
@@ -78,7 +78,7 @@
     TextTable table = new TextTable("ROUTE", "TARGET", "ONCE ONLY", "POOL");
     for (Route route : configuration.getRoutesList()) {
       List<String> onceOnly = route.getService().getNonIdempotentMethodsList();
-      table.row(route.getId(), target(route), String.join(",", onceOnly), route.getPool());
+      table.addRow(route.getId(), target(route), String.join(",", onceOnly), route.getPool());
     }
     return table.print();
   }
--- a/cli/src/main/java/org/teaseltrail/cli/SecretHash.java
+++ b/cli/src/main/java/org/teaseltrail/cli/SecretHasher.java
@@ -6,13 +6,13 @@
 import java.util.HexFormat;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
-import org.teaseltrail.runtime.settings.Kinds;
-import org.teaseltrail.runtime.settings.SettingValueException;
+import org.teaseltrail.runtime.settings.InvalidSettingValueException;
+import org.teaseltrail.runtime.settings.ValueKinds;
 
 /** Hashes secrets read from files, so that only the hashes leave the operator's machine. */
-final class SecretHash {
+final class SecretHasher {
 
-  private SecretHash() {}
+  private SecretHasher() {}
 
   /**
    * Hashes the secret in a file; surrounding white space is removed first.
@@ -21,13 +21,13 @@
    * @return SHA-256 in lower-case hexadecimal
    * @throws ProgramException if the file can't be read or is empty
    */
-  static String ofFile(String file) throws ProgramException {
+  static String hashFile(String file) throws ProgramException {
     try {
-      String secret = Kinds.secretFile().parse(file).value();
+      String secret = ValueKinds.secretFile().parse(file).value();
       byte[] digest =
           MessageDigest.getInstance("SHA-256").digest(secret.getBytes(StandardCharsets.UTF_8));
       return HexFormat.of().formatHex(digest);
-    } catch (SettingValueException e) {
+    } catch (InvalidSettingValueException e) {
       throw new ProgramException(ExitCode.USAGE, e.getMessage(), e);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java platform has SHA-256", e);
--- a/cli/src/main/java/org/teaseltrail/cli/StatusCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/StatusCommands.java
@@ -19,7 +19,7 @@
   private StatusCommands() {}
 
   static void add(Subparsers commands) {
-    Command status = (context, arguments) -> show(context, arguments, StatusText::whole);
+    Command status = (context, arguments) -> show(context, arguments, StatusFormatter::whole);
     Subparser parser =
         commands.addParser("status").help("tell members, sessions, pools and upstreams");
     parser
@@ -27,7 +27,7 @@
         .action(Arguments.storeTrue())
         .help("ask the first server of itself only, leader or not");
     parser.setDefault(Command.KEY, status);
-    Command pools = (context, arguments) -> show(context, arguments, StatusText::pools);
+    Command pools = (context, arguments) -> show(context, arguments, StatusFormatter::pools);
     commands
         .addParser("pools")
         .help("tell what waits by tier and what runs in each pool")
@@ -51,7 +51,7 @@
       CommandContext context, Namespace arguments, SectionFormatter formatter)
       throws ProgramException {
     Status status = fetch(context, arguments.getBoolean(LOCAL));
-    context.show(status, () -> formatter.print(status));
+    context.print(status, () -> formatter.print(status));
     return ExitCode.OK;
   }
 
--- a/cli/src/main/java/org/teaseltrail/cli/StatusText.java
+++ b/cli/src/main/java/org/teaseltrail/cli/StatusFormatter.java
@@ -10,9 +10,9 @@
 import org.teaseltrail.api.v1.UpstreamStatus;
 
 /** Formats the state of the system as text. */
-final class StatusText {
+final class StatusFormatter {
 
-  private StatusText() {}
+  private StatusFormatter() {}
 
   /** Formats the complete status. */
   static String whole(Status status) {
@@ -33,7 +33,7 @@
   static String members(List<Member> members) {
     TextTable table = new TextTable("MEMBER", "VM", "ROLE", "SYNCED INDEX", "HEARD MS AGO");
     for (Member member : members) {
-      table.row(
+      table.addRow(
           member.getId(),
           member.getVm(),
           formatConstant(member.getRole()),
@@ -48,7 +48,8 @@
     TextTable table = new TextTable("POOL", "RUNNING", "WAITING", "BY TIER", "MAY SHED");
     for (PoolStatus pool : status.getPoolsList()) {
       int waiting = pool.getWaitingList().stream().mapToInt(TierWaiting::getRequests).sum();
-      table.row(pool.getPool(), pool.getRunning(), waiting, formatByTier(pool), pool.getMayShed());
+      table.addRow(
+          pool.getPool(), pool.getRunning(), waiting, formatByTier(pool), pool.getMayShed());
     }
     return table.print();
   }
@@ -70,7 +71,7 @@
     TextTable table =
         new TextTable("ENTRY VM", "DATA CENTRE", "REVISION", "HELLO MS AGO", "REPORTED");
     for (Session session : sessions) {
-      table.row(
+      table.addRow(
           session.getVm(),
           session.getDataCenter(),
           session.getAppliedRevision(),
@@ -93,7 +94,7 @@
     TextTable table =
         new TextTable("UPSTREAM", "POOL", "STATE", "ADDRESS", "RUNNING", "TOKENS", "WINDOW");
     for (UpstreamStatus upstream : upstreams) {
-      table.row(
+      table.addRow(
           upstream.getId(),
           upstream.getPool(),
           formatConstant(upstream.getState()),
--- a/cli/src/main/java/org/teaseltrail/cli/TextTable.java
+++ b/cli/src/main/java/org/teaseltrail/cli/TextTable.java
@@ -25,7 +25,7 @@
    * @param cells the cells, one per column; empty ones are shown as a hyphen
    * @return this table
    */
-  TextTable row(Object... cells) {
+  TextTable addRow(Object... cells) {
     List<String> row = new ArrayList<>();
     for (Object cell : cells) {
       String text = String.valueOf(cell);
--- a/cli/src/main/java/org/teaseltrail/cli/TierCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/TierCommands.java
@@ -34,7 +34,7 @@
   }
 
   @Override
-  Message only(Configuration configuration) {
+  Message selectEntities(Configuration configuration) {
     return Configuration.newBuilder()
         .setRevision(configuration.getRevision())
         .addAllTiers(configuration.getTiersList())
@@ -44,7 +44,7 @@
   @Override
   String table(Configuration configuration) {
     TextTable table = new TextTable("RANK", "NAME");
-    configuration.getTiersList().forEach(tier -> table.row(tier.getRank(), tier.getName()));
+    configuration.getTiersList().forEach(tier -> table.addRow(tier.getRank(), tier.getName()));
     return table.print();
   }
 
--- a/cli/src/main/java/org/teaseltrail/cli/UpstreamCommands.java
+++ b/cli/src/main/java/org/teaseltrail/cli/UpstreamCommands.java
@@ -41,7 +41,7 @@
   }
 
   @Override
-  void addMore(Subparsers actions) {
+  void addExtraCommands(Subparsers actions) {
     change(actions, "drain", "give it no new work; what runs goes on", a -> draining(a, true));
     change(actions, "undrain", "give it work again", arguments -> draining(arguments, false));
   }
@@ -65,7 +65,7 @@
   }
 
   @Override
-  Message only(Configuration configuration) {
+  Message selectEntities(Configuration configuration) {
     return Configuration.newBuilder()
         .setRevision(configuration.getRevision())
         .addAllUpstreams(configuration.getUpstreamsList())
@@ -76,7 +76,7 @@
   String table(Configuration configuration) {
     TextTable table = new TextTable("UPSTREAM", "POOL", "DRAINING", "HONOURS FENCING");
     for (Upstream upstream : configuration.getUpstreamsList()) {
-      table.row(
+      table.addRow(
           upstream.getId(),
           upstream.getPool(),
           upstream.getDraining(),
@@ -97,6 +97,6 @@
     if ((file == null) == (hash == null)) {
       throw new ProgramException(ExitCode.USAGE, "give either --secret-file or --secret-hash");
     }
-    return file == null ? hash : SecretHash.ofFile(file);
+    return file == null ? hash : SecretHasher.hashFile(file);
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/VmClocks.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/ClockSkewEstimator.java
@@ -14,18 +14,20 @@
  * line is earlier nevertheless, its clock is behind by at least the difference; its lines are
  * shifted by that amount.
  */
-final class VmClocks {
+final class ClockSkewEstimator {
 
-  private final Map<String, Duration> behind = new HashMap<>();
+  private final Map<String, Duration> minSkew = new HashMap<>();
 
-  VmClocks(List<LogLine> lines) {
+  ClockSkewEstimator(List<LogLine> lines) {
     Map<Long, Instant> receivedTimes = new HashMap<>();
     lines.stream()
         .filter(line -> line.event().equals("plan_received"))
         .forEach(
             line ->
                 version(line)
-                    .ifPresent(plan -> receivedTimes.merge(plan, line.time(), VmClocks::earlier)));
+                    .ifPresent(
+                        plan ->
+                            receivedTimes.merge(plan, line.time(), ClockSkewEstimator::earlier)));
     lines.stream()
         .filter(line -> line.event().equals("plan_in_force"))
         .forEach(line -> recordSkew(line, receivedTimes));
@@ -45,18 +47,18 @@
       return;
     }
     Duration difference = Duration.between(applied.time(), receivedTimes.get(plan.getAsLong()));
-    if (difference.compareTo(behind(applied.vm())) > 0) {
-      behind.put(applied.vm(), difference);
+    if (difference.compareTo(minSkew(applied.vm())) > 0) {
+      minSkew.put(applied.vm(), difference);
     }
   }
 
   /** Returns the minimum by which a VM's clock is behind. */
-  Duration behind(String vm) {
-    return behind.getOrDefault(vm, Duration.ZERO);
+  Duration minSkew(String vm) {
+    return minSkew.getOrDefault(vm, Duration.ZERO);
   }
 
   /** Converts the time of a line to the control members' clock. */
-  LogLine aligned(LogLine line) {
-    return line.later(behind(line.vm()));
+  LogLine align(LogLine line) {
+    return line.shiftedBy(minSkew(line.vm()));
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/LogLine.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/LogLine.java
@@ -36,7 +36,7 @@
   }
 
   /** Returns the same line with its time shifted. */
-  LogLine later(Duration offset) {
+  LogLine shiftedBy(Duration offset) {
     return new LogLine(time.plus(offset), vm, event, fields);
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/LogBook.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/LogLineStore.java
@@ -14,12 +14,12 @@
 /**
  * Parsed log lines of several processes; those of one VM are in the order in which it wrote them.
  */
-final class LogBook {
+final class LogLineStore {
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final List<LogLine> lines = new ArrayList<>();
-  private int unreadable;
+  private int unreadableLines;
 
   /**
    * Parses lines and adds them. Text before the first brace of a line is ignored, because a log
@@ -35,7 +35,7 @@
       if (brace >= 0) {
         Optional<LogLine> line = parse(text.substring(brace));
         line.ifPresent(lines::add);
-        unreadable += line.isPresent() ? 0 : 1;
+        unreadableLines += line.isPresent() ? 0 : 1;
       }
     }
   }
@@ -63,7 +63,7 @@
   }
 
   /** Returns the number of lines that contain a brace but could not be parsed. */
-  int unreadable() {
-    return unreadable;
+  int unreadableLines() {
+    return unreadableLines;
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/Cause.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/RequestDiagnosis.java
@@ -7,9 +7,9 @@
  * Diagnosis of a request: its outcome and the reason, derived from its last log line. The first
  * constant that matches applies.
  */
-enum Cause {
+enum RequestDiagnosis {
   UNKNOWN(
-      Cause::hasNoLines,
+      RequestDiagnosis::hasNoLines,
       "No line tells of it: it reached no VM whose log is here, or its VM was killed, or it was"
           + " served while more than the routine lines of a second were written.",
       "`start` lines of the VMs of its data centre at that time"),
@@ -27,16 +27,16 @@
       "Its customer's quota was used up over all VMs, or the leader could not allow this VM more"
           + " in time.",
       "`retry_after_ms`: 300 means the VM's allowance, more means the quota"),
-  NO_PLACE(
+  NO_SLOT(
       refusedFor("NO_UPSTREAM", "WAITED_TOO_LONG", "NOT_RUN"),
       "No upstream had a place for it in time.",
       "the same refusals at other VMs: everywhere means too few upstreams, one VM alone means that"
           + " its view is wrong"),
-  HELD(
+  QUARANTINED(
       refusedFor("QUARANTINED"),
       "Upstreams ended under requests with the same content, so no upstream gets it any longer.",
       "the leader's `request_held` with the same `fingerprint`, and each `attempt_failed` with it"),
-  VM_ENDING(
+  VM_DRAINING(
       refusedFor("ENDING"),
       "Its VM was about to end and takes no more requests.",
       "`drain_begin` on that VM"),
@@ -55,11 +55,11 @@
       "Its caller closed the connection before the answer's end.",
       "`first_event_ms` and `elapsed_ms`: whether it had waited long"),
   FAILED_BY_UPSTREAM(
-      lastEventIs("request_served").and(Cause::hasFailureStatus),
+      lastEventIs("request_served").and(RequestDiagnosis::hasFailureStatus),
       "The upstream answered with a failure, and that answer was passed on.",
       "the upstream's own log, and other failures there at that time"),
   LATE(
-      lastEventIs("request_served").and(Cause::missedObjective),
+      lastEventIs("request_served").and(RequestDiagnosis::missedObjective),
       "It was answered after its objective.",
       "`waited_ms` for the wait for a place; the rest is the upstream's"),
   SERVED(
@@ -67,44 +67,44 @@
       "It was answered within its objective.",
       "`longest_pause_ms` if it was a stream"),
   OPEN(
-      Cause::matchesAny,
+      RequestDiagnosis::matchesAny,
       "Its end is not in these logs: it still runs, or its VM was killed.",
       "`start` lines of that VM after the last line");
 
   private static final int FIRST_FAILURE_STATUS = 500;
 
-  private final Predicate<Story> matches;
-  private final String sentence;
-  private final String lookNext;
+  private final Predicate<RequestTimeline> matches;
+  private final String summary;
+  private final String nextStep;
 
-  Cause(Predicate<Story> matches, String sentence, String lookNext) {
+  RequestDiagnosis(Predicate<RequestTimeline> matches, String sentence, String lookNext) {
     this.matches = matches;
-    this.sentence = sentence;
-    this.lookNext = lookNext;
+    this.summary = sentence;
+    this.nextStep = lookNext;
   }
 
   /** Returns the first diagnosis that matches a request. */
-  static Cause of(Story story) {
+  static RequestDiagnosis of(RequestTimeline story) {
     return Arrays.stream(values())
         .filter(cause -> cause.matches.test(story))
         .findFirst()
         .orElse(OPEN);
   }
 
-  String sentence() {
-    return sentence;
+  String summary() {
+    return summary;
   }
 
   /** Returns where to look for the underlying cause. */
-  String lookNext() {
-    return lookNext;
+  String nextStep() {
+    return nextStep;
   }
 
-  private static Predicate<Story> lastEventIs(String event) {
+  private static Predicate<RequestTimeline> lastEventIs(String event) {
     return story -> story.end().filter(line -> line.event().equals(event)).isPresent();
   }
 
-  private static Predicate<Story> refusedFor(String... reasons) {
+  private static Predicate<RequestTimeline> refusedFor(String... reasons) {
     return lastEventIs("request_refused")
         .and(
             story ->
@@ -115,23 +115,23 @@
                     .isPresent());
   }
 
-  private static boolean hasNoLines(Story story) {
-    return story.own().isEmpty();
+  private static boolean hasNoLines(RequestTimeline story) {
+    return story.ownLines().isEmpty();
   }
 
-  private static boolean matchesAny(Story story) {
+  private static boolean matchesAny(RequestTimeline story) {
     return true;
   }
 
-  private static boolean hasFailureStatus(Story story) {
+  private static boolean hasFailureStatus(RequestTimeline story) {
     return lastNumber(story, "status") >= FIRST_FAILURE_STATUS;
   }
 
-  private static long lastNumber(Story story, String field) {
+  private static long lastNumber(RequestTimeline story, String field) {
     return story.end().orElseThrow().number(field).orElse(0);
   }
 
-  private static boolean missedObjective(Story story) {
+  private static boolean missedObjective(RequestTimeline story) {
     LogLine end = story.end().orElseThrow();
     long answeredMs = end.number("first_event_ms").orElse(lastNumber(story, "elapsed_ms"));
     return end.number("objective_ms").stream().anyMatch(objectiveMs -> answeredMs > objectiveMs);
--- a/cli/src/main/java/org/teaseltrail/cli/explain/Explanation.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/RequestExplainer.java
@@ -4,9 +4,9 @@
 import java.io.IOException;
 
 /** Explains from log lines what happened to a request. */
-public final class Explanation {
+public final class RequestExplainer {
 
-  private final LogBook logLines = new LogBook();
+  private final LogLineStore logLines = new LogLineStore();
 
   /**
    * Adds the log lines of one or more processes.
@@ -14,7 +14,7 @@
    * @param reader the lines; those of one process in the order in which it wrote them
    * @throws IOException if they can't be read
    */
-  public void read(BufferedReader reader) throws IOException {
+  public void readLog(BufferedReader reader) throws IOException {
     logLines.read(reader);
   }
 
@@ -24,10 +24,11 @@
    * @param request the id that the caller gave the request
    * @return the description, in lines that end with a line break
    */
-  public String tell(String request) {
-    String description = new StoryText(new Story(request, logLines.lines())).write();
-    String unreadable = "lines that could not be read: " + logLines.unreadable() + "\n";
-    return logLines.unreadable() == 0 ? description : description + unreadable;
+  public String explain(String request) {
+    String description =
+        new RequestTimelineFormatter(new RequestTimeline(request, logLines.lines())).format();
+    String unreadable = "lines that could not be read: " + logLines.unreadableLines() + "\n";
+    return logLines.unreadableLines() == 0 ? description : description + unreadable;
   }
 
   /**
@@ -36,7 +37,7 @@
    * @param request the id that the caller gave the request
    * @return false if the logs contain no line about the request
    */
-  public boolean knows(String request) {
+  public boolean hasLinesAbout(String request) {
     return logLines.lines().stream().anyMatch(line -> line.isAbout(request));
   }
 }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/Story.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/RequestTimeline.java
@@ -11,7 +11,7 @@
  * Timeline of one request: its own log lines, and the lines that its VM, its upstreams and the
  * control members wrote shortly before and during it.
  */
-final class Story {
+final class RequestTimeline {
 
   /** Time before the request from which lines are considered: the lifetime of a session. */
   private static final Duration PERIOD_BEFORE = Duration.ofSeconds(3);
@@ -42,13 +42,13 @@
 
   private final String request;
   private final List<LogLine> all;
-  private final List<LogLine> own;
+  private final List<LogLine> ownLines;
 
-  Story(String request, List<LogLine> lines) {
+  RequestTimeline(String request, List<LogLine> lines) {
     this.request = request;
-    VmClocks skews = new VmClocks(lines);
-    all = lines.stream().map(skews::aligned).toList();
-    own = all.stream().filter(line -> line.isAbout(request)).toList();
+    ClockSkewEstimator skews = new ClockSkewEstimator(lines);
+    all = lines.stream().map(skews::align).toList();
+    ownLines = all.stream().filter(line -> line.isAbout(request)).toList();
   }
 
   String request() {
@@ -56,25 +56,25 @@
   }
 
   /** Returns the request's own lines, in the order in which its VM wrote them. */
-  List<LogLine> own() {
-    return own;
+  List<LogLine> ownLines() {
+    return ownLines;
   }
 
   /** Returns the request's last line, which reports its outcome. */
   Optional<LogLine> end() {
-    return own.isEmpty() ? Optional.empty() : Optional.of(own.get(own.size() - 1));
+    return ownLines.isEmpty() ? Optional.empty() : Optional.of(ownLines.get(ownLines.size() - 1));
   }
 
   /**
    * Returns the time when the complete request had been read, derived from the last line's time and
    * its elapsed time.
    */
-  Optional<Instant> arrived() {
+  Optional<Instant> arrivalTime() {
     return end().map(line -> line.time().minusMillis(line.number("elapsed_ms").orElse(0)));
   }
 
   /** Returns other lines of that period that may be related, ordered by time. */
-  List<LogLine> context() {
+  List<LogLine> relatedLines() {
     return linesInPeriod().stream()
         .filter(this::isRelated)
         .sorted(Comparator.comparing(LogLine::time))
@@ -85,7 +85,7 @@
    * Counts other requests that were refused for a reason in that period, either at the same VM or
    * at all others.
    */
-  long refusedMeanwhile(String reason, boolean sameVm) {
+  long countConcurrentRefusals(String reason, boolean sameVm) {
     return linesInPeriod().stream()
         .filter(line -> line.event().equals("request_refused"))
         .filter(line -> line.text("reason").filter(reason::equals).isPresent())
@@ -95,7 +95,7 @@
   }
 
   /** Counts other attempts at the request's last upstream that failed in that period. */
-  long failedMeanwhileAtItsUpstream() {
+  long countConcurrentUpstreamFailures() {
     Optional<String> upstream = end().flatMap(line -> line.text("upstream"));
     return linesInPeriod().stream()
         .filter(line -> line.event().equals("attempt_failed"))
@@ -105,10 +105,10 @@
   }
 
   private List<LogLine> linesInPeriod() {
-    if (own.isEmpty()) {
+    if (ownLines.isEmpty()) {
       return List.of();
     }
-    Instant from = arrived().orElseThrow().minus(PERIOD_BEFORE);
+    Instant from = arrivalTime().orElseThrow().minus(PERIOD_BEFORE);
     Instant until = end().orElseThrow().time().plus(PERIOD_AFTER);
     return all.stream()
         .filter(line -> !line.time().isBefore(from) && !line.time().isAfter(until))
@@ -118,7 +118,8 @@
   private boolean isRelated(LogLine line) {
     boolean upstreamLeft =
         line.event().equals("upstream_leaves")
-            && own.stream().anyMatch(each -> each.text("upstream").equals(line.text("upstream")));
+            && ownLines.stream()
+                .anyMatch(each -> each.text("upstream").equals(line.text("upstream")));
     boolean controlEvent = line.isFrom(CONTROL_PROGRAM) && CONTROL_EVENTS.contains(line.event());
     return upstreamLeft || controlEvent || (isFromSameVm(line) && VM_EVENTS.contains(line.event()));
   }
--- a/cli/src/main/java/org/teaseltrail/cli/explain/StoryText.java
+++ b/cli/src/main/java/org/teaseltrail/cli/explain/RequestTimelineFormatter.java
@@ -7,31 +7,31 @@
 import java.util.stream.Collectors;
 
 /** Formats a request's timeline and diagnosis as text. */
-final class StoryText {
+final class RequestTimelineFormatter {
 
   /** Fields that are omitted, because the heading or the start of the output line shows them. */
   private static final Set<String> OMITTED_FIELDS =
       Set.of("time", "program", "vm", "event", "request");
 
-  private final Story story;
+  private final RequestTimeline story;
   private final StringBuilder text = new StringBuilder();
 
-  StoryText(Story story) {
+  RequestTimelineFormatter(RequestTimeline story) {
     this.story = story;
   }
 
-  String write() {
+  String format() {
     text.append("request ").append(story.request()).append('\n');
-    story.arrived().ifPresent(at -> text.append("  read whole at ").append(at).append('\n'));
-    story.own().forEach(this::appendLine);
-    if (!story.context().isEmpty()) {
+    story.arrivalTime().ifPresent(at -> text.append("  read whole at ").append(at).append('\n'));
+    story.ownLines().forEach(this::appendLine);
+    if (!story.relatedLines().isEmpty()) {
       text.append("at that time\n");
-      story.context().forEach(this::appendLine);
+      story.relatedLines().forEach(this::appendLine);
     }
     appendCounts();
-    Cause cause = Cause.of(story);
-    text.append("what became of it: ").append(cause.sentence()).append('\n');
-    text.append("where to look next: ").append(cause.lookNext()).append('\n');
+    RequestDiagnosis cause = RequestDiagnosis.of(story);
+    text.append("what became of it: ").append(cause.summary()).append('\n');
+    text.append("where to look next: ").append(cause.nextStep()).append('\n');
     return text.toString();
   }
 
@@ -43,7 +43,7 @@
   private static String formatFields(LogLine line) {
     return line.fields().properties().stream()
         .filter(field -> !OMITTED_FIELDS.contains(field.getKey()))
-        .map(StoryText::formatField)
+        .map(RequestTimelineFormatter::formatField)
         .collect(Collectors.joining());
   }
 
@@ -54,12 +54,12 @@
   private void appendCounts() {
     Optional<String> reason = story.end().flatMap(line -> line.text("reason"));
     if (reason.isPresent()) {
-      long here = story.refusedMeanwhile(reason.get(), true);
-      long elsewhere = story.refusedMeanwhile(reason.get(), false);
+      long here = story.countConcurrentRefusals(reason.get(), true);
+      long elsewhere = story.countConcurrentRefusals(reason.get(), false);
       text.append("others refused for ").append(reason.get()).append(" at that time: ");
       text.append(here).append(" at this VM, ").append(elsewhere).append(" at others\n");
     }
-    long failed = story.failedMeanwhileAtItsUpstream();
+    long failed = story.countConcurrentUpstreamFailures();
     if (failed > 0) {
       text.append("other attempts that failed at its upstream: ").append(failed).append('\n');
     }
--- a/cli/src/test/java/org/teaseltrail/cli/CommandLineTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/CommandLineTest.java
@@ -39,8 +39,8 @@
 
   private final List<Server> servers = new ArrayList<>();
   private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
-  private FakeOperator first;
-  private FakeOperator second;
+  private FakeOperatorService first;
+  private FakeOperatorService second;
 
   @BeforeEach
   void startMembers() throws IOException {
@@ -67,7 +67,7 @@
     for (int at = 0; at < lines.size(); at++) {
       String line = lines.get(at);
       if (line.startsWith("< ")) {
-        first.answer(GoldenAnswer.parse(line.substring(2)));
+        first.enqueueAnswer(GoldenAnswerParser.parse(line.substring(2)));
         transcript.append(line).append('\n');
       } else if (line.startsWith("$ ")) {
         transcript.append(line).append('\n').append(runRecorded(line.substring(2)));
@@ -86,8 +86,8 @@
    */
   @Test
   void followsNotLeaderToTheLeader() {
-    first.answer(notLeader(SECOND));
-    second.answer(accepted());
+    first.enqueueAnswer(notLeader(SECOND));
+    second.enqueueAnswer(accepted());
 
     assertThat(run("--server " + FIRST + " tier put 1 --name gold")).isEqualTo(ExitCode.OK);
 
@@ -99,12 +99,12 @@
    * change may have been accepted; the retry carries the same id and so returns the first result.
    */
   @Test
-  void resendsUnderTheSameChangeId() {
-    first.answer(
+  void retriesWithTheSameChangeId() {
+    first.enqueueAnswer(
         ApplyChangeResponse.newBuilder()
             .setOutcomeUnknown(OutcomeUnknown.getDefaultInstance())
             .build());
-    first.answer(accepted());
+    first.enqueueAnswer(accepted());
 
     assertThat(run("--server " + FIRST + " tier remove 1")).isEqualTo(ExitCode.OK);
 
@@ -113,15 +113,15 @@
   }
 
   @Test
-  void asksTheNextMemberWhenOneIsSilent() {
+  void triesTheNextMemberWhenOneIsUnavailable() {
     first.failWith(Status.UNAVAILABLE);
-    second.answer(GetStatusResponse.getDefaultInstance());
+    second.enqueueAnswer(GetStatusResponse.getDefaultInstance());
 
     assertThat(run("--server " + FIRST + "," + SECOND + " status")).isEqualTo(ExitCode.OK);
   }
 
   @Test
-  void endsUnavailableWhenNoneAnswers() {
+  void exitsUnavailableWhenNoMemberAnswers() {
     first.failWith(Status.UNAVAILABLE);
 
     assertThat(run("--server " + FIRST + " status")).isEqualTo(ExitCode.UNAVAILABLE);
@@ -155,8 +155,8 @@
     return new CommandLine(stream, stream, channels, new VirtualClock()).run(command.split(" "));
   }
 
-  private FakeOperator start(String address) throws IOException {
-    FakeOperator operator = new FakeOperator();
+  private FakeOperatorService start(String address) throws IOException {
+    FakeOperatorService operator = new FakeOperatorService();
     servers.add(
         InProcessServerBuilder.forName(address)
             .directExecutor()
@@ -181,7 +181,7 @@
     return ApplyChangeResponse.newBuilder().setAccepted(accepted).build();
   }
 
-  private static final class VirtualClock implements Pause {
+  private static final class VirtualClock implements RetryClock {
 
     private long nowNs;
 
@@ -191,7 +191,7 @@
     }
 
     @Override
-    public void pauseMs(long durationMs) {
+    public void sleepMs(long durationMs) {
       nowNs += durationMs * NS_PER_MS;
     }
   }
--- a/cli/src/test/java/org/teaseltrail/cli/CommandsPageTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/CommandsPageTest.java
@@ -76,7 +76,7 @@
     PrintStream originalOut = System.out;
     System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
     try {
-      CommandLine commandLine = new CommandLine(System.out, System.out, null, Pause.SLEEPING);
+      CommandLine commandLine = new CommandLine(System.out, System.out, null, RetryClock.SYSTEM);
       assertThat(commandLine.run((command + " --help").trim().split(" "))).isEqualTo(ExitCode.OK);
     } finally {
       System.setOut(originalOut);
--- a/cli/src/test/java/org/teaseltrail/cli/FakeOperator.java
+++ b/cli/src/test/java/org/teaseltrail/cli/FakeOperatorService.java
@@ -25,13 +25,13 @@
 import org.teaseltrail.api.v1.OrderEngineResponse;
 
 /** Fake control member that returns queued responses in order and records the requests. */
-final class FakeOperator extends OperatorImplBase {
+final class FakeOperatorService extends OperatorImplBase {
 
   private final Deque<Message> answers = new ArrayDeque<>();
   private final List<Message> requests = new ArrayList<>();
   private Optional<Status> failure = Optional.empty();
 
-  FakeOperator answer(Message answer) {
+  FakeOperatorService enqueueAnswer(Message answer) {
     answers.add(answer);
     return this;
   }
--- a/cli/src/test/java/org/teaseltrail/cli/GoldenAnswer.java
+++ b/cli/src/test/java/org/teaseltrail/cli/GoldenAnswerParser.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.api.v1.OrderEngineResponse;
 
 /** Parses a response of a golden session: the name of its message and its fields in text format. */
-final class GoldenAnswer {
+final class GoldenAnswerParser {
 
   private static final List<Message> KNOWN =
       List.of(
@@ -24,7 +24,7 @@
           ListDecisionsResponse.getDefaultInstance(),
           OrderEngineResponse.getDefaultInstance());
 
-  private GoldenAnswer() {}
+  private GoldenAnswerParser() {}
 
   static Message parse(String line) {
     int space = line.indexOf(' ');
--- a/cli/src/test/java/org/teaseltrail/cli/SocketTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/SocketTest.java
@@ -23,8 +23,8 @@
 
   @Test
   void asksMemberOverLoopback() throws IOException {
-    FakeOperator operator = new FakeOperator();
-    operator.answer(GetConfigurationResponse.getDefaultInstance());
+    FakeOperatorService operator = new FakeOperatorService();
+    operator.enqueueAnswer(GetConfigurationResponse.getDefaultInstance());
     ByteArrayOutputStream printed = new ByteArrayOutputStream();
     Server server = start(operator);
 
@@ -35,7 +35,7 @@
     assertThat(printed.toString(StandardCharsets.UTF_8)).isEqualTo("RANK  NAME\nrevision 0\n");
   }
 
-  private static Server start(FakeOperator operator) throws IOException {
+  private static Server start(FakeOperatorService operator) throws IOException {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     return NettyServerBuilder.forAddress(any).addService(operator).build().start();
   }
@@ -47,7 +47,7 @@
             stream,
             stream,
             address -> NettyChannelBuilder.forAddress(address).usePlaintext().build(),
-            Pause.SLEEPING);
+            RetryClock.SYSTEM);
     return commandLine.run("--server", "127.0.0.1:" + port, "tier", "list");
   }
 }
--- a/cli/src/test/java/org/teaseltrail/cli/explain/ExplanationTest.java
+++ b/cli/src/test/java/org/teaseltrail/cli/explain/RequestExplainerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Explains requests from log lines in the format that the programs write. */
-class ExplanationTest {
+class RequestExplainerTest {
 
   private static final String ENTRY =
       """
@@ -40,23 +40,23 @@
       "event":"upstream_leaves","upstream":"u1"}
       """;
 
-  private static Explanation logs() throws IOException {
-    Explanation logs = new Explanation();
-    logs.read(new BufferedReader(new StringReader(ENTRY)));
-    logs.read(new BufferedReader(new StringReader(CONTROL)));
+  private static RequestExplainer logs() throws IOException {
+    RequestExplainer logs = new RequestExplainer();
+    logs.readLog(new BufferedReader(new StringReader(ENTRY)));
+    logs.readLog(new BufferedReader(new StringReader(CONTROL)));
     return logs;
   }
 
   @Test
-  void tellsOfRepeatedRequestThatWasLate() throws IOException {
-    String story = logs().tell("a1");
+  void explainsLateRetriedRequest() throws IOException {
+    String story = logs().explain("a1");
     assertThat(story).containsSubsequence("attempt_failed", "upstream=u1", "request_served");
     assertThat(story).contains("answered after its objective");
   }
 
   @Test
-  void tellsOfLostSessionBeforeRefusal() throws IOException {
-    String story = logs().tell("b2");
+  void showsSessionLossBeforeRefusal() throws IOException {
+    String story = logs().explain("b2");
     assertThat(story).containsSubsequence("request_refused", "at that time", "session_lost");
     assertThat(story).contains("could not know whether its plan was the newest");
     assertThat(story).contains("others refused for PLAN_UNCERTAIN at that time: 0 at this VM");
@@ -66,8 +66,8 @@
    * A request under which upstreams were lost is quarantined; the explanation must name the reason.
    */
   @Test
-  void tellsOfHeldRequest() throws IOException {
-    String story = logs().tell("held1");
+  void explainsQuarantinedRequest() throws IOException {
+    String story = logs().explain("held1");
     assertThat(story).contains("fingerprint=0a0b", "Upstreams ended", "request_held");
   }
 
@@ -76,19 +76,19 @@
    * request. The plan that both the VM and the control member logged reveals the skew.
    */
   @Test
-  void putsVmsWhoseClocksAreBehindOnTheControlMembersClock() throws IOException {
-    assertThat(logs().tell("a1")).contains("upstream_leaves");
-    assertThat(logs().tell("a1")).contains("read whole at 2026-03-23T23:43:42.914Z");
+  void correctsClockSkewOfEntryVms() throws IOException {
+    assertThat(logs().explain("a1")).contains("upstream_leaves");
+    assertThat(logs().explain("a1")).contains("read whole at 2026-03-23T23:43:42.914Z");
   }
 
   @Test
-  void countsLinesThatWereCut() throws IOException {
-    assertThat(logs().tell("a1")).contains("lines that could not be read: 1");
+  void countsTruncatedLines() throws IOException {
+    assertThat(logs().explain("a1")).contains("lines that could not be read: 1");
   }
 
   @Test
-  void saysWhatNoLineMeans() throws IOException {
-    assertThat(logs().knows("c3")).isFalse();
-    assertThat(logs().tell("c3")).contains("No line tells of it");
+  void explainsRequestWithoutLogLines() throws IOException {
+    assertThat(logs().hasLinesAbout("c3")).isFalse();
+    assertThat(logs().explain("c3")).contains("No line tells of it");
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/ActionExecutor.java
+++ b/control/src/main/java/org/teaseltrail/control/ActionExecutor.java
@@ -11,19 +11,19 @@
 import org.teaseltrail.core.quarantine.Fingerprint;
 import org.teaseltrail.core.rollout.Rollout;
 import org.teaseltrail.core.rollout.Verdict;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.runtime.log.DecisionLog;
 import org.teaseltrail.runtime.log.EventLog;
 import org.teaseltrail.runtime.log.LogEvent;
 import org.teaseltrail.runtime.log.LogField;
-import org.teaseltrail.runtime.log.PartLogger;
 
 /** Executes the actions that a control member decides on, on the member's event loop thread. */
 final class ActionExecutor {
 
   private static final long TRANSFER_TIMEOUT_MS = 2_000;
 
-  private final PartLogger logger = new PartLogger("replica");
-  private final DecisionLog decisions = new DecisionLog(new PartLogger("schedule"));
+  private final ComponentLogger logger = new ComponentLogger("replica");
+  private final DecisionLog decisions = new DecisionLog(new ComponentLogger("schedule"));
   private final ActionTargets targets;
   private final LeaseGuardedQueue leaseGuarded;
   private final CountDownLatch transferEnded = new CountDownLatch(1);
--- a/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlDaemon.java
@@ -28,18 +28,18 @@
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.upstream.SocketAddress;
 import org.teaseltrail.runtime.clock.SuspendAwareClock;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 import org.teaseltrail.runtime.process.RunningProgram;
+import org.teaseltrail.storage.ReplicaStorage;
 import org.teaseltrail.storage.StorageException;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.wire.ClientType;
 import org.teaseltrail.wire.FrameEndpoint;
 import org.teaseltrail.wire.FrameLimits;
 import org.teaseltrail.wire.FrameServer;
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.MessagePackStateCodec;
-import org.teaseltrail.wire.SpeakerKind;
 
 /**
  * Runs a control member: connects its event loop to the network, the data folder and the metrics.
@@ -50,7 +50,7 @@
 
   private static final long OPERATOR_SHUTDOWN_TIMEOUT_MS = 1_000;
 
-  private final PartLogger logger = new PartLogger("control");
+  private final ComponentLogger logger = new ComponentLogger("control");
   private final CompletableFuture<ExitCode> ended = new CompletableFuture<>();
   private final SuspendAwareClock clock = new SuspendAwareClock();
   private final SlowOperationLogger slow;
@@ -74,7 +74,7 @@
   private final GroupChangeNotifier group;
   private final HealthServer health;
 
-  private ControlDaemon(ControlOptions options, StorageFolder folder, long silentMs)
+  private ControlDaemon(ControlOptions options, ReplicaStorage folder, long silentMs)
       throws IOException {
     slow = new SlowOperationLogger(options.log());
     loop = new ControlEventLoop(clock, slow);
@@ -115,7 +115,7 @@
     frames =
         FrameServer.listen(
             address(options),
-            FrameLimits.standard(),
+            FrameLimits.defaults(),
             codec,
             entry(),
             serving(),
@@ -143,7 +143,7 @@
    * @throws IOException if the operators' address can't be listened on
    * @throws reactor.netty.ChannelBindException if another address can't be listened on
    */
-  static ControlDaemon start(ControlOptions options, StorageFolder folder, long knownDowntimeMs)
+  static ControlDaemon start(ControlOptions options, ReplicaStorage folder, long knownDowntimeMs)
       throws IOException {
     return new ControlDaemon(options, folder, knownDowntimeMs);
   }
@@ -196,7 +196,7 @@
   }
 
   @Override
-  public CompletableFuture<ExitCode> ended() {
+  public CompletableFuture<ExitCode> terminationFuture() {
     return ended;
   }
 
@@ -223,14 +223,14 @@
   }
 
   private ControlMember decisions(
-      ControlOptions options, StorageFolder folder, long silentMs, RandomGenerator random) {
+      ControlOptions options, ReplicaStorage folder, long silentMs, RandomGenerator random) {
     Member member = folder.identity().member();
     Replica replica =
         new Replica(
             options.group(),
             member.id(),
             ReplicaSettings.defaults(),
-            folder.recovered(),
+            folder.recoveredState(),
             random,
             clock.nowNs() - silentMs * NS_PER_MS,
             clock.nowNs());
@@ -245,17 +245,17 @@
 
   private FrameEndpoint<EntryMessage, ControlMessage> entry() {
     return new FrameEndpoint<>(
-        SpeakerKind.ENTRY_VM, EntryMessage.class, ControlMessage.class, entryVms);
+        ClientType.ENTRY_VM, EntryMessage.class, ControlMessage.class, entryVms);
   }
 
   private FrameEndpoint<?, ?> serving() {
     return new FrameEndpoint<>(
-        SpeakerKind.SERVING_VM, ServingMessage.class, ServingReply.class, servingVms);
+        ClientType.SERVING_VM, ServingMessage.class, ServingReply.class, servingVms);
   }
 
   private static FrameEndpoint<?, ?> joining(JoinRequestHandler joinHandler) {
     return new FrameEndpoint<>(
-        SpeakerKind.JOINING_MEMBER, GroupMessage.class, GroupReply.class, joinHandler);
+        ClientType.JOINING_MEMBER, GroupMessage.class, GroupReply.class, joinHandler);
   }
 
   private Optional<Server> operators(ControlOptions options) throws IOException {
--- a/control/src/main/java/org/teaseltrail/control/ControlMemberSupervisor.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlMemberSupervisor.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.control.OperatorResult;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.registry.HeartbeatFailure;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.ProgramException;
 import org.teaseltrail.runtime.process.RunningProgram;
@@ -27,7 +27,7 @@
   /** Delay between two attempts; short compared to the 4 to 5 s for which a disk stays full. */
   private static final long RETRY_MS = 500;
 
-  private final PartLogger logger = new PartLogger("control");
+  private final ComponentLogger logger = new ComponentLogger("control");
   private final ControlOptions options;
   private final CompletableFuture<ExitCode> ended = new CompletableFuture<>();
   private final Thread thread = new Thread(this::run, "member");
@@ -97,7 +97,7 @@
   }
 
   @Override
-  public CompletableFuture<ExitCode> ended() {
+  public CompletableFuture<ExitCode> terminationFuture() {
     return ended;
   }
 
@@ -124,7 +124,7 @@
         if (e.exitCode() != ExitCode.DATA) {
           throw e;
         }
-        new PartLogger("control").error("The data folder can't be used; retrying.", e);
+        new ComponentLogger("control").error("The data folder can't be used; retrying.", e);
         downtimeMs = 0;
         sleepBeforeRetry();
       }
@@ -133,7 +133,7 @@
 
   private void run() {
     while (!closing && current.isPresent()) {
-      ExitCode code = current.get().ended().join();
+      ExitCode code = current.get().terminationFuture().join();
       if (closing) {
         return;
       }
--- a/control/src/main/java/org/teaseltrail/control/ControlProgram.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlProgram.java
@@ -11,8 +11,8 @@
 import org.teaseltrail.runtime.settings.Settings;
 import org.teaseltrail.runtime.settings.SettingsSpec;
 import org.teaseltrail.storage.FolderMissingException;
+import org.teaseltrail.storage.ReplicaStorage;
 import org.teaseltrail.storage.StorageException;
-import org.teaseltrail.storage.StorageFolder;
 import reactor.netty.ChannelBindException;
 
 /** The control member's daemon as a program: settings, command-line options and startup. */
@@ -50,7 +50,7 @@
 
   static ControlDaemon start(ControlOptions options, StartMode mode, long knownDowntimeMs)
       throws ProgramException {
-    StorageFolder folder = open(options, mode);
+    ReplicaStorage folder = open(options, mode);
     try {
       return ControlDaemon.start(options, folder, knownDowntimeMs);
     } catch (ChannelBindException e) {
@@ -63,7 +63,7 @@
     }
   }
 
-  private static StorageFolder open(ControlOptions options, StartMode mode)
+  private static ReplicaStorage open(ControlOptions options, StartMode mode)
       throws ProgramException {
     try {
       return MemberFolderOpener.open(options, mode);
--- a/control/src/main/java/org/teaseltrail/control/ControlProgramSettings.java
+++ b/control/src/main/java/org/teaseltrail/control/ControlProgramSettings.java
@@ -7,22 +7,22 @@
 import org.teaseltrail.core.id.RegionId;
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.replication.GroupId;
-import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.Setting;
 import org.teaseltrail.runtime.settings.SettingsSpec;
+import org.teaseltrail.runtime.settings.ValueKinds;
 
 /** Declares the settings of the control member's daemon. */
 final class ControlProgramSettings {
 
   static final Setting<VmId> VM =
       Setting.required(
-          "vm", "id", Kinds.text(VmId::new, "a VM's name"), "control-1", "Name of this VM.");
+          "vm", "id", ValueKinds.text(VmId::new, "a VM's name"), "control-1", "Name of this VM.");
 
   static final Setting<RegionId> REGION =
       Setting.required(
           "vm",
           "region",
-          Kinds.text(RegionId::new, "a region's name"),
+          ValueKinds.text(RegionId::new, "a region's name"),
           "prairie",
           "Region where this VM stands.");
 
@@ -30,7 +30,7 @@
       Setting.required(
           "vm",
           "listen",
-          Kinds.address(),
+          ValueKinds.address(),
           "127.0.0.1:7101",
           "Address for entry VMs and other control members.");
 
@@ -38,7 +38,7 @@
       Setting.required(
           "vm",
           "listen_operators",
-          Kinds.address(),
+          ValueKinds.address(),
           "127.0.0.1:7201",
           "Address for operators' gRPC calls.");
 
@@ -46,7 +46,7 @@
       Setting.required(
           "vm",
           "listen_metrics",
-          Kinds.address(),
+          ValueKinds.address(),
           "127.0.0.1:7301",
           "Address for /healthz, /readyz and /metrics.");
 
@@ -54,7 +54,7 @@
       Setting.required(
           "group",
           "id",
-          Kinds.text(GroupId::new, "a group's name"),
+          ValueKinds.text(GroupId::new, "a group's name"),
           "prairie-control",
           "Name of the group; members of another group are not heard.");
 
@@ -62,7 +62,7 @@
       Setting.required(
           "group",
           "members",
-          Kinds.list(Kinds.text(PeerAddress::parse, "vm@ip:port")),
+          ValueKinds.list(ValueKinds.text(PeerAddress::parse, "vm@ip:port")),
           "control-1@127.0.0.1:7101",
           "VMs that hold control members, this one too.");
 
@@ -70,20 +70,24 @@
       Setting.required(
           "group",
           "operator_addresses",
-          Kinds.list(Kinds.text(PeerAddress::parse, "vm@ip:port")),
+          ValueKinds.list(ValueKinds.text(PeerAddress::parse, "vm@ip:port")),
           "control-1@127.0.0.1:7201",
           "Where the members take operators' calls; told to operators who ask a member that does"
               + " not lead.");
 
   static final Setting<Path> DATA =
       Setting.required(
-          "data", "folder", Kinds.path(), "/var/lib/teaseltrail", "Folder of this member's state.");
+          "data",
+          "folder",
+          ValueKinds.path(),
+          "/var/lib/teaseltrail",
+          "Folder of this member's state.");
 
   static final Setting<Integer> MAX_CLAIMS =
       Setting.withDefault(
           "claims",
           "max_claims",
-          Kinds.integer(1, 10_000_000),
+          ValueKinds.integer(1, 10_000_000),
           "200000",
           "Idempotency keys kept at once; when all must be kept, a new one is refused.");
 
@@ -91,7 +95,7 @@
       Setting.withDefault(
           "claims",
           "retention",
-          Kinds.duration("1s", "720h"),
+          ValueKinds.duration("1s", "720h"),
           "24h",
           "Time for which a finished request's key is kept.");
 
@@ -99,7 +103,7 @@
       Setting.withDefault(
           "claims",
           "running_retention",
-          Kinds.duration("1s", "720h"),
+          ValueKinds.duration("1s", "720h"),
           "1h",
           "Time after which a request of which nothing more is heard counts as one that may have"
               + " run.");
@@ -108,7 +112,7 @@
       Setting.withDefault(
           "placement",
           "load_spacing",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "10s",
           "Least time between two orders that read from the weight store.");
 
@@ -116,7 +120,7 @@
       Setting.withDefault(
           "placement",
           "order_timeout",
-          Kinds.duration("1s", "1h"),
+          ValueKinds.duration("1s", "1h"),
           "2m",
           "Time after which an order without effect is given up and another engine is tried.");
 
--- a/control/src/main/java/org/teaseltrail/control/DataFolderWriter.java
+++ b/control/src/main/java/org/teaseltrail/control/DataFolderWriter.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 import org.teaseltrail.core.control.ControlEvent;
 import org.teaseltrail.core.replication.ReplicaAction;
+import org.teaseltrail.storage.ReplicaStorage;
 import org.teaseltrail.storage.StorageException;
-import org.teaseltrail.storage.StorageFolder;
 
 /**
  * Writes to the data folder on a dedicated thread, so that a slow sync never blocks the event loop.
@@ -21,7 +21,7 @@
   private static final long CLOSE_TIMEOUT_MS = 5_000;
 
   private final BlockingQueue<ReplicaAction.Write> queue = new LinkedBlockingQueue<>();
-  private final StorageFolder folder;
+  private final ReplicaStorage folder;
   private final Consumer<ControlEvent> events;
   private final Consumer<StorageException> failed;
   private final SlowOperationLogger slow;
@@ -29,7 +29,7 @@
   private volatile boolean closing;
 
   DataFolderWriter(
-      StorageFolder folder,
+      ReplicaStorage folder,
       Consumer<ControlEvent> events,
       Consumer<StorageException> failed,
       SlowOperationLogger slow) {
--- a/control/src/main/java/org/teaseltrail/control/EntryVmConnections.java
+++ b/control/src/main/java/org/teaseltrail/control/EntryVmConnections.java
@@ -6,7 +6,7 @@
 import java.util.function.Consumer;
 import org.teaseltrail.core.control.ControlEvent;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.wire.CloseReason;
 import org.teaseltrail.wire.FrameConnection;
 import org.teaseltrail.wire.FrameListener;
@@ -20,7 +20,7 @@
  */
 final class EntryVmConnections<I, O> implements FrameListener<I, O> {
 
-  private final PartLogger logger = new PartLogger("control");
+  private final ComponentLogger logger = new ComponentLogger("control");
   private final Map<VmId, FrameConnection<I, O>> connections = new ConcurrentHashMap<>();
   private final BiFunction<VmId, I, ControlEvent> eventFactory;
   private final Consumer<ControlEvent> sink;
@@ -42,7 +42,7 @@
   }
 
   @Override
-  public void opened(FrameConnection<I, O> connection) {
+  public void onOpened(FrameConnection<I, O> connection) {
     VmId vm = vmOf(connection);
     FrameConnection<I, O> before = connections.put(vm, connection);
     logger.info("Entry VM " + vm + " connected.");
@@ -52,12 +52,12 @@
   }
 
   @Override
-  public void received(FrameConnection<I, O> connection, I message) {
+  public void onReceived(FrameConnection<I, O> connection, I message) {
     sink.accept(eventFactory.apply(vmOf(connection), message));
   }
 
   @Override
-  public void closed(FrameConnection<I, O> connection, CloseReason reason) {
+  public void onClosed(FrameConnection<I, O> connection, CloseReason reason) {
     VmId vm = vmOf(connection);
     if (connections.remove(vm, connection)) {
       logger.info("Connection of entry VM " + vm + " closed: " + reason + ".");
@@ -69,6 +69,6 @@
   }
 
   private VmId vmOf(FrameConnection<I, O> connection) {
-    return new VmId(connection.opening().speakerId());
+    return new VmId(connection.handshake().speakerId());
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/GroupJoinClient.java
+++ b/control/src/main/java/org/teaseltrail/control/GroupJoinClient.java
@@ -13,6 +13,7 @@
 import org.teaseltrail.core.replication.GroupId;
 import org.teaseltrail.core.replication.Member;
 import org.teaseltrail.core.replication.Membership;
+import org.teaseltrail.wire.ClientType;
 import org.teaseltrail.wire.CloseReason;
 import org.teaseltrail.wire.FrameClient;
 import org.teaseltrail.wire.FrameConnection;
@@ -21,7 +22,6 @@
 import org.teaseltrail.wire.FrameListener;
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.ReconnectBackoff;
-import org.teaseltrail.wire.SpeakerKind;
 import reactor.core.Disposable;
 import reactor.core.scheduler.Schedulers;
 
@@ -81,16 +81,16 @@
   }
 
   @Override
-  public void opened(FrameConnection<GroupReply, GroupMessage> connection) {}
+  public void onOpened(FrameConnection<GroupReply, GroupMessage> connection) {}
 
   @Override
-  public synchronized void received(
+  public synchronized void onReceived(
       FrameConnection<GroupReply, GroupMessage> connection, GroupReply reply) {
     addCandidates.addAll(((GroupReply.KnownMembers) reply).vms());
   }
 
   @Override
-  public void closed(FrameConnection<GroupReply, GroupMessage> connection, CloseReason reason) {}
+  public void onClosed(FrameConnection<GroupReply, GroupMessage> connection, CloseReason reason) {}
 
   @Override
   public synchronized void close() {
@@ -119,8 +119,8 @@
     return FrameClient.connect(
         directory.resolve(vm).orElseThrow(),
         self.id().value(),
-        new FrameEndpoint<>(SpeakerKind.JOINING_MEMBER, GroupReply.class, GroupMessage.class, this),
-        FrameLimits.standard(),
+        new FrameEndpoint<>(ClientType.JOINING_MEMBER, GroupReply.class, GroupMessage.class, this),
+        FrameLimits.defaults(),
         codec,
         new ReconnectBackoff(MIN_BACKOFF_MS, MAX_BACKOFF_MS, random));
   }
--- a/control/src/main/java/org/teaseltrail/control/JoinRequestHandler.java
+++ b/control/src/main/java/org/teaseltrail/control/JoinRequestHandler.java
@@ -30,10 +30,11 @@
   }
 
   @Override
-  public void opened(FrameConnection<GroupMessage, GroupReply> connection) {}
+  public void onOpened(FrameConnection<GroupMessage, GroupReply> connection) {}
 
   @Override
-  public void received(FrameConnection<GroupMessage, GroupReply> connection, GroupMessage message) {
+  public void onReceived(
+      FrameConnection<GroupMessage, GroupReply> connection, GroupMessage message) {
     GroupMessage.Join join = (GroupMessage.Join) message;
     if (join.group().equals(group)) {
       events.accept(new ControlEvent.MemberJoins(join.member()));
@@ -42,5 +43,5 @@
   }
 
   @Override
-  public void closed(FrameConnection<GroupMessage, GroupReply> connection, CloseReason reason) {}
+  public void onClosed(FrameConnection<GroupMessage, GroupReply> connection, CloseReason reason) {}
 }
--- a/control/src/main/java/org/teaseltrail/control/MemberFolderOpener.java
+++ b/control/src/main/java/org/teaseltrail/control/MemberFolderOpener.java
@@ -8,9 +8,9 @@
 import org.teaseltrail.storage.FileSystemAccess;
 import org.teaseltrail.storage.FolderExistsException;
 import org.teaseltrail.storage.FolderIdentity;
-import org.teaseltrail.storage.ForeignFolderException;
+import org.teaseltrail.storage.FolderOwnerMismatchException;
 import org.teaseltrail.storage.NioFileSystem;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.ReplicaStorage;
 
 /** Opens the data folder of a member, and creates it first if requested. */
 final class MemberFolderOpener {
@@ -31,18 +31,18 @@
    * @throws org.teaseltrail.storage.StorageException if the folder can't be used, holds no member
    *     although one is expected, or holds one although none is expected
    */
-  static StorageFolder open(ControlOptions options, StartMode mode) {
+  static ReplicaStorage open(ControlOptions options, StartMode mode) {
     FileSystemAccess files = new NioFileSystem();
     if (options.bootstrap().isPresent()) {
       createFolderIfAbsent(files, options, options.bootstrap().get());
-      return requireOwnFolder(StorageFolder.open(files, options.data(), options.group()), options);
+      return requireOwnFolder(ReplicaStorage.open(files, options.data(), options.group()), options);
     }
     if (mode == StartMode.NEW_GROUP) {
-      StorageFolder.createGroup(files, options.data(), identity(options));
+      ReplicaStorage.createGroup(files, options.data(), identity(options));
     } else if (mode == StartMode.JOIN) {
-      StorageFolder.createMember(files, options.data(), identity(options));
+      ReplicaStorage.createMember(files, options.data(), identity(options));
     }
-    return requireOwnFolder(StorageFolder.open(files, options.data(), options.group()), options);
+    return requireOwnFolder(ReplicaStorage.open(files, options.data(), options.group()), options);
   }
 
   /**
@@ -61,10 +61,10 @@
             new Membership(
                 bootstrap.seeds().stream().map(vm -> founder(options, vm).member()).toList(),
                 List.of());
-        StorageFolder.createFounder(
+        ReplicaStorage.createInitialMember(
             files, options.data(), founder(options, options.vm()), founders);
       } else {
-        StorageFolder.createMember(files, options.data(), identity(options));
+        ReplicaStorage.createMember(files, options.data(), identity(options));
       }
     } catch (FolderExistsException e) {
       LOGGER.log(System.Logger.Level.DEBUG, "[replica] Using the existing data folder.");
@@ -72,7 +72,7 @@
   }
 
   private static FolderIdentity founder(ControlOptions options, VmId vm) {
-    return FolderIdentity.fresh(options.group(), vm, FOUNDER_INCARNATION);
+    return FolderIdentity.create(options.group(), vm, FOUNDER_INCARNATION);
   }
 
   /**
@@ -80,11 +80,11 @@
    * against a folder that is copied to another VM: two processes would act as one member, each
    * would sync to its own disk, and each would be counted as that member's vote.
    */
-  private static StorageFolder requireOwnFolder(StorageFolder folder, ControlOptions options) {
+  private static ReplicaStorage requireOwnFolder(ReplicaStorage folder, ControlOptions options) {
     VmId found = folder.identity().member().vm();
     if (!found.equals(options.vm())) {
       folder.close();
-      throw new ForeignFolderException(options.data(), options.vm(), found);
+      throw new FolderOwnerMismatchException(options.data(), options.vm(), found);
     }
     return folder;
   }
@@ -96,6 +96,6 @@
    */
   private static FolderIdentity identity(ControlOptions options) {
     long number = 1 + new SecureRandom().nextLong(Integer.MAX_VALUE);
-    return FolderIdentity.fresh(options.group(), options.vm(), new Incarnation(number));
+    return FolderIdentity.create(options.group(), options.vm(), new Incarnation(number));
   }
 }
--- a/control/src/main/java/org/teaseltrail/control/PeerConnections.java
+++ b/control/src/main/java/org/teaseltrail/control/PeerConnections.java
@@ -13,6 +13,7 @@
 import org.teaseltrail.core.replication.Membership;
 import org.teaseltrail.core.replication.PeerEnvelope;
 import org.teaseltrail.core.upstream.SocketAddress;
+import org.teaseltrail.wire.ClientType;
 import org.teaseltrail.wire.CloseReason;
 import org.teaseltrail.wire.FrameClient;
 import org.teaseltrail.wire.FrameConnection;
@@ -21,7 +22,6 @@
 import org.teaseltrail.wire.FrameListener;
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.ReconnectBackoff;
-import org.teaseltrail.wire.SpeakerKind;
 
 /**
  * Manages the connections to the VMs of the other control members. Each side sends on the
@@ -82,7 +82,7 @@
 
   FrameEndpoint<PeerEnvelope, PeerEnvelope> endpoint() {
     return new FrameEndpoint<>(
-        SpeakerKind.CONTROL_MEMBER, PeerEnvelope.class, PeerEnvelope.class, this);
+        ClientType.CONTROL_MEMBER, PeerEnvelope.class, PeerEnvelope.class, this);
   }
 
   void members(Membership membership) {
@@ -108,17 +108,17 @@
   }
 
   @Override
-  public void opened(FrameConnection<PeerEnvelope, PeerEnvelope> connection) {}
+  public void onOpened(FrameConnection<PeerEnvelope, PeerEnvelope> connection) {}
 
   @Override
-  public void received(
+  public void onReceived(
       FrameConnection<PeerEnvelope, PeerEnvelope> connection, PeerEnvelope envelope) {
     inbound.put(envelope.from(), connection);
     events.accept(new ControlEvent.FromPeer(envelope));
   }
 
   @Override
-  public void closed(FrameConnection<PeerEnvelope, PeerEnvelope> connection, CloseReason reason) {
+  public void onClosed(FrameConnection<PeerEnvelope, PeerEnvelope> connection, CloseReason reason) {
     inbound.values().removeIf(connection::equals);
   }
 
@@ -132,7 +132,7 @@
         address,
         self.id().value(),
         endpoint(),
-        FrameLimits.standard(),
+        FrameLimits.defaults(),
         codec,
         new ReconnectBackoff(MIN_BACKOFF_MS, MAX_BACKOFF_MS, random));
   }
--- a/control/src/test/java/org/teaseltrail/control/MemberFolderOpenerTest.java
+++ b/control/src/test/java/org/teaseltrail/control/MemberFolderOpenerTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.teaseltrail.core.replication.Member;
-import org.teaseltrail.runtime.settings.ExampleFile;
+import org.teaseltrail.runtime.settings.ExampleFilePrinter;
 import org.teaseltrail.runtime.settings.SettingsReader;
 import org.teaseltrail.storage.FolderMissingException;
-import org.teaseltrail.storage.ForeignFolderException;
-import org.teaseltrail.storage.StorageFolder;
+import org.teaseltrail.storage.FolderOwnerMismatchException;
+import org.teaseltrail.storage.ReplicaStorage;
 
 class MemberFolderOpenerTest {
 
@@ -27,7 +27,7 @@
   void refusesFolderOfAnotherVm() throws Exception {
     MemberFolderOpener.open(options("control-1"), StartMode.NEW_GROUP).close();
 
-    assertThatExceptionOfType(ForeignFolderException.class)
+    assertThatExceptionOfType(FolderOwnerMismatchException.class)
         .isThrownBy(() -> MemberFolderOpener.open(options("control-2"), StartMode.GO_ON))
         .withMessageContaining("belongs to the member on VM control-1, not control-2");
     MemberFolderOpener.open(options("control-1"), StartMode.GO_ON).close();
@@ -52,7 +52,7 @@
     assertThat(second.id()).isNotEqualTo(first.id());
   }
 
-  private static Member member(StorageFolder open) {
+  private static Member member(ReplicaStorage open) {
     try (open) {
       return open.identity().member();
     }
@@ -60,7 +60,7 @@
 
   private ControlOptions options(String vm) throws Exception {
     String text =
-        ExampleFile.print(ControlProgramSettings.SPEC)
+        ExampleFilePrinter.print(ControlProgramSettings.SPEC)
             .replace("id = control-1", "id = " + vm)
             .replace("/var/lib/teaseltrail", folder.resolve("data").toString());
     Path file = Files.writeString(folder.resolve("control.ini"), text);
--- a/control/src/test/java/org/teaseltrail/control/PeerConnectionsTest.java
+++ b/control/src/test/java/org/teaseltrail/control/PeerConnectionsTest.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.replication.PeerEnvelope;
 import org.teaseltrail.core.replication.PeerMessage;
 import org.teaseltrail.wire.CloseReason;
-import org.teaseltrail.wire.ConnectionOpening;
+import org.teaseltrail.wire.ConnectionHandshake;
 import org.teaseltrail.wire.FrameConnection;
 
 class PeerConnectionsTest {
@@ -40,7 +40,7 @@
   void newMemberRepliesToLeaderOnUnknownVm() {
     PeerEnvelope reply = envelope(LEARNER.id(), LEADER);
 
-    connections.received(connection, envelope(LEADER, LEARNER.id()));
+    connections.onReceived(connection, envelope(LEADER, LEARNER.id()));
     connections.send(reply);
 
     assertThat(events).hasSize(1);
@@ -49,8 +49,8 @@
 
   @Test
   void removesClosedConnection() {
-    connections.received(connection, envelope(LEADER, LEARNER.id()));
-    connections.closed(connection, CloseReason.CLOSED_BY_PEER);
+    connections.onReceived(connection, envelope(LEADER, LEARNER.id()));
+    connections.onClosed(connection, CloseReason.CLOSED_BY_PEER);
 
     connections.send(envelope(LEARNER.id(), LEADER));
 
@@ -66,7 +66,7 @@
     private final List<PeerEnvelope> sent = new ArrayList<>();
 
     @Override
-    public ConnectionOpening opening() {
+    public ConnectionHandshake handshake() {
       throw new UnsupportedOperationException("not used in this test");
     }
 
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public CompletableFuture<CloseReason> closed() {
+    public CompletableFuture<CloseReason> closeFuture() {
       return new CompletableFuture<>();
     }
 
--- a/control/src/test/java/org/teaseltrail/control/SettingsPagesTest.java
+++ b/control/src/test/java/org/teaseltrail/control/SettingsPagesTest.java
@@ -6,10 +6,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.runtime.settings.ExampleFile;
+import org.teaseltrail.runtime.settings.ExampleFilePrinter;
 import org.teaseltrail.runtime.settings.SettingsReader;
 import org.teaseltrail.runtime.settings.SettingsSpec;
-import org.teaseltrail.runtime.settings.SettingsTable;
+import org.teaseltrail.runtime.settings.SettingsTablePrinter;
 
 /** Checks that the example file and the settings page match the program's declarations. */
 class SettingsPagesTest {
@@ -21,12 +21,12 @@
 
   @Test
   void exampleFileMatchesDeclarations() throws Exception {
-    assertThat(EXAMPLE).hasContent(ExampleFile.print(spec));
+    assertThat(EXAMPLE).hasContent(ExampleFilePrinter.print(spec));
     assertThat(new SettingsReader(spec).read(EXAMPLE)).isNotNull();
   }
 
   @Test
   void settingsPageMatchesDeclarations() throws IOException {
-    assertThat(Files.readString(PAGE)).contains(SettingsTable.print(spec));
+    assertThat(Files.readString(PAGE)).contains(SettingsTablePrinter.print(spec));
   }
 }
--- a/entry/src/main/java/org/teaseltrail/entry/ControlConnectionManager.java
+++ b/entry/src/main/java/org/teaseltrail/entry/ControlConnectionManager.java
@@ -9,6 +9,7 @@
 import org.teaseltrail.core.id.VmId;
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.EntryMessage;
+import org.teaseltrail.wire.ClientType;
 import org.teaseltrail.wire.CloseReason;
 import org.teaseltrail.wire.FrameClient;
 import org.teaseltrail.wire.FrameConnection;
@@ -17,7 +18,6 @@
 import org.teaseltrail.wire.FrameListener;
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.ReconnectBackoff;
-import org.teaseltrail.wire.SpeakerKind;
 
 /** Maintains one connection to each control member. */
 final class ControlConnectionManager implements AutoCloseable {
@@ -38,7 +38,7 @@
     for (MemberAddress member : members) {
       FrameEndpoint<ControlMessage, EntryMessage> endpoint =
           new FrameEndpoint<>(
-              SpeakerKind.ENTRY_VM,
+              ClientType.ENTRY_VM,
               ControlMessage.class,
               EntryMessage.class,
               new MemberListener(member.member()));
@@ -48,7 +48,7 @@
               member.address(),
               vm.value(),
               endpoint,
-              FrameLimits.standard(),
+              FrameLimits.defaults(),
               codec,
               new ReconnectBackoff(MIN_BACKOFF_MS, MAX_BACKOFF_MS, RandomGenerator.getDefault())));
     }
@@ -83,18 +83,18 @@
     }
 
     @Override
-    public void opened(FrameConnection<ControlMessage, EntryMessage> connection) {
+    public void onOpened(FrameConnection<ControlMessage, EntryMessage> connection) {
       loop.submit(new EntryEvent.ControlConnected(member));
     }
 
     @Override
-    public void received(
+    public void onReceived(
         FrameConnection<ControlMessage, EntryMessage> connection, ControlMessage message) {
       loop.submit(new EntryEvent.ControlReceived(member, message));
     }
 
     @Override
-    public void closed(
+    public void onClosed(
         FrameConnection<ControlMessage, EntryMessage> connection, CloseReason reason) {
       loop.submit(new EntryEvent.ControlDisconnected(member));
     }
--- a/entry/src/main/java/org/teaseltrail/entry/DecisionLogger.java
+++ b/entry/src/main/java/org/teaseltrail/entry/DecisionLogger.java
@@ -2,13 +2,13 @@
 
 import java.util.Locale;
 import org.teaseltrail.core.entry.EntryDecision;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.runtime.log.DecisionLog;
-import org.teaseltrail.runtime.log.PartLogger;
 
 /** Writes the node's decisions to the decision log. */
 final class DecisionLogger {
 
-  private final DecisionLog log = new DecisionLog(new PartLogger("entry"));
+  private final DecisionLog log = new DecisionLog(new ComponentLogger("entry"));
 
   void write(EntryDecision decision) {
     log.line(decision.kind().name().toLowerCase(Locale.ROOT))
--- a/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.teaseltrail.core.entry.EntryEvent;
 import org.teaseltrail.core.entry.EntryNode;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.RunningProgram;
 import reactor.netty.DisposableServer;
@@ -13,7 +13,7 @@
 /** The running daemon of an entry VM: the node, its thread, the HTTP server and the connections. */
 final class EntryDaemon implements RunningProgram {
 
-  private static final PartLogger LOGGER = new PartLogger("entry");
+  private static final ComponentLogger LOGGER = new ComponentLogger("entry");
 
   private final DaemonComponents parts;
   private final long stallTimeoutMs;
@@ -63,7 +63,7 @@
   }
 
   @Override
-  public CompletableFuture<ExitCode> ended() {
+  public CompletableFuture<ExitCode> terminationFuture() {
     return ended;
   }
 
--- a/entry/src/main/java/org/teaseltrail/entry/EntryHttpServer.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryHttpServer.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.HttpMethod;
 import java.time.Duration;
 import org.reactivestreams.Publisher;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import reactor.core.publisher.Mono;
 import reactor.netty.DisposableServer;
 import reactor.netty.http.server.HttpServer;
@@ -15,7 +15,7 @@
 /** The HTTP server for callers and upstreams, which routes each request to its handler. */
 final class EntryHttpServer {
 
-  private static final PartLogger LOGGER = new PartLogger("entry");
+  private static final ComponentLogger LOGGER = new ComponentLogger("entry");
 
   /**
    * Maximum header size in the decoder. It exceeds the configured limit, so that larger headers can
--- a/entry/src/main/java/org/teaseltrail/entry/EntryProgramSettings.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryProgramSettings.java
@@ -5,22 +5,22 @@
 import java.util.List;
 import org.teaseltrail.core.id.DataCenterId;
 import org.teaseltrail.core.id.VmId;
-import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.Setting;
 import org.teaseltrail.runtime.settings.SettingsSpec;
+import org.teaseltrail.runtime.settings.ValueKinds;
 
 /** Declares the settings of an entry VM's daemon. */
 final class EntryProgramSettings {
 
   static final Setting<VmId> VM =
       Setting.required(
-          "vm", "id", Kinds.text(VmId::new, "a VM's name"), "entry-1", "Name of this VM.");
+          "vm", "id", ValueKinds.text(VmId::new, "a VM's name"), "entry-1", "Name of this VM.");
 
   static final Setting<DataCenterId> DATA_CENTER =
       Setting.required(
           "vm",
           "data_center",
-          Kinds.text(DataCenterId::new, "a data centre's name"),
+          ValueKinds.text(DataCenterId::new, "a data centre's name"),
           "regina-a",
           "Data centre where this VM stands.");
 
@@ -28,7 +28,7 @@
       Setting.required(
           "vm",
           "listen",
-          Kinds.address(),
+          ValueKinds.address(),
           "127.0.0.1:8080",
           "Address for callers, upstreams, health checks and metrics.");
 
@@ -36,7 +36,7 @@
       Setting.required(
           "control",
           "members",
-          Kinds.list(Kinds.text(MemberAddress::parse, "member@ip:port")),
+          ValueKinds.list(ValueKinds.text(MemberAddress::parse, "member@ip:port")),
           "c1@127.0.0.1:7101",
           "All control members.");
 
@@ -44,7 +44,7 @@
       Setting.withDefault(
           "limits",
           "max_body",
-          Kinds.size("1KiB", "64MiB"),
+          ValueKinds.size("1KiB", "64MiB"),
           "4MiB",
           "Longest body of a request; a longer one is answered with 413.");
 
@@ -52,7 +52,7 @@
       Setting.withDefault(
           "limits",
           "max_prompt",
-          Kinds.size("1KiB", "64MiB"),
+          ValueKinds.size("1KiB", "64MiB"),
           "2MiB",
           "Longest prompt in UTF-8; a longer one is answered with 413.");
 
@@ -60,7 +60,7 @@
       Setting.withDefault(
           "limits",
           "max_headers",
-          Kinds.size("1KiB", "32KiB"),
+          ValueKinds.size("1KiB", "32KiB"),
           "16KiB",
           "Longest head of a request; a longer one is answered with 431.");
 
@@ -68,7 +68,7 @@
       Setting.withDefault(
           "limits",
           "max_tokens",
-          Kinds.integer(1, 1_000_000),
+          ValueKinds.integer(1, 1_000_000),
           "32768",
           "Most tokens that a caller may ask for.");
 
@@ -76,7 +76,7 @@
       Setting.withDefault(
           "limits",
           "max_requests",
-          Kinds.integer(1, 1_000_000),
+          ValueKinds.integer(1, 1_000_000),
           "20000",
           "Requests held at once; above it callers get 503.");
 
@@ -84,7 +84,7 @@
       Setting.withDefault(
           "limits",
           "max_answer",
-          Kinds.size("1KiB", "64MiB"),
+          ValueKinds.size("1KiB", "64MiB"),
           "4MiB",
           "Longest answer that is held for a caller who wants it in one piece.");
 
@@ -92,7 +92,7 @@
       Setting.withDefault(
           "callers",
           "buffer_frames",
-          Kinds.integer(1, 100_000),
+          ValueKinds.integer(1, 100_000),
           "256",
           "Frames held for a caller who reads slowly; above it the upstream isn't read.");
 
@@ -100,7 +100,7 @@
       Setting.withDefault(
           "callers",
           "stall_timeout",
-          Kinds.duration("100ms", "1h"),
+          ValueKinds.duration("100ms", "1h"),
           "30s",
           "Time that a caller may read nothing while its buffer is full, before it is cut off.");
 
@@ -108,7 +108,7 @@
       Setting.withDefault(
           "callers",
           "body_timeout",
-          Kinds.duration("100ms", "1h"),
+          ValueKinds.duration("100ms", "1h"),
           "30s",
           "Time in which a whole request must arrive.");
 
@@ -116,7 +116,7 @@
       Setting.withDefault(
           "upstreams",
           "connect_timeout",
-          Kinds.duration("10ms", "1m"),
+          ValueKinds.duration("10ms", "1m"),
           "1s",
           "Time that a connection to an upstream may take.");
 
@@ -124,7 +124,7 @@
       Setting.withDefault(
           "upstreams",
           "read_timeout",
-          Kinds.duration("100ms", "1h"),
+          ValueKinds.duration("100ms", "1h"),
           "60s",
           "Silence of an upstream after which its stream is resumed.");
 
@@ -132,7 +132,7 @@
       Setting.withDefault(
           "shutdown",
           "balancer_delay",
-          Kinds.duration("0ms", "10m"),
+          ValueKinds.duration("0ms", "10m"),
           "5s",
           "Time from not ready until the listener closes; longer than the balancer's checks take.");
 
@@ -140,7 +140,7 @@
       Setting.withDefault(
           "no_scheduler",
           "hold",
-          Kinds.duration("100ms", "1h"),
+          ValueKinds.duration("100ms", "1h"),
           "10s",
           "Time since the last lease after which the lowest tier is given up; same on all VMs.");
 
@@ -148,7 +148,7 @@
       Setting.withDefault(
           "no_scheduler",
           "step",
-          Kinds.duration("1s", "1h"),
+          ValueKinds.duration("1s", "1h"),
           "5s",
           "Time from one tier's giving up to the next higher one's. Same on all VMs.");
 
--- a/entry/src/main/java/org/teaseltrail/entry/NodeEventLoop.java
+++ b/entry/src/main/java/org/teaseltrail/entry/NodeEventLoop.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.entry.EntryEvent;
 import org.teaseltrail.core.entry.EntryNode;
 import org.teaseltrail.core.entry.EntryStatus;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import reactor.core.Disposable;
 import reactor.core.publisher.Mono;
 import reactor.core.scheduler.Scheduler;
@@ -18,7 +18,7 @@
 /** The event loop that owns the node and the only thread that may use it. */
 final class NodeEventLoop implements AutoCloseable {
 
-  private static final PartLogger LOGGER = new PartLogger("entry");
+  private static final ComponentLogger LOGGER = new ComponentLogger("entry");
 
   private final Scheduler thread = Schedulers.newSingle("entry-node", true);
   private final long startNs = System.nanoTime();
--- a/entry/src/main/java/org/teaseltrail/entry/UpstreamCallFactory.java
+++ b/entry/src/main/java/org/teaseltrail/entry/UpstreamCallFactory.java
@@ -5,7 +5,7 @@
 import org.teaseltrail.core.entry.EntryAction;
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.request.UpstreamTarget;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import reactor.netty.http.client.HttpClient;
 import reactor.netty.resources.ConnectionProvider;
 
@@ -18,7 +18,7 @@
  */
 final class UpstreamCallFactory {
 
-  private static final PartLogger LOGGER = new PartLogger("entry");
+  private static final ComponentLogger LOGGER = new ComponentLogger("entry");
   private static final String HTTP = "http://";
 
   private final NodeEventLoop loop;
--- a/entry/src/test/java/org/teaseltrail/entry/FakeControlMember.java
+++ b/entry/src/test/java/org/teaseltrail/entry/FakeControlMember.java
@@ -11,6 +11,7 @@
 import org.teaseltrail.core.message.ControlMessage;
 import org.teaseltrail.core.message.EntryMessage;
 import org.teaseltrail.core.upstream.SocketAddress;
+import org.teaseltrail.wire.ClientType;
 import org.teaseltrail.wire.CloseReason;
 import org.teaseltrail.wire.FrameConnection;
 import org.teaseltrail.wire.FrameEndpoint;
@@ -18,7 +19,6 @@
 import org.teaseltrail.wire.FrameListener;
 import org.teaseltrail.wire.FrameServer;
 import org.teaseltrail.wire.MessageCodec;
-import org.teaseltrail.wire.SpeakerKind;
 
 /** A control member that acts as leader at once and grants its only engine to each offer. */
 final class FakeControlMember
@@ -41,10 +41,10 @@
     this.server =
         FrameServer.listen(
             new SocketAddress("127.0.0.1", 0),
-            FrameLimits.standard(),
+            FrameLimits.defaults(),
             new MessageCodec(),
             new FrameEndpoint<>(
-                SpeakerKind.ENTRY_VM, EntryMessage.class, ControlMessage.class, this));
+                ClientType.ENTRY_VM, EntryMessage.class, ControlMessage.class, this));
   }
 
   MemberAddress address() {
@@ -56,12 +56,12 @@
   }
 
   @Override
-  public void opened(FrameConnection<EntryMessage, ControlMessage> connection) {
+  public void onOpened(FrameConnection<EntryMessage, ControlMessage> connection) {
     connection.send(new ControlMessage.ConfigurationUpdate(FENCING, configuration));
   }
 
   @Override
-  public void received(
+  public void onReceived(
       FrameConnection<EntryMessage, ControlMessage> connection, EntryMessage message) {
     heard.add(message);
     if (message instanceof EntryMessage.Hello hello) {
@@ -76,7 +76,7 @@
   }
 
   @Override
-  public void closed(
+  public void onClosed(
       FrameConnection<EntryMessage, ControlMessage> connection, CloseReason reason) {}
 
   @Override
--- a/forward/src/main/java/org/teaseltrail/forward/ControlConnectionManager.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ControlConnectionManager.java
@@ -11,6 +11,7 @@
 import org.teaseltrail.core.serving.ServingMessage;
 import org.teaseltrail.core.serving.ServingReply;
 import org.teaseltrail.core.upstream.SocketAddress;
+import org.teaseltrail.wire.ClientType;
 import org.teaseltrail.wire.CloseReason;
 import org.teaseltrail.wire.FrameClient;
 import org.teaseltrail.wire.FrameConnection;
@@ -19,7 +20,6 @@
 import org.teaseltrail.wire.FrameListener;
 import org.teaseltrail.wire.MessageCodec;
 import org.teaseltrail.wire.ReconnectBackoff;
-import org.teaseltrail.wire.SpeakerKind;
 import reactor.netty.resources.LoopResources;
 
 /** Maintains the connections to the control members, whose VM ids are their addresses. */
@@ -79,16 +79,16 @@
   }
 
   @Override
-  public void opened(FrameConnection<ServingReply, ServingMessage> connection) {}
+  public void onOpened(FrameConnection<ServingReply, ServingMessage> connection) {}
 
   @Override
-  public void received(
+  public void onReceived(
       FrameConnection<ServingReply, ServingMessage> connection, ServingReply reply) {
     replies.accept(reply);
   }
 
   @Override
-  public void closed(
+  public void onClosed(
       FrameConnection<ServingReply, ServingMessage> connection, CloseReason reason) {}
 
   @Override
@@ -101,7 +101,7 @@
         loops,
         SocketAddress.parse(vm.value()),
         self.value(),
-        new FrameEndpoint<>(SpeakerKind.SERVING_VM, ServingReply.class, ServingMessage.class, this),
+        new FrameEndpoint<>(ClientType.SERVING_VM, ServingReply.class, ServingMessage.class, this),
         LIMITS,
         codec,
         new ReconnectBackoff(MIN_BACKOFF_MS, MAX_BACKOFF_MS, random));
--- a/forward/src/main/java/org/teaseltrail/forward/ForwardMetrics.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ForwardMetrics.java
@@ -42,7 +42,7 @@
     registry.gauge("teaseltrail.requests.open", server, ForwardServer::openRequests);
     registry.gauge("teaseltrail.plan.version", server, ForwardServer::planVersion);
     registry.gauge("teaseltrail.session.valid", server, node -> node.isSessionValid() ? 1 : 0);
-    registry.gauge("teaseltrail.log.lines.dropped", log, EventLog::droppedInAll);
+    registry.gauge("teaseltrail.log.lines.dropped", log, EventLog::droppedLines);
   }
 
   void delivered(long elapsedNs) {
--- a/forward/src/main/java/org/teaseltrail/forward/ForwardServer.java
+++ b/forward/src/main/java/org/teaseltrail/forward/ForwardServer.java
@@ -143,7 +143,7 @@
   }
 
   @Override
-  public CompletableFuture<ExitCode> ended() {
+  public CompletableFuture<ExitCode> terminationFuture() {
     return ended;
   }
 
--- a/forward/src/main/java/org/teaseltrail/forward/RequestLogger.java
+++ b/forward/src/main/java/org/teaseltrail/forward/RequestLogger.java
@@ -65,7 +65,7 @@
     line(log, LogEvent.REQUEST_SERVED, nowNs)
         .with(LogField.STATUS, status)
         .with(LogField.LONGEST_PAUSE_MS, maxEventGapMs)
-        .writeRoutine();
+        .writeRateLimited();
   }
 
   void refused(EventLog log, ForwardAction.Refuse refuse, int status, long nowNs) {
--- a/load/src/main/java/org/teaseltrail/load/command/CompareCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/CompareCommand.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
-import org.teaseltrail.load.http.PathComparison;
+import org.teaseltrail.load.http.PathOverheadBenchmark;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
 
@@ -45,9 +45,9 @@
     Deployment deployment = DeploymentReader.read(arguments.getString("deployment"));
     String key = Files.readString(Path.of(arguments.getString("key_file"))).strip();
     String standinUrl = arguments.getString("standin");
-    try (PathComparison comparison =
-        new PathComparison(deployment, arguments.getString("entry"), standinUrl, key)) {
-      comparison.latency(arguments.getInt("requests")).forEach(out::println);
+    try (PathOverheadBenchmark comparison =
+        new PathOverheadBenchmark(deployment, arguments.getString("entry"), standinUrl, key)) {
+      comparison.measureLatency(arguments.getInt("requests")).forEach(out::println);
       for (int streams : arguments.<Integer>getList("streams")) {
         out.println(comparison.rate(streams));
       }
--- a/load/src/main/java/org/teaseltrail/load/command/PolicySet.java
+++ b/load/src/main/java/org/teaseltrail/load/command/PolicySet.java
@@ -26,7 +26,7 @@
   PARTS {
     @Override
     List<Policy> policies() {
-      return Policy.withPartsOff();
+      return Policy.withPartsDisabled();
     }
   };
 
--- a/load/src/main/java/org/teaseltrail/load/command/PrepareCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/PrepareCommand.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
-import org.teaseltrail.load.prepare.DeploymentFolder;
+import org.teaseltrail.load.prepare.DeploymentFolderWriter;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
 
@@ -42,7 +42,7 @@
   @Override
   public boolean run(Namespace arguments, PrintStream out) throws IOException {
     Deployment deployment = DeploymentReader.read(arguments.getString("deployment"));
-    new DeploymentFolder(
+    new DeploymentFolderWriter(
             deployment,
             Path.of(arguments.getString("folder")),
             arguments.getInt("base_port"),
--- a/load/src/main/java/org/teaseltrail/load/command/RunCommand.java
+++ b/load/src/main/java/org/teaseltrail/load/command/RunCommand.java
@@ -11,7 +11,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 import org.teaseltrail.core.id.CustomerId;
-import org.teaseltrail.load.http.HttpMeasurement;
+import org.teaseltrail.load.http.HttpLoadRun;
 import org.teaseltrail.load.workload.CustomerSpec;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
@@ -63,8 +63,8 @@
   @Override
   public boolean run(Namespace arguments, PrintStream out) throws IOException {
     Deployment deployment = DeploymentReader.read(arguments.getString("deployment"));
-    HttpMeasurement measurement =
-        new HttpMeasurement(
+    HttpLoadRun measurement =
+        new HttpLoadRun(
             deployment,
             arguments.getDouble("load"),
             (long) (arguments.getDouble("duration_s") * NS_PER_SECOND),
--- a/load/src/main/java/org/teaseltrail/load/http/CallResult.java
+++ b/load/src/main/java/org/teaseltrail/load/http/CallResult.java
@@ -28,14 +28,14 @@
     OptionalLong firstTokenNs,
     long endNs,
     Optional<CallerJson.UsageData> usage,
-    Set<AnswerFault> faults) {
+    Set<ResponseFault> faults) {
 
   /** Creates the result with a copy of the faults. */
   CallResult {
     faults = Set.copyOf(faults);
   }
 
-  CallResult withFaults(Set<AnswerFault> newFaults) {
+  CallResult withFaults(Set<ResponseFault> newFaults) {
     return new CallResult(
         planned, outcome, reason, saidNotRun, requestId, firstTokenNs, endNs, usage, newFaults);
   }
--- a/load/src/main/java/org/teaseltrail/load/http/EntryClient.java
+++ b/load/src/main/java/org/teaseltrail/load/http/EntryClient.java
@@ -65,8 +65,8 @@
    */
   Mono<CallResult> generate(PlannedRequest planned, long intendedNs) {
     String prompt = planned.prompt().text();
-    String expected = ExpectedAnswer.text(prompt, planned.outputTokens(), AnswerLength.EXACT);
-    AnswerReader reader = new AnswerReader(planned, expected, intendedNs);
+    String expected = ExpectedResponse.text(prompt, planned.outputTokens(), AnswerLength.EXACT);
+    GenerationResponseReader reader = new GenerationResponseReader(planned, expected, intendedNs);
     Duration limit =
         Duration.ofMillis(planned.kind().usefulDeadlineMs()).plus(TIMEOUT_AFTER_DEADLINE);
     return client
@@ -98,7 +98,7 @@
    * @param intendedNs when it should have been sent
    */
   Mono<CallResult> callService(PlannedRequest planned, long intendedNs) {
-    ServiceAnswer answer = new ServiceAnswer(planned, intendedNs);
+    ServiceResponseReader answer = new ServiceResponseReader(planned, intendedNs);
     Duration limit =
         Duration.ofMillis(planned.kind().usefulDeadlineMs()).plus(TIMEOUT_AFTER_DEADLINE);
     HttpMethod method = planned.kind().idempotent() ? HttpMethod.GET : HttpMethod.POST;
--- a/load/src/main/java/org/teaseltrail/load/http/Refusal.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ErrorResponse.java
@@ -13,7 +13,8 @@
  * @param notRun whether the system reported that the request did not run
  * @param requestId the request's id, if reported
  */
-record Refusal(String name, RequestOutcome outcome, boolean notRun, Optional<String> requestId) {
+record ErrorResponse(
+    String name, RequestOutcome outcome, boolean notRun, Optional<String> requestId) {
 
   private static final String PREFIX = "urn:teaseltrail:problem:";
   private static final String RAN_NO = "no";
@@ -22,28 +23,28 @@
   /**
    * Parses a problem document. Any other text counts as a failure of a request that may have run.
    */
-  static Refusal parse(String json) {
+  static ErrorResponse parse(String json) {
     CallerJson.ProblemData data;
     try {
       data = CallerJson.read(json, CallerJson.ProblemData.class);
     } catch (MalformedAnswerException e) {
-      return new Refusal(UNTYPED, RequestOutcome.FAILED, false, Optional.empty());
+      return new ErrorResponse(UNTYPED, RequestOutcome.FAILED, false, Optional.empty());
     }
     String name = shortName(data.type());
     boolean notRun = RAN_NO.equals(data.ran());
     RequestOutcome outcome = notRun ? outcomeOf(name) : RequestOutcome.FAILED;
-    return new Refusal(name, outcome, notRun, Optional.ofNullable(data.requestId()));
+    return new ErrorResponse(name, outcome, notRun, Optional.ofNullable(data.requestId()));
   }
 
   /** Interprets a failed or broken connection, or the caller's own timeout. */
-  static Refusal ofBroken(Throwable cause) {
+  static ErrorResponse ofConnectionError(Throwable cause) {
     RequestOutcome outcome = RequestOutcome.FAILED;
     if (cause instanceof TimeoutException) {
       outcome = RequestOutcome.UNFINISHED;
     } else if (cause instanceof ConnectException) {
       outcome = RequestOutcome.REFUSED;
     }
-    return new Refusal(cause.getClass().getSimpleName(), outcome, false, Optional.empty());
+    return new ErrorResponse(cause.getClass().getSimpleName(), outcome, false, Optional.empty());
   }
 
   /** Returns a problem type without its prefix. */
--- a/load/src/main/java/org/teaseltrail/load/http/ExecutionCheck.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ExecutionValidator.java
@@ -8,11 +8,11 @@
  * Compares the results that callers received with the executions that the stand-ins (simulated
  * upstreams) counted.
  */
-final class ExecutionCheck {
+final class ExecutionValidator {
 
   private final StandinCounters counters;
 
-  ExecutionCheck(StandinCounters counters) {
+  ExecutionValidator(StandinCounters counters) {
     this.counters = counters;
   }
 
@@ -23,13 +23,13 @@
 
   private CallResult check(CallResult result) {
     int executions = result.requestId().map(counters::executions).orElse(0);
-    Set<AnswerFault> faults = EnumSet.noneOf(AnswerFault.class);
+    Set<ResponseFault> faults = EnumSet.noneOf(ResponseFault.class);
     faults.addAll(result.faults());
     if (executions > 1) {
-      faults.add(AnswerFault.RAN_TWICE);
+      faults.add(ResponseFault.RAN_TWICE);
     }
     if (result.saidNotRun() && executions > 0) {
-      faults.add(AnswerFault.RAN_THOUGH_DENIED);
+      faults.add(ResponseFault.RAN_THOUGH_DENIED);
     }
     return result.withFaults(faults);
   }
--- a/load/src/main/java/org/teaseltrail/load/http/ExpectedAnswer.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ExpectedResponse.java
@@ -1,15 +1,15 @@
 package org.teaseltrail.load.http;
 
 import org.teaseltrail.standin.model.AnswerLength;
-import org.teaseltrail.standin.model.AnswerText;
+import org.teaseltrail.standin.model.AnswerTextGenerator;
 
 /**
  * Computes the response that a stand-in (simulated upstream) generates for a prompt, so that
  * received responses can be validated.
  */
-final class ExpectedAnswer {
+final class ExpectedResponse {
 
-  private ExpectedAnswer() {}
+  private ExpectedResponse() {}
 
   /**
    * Returns the complete response text.
@@ -19,7 +19,7 @@
    * @param length how the stand-ins choose the length of a response
    */
   static String text(String prompt, int maxTokens, AnswerLength length) {
-    long seed = AnswerText.seedOf(prompt);
-    return AnswerText.text(seed, 0, length.tokens(seed, maxTokens));
+    long seed = AnswerTextGenerator.seedOf(prompt);
+    return AnswerTextGenerator.text(seed, 0, length.tokens(seed, maxTokens));
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/http/AnswerReader.java
+++ b/load/src/main/java/org/teaseltrail/load/http/GenerationResponseReader.java
@@ -11,7 +11,7 @@
  * Reads the streamed response to one generation request and validates that it is complete and
  * belongs to the request.
  */
-final class AnswerReader {
+final class GenerationResponseReader {
 
   private static final int OK = 200;
   private static final String COMPLETED = "completed";
@@ -24,7 +24,7 @@
   private final SseDecoder events = new SseDecoder();
   private final StringBuilder text = new StringBuilder();
   private final StringBuilder problemBody = new StringBuilder();
-  private final Set<AnswerFault> faults = EnumSet.noneOf(AnswerFault.class);
+  private final Set<ResponseFault> faults = EnumSet.noneOf(ResponseFault.class);
   private Optional<String> requestId = Optional.empty();
   private Optional<CallerJson.OutcomeData> closing = Optional.empty();
   private Optional<Throwable> failure = Optional.empty();
@@ -39,7 +39,7 @@
    * @param expectedText the response text that the stand-ins (simulated upstreams) generate for it
    * @param intendedNs when the request should have been sent
    */
-  AnswerReader(PlannedRequest planned, String expectedText, long intendedNs) {
+  GenerationResponseReader(PlannedRequest planned, String expectedText, long intendedNs) {
     this.planned = planned;
     this.expectedText = expectedText;
     this.intendedNs = intendedNs;
@@ -60,7 +60,7 @@
     try {
       events.feed(chunk).forEach(e -> event(e, nowNs));
     } catch (MalformedAnswerException e) {
-      faults.add(AnswerFault.MALFORMED);
+      faults.add(ResponseFault.MALFORMED);
     }
   }
 
@@ -73,14 +73,14 @@
   CallResult result(long nowNs) {
     long endNs = nowNs - intendedNs;
     if (failure.isPresent()) {
-      Refusal broken = Refusal.ofBroken(failure.get());
+      ErrorResponse broken = ErrorResponse.ofConnectionError(failure.get());
       return ended(broken.outcome(), broken.name(), broken.notRun(), endNs);
     }
     if (status != OK) {
       return refusal(endNs);
     }
     if (closing.isEmpty()) {
-      faults.add(AnswerFault.NO_CLOSING_EVENT);
+      faults.add(ResponseFault.NO_CLOSING_EVENT);
       return ended(RequestOutcome.FAILED, "no-closing-event", false, endNs);
     }
     return closed(closing.get(), endNs);
@@ -99,30 +99,30 @@
       firstTokenNs = OptionalLong.of(nowNs - intendedNs);
     }
     if (token.seq() != nextSequence) {
-      faults.add(AnswerFault.OUT_OF_ORDER);
+      faults.add(ResponseFault.OUT_OF_ORDER);
     }
     nextSequence = token.seq() + 1;
     text.append(token.text());
     if (!expectedText.startsWith(text.toString())) {
-      faults.add(AnswerFault.NOT_ITS_OWN);
+      faults.add(ResponseFault.NOT_ITS_OWN);
     }
   }
 
   private CallResult closed(CallerJson.OutcomeData data, long endNs) {
     if (data.outcome().equals(COMPLETED)) {
       if (!expectedText.contentEquals(text)) {
-        faults.add(AnswerFault.NOT_WHOLE);
+        faults.add(ResponseFault.NOT_WHOLE);
       }
       boolean useful = endNs <= planned.kind().usefulDeadlineMs() * NS_PER_MS;
       RequestOutcome outcome = useful ? RequestOutcome.USEFUL : RequestOutcome.LATE;
       return ended(outcome, COMPLETED, false, endNs);
     }
     boolean notRun = data.outcome().equals(NOT_RUN);
-    return ended(RequestOutcome.FAILED, Refusal.shortName(data.type()), notRun, endNs);
+    return ended(RequestOutcome.FAILED, ErrorResponse.shortName(data.type()), notRun, endNs);
   }
 
   private CallResult refusal(long endNs) {
-    Refusal refusal = Refusal.parse(problemBody.toString());
+    ErrorResponse refusal = ErrorResponse.parse(problemBody.toString());
     if (requestId.isEmpty()) {
       requestId = refusal.requestId();
     }
--- a/load/src/main/java/org/teaseltrail/load/http/HttpMeasurement.java
+++ b/load/src/main/java/org/teaseltrail/load/http/HttpLoadRun.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.id.CustomerId;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.PlannedRequest;
-import org.teaseltrail.load.workload.WorkloadPlan;
+import org.teaseltrail.load.workload.WorkloadPlanner;
 
 /**
  * Open-loop load test against real entry VMs: plans the requests, sends them and prints a report.
@@ -25,7 +25,7 @@
  *     checked; may be empty
  * @param csv optional file for the results, one line for each request
  */
-public record HttpMeasurement(
+public record HttpLoadRun(
     Deployment deployment,
     double load,
     long durationNs,
@@ -45,16 +45,16 @@
    */
   public boolean run(PrintStream out) throws IOException {
     List<PlannedRequest> plan =
-        new WorkloadPlan(deployment, load, List.of())
-            .all(durationNs, seed).stream().limit(maxRequests).toList();
+        new WorkloadPlanner(deployment, load, List.of())
+            .planAll(durationNs, seed).stream().limit(maxRequests).toList();
     List<CallResult> results;
     try (EntryClient client =
         new EntryClient(deployment, entryUrls, apiKeys, System.currentTimeMillis())) {
-      results = new HttpRun(client, plan).run();
+      results = new OpenLoopSender(client, plan).run();
     }
     if (!standinUrls.isEmpty()) {
       StandinCounters counters = StandinCounters.read(standinUrls);
-      results = new ExecutionCheck(counters).check(results);
+      results = new ExecutionValidator(counters).check(results);
       out.println(counters.summary());
     }
     HttpReport report = new HttpReport(results);
--- a/load/src/main/java/org/teaseltrail/load/http/HttpReport.java
+++ b/load/src/main/java/org/teaseltrail/load/http/HttpReport.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 import java.util.function.Function;
 import org.HdrHistogram.Histogram;
+import org.teaseltrail.load.measure.OutcomeCounter;
 import org.teaseltrail.load.measure.RequestOutcome;
-import org.teaseltrail.load.measure.TierTally;
 
 /** Summarizes the results of a run by tier, customer and kind. */
 final class HttpReport {
@@ -44,8 +44,8 @@
   }
 
   /** Returns the number of occurrences of each fault. */
-  Map<AnswerFault, Long> faults() {
-    Map<AnswerFault, Long> faults = new EnumMap<>(AnswerFault.class);
+  Map<ResponseFault, Long> faults() {
+    Map<ResponseFault, Long> faults = new EnumMap<>(ResponseFault.class);
     results.forEach(r -> r.faults().forEach(f -> faults.merge(f, 1L, Long::sum)));
     return faults;
   }
@@ -57,7 +57,7 @@
   }
 
   private static String line(String name, List<CallResult> members) {
-    TierTally tally = new TierTally();
+    OutcomeCounter tally = new OutcomeCounter();
     Histogram firstTokenUs = new Histogram(HISTOGRAM_DIGITS);
     Histogram endUs = new Histogram(HISTOGRAM_DIGITS);
     for (CallResult member : members) {
@@ -81,7 +81,7 @@
         endUs.getValueAtPercentile(P95) / US_PER_MS);
   }
 
-  private static String outcomes(TierTally tally) {
+  private static String outcomes(OutcomeCounter tally) {
     List<String> parts = new ArrayList<>();
     for (RequestOutcome outcome : RequestOutcome.values()) {
       if (tally.count(outcome) > 0) {
--- a/load/src/main/java/org/teaseltrail/load/http/HttpRun.java
+++ b/load/src/main/java/org/teaseltrail/load/http/OpenLoopSender.java
@@ -11,12 +11,12 @@
  * Sends planned requests at their planned times without waiting for the responses to earlier ones
  * (open-loop load).
  */
-final class HttpRun {
+final class OpenLoopSender {
 
   private final EntryClient client;
   private final List<PlannedRequest> plan;
 
-  HttpRun(EntryClient client, List<PlannedRequest> plan) {
+  OpenLoopSender(EntryClient client, List<PlannedRequest> plan) {
     this.client = client;
     this.plan = List.copyOf(plan);
   }
--- a/load/src/main/java/org/teaseltrail/load/http/PathComparison.java
+++ b/load/src/main/java/org/teaseltrail/load/http/PathOverheadBenchmark.java
@@ -16,7 +16,7 @@
  * Benchmark of the overhead of the request path: compares requests that go directly to an engine
  * with the same requests sent through an entry VM.
  */
-public final class PathComparison implements AutoCloseable {
+public final class PathOverheadBenchmark implements AutoCloseable {
 
   private static final int WARM_UP_REQUESTS = 300;
   private static final int HISTOGRAM_DIGITS = 3;
@@ -43,7 +43,8 @@
    * @param standinUrl base URL of a simulated engine
    * @param apiKey API key of a customer
    */
-  public PathComparison(Deployment deployment, String entryUrl, String standinUrl, String apiKey) {
+  public PathOverheadBenchmark(
+      Deployment deployment, String entryUrl, String standinUrl, String apiKey) {
     this.deployment = deployment;
     this.entryUrl = entryUrl;
     this.standinUrl = standinUrl;
@@ -60,7 +61,7 @@
    * Measures the time to the first chunk of the response body. Requests are sent one at a time,
    * alternating between both paths.
    */
-  public List<String> latency(int requests) {
+  public List<String> measureLatency(int requests) {
     for (int i = 0; i < WARM_UP_REQUESTS; i++) {
       firstChunkNs(direct()).block();
       firstChunkNs(throughEntryVm()).block();
@@ -172,7 +173,7 @@
                   (response, content) ->
                       response.status().code() == 200
                           ? content.asString().map(part -> System.nanoTime() - startNs)
-                          : Flux.error(new RefusedException(response.status().code())))
+                          : Flux.error(new UnexpectedStatusException(response.status().code())))
               .collectList()
               .map(times -> times.get(0));
         });
--- a/load/src/main/java/org/teaseltrail/load/http/AnswerFault.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ResponseFault.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.load.http;
 
 /** Violation of the protocol or of a guarantee that was detected in a response. */
-public enum AnswerFault {
+public enum ResponseFault {
   /** The sequence numbers of its events have a gap or are out of order. */
   OUT_OF_ORDER,
   /** Its text isn't the expected response to its request. */
--- a/load/src/main/java/org/teaseltrail/load/http/ServiceAnswer.java
+++ b/load/src/main/java/org/teaseltrail/load/http/ServiceResponseReader.java
@@ -8,7 +8,7 @@
 import org.teaseltrail.load.workload.PlannedRequest;
 
 /** Reads the response to one call of the plain service. */
-final class ServiceAnswer {
+final class ServiceResponseReader {
 
   private static final int SUCCESS_CLASS = 2;
   private static final int CLASS_DIVISOR = 100;
@@ -21,7 +21,7 @@
   private String body = "";
   private int status;
 
-  ServiceAnswer(PlannedRequest planned, long intendedNs) {
+  ServiceResponseReader(PlannedRequest planned, long intendedNs) {
     this.planned = planned;
     this.intendedNs = intendedNs;
   }
@@ -42,17 +42,17 @@
   CallResult result(long nowNs) {
     long endNs = nowNs - intendedNs;
     if (failure.isPresent()) {
-      return refused(Refusal.ofBroken(failure.get()), endNs);
+      return refused(ErrorResponse.ofConnectionError(failure.get()), endNs);
     }
     if (status / CLASS_DIVISOR != SUCCESS_CLASS) {
-      return refused(Refusal.parse(body), endNs);
+      return refused(ErrorResponse.parse(body), endNs);
     }
     boolean useful = endNs <= planned.kind().usefulDeadlineMs() * NS_PER_MS;
     RequestOutcome outcome = useful ? RequestOutcome.USEFUL : RequestOutcome.LATE;
     return ended(outcome, "completed", false, OptionalLong.of(endNs), endNs);
   }
 
-  private CallResult refused(Refusal refusal, long endNs) {
+  private CallResult refused(ErrorResponse refusal, long endNs) {
     if (requestId.isEmpty()) {
       requestId = refusal.requestId();
     }
--- a/load/src/main/java/org/teaseltrail/load/measure/TierTally.java
+++ b/load/src/main/java/org/teaseltrail/load/measure/OutcomeCounter.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Counts requests by outcome, for example those of one tier. */
-public final class TierTally {
+public final class OutcomeCounter {
 
   private final Map<RequestOutcome, Long> counts = new EnumMap<>(RequestOutcome.class);
   private long offered;
--- a/load/src/main/java/org/teaseltrail/load/policy/AnswerCheck.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/AnswerValidator.java
@@ -4,11 +4,11 @@
 import org.teaseltrail.core.message.Usage;
 
 /** Validates that a response is complete and belongs to its request. */
-final class AnswerCheck {
+final class AnswerValidator {
 
-  private AnswerCheck() {}
+  private AnswerValidator() {}
 
-  static void inOrder(TrackedRequest request, UpstreamId engine, int firstSequence) {
+  static void checkOrder(TrackedRequest request, UpstreamId engine, int firstSequence) {
     check(
         request,
         request.upstream().filter(engine::equals).isPresent(),
--- a/load/src/main/java/org/teaseltrail/load/policy/EngineNode.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/EngineSimulator.java
@@ -15,7 +15,7 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.EngineSpec;
-import org.teaseltrail.standin.model.AnswerText;
+import org.teaseltrail.standin.model.AnswerTextGenerator;
 import org.teaseltrail.standin.model.EngineAction;
 import org.teaseltrail.standin.model.EngineEvent;
 import org.teaseltrail.standin.model.EngineFrame;
@@ -29,28 +29,28 @@
  * Simulates one engine in virtual time with the engine model of the stand-ins (simulated
  * upstreams).
  */
-final class EngineNode {
+final class EngineSimulator {
 
   private static final int PREFILL_CHUNK_TOKENS = 512;
   private static final SocketAddress ADDRESS = new SocketAddress("127.0.0.1", 1);
   private static final long NO_TICK = Long.MAX_VALUE;
 
-  private final VirtualTime time;
+  private final VirtualTimeExecutor time;
   private final UpstreamId id;
   private final ModelTarget target;
   private final EngineModel model;
   private final EngineListener listener;
-  private final UpstreamNews news;
+  private final UpstreamEventListener news;
   private final Set<RequestId> inPrefill = new HashSet<>();
   private long incarnation = 1;
   private long nextTickNs = NO_TICK;
 
-  EngineNode(
-      VirtualTime time,
+  EngineSimulator(
+      VirtualTimeExecutor time,
       Deployment deployment,
       EngineSpec spec,
       EngineListener listener,
-      UpstreamNews news,
+      UpstreamEventListener news,
       long seed) {
     this.time = time;
     this.id = spec.id();
@@ -78,7 +78,7 @@
                 request.planned().prompt().tokens(),
                 request.blocks(),
                 request.planned().outputTokens(),
-                AnswerText.seedOf(request.id()))));
+                AnswerTextGenerator.seedOf(request.id()))));
   }
 
   /** Cancels a request; the tokens of its prompt that were already processed count as processed. */
@@ -97,12 +97,12 @@
     }
   }
 
-  void straggle(double factor) {
-    handle(new EngineEvent.Straggle(factor));
+  void slowDown(double factor) {
+    handle(new EngineEvent.SetStragglerFactor(factor));
   }
 
   void leave() {
-    handle(new EngineEvent.Leave());
+    handle(new EngineEvent.Drain());
   }
 
   void crash() {
@@ -150,12 +150,12 @@
     } else if (action instanceof EngineAction.Unreachable unreachable) {
       inPrefill.remove(unreachable.request());
       listener.refused(unreachable.request(), id, DeclineReason.CONNECT_FAILED);
-    } else if (action instanceof EngineAction.StreamBroken broken) {
+    } else if (action instanceof EngineAction.StreamAborted broken) {
       listener.broken(broken.request(), id);
     } else if (action instanceof EngineAction.Announce announce) {
-      news.announced(announce.announcement());
+      news.onAnnouncement(announce.announcement());
     } else if (action instanceof EngineAction.PublishCacheEvent publish) {
-      news.cacheChanged(publish.event());
+      news.onCacheEvent(publish.event());
     }
   }
 
@@ -164,7 +164,7 @@
     if (wakeupNs.isPresent() && wakeupNs.getAsLong() < nextTickNs) {
       long atNs = wakeupNs.getAsLong();
       nextTickNs = atNs;
-      time.at(atNs, () -> tick(atNs));
+      time.scheduleAt(atNs, () -> tick(atNs));
     }
   }
 
--- a/load/src/main/java/org/teaseltrail/load/policy/EntryVms.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/EntryVmSimulator.java
@@ -24,28 +24,29 @@
  * Simulates the entry VMs and their callers in virtual time: submits tickets to the schedulers,
  * dispatches granted requests to the engines and forwards the generated tokens to the callers.
  */
-final class EntryVms implements EngineListener {
+final class EntryVmSimulator implements EngineListener {
 
   private static final long NS_PER_MS = 1_000_000;
   private static final long PROGRESS_REPORT_INTERVAL_NS = 1_000 * NS_PER_MS;
 
-  private final VirtualTime time;
+  private final VirtualTimeExecutor time;
   private final Deployment deployment;
-  private final Measures measures;
-  private final Network network;
+  private final RunMetrics measures;
+  private final NetworkDelays network;
   private final Map<RequestId, TrackedRequest> requests = new HashMap<>();
   private final Map<RequestId, Long> lastProgressNs = new HashMap<>();
-  private Map<VmId, SchedulerNode> schedulers = Map.of();
-  private Map<UpstreamId, EngineNode> engines = Map.of();
+  private Map<VmId, SchedulerSimulator> schedulers = Map.of();
+  private Map<UpstreamId, EngineSimulator> engines = Map.of();
 
-  EntryVms(VirtualTime time, Deployment deployment, Measures measures) {
+  EntryVmSimulator(VirtualTimeExecutor time, Deployment deployment, RunMetrics measures) {
     this.time = time;
     this.deployment = deployment;
     this.measures = measures;
-    this.network = new Network(deployment);
+    this.network = new NetworkDelays(deployment);
   }
 
-  void connect(Map<VmId, SchedulerNode> toSchedulers, Map<UpstreamId, EngineNode> toEngines) {
+  void connect(
+      Map<VmId, SchedulerSimulator> toSchedulers, Map<UpstreamId, EngineSimulator> toEngines) {
     schedulers = toSchedulers;
     engines = toEngines;
   }
@@ -57,9 +58,9 @@
   void plan(PlannedRequest planned, VmId vm, boolean counted) {
     TrackedRequest request = new TrackedRequest(planned, vm, counted);
     requests.put(request.id(), request);
-    time.at(planned.atNs() + network.clientNs(), () -> arrive(request));
+    time.scheduleAt(planned.atNs() + network.clientNs(), () -> arrive(request));
     if (planned.kind().sendsDeadline()) {
-      time.at(request.usefulUntilNs() + network.clientNs(), () -> disconnect(request));
+      time.scheduleAt(request.usefulDeadlineNs() + network.clientNs(), () -> disconnect(request));
     }
   }
 
@@ -75,7 +76,7 @@
   /** Records an outcome for each request that is still waiting or running. */
   void finish() {
     for (TrackedRequest request : List.copyOf(requests.values())) {
-      if (!request.ended() && request.planned().atNs() <= time.nowNs()) {
+      if (!request.hasEnded() && request.planned().atNs() <= time.nowNs()) {
         measures.ended(request, RequestOutcome.UNFINISHED);
       }
     }
@@ -84,7 +85,7 @@
   @Override
   public void refused(RequestId id, UpstreamId engine, DeclineReason reason) {
     TrackedRequest request = requests.get(id);
-    time.after(network.upstreamNs(), () -> declined(request, engine, reason));
+    time.scheduleAfter(network.upstreamNs(), () -> declined(request, engine, reason));
   }
 
   @Override
@@ -94,13 +95,13 @@
 
   @Override
   public void frames(UpstreamId engine, List<EngineFrame> frames) {
-    time.after(network.upstreamNs(), () -> frames.forEach(f -> received(engine, f)));
+    time.scheduleAfter(network.upstreamNs(), () -> frames.forEach(f -> received(engine, f)));
   }
 
   @Override
   public void broken(RequestId id, UpstreamId engine) {
     TrackedRequest request = requests.get(id);
-    time.after(network.upstreamNs(), () -> fail(request, engine));
+    time.scheduleAfter(network.upstreamNs(), () -> fail(request, engine));
   }
 
   @Override
@@ -115,13 +116,13 @@
 
   private void granted(VmId vm, ControlMessage.Grant grant) {
     TrackedRequest request = requests.get(grant.request());
-    if (request.ended() || request.dispatched()) {
+    if (request.hasEnded() || request.isDispatched()) {
       schedulers.get(vm).send(vm, decline(grant, DeclineReason.UNKNOWN_REQUEST));
       return;
     }
-    EngineNode engine = engines.get(grant.upstream());
+    EngineSimulator engine = engines.get(grant.upstream());
     request.dispatch(grant.upstream(), time.nowNs());
-    time.after(network.upstreamNs(), () -> engine.submit(request));
+    time.scheduleAfter(network.upstreamNs(), () -> engine.submit(request));
   }
 
   private static EntryMessage decline(ControlMessage.Grant grant, DeclineReason reason) {
@@ -129,17 +130,17 @@
   }
 
   private void declined(TrackedRequest request, UpstreamId engine, DeclineReason reason) {
-    request.refusedByUpstream();
-    DeclineReason reportedReason = request.ended() ? DeclineReason.UNKNOWN_REQUEST : reason;
+    request.undoDispatch();
+    DeclineReason reportedReason = request.hasEnded() ? DeclineReason.UNKNOWN_REQUEST : reason;
     sendToScheduler(request, new EntryMessage.Declined(request.id(), engine, reportedReason));
   }
 
   private void received(UpstreamId engine, EngineFrame frame) {
     TrackedRequest request = requests.get(frame.request());
-    if (request.ended()) {
+    if (request.hasEnded()) {
       return;
     }
-    AnswerCheck.inOrder(request, engine, frame.firstToken());
+    AnswerValidator.checkOrder(request, engine, frame.firstToken());
     if (frame.isEnd()) {
       complete(request, engine, frame.usage().orElseThrow());
     } else {
@@ -162,14 +163,14 @@
   }
 
   private void complete(TrackedRequest request, UpstreamId engine, Usage usage) {
-    AnswerCheck.whole(request, usage);
+    AnswerValidator.whole(request, usage);
     end(request, engine, EndKind.COMPLETED, usage);
-    boolean useful = time.nowNs() + network.clientNs() <= request.usefulUntilNs();
+    boolean useful = time.nowNs() + network.clientNs() <= request.usefulDeadlineNs();
     measures.ended(request, useful ? RequestOutcome.USEFUL : RequestOutcome.LATE);
   }
 
   private void fail(TrackedRequest request, UpstreamId engine) {
-    if (request.ended()) {
+    if (request.hasEnded()) {
       return;
     }
     end(request, engine, EndKind.FAILED, usageSoFar(request));
@@ -177,7 +178,7 @@
   }
 
   private void disconnect(TrackedRequest request) {
-    if (request.ended()) {
+    if (request.hasEnded()) {
       return;
     }
     Optional<UpstreamId> engine = request.upstream();
@@ -186,13 +187,13 @@
       measures.ended(request, RequestOutcome.DEADLINE);
       return;
     }
-    time.after(network.upstreamNs(), () -> engines.get(engine.get()).cancel(request.id()));
+    time.scheduleAfter(network.upstreamNs(), () -> engines.get(engine.get()).cancel(request.id()));
     end(request, engine.get(), EndKind.CANCELLED, usageSoFar(request));
     measures.ended(request, RequestOutcome.HUNG_UP);
   }
 
   private void onRefused(TrackedRequest request, RefusalKind kind) {
-    if (request.ended()) {
+    if (request.hasEnded()) {
       return;
     }
     RequestOutcome outcome =
--- a/load/src/main/java/org/teaseltrail/load/policy/Fault.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Fault.java
@@ -7,7 +7,7 @@
   /** No fault. */
   NONE {
     @Override
-    void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {}
+    void plan(VirtualTimeExecutor time, Scenario scenario, List<EngineSimulator> engines) {}
   },
   /**
    * The steps of the first engine take five times as long after the first third of the measurement
@@ -15,8 +15,8 @@
    */
   STRAGGLER {
     @Override
-    void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
-      time.at(scenario.thirdNs(), () -> engines.get(0).straggle(STRAGGLER_FACTOR));
+    void plan(VirtualTimeExecutor time, Scenario scenario, List<EngineSimulator> engines) {
+      time.scheduleAt(scenario.measuredThirdNs(), () -> engines.get(0).slowDown(STRAGGLER_FACTOR));
     }
   },
   /**
@@ -25,9 +25,9 @@
    */
   CRASH {
     @Override
-    void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
-      time.at(scenario.middleNs(), engines.get(1)::crash);
-      time.at(scenario.middleNs() + DOWN_NS, engines.get(1)::restart);
+    void plan(VirtualTimeExecutor time, Scenario scenario, List<EngineSimulator> engines) {
+      time.scheduleAt(scenario.measuredMiddleNs(), engines.get(1)::crash);
+      time.scheduleAt(scenario.measuredMiddleNs() + DOWN_NS, engines.get(1)::restart);
     }
   },
   /**
@@ -36,8 +36,8 @@
    */
   LEAVING {
     @Override
-    void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
-      time.at(scenario.middleNs(), engines.get(1)::leave);
+    void plan(VirtualTimeExecutor time, Scenario scenario, List<EngineSimulator> engines) {
+      time.scheduleAt(scenario.measuredMiddleNs(), engines.get(1)::leave);
     }
   },
   /**
@@ -46,12 +46,12 @@
    */
   BURST {
     @Override
-    void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {}
+    void plan(VirtualTimeExecutor time, Scenario scenario, List<EngineSimulator> engines) {}
   },
   /** Combines {@link #STRAGGLER} and {@link #LEAVING}. */
   STRAGGLER_AND_LEAVING {
     @Override
-    void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines) {
+    void plan(VirtualTimeExecutor time, Scenario scenario, List<EngineSimulator> engines) {
       STRAGGLER.plan(time, scenario, engines);
       LEAVING.plan(time, scenario, engines);
     }
@@ -61,5 +61,5 @@
   private static final long DOWN_NS = 20_000_000_000L;
 
   /** Schedules the events of the fault. */
-  abstract void plan(VirtualTime time, Scenario scenario, List<EngineNode> engines);
+  abstract void plan(VirtualTimeExecutor time, Scenario scenario, List<EngineSimulator> engines);
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/GroupResult.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/GroupResult.java
@@ -19,18 +19,18 @@
   private static final double US_PER_MS = 1_000;
 
   /** Returns the statistics of a metric over the seeds. */
-  public Spread spread(ToDoubleFunction<RunResult> measure) {
-    return Spread.of(runs.stream().map(measure::applyAsDouble).toList());
+  public SampleStatistics statistics(ToDoubleFunction<RunResult> measure) {
+    return SampleStatistics.of(runs.stream().map(measure::applyAsDouble).toList());
   }
 
   /** Returns a tier's goodput: the fraction of its offered requests that got a useful response. */
-  public Spread goodput(Tier tier) {
-    return spread(r -> r.tiers().get(tier).goodput());
+  public SampleStatistics goodput(Tier tier) {
+    return statistics(r -> r.tiers().get(tier).goodput());
   }
 
   /** Returns the combined goodput of a tier and all higher tiers. */
-  public Spread prefixGoodput(Tier lowest) {
-    return spread(r -> r.prefixGoodput(lowest));
+  public SampleStatistics prefixGoodput(Tier lowest) {
+    return statistics(r -> r.prefixGoodput(lowest));
   }
 
   /** Returns a percentile of the time to first token over all seeds, in milliseconds. */
--- a/load/src/main/java/org/teaseltrail/load/policy/BlockCache.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/LruBlockCache.java
@@ -5,12 +5,12 @@
 import org.teaseltrail.load.workload.Prompt;
 
 /** LRU cache of prefix blocks with a fixed capacity, which models the prefix cache of an engine. */
-final class BlockCache {
+final class LruBlockCache {
 
   private final long capacityBlocks;
   private final LinkedHashMap<Long, Boolean> blocks = new LinkedHashMap<>(1024, 0.75f, true);
 
-  BlockCache(long capacityTokens) {
+  LruBlockCache(long capacityTokens) {
     this.capacityBlocks = capacityTokens / Prompt.BLOCK_TOKENS;
   }
 
@@ -18,7 +18,7 @@
    * Looks up the blocks of a prompt, stores them and returns the number of prompt tokens found in
    * the cache.
    */
-  long use(List<Long> prompt) {
+  long lookUpAndStore(List<Long> prompt) {
     int hits = 0;
     while (hits < prompt.size() && blocks.containsKey(prompt.get(hits))) {
       hits++;
@@ -32,7 +32,7 @@
     return (long) hits * Prompt.BLOCK_TOKENS;
   }
 
-  boolean holds(long block) {
+  boolean contains(long block) {
     return blocks.containsKey(block);
   }
 
--- a/load/src/main/java/org/teaseltrail/load/policy/Network.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/NetworkDelays.java
@@ -3,7 +3,7 @@
 import org.teaseltrail.load.workload.Deployment;
 
 /** One-way network delays of a deployment and the commit time of a claim, all constant. */
-final class Network {
+final class NetworkDelays {
 
   private static final double NS_PER_MS = 1e6;
 
@@ -13,7 +13,7 @@
   private final long betweenDataCentersNs;
   private final long clientNs;
 
-  Network(Deployment deployment) {
+  NetworkDelays(Deployment deployment) {
     this.betweenDataCentersNs = (long) (deployment.networkMs() * NS_PER_MS);
     this.clientNs = (long) (deployment.clientMs() * NS_PER_MS);
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/Policy.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Policy.java
@@ -59,7 +59,7 @@
    * Returns the complete pool scheduler and, for each part of its policy, a variant with that part
    * disabled.
    */
-  public static List<Policy> withPartsOff() {
+  public static List<Policy> withPartsDisabled() {
     List<Policy> policies = new ArrayList<>(List.of(scheduler()));
     EnumSet.allOf(PolicyPart.class).forEach(p -> policies.add(without(p)));
     return policies;
--- a/load/src/main/java/org/teaseltrail/load/policy/PolicyRun.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PolicyRun.java
@@ -21,13 +21,13 @@
   private final Policy policy;
   private final long seed;
   private final Deployment deployment;
-  private final VirtualTime time = new VirtualTime();
-  private final Network network;
-  private final Measures measures;
-  private final EntryVms entryVms;
+  private final VirtualTimeExecutor time = new VirtualTimeExecutor();
+  private final NetworkDelays network;
+  private final RunMetrics measures;
+  private final EntryVmSimulator entryVms;
   private final List<VmId> vms = new ArrayList<>();
-  private final Map<VmId, SchedulerNode> schedulers = new LinkedHashMap<>();
-  private final Map<UpstreamId, EngineNode> engines = new LinkedHashMap<>();
+  private final Map<VmId, SchedulerSimulator> schedulers = new LinkedHashMap<>();
+  private final Map<UpstreamId, EngineSimulator> engines = new LinkedHashMap<>();
   private int nextVm;
 
   /** Creates a run. */
@@ -36,9 +36,9 @@
     this.policy = policy;
     this.seed = seed;
     this.deployment = scenario.deployment();
-    this.network = new Network(deployment);
-    this.measures = new Measures(deployment);
-    this.entryVms = new EntryVms(time, deployment, measures);
+    this.network = new NetworkDelays(deployment);
+    this.measures = new RunMetrics(deployment);
+    this.entryVms = new EntryVmSimulator(time, deployment, measures);
   }
 
   /** Runs the simulation to its end. */
@@ -63,21 +63,22 @@
     if (policy.isPerVm()) {
       vms.forEach(vm -> schedulers.put(vm, schedulerNode(seed + vms.indexOf(vm), 0)));
     } else {
-      SchedulerNode node = schedulerNode(seed, network.controlNs());
+      SchedulerSimulator node = schedulerNode(seed, network.controlNs());
       vms.forEach(vm -> schedulers.put(vm, node));
     }
   }
 
-  private SchedulerNode schedulerNode(long schedulerSeed, long delayNs) {
-    SchedulerNode node =
-        new SchedulerNode(
+  private SchedulerSimulator schedulerNode(long schedulerSeed, long delayNs) {
+    SchedulerSimulator node =
+        new SchedulerSimulator(
             time,
             policy.create(deployment, schedulerSeed),
             delayNs,
             network.claimNs(),
             entryVms::receive,
             measures);
-    node.handle(new SchedulerEvent.ConfigurationChanged(PoolConfiguration.of(deployment)));
+    node.handle(
+        new SchedulerEvent.ConfigurationChanged(PoolConfigurationFactory.create(deployment)));
     return node;
   }
 
@@ -85,9 +86,10 @@
     for (EngineSpec spec : deployment.engines()) {
       engines.put(
           spec.id(),
-          new EngineNode(time, deployment, spec, entryVms, new UpstreamEventForwarder(), seed));
+          new EngineSimulator(
+              time, deployment, spec, entryVms, new UpstreamEventForwarder(), seed));
     }
-    engines.values().forEach(EngineNode::start);
+    engines.values().forEach(EngineSimulator::start);
   }
 
   /**
@@ -103,18 +105,18 @@
     schedulers.get(vm).send(vm, message);
   }
 
-  private final class UpstreamEventForwarder implements UpstreamNews {
+  private final class UpstreamEventForwarder implements UpstreamEventListener {
 
     @Override
-    public void announced(Announcement announcement) {
+    public void onAnnouncement(Announcement announcement) {
       EntryMessage message = new EntryMessage.UpstreamSeen(announcement, 0);
-      time.after(network.upstreamNs(), () -> forwardUpstreamEvent(message));
+      time.scheduleAfter(network.upstreamNs(), () -> forwardUpstreamEvent(message));
     }
 
     @Override
-    public void cacheChanged(CacheEvent event) {
+    public void onCacheEvent(CacheEvent event) {
       EntryMessage message = new EntryMessage.CacheSeen(event);
-      time.after(network.upstreamNs(), () -> forwardUpstreamEvent(message));
+      time.scheduleAfter(network.upstreamNs(), () -> forwardUpstreamEvent(message));
     }
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/PoolConfiguration.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PoolConfigurationFactory.java
@@ -21,14 +21,14 @@
 import org.teaseltrail.load.workload.EngineSpec;
 
 /** Creates the scheduler's configuration for the engine pool of a deployment. */
-final class PoolConfiguration {
+final class PoolConfigurationFactory {
 
   /** Maximum backlog, in milliseconds of the pool's processing time. */
   private static final long MAX_WAITING_MS = 30_000;
 
-  private PoolConfiguration() {}
+  private PoolConfigurationFactory() {}
 
-  static Configuration of(Deployment deployment) {
+  static Configuration create(Deployment deployment) {
     Map<Tier, TierDefinition> tiers = new HashMap<>();
     deployment.tiers().forEach(t -> tiers.put(t, new TierDefinition(t, t.toString())));
     RouteId route = new RouteId(deployment.pool().value());
--- a/load/src/main/java/org/teaseltrail/load/policy/PrefillTally.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PrefillTotals.java
@@ -11,11 +11,11 @@
  *     contained
  * @param wastedTokens wasted tokens by cause
  */
-public record PrefillTally(
+public record PrefillTotals(
     long processedTokens,
     long cachedTokens,
     long perfectCachedTokens,
-    Map<PrefillWaste, Long> wastedTokens) {
+    Map<PrefillWasteCause, Long> wastedTokens) {
 
   /** Returns the fraction of processed tokens that was wasted. */
   public double wastedFraction() {
@@ -24,12 +24,12 @@
   }
 
   /** Returns the fraction of processed tokens that was wasted for the given cause. */
-  public double wastedFraction(PrefillWaste cause) {
+  public double wastedFraction(PrefillWasteCause cause) {
     return fraction(wastedTokens.getOrDefault(cause, 0L), processedTokens);
   }
 
   /** Returns the ratio of the cache hits to those of the ideal cache. */
-  public double hitsOfPerfect() {
+  public double hitRatioToIdeal() {
     return perfectCachedTokens == 0 ? 1 : fraction(cachedTokens, perfectCachedTokens);
   }
 
--- a/load/src/main/java/org/teaseltrail/load/policy/PrefillWaste.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/PrefillWasteCause.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.load.policy;
 
 /** Reason why prompt processing (prefill) was wasted. */
-public enum PrefillWaste {
+public enum PrefillWasteCause {
   /** Repeated, because no engine had the prefix in its cache any longer. */
   REPEATED_EVICTED("evicted"),
   /**
@@ -21,7 +21,7 @@
 
   private final String label;
 
-  PrefillWaste(String label) {
+  PrefillWasteCause(String label) {
     this.label = label;
   }
 
--- a/load/src/main/java/org/teaseltrail/load/policy/ResultCsv.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/ResultCsv.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import java.util.Map;
 import org.teaseltrail.core.id.Tier;
+import org.teaseltrail.load.measure.OutcomeCounter;
 import org.teaseltrail.load.measure.RequestOutcome;
-import org.teaseltrail.load.measure.TierTally;
 
 /** Formats results as CSV with one line for each run and tier. */
 public final class ResultCsv {
@@ -53,13 +53,13 @@
       columns.addAll(List.of(times + "_p50_us", times + "_p95_us", times + "_p99_us"));
     }
     columns.addAll(List.of("prefill_tokens", "cached_tokens", "perfect_cached_tokens"));
-    for (PrefillWaste cause : PrefillWaste.values()) {
+    for (PrefillWasteCause cause : PrefillWasteCause.values()) {
       columns.add(cause.name().toLowerCase(Locale.ROOT) + "_tokens");
     }
     return String.join(",", columns);
   }
 
-  private static String line(Scenario scenario, RunResult run, Tier tier, TierTally tally) {
+  private static String line(Scenario scenario, RunResult run, Tier tier, OutcomeCounter tally) {
     List<Object> cells = new ArrayList<>();
     cells.add(scenario.deployment().name());
     cells.add(scenario.load());
@@ -73,12 +73,12 @@
         cells.add(histograms.get(tier).getValueAtPercentile(percentile));
       }
     }
-    PrefillTally prefill = run.prefill();
+    PrefillTotals prefill = run.prefill();
     cells.add(prefill.processedTokens());
     cells.add(prefill.cachedTokens());
     cells.add(prefill.perfectCachedTokens());
-    Map<PrefillWaste, Long> wasted = prefill.wastedTokens();
-    for (PrefillWaste cause : PrefillWaste.values()) {
+    Map<PrefillWasteCause, Long> wasted = prefill.wastedTokens();
+    for (PrefillWasteCause cause : PrefillWasteCause.values()) {
       cells.add(wasted.getOrDefault(cause, 0L));
     }
     return String.join(",", cells.stream().map(Object::toString).toList());
--- a/load/src/main/java/org/teaseltrail/load/policy/ResultTable.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/ResultTable.java
@@ -46,9 +46,9 @@
     cells.add(group.policy().name());
     tiers.forEach(t -> cells.add(group.goodput(t).percent()));
     tiers.stream().skip(1).forEach(t -> cells.add(group.prefixGoodput(t).percent()));
-    cells.add(group.spread(r -> r.prefill().wastedFraction()).percent());
+    cells.add(group.statistics(r -> r.prefill().wastedFraction()).percent());
     cells.add(causes(group));
-    cells.add(group.spread(r -> r.prefill().hitsOfPerfect()).percent());
+    cells.add(group.statistics(r -> r.prefill().hitRatioToIdeal()).percent());
     tiers.forEach(t -> cells.add(firstToken(group, t)));
     tiers.forEach(t -> cells.add(String.format(Locale.ROOT, "%.1f", group.interTokenMs(t, P95))));
     return cells;
@@ -56,8 +56,8 @@
 
   private static String causes(GroupResult group) {
     List<String> parts = new ArrayList<>();
-    for (PrefillWaste cause : PrefillWaste.values()) {
-      double mean = group.spread(r -> r.prefill().wastedFraction(cause)).mean();
+    for (PrefillWasteCause cause : PrefillWasteCause.values()) {
+      double mean = group.statistics(r -> r.prefill().wastedFraction(cause)).mean();
       if (mean > 0) {
         parts.add(String.format(Locale.ROOT, "%s %.2f", cause.label(), mean * 100));
       }
--- a/load/src/main/java/org/teaseltrail/load/policy/Measures.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/RunMetrics.java
@@ -5,34 +5,34 @@
 import org.HdrHistogram.Histogram;
 import org.teaseltrail.core.id.Tier;
 import org.teaseltrail.core.id.UpstreamId;
+import org.teaseltrail.load.measure.OutcomeCounter;
 import org.teaseltrail.load.measure.RequestOutcome;
-import org.teaseltrail.load.measure.TierTally;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.KindSpec;
 
 /** Collects the metrics of one run. */
-final class Measures {
+final class RunMetrics {
 
   private static final int HISTOGRAM_DIGITS = 3;
   private static final double NS_PER_US = 1_000;
 
-  private final SortedMap<Tier, TierTally> tiers = new TreeMap<>();
-  private final SortedMap<String, TierTally> kinds = new TreeMap<>();
+  private final SortedMap<Tier, OutcomeCounter> tiers = new TreeMap<>();
+  private final SortedMap<String, OutcomeCounter> kinds = new TreeMap<>();
   private final SortedMap<Tier, Histogram> firstToken = new TreeMap<>();
   private final SortedMap<Tier, Histogram> interToken = new TreeMap<>();
-  private final PrefillLedger prefill;
+  private final PrefillWasteTracker prefill;
   private long decisions;
 
-  Measures(Deployment deployment) {
+  RunMetrics(Deployment deployment) {
     for (Tier tier : deployment.tiers()) {
-      tiers.put(tier, new TierTally());
+      tiers.put(tier, new OutcomeCounter());
       firstToken.put(tier, new Histogram(HISTOGRAM_DIGITS));
       interToken.put(tier, new Histogram(HISTOGRAM_DIGITS));
     }
     for (KindSpec kind : deployment.kinds()) {
-      kinds.put(kind.name(), new TierTally());
+      kinds.put(kind.name(), new OutcomeCounter());
     }
-    prefill = new PrefillLedger(deployment.engines());
+    prefill = new PrefillWasteTracker(deployment.engines());
   }
 
   void offered(TrackedRequest request) {
@@ -43,17 +43,17 @@
   }
 
   void prefilled(TrackedRequest request, UpstreamId engine, int cachedTokens, int processedTokens) {
-    PrefillLedger.Prefill done =
-        prefill.processed(
+    PrefillWasteTracker.PrefillCost done =
+        prefill.onProcessed(
             engine, request.blocks(), cachedTokens, processedTokens, request.counted());
     request.prefilled(done);
     // The outcome can be known before the prefill is reported: a caller disconnects, and only
     // later the engine receives the cancellation and reports what it has processed.
-    request.outcome().ifPresent(outcome -> prefill.ended(done, outcome));
+    request.outcome().ifPresent(outcome -> prefill.onRequestEnded(done, outcome));
   }
 
   void crashed(UpstreamId engine) {
-    prefill.crashed(engine);
+    prefill.onEngineCrashed(engine);
   }
 
   /** Records tokens that reach the caller at the given time. */
@@ -65,12 +65,12 @@
       Histogram histogram = histograms.get(request.planned().tier());
       histogram.recordValue((long) ((nowNs - sinceNs) / NS_PER_US));
     }
-    request.received(count, nowNs);
+    request.onTokensReceived(count, nowNs);
   }
 
   void ended(TrackedRequest request, RequestOutcome outcome) {
     request.end(outcome);
-    request.prefill().ifPresent(p -> prefill.ended(p, outcome));
+    request.prefill().ifPresent(p -> prefill.onRequestEnded(p, outcome));
     if (request.counted()) {
       tiers.get(request.planned().tier()).ended(outcome);
       kinds.get(request.planned().kind().name()).ended(outcome);
@@ -83,6 +83,6 @@
 
   RunResult result(String policy, long seed) {
     return new RunResult(
-        policy, seed, tiers, kinds, prefill.tally(), firstToken, interToken, decisions);
+        policy, seed, tiers, kinds, prefill.prefillTotals(), firstToken, interToken, decisions);
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/RunResult.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/RunResult.java
@@ -3,8 +3,8 @@
 import java.util.SortedMap;
 import org.HdrHistogram.Histogram;
 import org.teaseltrail.core.id.Tier;
+import org.teaseltrail.load.measure.OutcomeCounter;
 import org.teaseltrail.load.measure.RequestOutcome;
-import org.teaseltrail.load.measure.TierTally;
 
 /**
  * Metrics of one run.
@@ -21,9 +21,9 @@
 public record RunResult(
     String policy,
     long seed,
-    SortedMap<Tier, TierTally> tiers,
-    SortedMap<String, TierTally> kinds,
-    PrefillTally prefill,
+    SortedMap<Tier, OutcomeCounter> tiers,
+    SortedMap<String, OutcomeCounter> kinds,
+    PrefillTotals prefill,
     SortedMap<Tier, Histogram> firstTokenUs,
     SortedMap<Tier, Histogram> interTokenUs,
     long decisions) {
@@ -32,7 +32,7 @@
   public double prefixGoodput(Tier lowest) {
     long useful = 0;
     long offered = 0;
-    for (TierTally tally : tiers.headMap(new Tier(lowest.rank() + 1)).values()) {
+    for (OutcomeCounter tally : tiers.headMap(new Tier(lowest.rank() + 1)).values()) {
       useful += tally.count(RequestOutcome.USEFUL);
       offered += tally.offeredCount();
     }
--- a/load/src/main/java/org/teaseltrail/load/policy/Spread.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/SampleStatistics.java
@@ -11,16 +11,16 @@
  * @param min the minimum
  * @param max the maximum
  */
-public record Spread(double mean, double deviation, double min, double max) {
+public record SampleStatistics(double mean, double deviation, double min, double max) {
 
   /** Computes the statistics of one or more values. */
-  public static Spread of(List<Double> values) {
+  public static SampleStatistics of(List<Double> values) {
     double mean = values.stream().mapToDouble(v -> v).average().orElseThrow();
     double sumOfSquares = values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum();
     double deviation = values.size() < 2 ? 0 : Math.sqrt(sumOfSquares / (values.size() - 1));
     double min = values.stream().mapToDouble(v -> v).min().orElseThrow();
     double max = values.stream().mapToDouble(v -> v).max().orElseThrow();
-    return new Spread(mean, deviation, min, max);
+    return new SampleStatistics(mean, deviation, min, max);
   }
 
   /** Returns the mean and the standard deviation as percentages. */
--- a/load/src/main/java/org/teaseltrail/load/policy/Scenario.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/Scenario.java
@@ -4,7 +4,7 @@
 import org.teaseltrail.load.workload.Burst;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.PlannedRequest;
-import org.teaseltrail.load.workload.WorkloadPlan;
+import org.teaseltrail.load.workload.WorkloadPlanner;
 
 /**
  * Workload and fault under which a policy is simulated. Only requests that arrive in the
@@ -36,23 +36,26 @@
   }
 
   /** Returns the middle of the measurement interval. */
-  long middleNs() {
+  long measuredMiddleNs() {
     return warmUpNs + measuredNs / 2;
   }
 
   /** Returns the end of the first third of the measurement interval. */
-  long thirdNs() {
+  long measuredThirdNs() {
     return warmUpNs + measuredNs / 3;
   }
 
   List<PlannedRequest> plan(long seed) {
-    return new WorkloadPlan(deployment, load, bursts()).generations(endNs(), seed);
+    return new WorkloadPlanner(deployment, load, bursts()).planGenerations(endNs(), seed);
   }
 
   private List<Burst> bursts() {
     return fault == Fault.BURST
         ? List.of(
-            new Burst(middleNs(), middleNs() + measuredNs / BURST_DURATION_DIVISOR, BURST_FACTOR))
+            new Burst(
+                measuredMiddleNs(),
+                measuredMiddleNs() + measuredNs / BURST_DURATION_DIVISOR,
+                BURST_FACTOR))
         : List.of();
   }
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/SchedulerNode.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/SchedulerSimulator.java
@@ -9,16 +9,16 @@
 import org.teaseltrail.core.schedule.SchedulerEvent;
 
 /** Simulates one scheduler in virtual time; messages and claims have constant delays. */
-final class SchedulerNode {
+final class SchedulerSimulator {
 
   private static final long NO_TICK = Long.MAX_VALUE;
 
-  private final VirtualTime time;
+  private final VirtualTimeExecutor time;
   private final Scheduler scheduler;
   private final long delayNs;
   private final long claimNs;
   private final Consumer<SchedulerAction.Send> toEntry;
-  private final Measures measures;
+  private final RunMetrics measures;
   private long nextTickNs = NO_TICK;
 
   /**
@@ -28,13 +28,13 @@
    * @param claimNs time until a claim is committed
    * @param toEntry receives each message when it reaches its entry VM
    */
-  SchedulerNode(
-      VirtualTime time,
+  SchedulerSimulator(
+      VirtualTimeExecutor time,
       Scheduler scheduler,
       long delayNs,
       long claimNs,
       Consumer<SchedulerAction.Send> toEntry,
-      Measures measures) {
+      RunMetrics measures) {
     this.time = time;
     this.scheduler = scheduler;
     this.delayNs = delayNs;
@@ -45,7 +45,7 @@
 
   /** Sends a message from an entry VM to the scheduler. */
   void send(VmId vm, EntryMessage message) {
-    time.after(delayNs, () -> handle(new SchedulerEvent.FromEntry(vm, message)));
+    time.scheduleAfter(delayNs, () -> handle(new SchedulerEvent.FromEntry(vm, message)));
   }
 
   void handle(SchedulerEvent event) {
@@ -57,10 +57,10 @@
 
   private void execute(SchedulerAction action) {
     if (action instanceof SchedulerAction.Send send) {
-      time.after(delayNs, () -> toEntry.accept(send));
+      time.scheduleAfter(delayNs, () -> toEntry.accept(send));
     } else if (action instanceof SchedulerAction.CommitClaim commit) {
       var granted = new SchedulerEvent.ClaimGranted(commit.ticket().request());
-      time.after(claimNs, () -> handle(granted));
+      time.scheduleAfter(claimNs, () -> handle(granted));
     } else if (action instanceof SchedulerAction.Log) {
       measures.decision();
     }
@@ -71,7 +71,7 @@
     if (wakeupNs.isPresent() && wakeupNs.getAsLong() < nextTickNs) {
       long atNs = Math.max(wakeupNs.getAsLong(), time.nowNs() + 1);
       nextTickNs = atNs;
-      time.at(atNs, () -> tick(atNs));
+      time.scheduleAt(atNs, () -> tick(atNs));
     }
   }
 
--- a/load/src/main/java/org/teaseltrail/load/policy/TrackedRequest.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/TrackedRequest.java
@@ -25,7 +25,7 @@
   private final List<Long> blocks;
   private Optional<UpstreamId> upstream = Optional.empty();
   private Optional<RequestOutcome> outcome = Optional.empty();
-  private Optional<PrefillLedger.Prefill> prefill = Optional.empty();
+  private Optional<PrefillWasteTracker.PrefillCost> prefill = Optional.empty();
   private long dispatchedNs;
   private long lastTokenNs;
   private int tokens;
@@ -41,7 +41,7 @@
   /** Returns the ticket that the entry VM submits at the given time. */
   Ticket ticket(Deployment deployment, long nowNs) {
     long waitedMs = (nowNs - planned.atNs()) / NS_PER_MS;
-    long deadlineMs = planned.kind().sendsDeadline() ? usefulUntilNs() / NS_PER_MS : 0;
+    long deadlineMs = planned.kind().sendsDeadline() ? usefulDeadlineNs() / NS_PER_MS : 0;
     long remainingMs = deadlineMs == 0 ? 0 : Math.max(1, deadlineMs - nowNs / NS_PER_MS);
     return new Ticket(
         id,
@@ -87,11 +87,11 @@
     return blocks;
   }
 
-  long usefulUntilNs() {
+  long usefulDeadlineNs() {
     return planned.atNs() + planned.kind().usefulDeadlineMs() * NS_PER_MS;
   }
 
-  boolean ended() {
+  boolean hasEnded() {
     return outcome.isPresent();
   }
 
@@ -99,7 +99,7 @@
     return outcome;
   }
 
-  boolean dispatched() {
+  boolean isDispatched() {
     return upstream.isPresent();
   }
 
@@ -119,7 +119,7 @@
     return tokens;
   }
 
-  Optional<PrefillLedger.Prefill> prefill() {
+  Optional<PrefillWasteTracker.PrefillCost> prefill() {
     return prefill;
   }
 
@@ -129,21 +129,21 @@
   }
 
   /** Reverts the dispatch after the upstream refused the request before running it. */
-  void refusedByUpstream() {
+  void undoDispatch() {
     upstream = Optional.empty();
   }
 
-  void prefilled(PrefillLedger.Prefill done) {
+  void prefilled(PrefillWasteTracker.PrefillCost done) {
     prefill = Optional.of(done);
   }
 
-  void received(int count, long nowNs) {
+  void onTokensReceived(int count, long nowNs) {
     tokens += count;
     lastTokenNs = nowNs;
   }
 
   void end(RequestOutcome reached) {
-    if (ended()) {
+    if (hasEnded()) {
       throw new IllegalStateException(id + " already has the outcome " + outcome.get());
     }
     outcome = Optional.of(reached);
--- a/load/src/main/java/org/teaseltrail/load/policy/UpstreamNews.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/UpstreamEventListener.java
@@ -4,11 +4,11 @@
 import org.teaseltrail.core.upstream.CacheEvent;
 
 /** Receives the events that upstreams publish, at the virtual time at which they are published. */
-interface UpstreamNews {
+interface UpstreamEventListener {
 
   /** Called when an upstream announces its state. */
-  void announced(Announcement announcement);
+  void onAnnouncement(Announcement announcement);
 
   /** Called when an engine reports a change of its cache content. */
-  void cacheChanged(CacheEvent event);
+  void onCacheEvent(CacheEvent event);
 }
--- a/load/src/main/java/org/teaseltrail/load/policy/VirtualTime.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/VirtualTimeExecutor.java
@@ -7,7 +7,7 @@
  * Executor of a discrete-event simulation: runs tasks by their scheduled virtual time, and tasks
  * with equal times in the order in which they were added.
  */
-final class VirtualTime {
+final class VirtualTimeExecutor {
 
   private final PriorityQueue<Task> tasks =
       new PriorityQueue<>(Comparator.comparingLong(Task::atNs).thenComparingLong(Task::number));
@@ -19,13 +19,13 @@
   }
 
   /** Schedules a task at a time; a time in the past is treated as the current time. */
-  void at(long atNs, Runnable action) {
+  void scheduleAt(long atNs, Runnable action) {
     tasks.add(new Task(Math.max(atNs, nowNs), nextNumber++, action));
   }
 
   /** Schedules a task after a delay. */
-  void after(long delayNs, Runnable action) {
-    at(nowNs + delayNs, action);
+  void scheduleAfter(long delayNs, Runnable action) {
+    scheduleAt(nowNs + delayNs, action);
   }
 
   /** Runs all tasks that are due until the given time, inclusive. */
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/Baseline.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/Baseline.java
@@ -11,28 +11,28 @@
   ROUND_ROBIN {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
-      return new ImmediateDispatch(UpstreamChoice.ROUND_ROBIN, seed);
+      return new ImmediateDispatchScheduler(UpstreamSelector.ROUND_ROBIN, seed);
     }
   },
   /** Selects the upstream with the least load in its last announcement. */
   LEAST_LOADED {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
-      return new ImmediateDispatch(UpstreamChoice.LEAST_LOADED, seed);
+      return new ImmediateDispatchScheduler(UpstreamSelector.LEAST_LOADED, seed);
     }
   },
   /** Selects the less loaded of two randomly chosen upstreams, by their last announcements. */
   POWER_OF_TWO {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
-      return new ImmediateDispatch(UpstreamChoice.POWER_OF_TWO, seed);
+      return new ImmediateDispatchScheduler(UpstreamSelector.POWER_OF_TWO, seed);
     }
   },
   /** Keeps a priority queue on each VM. */
   VM_QUEUE {
     @Override
     public Scheduler create(int vmCount, int maxWaitingInFleet, long seed) {
-      return new VmPriorityQueue(vmCount, maxWaitingInFleet);
+      return new VmPriorityQueueScheduler(vmCount, maxWaitingInFleet);
     }
   };
 
