--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/ImmediateDispatch.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/ImmediateDispatchScheduler.java
@@ -21,18 +21,18 @@
  * Dispatches each request on arrival, so that the backlog builds up in the engines. Each VM runs
  * its own instance, which has no information about the requests of other VMs.
  */
-final class ImmediateDispatch implements Scheduler {
+final class ImmediateDispatchScheduler implements Scheduler {
 
   private static final FencingNumber NO_FENCING = new FencingNumber(0);
 
-  private final UpstreamChoice choice;
+  private final UpstreamSelector choice;
   private final SplittableRandom random;
-  private final KnownUpstreams upstreams = new KnownUpstreams();
+  private final UpstreamTracker upstreams = new UpstreamTracker();
   private final Map<RequestId, Offered> waiting = new LinkedHashMap<>();
   private final Map<RequestId, Offered> granted = new LinkedHashMap<>();
   private long turn;
 
-  ImmediateDispatch(UpstreamChoice choice, long seed) {
+  ImmediateDispatchScheduler(UpstreamSelector choice, long seed) {
     this.choice = choice;
     this.random = new SplittableRandom(seed);
   }
@@ -56,7 +56,7 @@
     } else if (message instanceof EntryMessage.Withdraw withdraw) {
       waiting.remove(withdraw.request());
     } else if (message instanceof EntryMessage.Declined declined) {
-      upstreams.avoid(declined.upstream());
+      upstreams.eject(declined.upstream());
       Offered returned = granted.remove(declined.request());
       if (returned != null) {
         waiting.put(declined.request(), returned);
@@ -75,7 +75,7 @@
     }
     List<SchedulerAction> actions = new ArrayList<>();
     for (Offered offered : waiting.values()) {
-      Announcement chosen = choice.choose(serving, turn++, random);
+      Announcement chosen = choice.select(serving, turn++, random);
       granted.put(offered.ticket().request(), offered);
       actions.add(grant(offered, chosen));
     }
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/UpstreamChoice.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/UpstreamSelector.java
@@ -6,18 +6,18 @@
 import org.teaseltrail.core.upstream.Announcement;
 
 /** Strategy for selecting an upstream by the last announcements. */
-enum UpstreamChoice {
+enum UpstreamSelector {
   /** Round robin. */
   ROUND_ROBIN {
     @Override
-    Announcement choose(List<Announcement> serving, long turn, RandomGenerator random) {
+    Announcement select(List<Announcement> serving, long turn, RandomGenerator random) {
       return serving.get((int) (turn % serving.size()));
     }
   },
   /** Selects the upstream with the least reported load; ties are broken at random. */
   LEAST_LOADED {
     @Override
-    Announcement choose(List<Announcement> serving, long turn, RandomGenerator random) {
+    Announcement select(List<Announcement> serving, long turn, RandomGenerator random) {
       int offset = random.nextInt(serving.size());
       Announcement best = serving.get(offset);
       for (int i = 1; i < serving.size(); i++) {
@@ -29,7 +29,7 @@
   /** Picks two upstreams at random and selects the one with less reported load. */
   POWER_OF_TWO {
     @Override
-    Announcement choose(List<Announcement> serving, long turn, RandomGenerator random) {
+    Announcement select(List<Announcement> serving, long turn, RandomGenerator random) {
       Announcement first = serving.get(random.nextInt(serving.size()));
       Announcement second = serving.get(random.nextInt(serving.size()));
       return lessLoaded(first, second);
@@ -37,10 +37,10 @@
   };
 
   private static final Comparator<Announcement> BY_LOAD =
-      Comparator.comparingDouble(UpstreamChoice::reportedLoad);
+      Comparator.comparingDouble(UpstreamSelector::reportedLoad);
 
   /** Selects one of the given upstreams, of which there is at least one. */
-  abstract Announcement choose(List<Announcement> serving, long turn, RandomGenerator random);
+  abstract Announcement select(List<Announcement> serving, long turn, RandomGenerator random);
 
   private static Announcement lessLoaded(Announcement first, Announcement second) {
     return BY_LOAD.compare(first, second) <= 0 ? first : second;
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/KnownUpstreams.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/UpstreamTracker.java
@@ -12,7 +12,7 @@
  * Tracks the state of the upstreams as one VM knows it from their announcements. Due to the network
  * delay, the announced state is already outdated on arrival.
  */
-final class KnownUpstreams {
+final class UpstreamTracker {
 
   private static final long NS_PER_MS = 1_000_000;
 
@@ -30,7 +30,7 @@
   }
 
   /** Ejects an upstream until its next announcement. */
-  void avoid(UpstreamId upstream) {
+  void eject(UpstreamId upstream) {
     known.computeIfPresent(
         upstream, (id, k) -> new KnownUpstream(k.announcement(), k.heardNs(), true));
   }
--- a/load/src/main/java/org/teaseltrail/load/policy/baseline/VmPriorityQueue.java
+++ b/load/src/main/java/org/teaseltrail/load/policy/baseline/VmPriorityQueueScheduler.java
@@ -28,14 +28,14 @@
  * number of waiting requests exceeds the VM's share of the fleet's limit, the newest request of the
  * lowest tier is shed.
  */
-final class VmPriorityQueue implements Scheduler {
+final class VmPriorityQueueScheduler implements Scheduler {
 
   private static final FencingNumber NO_FENCING = new FencingNumber(0);
   private static final long RETRY_AFTER_MS = 1_000;
 
   private final int vmCount;
   private final int maxWaiting;
-  private final KnownUpstreams upstreams = new KnownUpstreams();
+  private final UpstreamTracker upstreams = new UpstreamTracker();
   private final TreeSet<Waiting> queue =
       new TreeSet<>(
           Comparator.<Waiting>comparingInt(w -> w.ticket().tier().rank())
@@ -43,7 +43,7 @@
   private final Map<RequestId, Running> running = new HashMap<>();
   private long offers;
 
-  VmPriorityQueue(int vmCount, int maxWaitingInFleet) {
+  VmPriorityQueueScheduler(int vmCount, int maxWaitingInFleet) {
     this.vmCount = vmCount;
     this.maxWaiting = Math.max(1, maxWaitingInFleet / vmCount);
   }
@@ -70,7 +70,7 @@
     } else if (message instanceof EntryMessage.Withdraw withdraw) {
       queue.removeIf(w -> w.ticket().request().equals(withdraw.request()));
     } else if (message instanceof EntryMessage.Declined declined) {
-      upstreams.avoid(declined.upstream());
+      upstreams.eject(declined.upstream());
       Running returned = running.remove(declined.request());
       if (returned != null) {
         queue.add(returned.waiting());
--- a/load/src/main/java/org/teaseltrail/load/prepare/DeploymentFolder.java
+++ b/load/src/main/java/org/teaseltrail/load/prepare/DeploymentFolderWriter.java
@@ -34,7 +34,7 @@
  * secrets, API keys, the configuration change ({@code apply.json}) and the list of programs to
  * start ({@code programs}, each line with a name, a program and its arguments).
  */
-public final class DeploymentFolder {
+public final class DeploymentFolderWriter {
 
   private static final int SECRET_BYTES = 24;
   private static final long MAX_WAITING_MS = 30_000;
@@ -48,7 +48,7 @@
 
   private final Deployment deployment;
   private final Path folder;
-  private final Ports ports;
+  private final LoopbackAddresses ports;
   private final int members;
   private final int entries;
   private final int services;
@@ -66,11 +66,11 @@
    * @param entries number of entry VMs
    * @param services number of processes of the plain service
    */
-  public DeploymentFolder(
+  public DeploymentFolderWriter(
       Deployment deployment, Path folder, int basePort, int members, int entries, int services) {
     this.deployment = deployment;
     this.folder = folder.toAbsolutePath();
-    this.ports = new Ports(basePort);
+    this.ports = new LoopbackAddresses(basePort);
     this.members = members;
     this.entries = entries;
     this.services = services;
--- a/load/src/main/java/org/teaseltrail/load/prepare/Ports.java
+++ b/load/src/main/java/org/teaseltrail/load/prepare/LoopbackAddresses.java
@@ -5,7 +5,7 @@
  *
  * @param base the base port, to which offsets are added
  */
-record Ports(int base) {
+record LoopbackAddresses(int base) {
 
   private static final int OPERATORS_OFFSET = 10;
   private static final int METRICS_OFFSET = 20;
--- a/load/src/main/java/org/teaseltrail/load/workload/Conversations.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/ConversationStore.java
@@ -9,7 +9,7 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /** Store of recent conversations by kind and customer, from which follow-up requests continue. */
-final class Conversations {
+final class ConversationStore {
 
   /** Minimum time between a request and its follow-up, in which the user reads the response. */
   private static final long PAUSE_NS = 10_000_000_000L;
--- a/load/src/main/java/org/teaseltrail/load/workload/DeploymentReader.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/DeploymentReader.java
@@ -15,7 +15,7 @@
           .propertyNamingStrategy(PropertyNamingStrategies.SNAKE_CASE)
           .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
           .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES)
-          .addModule(IdsAsText.module())
+          .addModule(IdDeserializers.module())
           .build();
 
   private DeploymentReader() {}
--- a/load/src/main/java/org/teaseltrail/load/workload/IdsAsText.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/IdDeserializers.java
@@ -17,9 +17,9 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /** Jackson module that deserializes ids from strings and tiers from their ranks. */
-final class IdsAsText {
+final class IdDeserializers {
 
-  private IdsAsText() {}
+  private IdDeserializers() {}
 
   static SimpleModule module() {
     SimpleModule module = new SimpleModule("ids-as-text");
--- a/load/src/main/java/org/teaseltrail/load/workload/LengthSpec.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/LengthSpec.java
@@ -27,7 +27,7 @@
   }
 
   /** Samples a length. */
-  public int draw(RandomGenerator random) {
+  public int sample(RandomGenerator random) {
     double tokens = medianTokens * Math.exp(sigma * random.nextGaussian());
     return (int) Math.max(minTokens, Math.min(maxTokens, Math.round(tokens)));
   }
--- a/load/src/main/java/org/teaseltrail/load/workload/PoolCapacity.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/PoolCapacity.java
@@ -47,12 +47,13 @@
   }
 
   private Means means(KindSpec kind) {
-    RequestDrawer drawer = new RequestDrawer(deployment, kind, new SplittableRandom(SAMPLE_SEED));
+    RequestGenerator drawer =
+        new RequestGenerator(deployment, kind, new SplittableRandom(SAMPLE_SEED));
     Set<Long> seen = new HashSet<>();
     double prefillTokens = 0;
     double outputTokens = 0;
     for (int i = 0; i < SAMPLES; i++) {
-      PlannedRequest request = drawer.draw((long) (i * NS_PER_SECOND));
+      PlannedRequest request = drawer.generate((long) (i * NS_PER_SECOND));
       long cachedBlocks = request.prompt().blocks().stream().filter(b -> !seen.add(b)).count();
       prefillTokens += request.prompt().tokens() - cachedBlocks * Prompt.BLOCK_TOKENS;
       outputTokens += request.outputTokens();
--- a/load/src/main/java/org/teaseltrail/load/workload/Prompt.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/Prompt.java
@@ -33,7 +33,7 @@
   }
 
   /** Returns a prompt that consists of this prompt and the given segments. */
-  public Prompt then(Segment... more) {
+  public Prompt append(Segment... more) {
     List<Segment> all = new ArrayList<>(segments);
     all.addAll(List.of(more));
     return new Prompt(all);
--- a/load/src/main/java/org/teaseltrail/load/workload/RequestDrawer.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/RequestGenerator.java
@@ -5,31 +5,31 @@
 import org.teaseltrail.core.id.CustomerId;
 
 /** Generates random requests of one kind: customer, prompt and response length. */
-final class RequestDrawer {
+final class RequestGenerator {
 
   private final Deployment deployment;
   private final KindSpec kind;
   private final SplittableRandom random;
-  private final Conversations conversations = new Conversations();
+  private final ConversationStore conversations = new ConversationStore();
 
-  RequestDrawer(Deployment deployment, KindSpec kind, SplittableRandom random) {
+  RequestGenerator(Deployment deployment, KindSpec kind, SplittableRandom random) {
     this.deployment = deployment;
     this.kind = kind;
     this.random = random;
   }
 
-  PlannedRequest draw(long atNs) {
+  PlannedRequest generate(long atNs) {
     CustomerId customer = sampleCustomer();
-    Prompt prompt = prefix(customer, atNs).then(sampleSegment(kind.promptTokens()));
-    int outputTokens = kind.outputTokens().draw(random);
-    Prompt withAnswer = prompt.then(new Segment(random.nextLong(), outputTokens));
+    Prompt prompt = prefix(customer, atNs).append(sampleSegment(kind.promptTokens()));
+    int outputTokens = kind.outputTokens().sample(random);
+    Prompt withAnswer = prompt.append(new Segment(random.nextLong(), outputTokens));
     conversations.add(kind, customer, atNs, withAnswer);
     return new PlannedRequest(
         0, atNs, kind, customer, deployment.tierOf(kind), prompt, outputTokens);
   }
 
   /** Samples the time until the next request at a given rate from an exponential distribution. */
-  long drawGapNs(double ratePerSecond) {
+  long sampleInterArrivalNs(double ratePerSecond) {
     return (long) (-Math.log(1 - random.nextDouble()) / ratePerSecond * 1e9);
   }
 
@@ -49,7 +49,7 @@
   }
 
   private Segment sampleSegment(LengthSpec length) {
-    return new Segment(random.nextLong(), length.draw(random));
+    return new Segment(random.nextLong(), length.sample(random));
   }
 
   private CustomerId sampleCustomer() {
--- a/load/src/main/java/org/teaseltrail/load/workload/WorkloadPlan.java
+++ b/load/src/main/java/org/teaseltrail/load/workload/WorkloadPlanner.java
@@ -11,7 +11,7 @@
  * offer the same requests, independent of how the system handles them, so that their results can be
  * compared in pairs.
  */
-public final class WorkloadPlan {
+public final class WorkloadPlanner {
 
   private final Deployment deployment;
   private final double load;
@@ -24,7 +24,7 @@
    * @param load the offered load as a factor of the pool's capacity
    * @param bursts intervals with a higher load
    */
-  public WorkloadPlan(Deployment deployment, double load, List<Burst> bursts) {
+  public WorkloadPlanner(Deployment deployment, double load, List<Burst> bursts) {
     this.deployment = deployment;
     this.load = load;
     this.bursts = List.copyOf(bursts);
@@ -36,7 +36,7 @@
    * @param durationNs time until which requests are sent
    * @param seed seed of the random workload
    */
-  public List<PlannedRequest> generations(long durationNs, long seed) {
+  public List<PlannedRequest> planGenerations(long durationNs, long seed) {
     return plan(durationNs, seed, List.of(RequestKind.GENERATION));
   }
 
@@ -46,7 +46,7 @@
    * @param durationNs time until which requests are sent
    * @param seed seed of the random workload
    */
-  public List<PlannedRequest> all(long durationNs, long seed) {
+  public List<PlannedRequest> planAll(long durationNs, long seed) {
     return plan(durationNs, seed, List.of(RequestKind.values()));
   }
 
@@ -65,12 +65,12 @@
 
   private List<PlannedRequest> planKind(KindSpec kind, long durationNs, SplittableRandom random) {
     double ratePerSecond = new PoolCapacity(deployment).ratePerSecond(kind) * load;
-    RequestDrawer drawer = new RequestDrawer(deployment, kind, random);
+    RequestGenerator drawer = new RequestGenerator(deployment, kind, random);
     List<PlannedRequest> requests = new ArrayList<>();
-    long atNs = drawer.drawGapNs(ratePerSecond * factorAt(0));
+    long atNs = drawer.sampleInterArrivalNs(ratePerSecond * factorAt(0));
     while (atNs < durationNs) {
-      requests.add(drawer.draw(atNs));
-      atNs += drawer.drawGapNs(ratePerSecond * factorAt(atNs));
+      requests.add(drawer.generate(atNs));
+      atNs += drawer.sampleInterArrivalNs(ratePerSecond * factorAt(atNs));
     }
     return requests;
   }
--- a/load/src/test/java/org/teaseltrail/load/http/SseDecoderTest.java
+++ b/load/src/test/java/org/teaseltrail/load/http/SseDecoderTest.java
@@ -12,7 +12,7 @@
       "event: token\nid: 0\ndata: {\"seq\":0}\n\nevent: outcome\r\ndata: {\"a\":1}\r\n\r\n";
 
   @Test
-  void eventsAreTheSameHoweverTheStreamIsCut() {
+  void eventsDoNotDependOnChunkBoundaries() {
     List<SseEvent> whole = new SseDecoder().feed(STREAM);
 
     assertThat(whole)
--- a/load/src/test/java/org/teaseltrail/load/policy/PolicyRunTest.java
+++ b/load/src/test/java/org/teaseltrail/load/policy/PolicyRunTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
+import org.teaseltrail.load.measure.OutcomeCounter;
 import org.teaseltrail.load.measure.RequestOutcome;
-import org.teaseltrail.load.measure.TierTally;
 import org.teaseltrail.load.policy.baseline.Baseline;
 import org.teaseltrail.load.workload.Deployment;
 import org.teaseltrail.load.workload.DeploymentReader;
@@ -31,21 +31,21 @@
    */
   @ParameterizedTest
   @MethodSource("policiesAndFaults")
-  void eachOfferedRequestEndsInOneClass(Policy policy, Fault fault) {
+  void eachOfferedRequestEndsWithOneOutcome(Policy policy, Fault fault) {
     RunResult result = new PolicyRun(scenario(1.5, fault), policy, SEED).run();
 
-    for (TierTally tally : result.tiers().values()) {
+    for (OutcomeCounter tally : result.tiers().values()) {
       assertThat(tally.offeredCount()).isPositive();
       assertThat(tally.endedCount()).isEqualTo(tally.offeredCount());
     }
     assertThat(total(result.kinds().values())).isEqualTo(total(result.tiers().values()));
-    PrefillTally prefill = result.prefill();
+    PrefillTotals prefill = result.prefill();
     assertThat(prefill.wastedFraction()).isBetween(0.0, 1.0);
     assertThat(prefill.cachedTokens()).isPositive();
   }
 
   @Test
-  void equalSeedsGiveTheGoldenResult() throws IOException {
+  void equalSeedsProduceGoldenResult() throws IOException {
     Scenario scenario = scenario(1.5, Fault.CRASH);
     List<Policy> policies = List.of(Policy.of(Baseline.POWER_OF_TWO), Policy.of(Baseline.VM_QUEUE));
 
@@ -72,7 +72,7 @@
     long failed =
         result.tiers().values().stream().mapToLong(t -> t.count(RequestOutcome.FAILED)).sum();
     assertThat(failed).isPositive();
-    assertThat(result.prefill().wastedTokens()).containsKey(PrefillWaste.DISCARDED_FAILURE);
+    assertThat(result.prefill().wastedTokens()).containsKey(PrefillWasteCause.DISCARDED_FAILURE);
   }
 
   private static Stream<Arguments> policiesAndFaults() {
@@ -86,8 +86,8 @@
         .lines();
   }
 
-  private static long total(Collection<TierTally> tallies) {
-    return tallies.stream().mapToLong(TierTally::offeredCount).sum();
+  private static long total(Collection<OutcomeCounter> tallies) {
+    return tallies.stream().mapToLong(OutcomeCounter::offeredCount).sum();
   }
 
   /**
--- a/load/src/test/java/org/teaseltrail/load/policy/PrefillLedgerTest.java
+++ b/load/src/test/java/org/teaseltrail/load/policy/PrefillWasteTrackerTest.java
@@ -10,53 +10,54 @@
 import org.teaseltrail.load.measure.RequestOutcome;
 import org.teaseltrail.load.workload.EngineSpec;
 
-class PrefillLedgerTest {
+class PrefillWasteTrackerTest {
 
   private static final UpstreamId ONE = new UpstreamId("one");
   private static final UpstreamId TWO = new UpstreamId("two");
 
-  private final PrefillLedger ledger = new PrefillLedger(List.of(engine(ONE), engine(TWO)));
+  private final PrefillWasteTracker ledger =
+      new PrefillWasteTracker(List.of(engine(ONE), engine(TWO)));
 
   @Test
-  void firstProcessingIsNoWaste() {
+  void firstProcessingIsNotWasted() {
     process(ONE, List.of(1L, 2L), 0, RequestOutcome.USEFUL);
 
-    assertThat(ledger.tally().wastedFraction()).isZero();
+    assertThat(ledger.prefillTotals().wastedFraction()).isZero();
   }
 
   @Test
-  void prefixProcessedAgainIsWastedByItsCause() {
+  void repeatedPrefillIsCountedByCause() {
     process(ONE, List.of(1L, 2L), 0, RequestOutcome.USEFUL);
     process(TWO, List.of(1L, 2L), 0, RequestOutcome.USEFUL);
-    ledger.crashed(ONE);
-    ledger.crashed(TWO);
+    ledger.onEngineCrashed(ONE);
+    ledger.onEngineCrashed(TWO);
     process(ONE, List.of(1L, 2L), 0, RequestOutcome.USEFUL);
     process(ONE, List.of(1L, 2L), 256, RequestOutcome.USEFUL);
 
-    PrefillTally tally = ledger.tally();
+    PrefillTotals tally = ledger.prefillTotals();
     assertThat(tally.wastedTokens())
-        .containsEntry(PrefillWaste.REPEATED_ELSEWHERE, 512L + 256L)
-        .containsEntry(PrefillWaste.REPEATED_EVICTED, 512L);
-    assertThat(tally.hitsOfPerfect()).isCloseTo(256.0 / (3 * 512), within(1e-9));
+        .containsEntry(PrefillWasteCause.REPEATED_ELSEWHERE, 512L + 256L)
+        .containsEntry(PrefillWasteCause.REPEATED_EVICTED, 512L);
+    assertThat(tally.hitRatioToIdeal()).isCloseTo(256.0 / (3 * 512), within(1e-9));
   }
 
   @Test
-  void discardedPromptIsWastedOnce() {
+  void discardedPromptCountsAsWastedOnce() {
     process(ONE, List.of(1L, 2L), 0, RequestOutcome.USEFUL);
     process(TWO, List.of(1L, 2L), 0, RequestOutcome.HUNG_UP);
 
-    assertThat(ledger.tally().wastedTokens())
-        .containsOnlyKeys(PrefillWaste.DISCARDED_CANCEL)
-        .containsEntry(PrefillWaste.DISCARDED_CANCEL, 512L);
+    assertThat(ledger.prefillTotals().wastedTokens())
+        .containsOnlyKeys(PrefillWasteCause.DISCARDED_CANCEL)
+        .containsEntry(PrefillWasteCause.DISCARDED_CANCEL, 512L);
   }
 
   @Test
-  void cacheDropsTheEndOfTheChainUsedLongestAgo() {
-    BlockCache cache = new BlockCache(3 * 256);
-    cache.use(List.of(1L, 2L));
-    cache.use(List.of(3L, 4L));
+  void cacheEvictsTailOfLeastRecentlyUsedChain() {
+    LruBlockCache cache = new LruBlockCache(3 * 256);
+    cache.lookUpAndStore(List.of(1L, 2L));
+    cache.lookUpAndStore(List.of(3L, 4L));
 
-    assertThat(cache.use(List.of(1L, 2L))).isEqualTo(256);
+    assertThat(cache.lookUpAndStore(List.of(1L, 2L))).isEqualTo(256);
   }
 
   private static EngineSpec engine(UpstreamId id) {
@@ -65,6 +66,6 @@
 
   private void process(UpstreamId engine, List<Long> blocks, int cached, RequestOutcome outcome) {
     int processed = blocks.size() * 256 - cached;
-    ledger.ended(ledger.processed(engine, blocks, cached, processed, true), outcome);
+    ledger.onRequestEnded(ledger.onProcessed(engine, blocks, cached, processed, true), outcome);
   }
 }
--- a/load/src/test/java/org/teaseltrail/load/workload/WorkloadPlanTest.java
+++ b/load/src/test/java/org/teaseltrail/load/workload/WorkloadPlannerTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class WorkloadPlanTest {
+class WorkloadPlannerTest {
 
   private static final long MINUTE_NS = 60_000_000_000L;
 
   @ParameterizedTest
   @ValueSource(strings = {"gopherfield", "cymru"})
-  void sizesAreThoseOfTheBrief(String name) {
+  void deploymentsHaveSpecifiedSizes(String name) {
     Deployment deployment = DeploymentReader.read(name);
 
     assertThat(deployment.customers()).hasSize(5);
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void equalSeedsOfferEqualRequests() {
+  void equalSeedsPlanEqualRequests() {
     assertThat(plan("cymru", 1.5, 7)).isEqualTo(plan("cymru", 1.5, 7));
     assertThat(plan("cymru", 1.5, 7)).isNotEqualTo(plan("cymru", 1.5, 8));
   }
@@ -51,22 +51,22 @@
   }
 
   @Test
-  void burstsRaiseTheRateWithinTheirTime() {
+  void burstsRaiseRateDuringTheirInterval() {
     Deployment deployment = DeploymentReader.read("gopherfield");
     Burst burst = new Burst(MINUTE_NS / 2, MINUTE_NS, 4);
 
     List<PlannedRequest> requests =
-        new WorkloadPlan(deployment, 1, List.of(burst)).generations(MINUTE_NS, 5);
+        new WorkloadPlanner(deployment, 1, List.of(burst)).planGenerations(MINUTE_NS, 5);
 
     long before = requests.stream().filter(r -> r.atNs() < MINUTE_NS / 2).count();
     assertThat((double) (requests.size() - before) / before).isCloseTo(4, within(0.6));
   }
 
   @Test
-  void promptsThatBeginAlikeShareTheirBlocks() {
-    Prompt first = new Prompt(List.of(new Segment(1, 600))).then(new Segment(2, 300));
-    Prompt second = first.then(new Segment(3, 500));
-    Prompt other = new Prompt(List.of(new Segment(1, 600))).then(new Segment(4, 300));
+  void promptsWithCommonPrefixShareBlocks() {
+    Prompt first = new Prompt(List.of(new Segment(1, 600))).append(new Segment(2, 300));
+    Prompt second = first.append(new Segment(3, 500));
+    Prompt other = new Prompt(List.of(new Segment(1, 600))).append(new Segment(4, 300));
 
     assertThat(first.blocks()).hasSize(3);
     assertThat(second.blocks().subList(0, 3)).isEqualTo(first.blocks());
@@ -76,13 +76,13 @@
   }
 
   @Test
-  void unknownDeploymentIsRefused() {
+  void unknownDeploymentIsRejected() {
     assertThatThrownBy(() -> DeploymentReader.read("nowhere"))
         .isInstanceOf(InvalidWorkloadException.class);
   }
 
   private static List<PlannedRequest> plan(String name, double load, long seed) {
-    return new WorkloadPlan(DeploymentReader.read(name), load, List.of())
-        .generations(MINUTE_NS, seed);
+    return new WorkloadPlanner(DeploymentReader.read(name), load, List.of())
+        .planGenerations(MINUTE_NS, seed);
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/PartLogger.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/ComponentLogger.java
@@ -6,10 +6,10 @@
 /**
  * Logger of one component of a program; prefixes each line with the component's name.
  *
- * <p>Example: {@code new PartLogger("entry").info("Listens on " + address + ".")} writes {@code
- * [entry] Listens on 127.0.0.1:8080.}
+ * <p>Example: {@code new ComponentLogger("entry").info("Listens on " + address + ".")} writes
+ * {@code [entry] Listens on 127.0.0.1:8080.}
  */
-public final class PartLogger {
+public final class ComponentLogger {
 
   private static final String NAME_PREFIX = "org.teaseltrail.";
 
@@ -21,7 +21,7 @@
    *
    * @param part the component's name in lower case, such as {@code entry}
    */
-  public PartLogger(String part) {
+  public ComponentLogger(String part) {
     this.logger = System.getLogger(NAME_PREFIX + part);
     this.prefix = "[" + part + "] ";
   }
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/DecisionLog.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/DecisionLog.java
@@ -10,14 +10,14 @@
  */
 public final class DecisionLog {
 
-  private final PartLogger logger;
+  private final ComponentLogger logger;
 
   /**
    * Creates the decision log of a component.
    *
    * @param logger the component's logger
    */
-  public DecisionLog(PartLogger logger) {
+  public DecisionLog(ComponentLogger logger) {
     this.logger = logger;
   }
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/EventLog.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/EventLog.java
@@ -42,7 +42,7 @@
 
   private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
   private final AtomicLong unreportedDrops = new AtomicLong();
-  private final AtomicLong droppedInAll = new AtomicLong();
+  private final AtomicLong droppedLines = new AtomicLong();
   private final OutputStream out;
   private final String program;
   private final String vm;
@@ -81,8 +81,8 @@
    *
    * @return lines dropped because the queue was full or the rate limit was reached
    */
-  public long droppedInAll() {
-    return droppedInAll.get();
+  public long droppedLines() {
+    return droppedLines.get();
   }
 
   /** Writes the queued lines, waiting at most a fixed time. */
@@ -129,7 +129,7 @@
 
   private void countDrop() {
     unreportedDrops.incrementAndGet();
-    droppedInAll.incrementAndGet();
+    droppedLines.incrementAndGet();
   }
 
   /** Builder for one line. */
@@ -210,7 +210,7 @@
     }
 
     /** Queues a routine line, or drops it if the rate limit is reached. */
-    public void writeRoutine() {
+    public void writeRateLimited() {
       if (tryAcquirePermit()) {
         write();
       } else {
@@ -219,7 +219,7 @@
     }
 
     private StringBuilder name(LogField field) {
-      if (!event.has(field)) {
+      if (!event.hasField(field)) {
         throw new IllegalArgumentException(event + " has no field " + field);
       }
       return text.append(",\"").append(field.text()).append("\":");
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/LogEvent.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/LogEvent.java
@@ -125,7 +125,7 @@
    * @param field the field
    * @return false if lines of this event never have it
    */
-  public boolean has(LogField field) {
+  public boolean hasField(LogField field) {
     return fields.contains(field);
   }
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/LogSettings.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/LogSettings.java
@@ -1,8 +1,8 @@
 package org.teaseltrail.runtime.log;
 
 import java.util.List;
-import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.Setting;
+import org.teaseltrail.runtime.settings.ValueKinds;
 
 /** Logging settings, which every program has. */
 public final class LogSettings {
@@ -10,14 +10,18 @@
   /** Format of the log lines. */
   public static final Setting<LogFormat> FORMAT =
       Setting.withDefault(
-          "log", "format", Kinds.choice(LogFormat.class), "text", "How log lines are written.");
+          "log",
+          "format",
+          ValueKinds.choice(LogFormat.class),
+          "text",
+          "How log lines are written.");
 
   /** Minimum severity of the lines that are written. */
   public static final Setting<LogLevel> LEVEL =
       Setting.withDefault(
           "log",
           "level",
-          Kinds.choice(LogLevel.class),
+          ValueKinds.choice(LogLevel.class),
           "info",
           "Least severity that is written. Decision lines are of severity info.");
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/ProgramMain.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/ProgramMain.java
@@ -11,11 +11,11 @@
 import net.sourceforge.argparse4j.inf.ArgumentParser;
 import net.sourceforge.argparse4j.inf.ArgumentParserException;
 import net.sourceforge.argparse4j.inf.Namespace;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.runtime.log.LogSettings;
 import org.teaseltrail.runtime.log.LogSetup;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.settings.InvalidSettingsException;
 import org.teaseltrail.runtime.settings.Settings;
-import org.teaseltrail.runtime.settings.SettingsInvalidException;
 import org.teaseltrail.runtime.settings.SettingsReader;
 
 /**
@@ -31,7 +31,7 @@
   private static final String CHECK_SETTINGS = "check_settings";
   private static final String PRINT_SETTINGS = "print_settings";
 
-  private final PartLogger logger = new PartLogger("process");
+  private final ComponentLogger logger = new ComponentLogger("process");
   private final Program program;
   private final PrintStream out;
   private final PrintStream err;
@@ -75,7 +75,7 @@
     } catch (ArgumentParserException e) {
       parser.handleError(e, new PrintWriter(err, true, StandardCharsets.UTF_8));
       return ExitCode.USAGE;
-    } catch (SettingsInvalidException e) {
+    } catch (InvalidSettingsException e) {
       err.println(e.getMessage());
       return ExitCode.SETTINGS;
     } catch (ProgramException e) {
@@ -112,7 +112,7 @@
     return version == null ? "(development build)" : version;
   }
 
-  private ExitCode execute(Namespace arguments) throws SettingsInvalidException, ProgramException {
+  private ExitCode execute(Namespace arguments) throws InvalidSettingsException, ProgramException {
     SettingsPrint print = arguments.get(PRINT_SETTINGS);
     if (print != null) {
       out.print(print.text(program.spec()));
@@ -138,9 +138,9 @@
       throws ProgramException {
     try (RunningProgram running = program.start(settings, arguments);
         ShutdownHook hook = new ShutdownHook(running);
-        ReloadSignal reload = new ReloadSignal(() -> reload(running, file))) {
+        ReloadSignalHandler reload = new ReloadSignalHandler(() -> reload(running, file))) {
       logger.info("Started.");
-      return running.ended().join();
+      return running.terminationFuture().join();
     } catch (CompletionException e) {
       logger.error("Stopped by an internal error.", e.getCause());
       return ExitCode.INTERNAL;
@@ -155,7 +155,7 @@
     try {
       running.reload(new SettingsReader(program.spec()).read(file));
       logger.info("Reloaded the settings.");
-    } catch (SettingsInvalidException e) {
+    } catch (InvalidSettingsException e) {
       logger.error("Reloading the settings failed; the current settings stay in force.", e);
     }
   }
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/ReloadSignal.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/ReloadSignalHandler.java
@@ -9,13 +9,13 @@
  *
  * <p>Without a handler, the JVM terminates on SIGHUP, which would abort requests in flight.
  */
-final class ReloadSignal implements AutoCloseable {
+final class ReloadSignalHandler implements AutoCloseable {
 
   private static final Signal SIGHUP = new Signal("HUP");
 
   private final SignalHandler before;
 
-  ReloadSignal(Runnable step) {
+  ReloadSignalHandler(Runnable step) {
     before = Signal.handle(SIGHUP, signal -> step.run());
   }
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/RunningProgram.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/RunningProgram.java
@@ -12,7 +12,7 @@
    *
    * @return the future; not complete while the program serves
    */
-  CompletableFuture<ExitCode> ended();
+  CompletableFuture<ExitCode> terminationFuture();
 
   /**
    * Applies changed settings as far as the program supports it at run time. By default it applies
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/SettingsPrint.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/SettingsPrint.java
@@ -1,21 +1,21 @@
 package org.teaseltrail.runtime.process;
 
-import org.teaseltrail.runtime.settings.ExampleFile;
+import org.teaseltrail.runtime.settings.ExampleFilePrinter;
 import org.teaseltrail.runtime.settings.SettingsSpec;
-import org.teaseltrail.runtime.settings.SettingsTable;
+import org.teaseltrail.runtime.settings.SettingsTablePrinter;
 
 /** Format in which a program prints its settings. */
 enum SettingsPrint {
   EXAMPLE {
     @Override
     String text(SettingsSpec spec) {
-      return ExampleFile.print(spec);
+      return ExampleFilePrinter.print(spec);
     }
   },
   TABLE {
     @Override
     String text(SettingsSpec spec) {
-      return SettingsTable.print(spec);
+      return SettingsTablePrinter.print(spec);
     }
   };
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/process/ShutdownHook.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/process/ShutdownHook.java
@@ -1,6 +1,6 @@
 package org.teaseltrail.runtime.process;
 
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 
 /**
  * Shuts a running program down gracefully on SIGTERM or SIGINT and then exits the process with code
@@ -11,7 +11,7 @@
  */
 final class ShutdownHook implements AutoCloseable {
 
-  private final PartLogger logger = new PartLogger("process");
+  private final ComponentLogger logger = new ComponentLogger("process");
   private final Thread thread;
   private final RunningProgram program;
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/AddressKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/AddressKind.java
@@ -16,7 +16,7 @@
   private static final int MAX_PORT = 65_535;
 
   @Override
-  public InetSocketAddress parse(String text) throws SettingValueException {
+  public InetSocketAddress parse(String text) throws InvalidSettingValueException {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
     boolean ipNumber = IPV4.matcher(host).matches() || IPV6.matcher(host).matches();
@@ -35,7 +35,7 @@
     return "an address as ip:port, such as 10.0.0.1:7000 or [fd00::1]:7000";
   }
 
-  private int port(String text, int colon) throws SettingValueException {
+  private int port(String text, int colon) throws InvalidSettingValueException {
     String port = text.substring(colon + 1);
     if (!port.matches("\\d{1,9}")) {
       throw valueException(SettingsProblemKind.INVALID_VALUE, text);
@@ -47,7 +47,7 @@
     return number;
   }
 
-  private SettingValueException valueException(SettingsProblemKind kind, String text) {
-    return new SettingValueException(kind, "'" + text + "'; takes " + description());
+  private InvalidSettingValueException valueException(SettingsProblemKind kind, String text) {
+    return new InvalidSettingValueException(kind, "'" + text + "'; takes " + description());
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ChoiceKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ChoiceKind.java
@@ -13,13 +13,13 @@
 record ChoiceKind<T>(List<T> choices) implements ValueKind<T> {
 
   @Override
-  public T parse(String text) throws SettingValueException {
+  public T parse(String text) throws InvalidSettingValueException {
     for (T choice : choices) {
       if (textOf(choice).equals(text)) {
         return choice;
       }
     }
-    throw new SettingValueException(
+    throw new InvalidSettingValueException(
         SettingsProblemKind.INVALID_VALUE, "'" + text + "'; takes " + description());
   }
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/DeclaredText.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/DeclarationValidator.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.runtime.settings;
 
 /** Validates the bounds and defaults that a program's declarations specify as text. */
-final class DeclaredText {
+final class DeclarationValidator {
 
-  private DeclaredText() {}
+  private DeclarationValidator() {}
 
   /**
    * Checks that a declared text can be parsed.
@@ -11,19 +11,19 @@
    * @param reader parses the text
    * @throws IllegalArgumentException if the text is invalid
    */
-  static void check(Reader reader) {
+  static void check(ParseAction reader) {
     try {
-      reader.read();
-    } catch (SettingValueException e) {
+      reader.parse();
+    } catch (InvalidSettingValueException e) {
       throw new IllegalArgumentException(
           "invalid default or bound in a declaration: " + e.getMessage(), e);
     }
   }
 
   /** Parses a declared text. */
-  interface Reader {
+  interface ParseAction {
 
     /** Parses the text and throws if it is not a valid value. */
-    Object read() throws SettingValueException;
+    Object parse() throws InvalidSettingValueException;
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/DurationKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/DurationKind.java
@@ -13,16 +13,16 @@
 
   /** Validates the bounds, so that a mistake in a declaration fails at startup. */
   DurationKind {
-    DeclaredText.check(() -> parseDuration(min, ""));
-    DeclaredText.check(() -> parseDuration(max, ""));
+    DeclarationValidator.check(() -> parseDuration(min, ""));
+    DeclarationValidator.check(() -> parseDuration(max, ""));
   }
 
   @Override
-  public Duration parse(String text) throws SettingValueException {
+  public Duration parse(String text) throws InvalidSettingValueException {
     Duration value = parseDuration(text, description());
     Duration minValue = parseDuration(min, description());
     Duration maxValue = parseDuration(max, description());
-    return Range.checked(value, minValue, maxValue, text, description());
+    return RangeValidator.requireInRange(value, minValue, maxValue, text, description());
   }
 
   @Override
@@ -31,10 +31,11 @@
   }
 
   private static Duration parseDuration(String text, String description)
-      throws SettingValueException {
-    UnitAmount quantity = UnitAmount.parse(text, description);
+      throws InvalidSettingValueException {
+    Quantity quantity = Quantity.parse(text, description);
     DurationUnit unit =
-        DurationUnit.of(quantity.unit()).orElseThrow(() -> UnitAmount.wrongUnit(text, description));
+        DurationUnit.of(quantity.unit())
+            .orElseThrow(() -> Quantity.wrongUnitException(text, description));
     return Duration.ofNanos(
         quantity.number().multiply(BigDecimal.valueOf(unit.lengthNs())).longValue());
   }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ExampleFile.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ExampleFilePrinter.java
@@ -1,11 +1,11 @@
 package org.teaseltrail.runtime.settings;
 
 /** Prints the commented example settings file of a program from its declarations. */
-public final class ExampleFile {
+public final class ExampleFilePrinter {
 
   private static final int MAX_LINE_WIDTH = 98;
 
-  private ExampleFile() {}
+  private ExampleFilePrinter() {}
 
   /**
    * Prints the file: required settings have an example value, all others are commented out and show
@@ -20,7 +20,7 @@
     appendComment(text, "Keys that are commented out show their defaults or an example.");
     for (String section : spec.sections()) {
       text.append("\n[").append(section).append("]\n");
-      spec.inSection(section).forEach(setting -> appendSetting(text, setting));
+      spec.settingsInSection(section).forEach(setting -> appendSetting(text, setting));
     }
     return text.toString();
   }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/IniDocument.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/IniDocument.java
@@ -30,7 +30,7 @@
    */
   static IniDocument read(Path file) throws IOException {
     List<String> lines = Files.readAllLines(file, StandardCharsets.UTF_8);
-    LineReader reader = new LineReader(lines);
+    LineByLineReader reader = new LineByLineReader(lines);
     Collector collector = new Collector(reader);
     OptionalInt malformedLine = OptionalInt.empty();
     try {
@@ -56,10 +56,10 @@
 
     private final List<IniSection> sections = new ArrayList<>();
     private final List<IniEntry> entries = new ArrayList<>();
-    private final LineReader reader;
+    private final LineByLineReader reader;
     private String section = "";
 
-    Collector(LineReader reader) {
+    Collector(LineByLineReader reader) {
       this.reader = reader;
     }
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingValueException.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/InvalidSettingValueException.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.runtime.settings;
 
 /** Thrown when a text is not a valid value of a setting. */
-public final class SettingValueException extends Exception {
+public final class InvalidSettingValueException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
    * @param kind the kind of problem
    * @param detail what was found and what is accepted; must not contain a secret
    */
-  public SettingValueException(SettingsProblemKind kind, String detail) {
+  public InvalidSettingValueException(SettingsProblemKind kind, String detail) {
     super(detail);
     this.kind = kind;
   }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsInvalidException.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/InvalidSettingsException.java
@@ -4,7 +4,7 @@
 import java.util.stream.Collectors;
 
 /** Thrown when a settings file is invalid; lists all problems of the file. */
-public final class SettingsInvalidException extends Exception {
+public final class InvalidSettingsException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
@@ -15,7 +15,7 @@
    *
    * @param problems the problems; at least one
    */
-  public SettingsInvalidException(List<SettingsProblem> problems) {
+  public InvalidSettingsException(List<SettingsProblem> problems) {
     super(describe(problems));
     this.problems = List.copyOf(problems);
   }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/LineReader.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/LineByLineReader.java
@@ -11,14 +11,14 @@
  * the end of a line, the buffer of ini4j never holds more than the line being parsed, so the count
  * is the number of that line.
  */
-final class LineReader extends Reader {
+final class LineByLineReader extends Reader {
 
   private final List<String> lines;
   private int lineNumber;
   private String currentLine = "";
   private int position;
 
-  LineReader(List<String> lines) {
+  LineByLineReader(List<String> lines) {
     this.lines = lines;
   }
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ListKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ListKind.java
@@ -12,11 +12,11 @@
 record ListKind<T>(ValueKind<T> element) implements ValueKind<List<T>> {
 
   @Override
-  public List<T> parse(String text) throws SettingValueException {
+  public List<T> parse(String text) throws InvalidSettingValueException {
     List<T> values = new ArrayList<>();
     for (String part : text.split(",", -1)) {
       if (part.isBlank()) {
-        throw new SettingValueException(
+        throw new InvalidSettingValueException(
             SettingsProblemKind.INVALID_VALUE, "an empty part; takes " + description());
       }
       values.add(element.parse(part.trim()));
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/NumberKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/NumberKind.java
@@ -15,15 +15,15 @@
     Function<String, N> parser, String noun, N min, N max) implements ValueKind<N> {
 
   @Override
-  public N parse(String text) throws SettingValueException {
+  public N parse(String text) throws InvalidSettingValueException {
     N number;
     try {
       number = parser.apply(text);
     } catch (NumberFormatException e) {
-      throw new SettingValueException(
+      throw new InvalidSettingValueException(
           SettingsProblemKind.INVALID_VALUE, "'" + text + "'; takes " + description());
     }
-    return Range.checked(number, min, max, text, description());
+    return RangeValidator.requireInRange(number, min, max, text, description());
   }
 
   @Override
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/OptionalKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/OptionalKind.java
@@ -11,7 +11,7 @@
 record OptionalKind<T>(ValueKind<T> inner) implements ValueKind<Optional<T>> {
 
   @Override
-  public Optional<T> parse(String text) throws SettingValueException {
+  public Optional<T> parse(String text) throws InvalidSettingValueException {
     return Optional.of(inner.parse(text));
   }
 
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ParsedKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ParsedKind.java
@@ -15,14 +15,14 @@
     implements ValueKind<T> {
 
   @Override
-  public T parse(String text) throws SettingValueException {
+  public T parse(String text) throws InvalidSettingValueException {
     try {
       return parser.apply(text);
     } catch (RuntimeException e) {
       if (!exceptionType.isInstance(e)) {
         throw e;
       }
-      throw new SettingValueException(
+      throw new InvalidSettingValueException(
           SettingsProblemKind.INVALID_VALUE,
           "'" + text + "' (" + e.getMessage() + "); takes " + description);
     }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/UnitAmount.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/Quantity.java
@@ -10,7 +10,7 @@
  * @param number the number
  * @param unit the unit, as written
  */
-record UnitAmount(BigDecimal number, String unit) {
+record Quantity(BigDecimal number, String unit) {
 
   private static final Pattern PATTERN =
       Pattern.compile("(\\d{1,15}(?:\\.\\d{1,6})?)\\s*([A-Za-z]*)");
@@ -21,15 +21,15 @@
    * @param text the text
    * @param description what is accepted
    * @return the number and the unit
-   * @throws SettingValueException if the text is not a number followed by an optional unit
+   * @throws InvalidSettingValueException if the text is not a number followed by an optional unit
    */
-  static UnitAmount parse(String text, String description) throws SettingValueException {
+  static Quantity parse(String text, String description) throws InvalidSettingValueException {
     Matcher matcher = PATTERN.matcher(text);
     if (!matcher.matches()) {
-      throw new SettingValueException(
+      throw new InvalidSettingValueException(
           SettingsProblemKind.INVALID_VALUE, "'" + text + "'; takes " + description);
     }
-    return new UnitAmount(new BigDecimal(matcher.group(1)), matcher.group(2));
+    return new Quantity(new BigDecimal(matcher.group(1)), matcher.group(2));
   }
 
   /**
@@ -39,8 +39,8 @@
    * @param description what is accepted
    * @return the exception
    */
-  static SettingValueException wrongUnit(String text, String description) {
-    return new SettingValueException(
+  static InvalidSettingValueException wrongUnitException(String text, String description) {
+    return new InvalidSettingValueException(
         SettingsProblemKind.WRONG_UNIT, "'" + text + "'; takes " + description);
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Range.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/RangeValidator.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.runtime.settings;
 
 /** Validates that a value lies within bounds. */
-final class Range {
+final class RangeValidator {
 
-  private Range() {}
+  private RangeValidator() {}
 
   /**
    * Returns a value if it lies within the bounds.
@@ -15,12 +15,12 @@
    * @param description what is accepted
    * @param <T> the type of the value
    * @return the value
-   * @throws SettingValueException if the value is out of range
+   * @throws InvalidSettingValueException if the value is out of range
    */
-  static <T extends Comparable<T>> T checked(T value, T min, T max, String text, String description)
-      throws SettingValueException {
+  static <T extends Comparable<T>> T requireInRange(
+      T value, T min, T max, String text, String description) throws InvalidSettingValueException {
     if (value.compareTo(min) < 0 || value.compareTo(max) > 0) {
-      throw new SettingValueException(
+      throw new InvalidSettingValueException(
           SettingsProblemKind.OUT_OF_RANGE, "'" + text + "'; takes " + description);
     }
     return value;
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SecretFileKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SecretFileKind.java
@@ -10,16 +10,16 @@
 record SecretFileKind() implements ValueKind<Secret> {
 
   @Override
-  public Secret parse(String text) throws SettingValueException {
+  public Secret parse(String text) throws InvalidSettingValueException {
     String secret;
     try {
       secret = Files.readString(Path.of(text), StandardCharsets.UTF_8).trim();
     } catch (IOException | InvalidPathException e) {
-      throw new SettingValueException(
+      throw new InvalidSettingValueException(
           SettingsProblemKind.SECRET_UNREADABLE, "file " + text + ": " + e);
     }
     if (secret.isEmpty()) {
-      throw new SettingValueException(
+      throw new InvalidSettingValueException(
           SettingsProblemKind.SECRET_UNREADABLE, "file " + text + " is empty");
     }
     return new Secret(secret);
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Setting.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/Setting.java
@@ -10,7 +10,7 @@
  * <pre>{@code
  * static final Setting<Duration> HEARTBEAT =
  *     Setting.withDefault(
- *         "replica", "heartbeat", Kinds.duration("10ms", "10s"), "100ms", "Heartbeat time.");
+ *         "replica", "heartbeat", ValueKinds.duration("10ms", "10s"), "100ms", "Heartbeat time.");
  * }</pre>
  *
  * @param name its section and key
@@ -60,7 +60,7 @@
    */
   public static <T> Setting<T> withDefault(
       String section, String key, ValueKind<T> kind, String defaultText, String doc) {
-    DeclaredText.check(() -> kind.parse(defaultText));
+    DeclarationValidator.check(() -> kind.parse(defaultText));
     return new Setting<>(
         new SettingName(section, key), kind, Optional.of(defaultText), false, defaultText, doc);
   }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsReader.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsReader.java
@@ -34,9 +34,9 @@
    *
    * @param file the file
    * @return the values
-   * @throws SettingsInvalidException if the file is invalid; lists all problems
+   * @throws InvalidSettingsException if the file is invalid; lists all problems
    */
-  public Settings read(Path file) throws SettingsInvalidException {
+  public Settings read(Path file) throws InvalidSettingsException {
     Validation validation = new Validation(file);
     try {
       validation.document(IniDocument.read(file));
@@ -45,7 +45,7 @@
           SettingsProblemKind.FILE_UNREADABLE, OptionalInt.empty(), Optional.empty(), e.toString());
     }
     if (!validation.problems.isEmpty()) {
-      throw new SettingsInvalidException(validation.problems);
+      throw new InvalidSettingsException(validation.problems);
     }
     return new Settings(spec, validation.values);
   }
@@ -129,12 +129,12 @@
     private void value(Setting<?> setting, String text, OptionalInt line) {
       try {
         if (text.isEmpty()) {
-          throw new SettingValueException(
+          throw new InvalidSettingValueException(
               SettingsProblemKind.INVALID_VALUE,
               "no value given; takes " + setting.kind().description());
         }
         values.put(setting.name(), setting.kind().parse(text));
-      } catch (SettingValueException e) {
+      } catch (InvalidSettingValueException e) {
         addProblem(e.kind(), line, Optional.of(setting), e.getMessage());
       }
     }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsSpec.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsSpec.java
@@ -53,7 +53,7 @@
    * @param section the section
    * @return its settings
    */
-  public List<Setting<?>> inSection(String section) {
+  public List<Setting<?>> settingsInSection(String section) {
     return settings.stream()
         .filter(setting -> setting.name().section().equals(section))
         .collect(Collectors.toList());
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsTable.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SettingsTablePrinter.java
@@ -1,9 +1,9 @@
 package org.teaseltrail.runtime.settings;
 
 /** Prints a program's settings as a section of the documentation. */
-public final class SettingsTable {
+public final class SettingsTablePrinter {
 
-  private SettingsTable() {}
+  private SettingsTablePrinter() {}
 
   /**
    * Prints a Markdown heading and a table with one row per setting.
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/SizeKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/SizeKind.java
@@ -12,16 +12,16 @@
 
   /** Validates the bounds, so that a mistake in a declaration fails at startup. */
   SizeKind {
-    DeclaredText.check(() -> parseBytes(min, ""));
-    DeclaredText.check(() -> parseBytes(max, ""));
+    DeclarationValidator.check(() -> parseBytes(min, ""));
+    DeclarationValidator.check(() -> parseBytes(max, ""));
   }
 
   @Override
-  public Long parse(String text) throws SettingValueException {
+  public Long parse(String text) throws InvalidSettingValueException {
     Long valueBytes = parseBytes(text, description());
     Long minBytes = parseBytes(min, description());
     Long maxBytes = parseBytes(max, description());
-    return Range.checked(valueBytes, minBytes, maxBytes, text, description());
+    return RangeValidator.requireInRange(valueBytes, minBytes, maxBytes, text, description());
   }
 
   @Override
@@ -29,10 +29,12 @@
     return "a size (B, KiB, MiB, GiB) from " + min + " to " + max;
   }
 
-  private static Long parseBytes(String text, String description) throws SettingValueException {
-    UnitAmount quantity = UnitAmount.parse(text, description);
+  private static Long parseBytes(String text, String description)
+      throws InvalidSettingValueException {
+    Quantity quantity = Quantity.parse(text, description);
     SizeUnit unit =
-        SizeUnit.of(quantity.unit()).orElseThrow(() -> UnitAmount.wrongUnit(text, description));
+        SizeUnit.of(quantity.unit())
+            .orElseThrow(() -> Quantity.wrongUnitException(text, description));
     return quantity.number().multiply(BigDecimal.valueOf(unit.sizeBytes())).longValue();
   }
 }
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/ValueKind.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ValueKind.java
@@ -12,9 +12,9 @@
    *
    * @param text the text, trimmed and not empty
    * @return the value
-   * @throws SettingValueException if the text is not a valid value
+   * @throws InvalidSettingValueException if the text is not a valid value
    */
-  T parse(String text) throws SettingValueException;
+  T parse(String text) throws InvalidSettingValueException;
 
   /**
    * Returns what the kind accepts, with its units and range, for documentation and messages.
--- a/runtime/src/main/java/org/teaseltrail/runtime/settings/Kinds.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/settings/ValueKinds.java
@@ -8,9 +8,9 @@
 import java.util.function.Function;
 
 /** Factory of the value kinds that settings can have. */
-public final class Kinds {
+public final class ValueKinds {
 
-  private Kinds() {}
+  private ValueKinds() {}
 
   /**
    * Returns a kind that accepts a duration with a unit.
--- a/runtime/src/test/java/org/teaseltrail/runtime/EventLogTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/EventLogTest.java
@@ -41,13 +41,13 @@
    * fills up and requests block on the log.
    */
   @Test
-  void readerThatStopsHoldsNobodyUp() {
+  void stalledReaderDoesNotBlockCallers() {
     CountDownLatch reads = new CountDownLatch(1);
     EventLog log = new EventLog(new StalledOutputStream(reads), "program", "vm-1");
     for (int i = 0; i < 10_000; i++) {
       log.line(LogEvent.REQUEST_REFUSED).write();
     }
-    assertThat(log.droppedInAll()).isGreaterThan(5_000);
+    assertThat(log.droppedLines()).isGreaterThan(5_000);
     reads.countDown();
     log.close();
   }
--- a/runtime/src/test/java/org/teaseltrail/runtime/LogSchemaTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/LogSchemaTest.java
@@ -26,7 +26,7 @@
     try (EventLog log = new EventLog(OutputStream.nullOutputStream(), "program", "vm")) {
       EventLog.Line line = log.line(event);
       for (LogField field : LogField.values()) {
-        if (event.has(field)) {
+        if (event.hasField(field)) {
           line.with(field, 1);
         } else {
           assertThatIllegalArgumentException().isThrownBy(() -> line.with(field, 1));
--- a/runtime/src/test/java/org/teaseltrail/runtime/SuspendAwareClockTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/SuspendAwareClockTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void goesOnWhenTheTimeOfDayIsSetBack() {
+  void continuesWhenWallClockIsSetBack() {
     advance(100);
     clock.nowNs();
     wallClockMs -= 2_000;
@@ -45,7 +45,7 @@
    * not accumulate.
    */
   @Test
-  void roundingDoesNotAddUp() {
+  void roundingErrorsDoNotAccumulate() {
     for (int i = 0; i < 10_000; i++) {
       monotonicNs += MS / 10;
       wallClockMs += i % 10 == 9 ? 1 : 0;
--- a/runtime/src/test/java/org/teaseltrail/runtime/log/DecisionLogTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/log/DecisionLogTest.java
@@ -18,7 +18,7 @@
     lines.start();
     logger.addAppender(lines);
 
-    new DecisionLog(new PartLogger("schedule"))
+    new DecisionLog(new ComponentLogger("schedule"))
         .line("grant")
         .with("request", "r-1")
         .with("customer", "a \"b\"\nc")
--- a/runtime/src/test/java/org/teaseltrail/runtime/process/ProgramMainTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/process/ProgramMainTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import org.teaseltrail.runtime.settings.ExampleFile;
+import org.teaseltrail.runtime.settings.ExampleFilePrinter;
 import org.teaseltrail.runtime.settings.SampleSettings;
 import org.teaseltrail.runtime.settings.Settings;
 import org.teaseltrail.runtime.settings.SettingsSpec;
@@ -30,7 +30,7 @@
   @BeforeEach
   void writeSettings() throws IOException {
     Path path = folder.resolve("sample.ini");
-    Files.writeString(path, ExampleFile.print(SampleSettings.SPEC));
+    Files.writeString(path, ExampleFilePrinter.print(SampleSettings.SPEC));
     file = path.toString();
   }
 
@@ -57,11 +57,11 @@
     assertThat(run("--print-settings", "example")).isEqualTo(ExitCode.OK);
 
     assertThat(out.toString(StandardCharsets.UTF_8))
-        .isEqualTo(ExampleFile.print(SampleSettings.SPEC));
+        .isEqualTo(ExampleFilePrinter.print(SampleSettings.SPEC));
   }
 
   @Test
-  void tellsWhyItCannotStart() {
+  void reportsWhyItCannotStart() {
     program.failure = new ProgramException(ExitCode.LISTEN, "address in use");
 
     assertThat(run("--settings", file)).isEqualTo(ExitCode.LISTEN);
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public CompletableFuture<ExitCode> ended() {
+    public CompletableFuture<ExitCode> terminationFuture() {
       return ended;
     }
 
--- a/runtime/src/test/java/org/teaseltrail/runtime/settings/SettingsReaderTest.java
+++ b/runtime/src/test/java/org/teaseltrail/runtime/settings/SettingsReaderTest.java
@@ -25,10 +25,10 @@
    * to restart the program once per mistake; so all are reported together, each with its line.
    */
   @Test
-  void tellsAllMistakesAtOnce() throws IOException {
+  void reportsAllProblemsAtOnce() throws IOException {
     Path file = INPUTS.resolve("wrong.ini");
 
-    SettingsInvalidException failure = readInvalid(file);
+    InvalidSettingsException failure = readInvalid(file);
 
     List<String> descriptions =
         failure.problems().stream()
@@ -58,19 +58,19 @@
   }
 
   @Test
-  void exampleFileIsRightAndHoldsDefaults() throws Exception {
-    Path file = write(ExampleFile.print(SampleSettings.SPEC));
+  void exampleFileIsValidAndShowsDefaults() throws Exception {
+    Path file = write(ExampleFilePrinter.print(SampleSettings.SPEC));
 
     Settings settings = reader.read(file);
 
     assertThat(settings.get(SampleSettings.LIFETIME)).isEqualTo(Duration.ofSeconds(3));
     assertThat(settings.get(SampleSettings.SECRET)).isEmpty();
-    assertThat(SettingsTable.print(SampleSettings.SPEC))
+    assertThat(SettingsTablePrinter.print(SampleSettings.SPEC))
         .contains("| lease | `margin` | a duration (ms, s, m, h, d) from 1ms to 1s | `1.5ms` |");
   }
 
   @Test
-  void tellsMalformedLineAndMissingFile() throws IOException {
+  void reportsMalformedLineAndMissingFile() throws IOException {
     Path file = write("[listen]\naddress = 127.0.0.1:80\n[lease\n");
 
     assertThat(readInvalid(file).problems())
@@ -82,18 +82,18 @@
   }
 
   @Test
-  void refusesDeclaredTextsThatCannotBeRead() {
-    assertThatIllegalArgumentException().isThrownBy(() -> Kinds.duration("1ms", "1minute"));
-    assertThatIllegalArgumentException().isThrownBy(() -> Kinds.size("1KB", "1MiB"));
+  void rejectsInvalidDeclarations() {
+    assertThatIllegalArgumentException().isThrownBy(() -> ValueKinds.duration("1ms", "1minute"));
+    assertThatIllegalArgumentException().isThrownBy(() -> ValueKinds.size("1KB", "1MiB"));
     assertThatIllegalArgumentException()
-        .isThrownBy(() -> Setting.withDefault("a", "b", Kinds.integer(1, 5), "6", "Doc."));
+        .isThrownBy(() -> Setting.withDefault("a", "b", ValueKinds.integer(1, 5), "6", "Doc."));
   }
 
   private Path write(String text) throws IOException {
     return Files.writeString(folder.resolve("sample.ini"), text);
   }
 
-  private SettingsInvalidException readInvalid(Path file) {
-    return catchThrowableOfType(SettingsInvalidException.class, () -> reader.read(file));
+  private InvalidSettingsException readInvalid(Path file) {
+    return catchThrowableOfType(InvalidSettingsException.class, () -> reader.read(file));
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/Call.java
+++ b/session/src/test/java/org/teaseltrail/session/Call.java
@@ -11,7 +11,7 @@
 import org.teaseltrail.core.request.PrefixBlockHasher;
 import org.teaseltrail.core.request.StreamFrame;
 import org.teaseltrail.core.request.TokenEstimator;
-import org.teaseltrail.standin.model.AnswerText;
+import org.teaseltrail.standin.model.AnswerTextGenerator;
 import org.teaseltrail.standin.model.EngineRequest;
 
 /** One logical call of a caller over all its submissions, with the answer received so far. */
@@ -30,7 +30,7 @@
     String prompt = (subject + " ").repeat(spec.promptTokens() * TOKEN_BYTES);
     this.promptUtf8 =
         prompt.substring(0, spec.promptTokens() * TOKEN_BYTES).getBytes(StandardCharsets.UTF_8);
-    this.answerSeed = AnswerText.seedOf(subject);
+    this.answerSeed = AnswerTextGenerator.seedOf(subject);
   }
 
   CallSpec spec() {
@@ -41,20 +41,20 @@
     return nextFrame;
   }
 
-  boolean isWhole() {
+  boolean isComplete() {
     return nextFrame == spec.maxTokens();
   }
 
-  CallerCall ask() {
+  CallerCall toCallerCall() {
     return new CallerCall(
-        Optional.of(SessionWorld.keyHash(spec.tier())),
+        Optional.of(SimulatedCluster.keyHash(spec.tier())),
         new CallTarget.Generation(
-            SessionWorld.MODEL.model(),
+            SimulatedCluster.MODEL.model(),
             Optional.empty(),
             Optional.empty(),
             promptUtf8,
             spec.maxTokens()),
-        !spec.once(),
+        !spec.atMostOnce(),
         spec.key().map(IdempotencyKey::new),
         spec.key().orElse(spec.name()),
         spec.deadlineMs(),
@@ -64,9 +64,9 @@
   EngineRequest engineRequest(RequestId id) {
     return new EngineRequest(
         id,
-        SessionWorld.MODEL,
+        SimulatedCluster.MODEL,
         TokenEstimator.estimateTokens(promptUtf8.length),
-        PrefixBlockHasher.hashBlocks(SessionWorld.MODEL, promptUtf8),
+        PrefixBlockHasher.hashBlocks(SimulatedCluster.MODEL, promptUtf8),
         spec.maxTokens(),
         answerSeed);
   }
@@ -75,11 +75,11 @@
    * Checks that the frame is the next one of this call's answer; another one belongs to another
    * caller or is out of order.
    */
-  void delivered(StreamFrame.Text frame) {
+  void onTextFrame(StreamFrame.Text frame) {
     assertThat(frame.sequence()).describedAs("frame of %s", spec.name()).isEqualTo(nextFrame);
     assertThat(frame.text())
         .describedAs("text of %s", spec.name())
-        .isEqualTo(AnswerText.text(answerSeed, nextFrame, 1));
+        .isEqualTo(AnswerTextGenerator.text(answerSeed, nextFrame, 1));
     nextFrame++;
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/CallSpec.java
+++ b/session/src/test/java/org/teaseltrail/session/CallSpec.java
@@ -10,7 +10,7 @@
  * @param promptTokens length of the prompt
  * @param maxTokens length of the answer
  * @param key the idempotency key, if any
- * @param once whether it must run at most once
+ * @param atMostOnce whether it must run at most once
  * @param deadlineMs time until the deadline; zero for none
  */
 record CallSpec(
@@ -19,5 +19,5 @@
     int promptTokens,
     int maxTokens,
     Optional<String> key,
-    boolean once,
+    boolean atMostOnce,
     long deadlineMs) {}
--- a/session/src/test/java/org/teaseltrail/session/ControlConnection.java
+++ b/session/src/test/java/org/teaseltrail/session/ControlConnection.java
@@ -29,21 +29,21 @@
   }
 
   void open() {
-    memberPipe.send(() -> member.opened(this));
+    memberPipe.send(() -> member.onConnectionOpened(this));
   }
 
-  void toMember(EntryMessage message) {
+  void sendToMember(EntryMessage message) {
     if (entryOpen) {
-      memberPipe.send(() -> member.received(entry.vm(), message));
+      memberPipe.send(() -> member.onMessage(entry.vm(), message));
     }
   }
 
-  void toEntry(ControlMessage message) {
+  void sendToEntry(ControlMessage message) {
     if (memberOpen) {
       entryPipe.send(
           () -> {
             if (entryOpen) {
-              entry.received(member, message);
+              entry.onControlMessage(member, message);
             }
           });
     }
@@ -56,7 +56,7 @@
       memberPipe.send(
           () -> {
             memberOpen = false;
-            member.closed(this);
+            member.onConnectionClosed(this);
           });
     }
   }
@@ -68,7 +68,7 @@
           () -> {
             if (entryOpen) {
               entryOpen = false;
-              entry.disconnected(this);
+              entry.onDisconnected(this);
             }
           });
     }
--- a/session/src/test/java/org/teaseltrail/session/ControlProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/ControlProcess.java
@@ -30,12 +30,12 @@
  * Simulated control member with its disk, its connections and the queue of actions that require the
  * lease.
  */
-final class ControlProcess extends FakeProcess {
+final class ControlProcess extends SimulatedProcess {
 
   private static final long SYNC_NS = Timeline.MS;
 
   private final MemberId id;
-  private final SyncedDisk disk;
+  private final SimulatedDisk disk;
   private final ReplicaSettings settings;
   private final Map<VmId, ControlConnection> connections = new LinkedHashMap<>();
   private final Deque<ControlAction> leaseActions = new ArrayDeque<>();
@@ -46,19 +46,19 @@
   private long lastCallId;
   private boolean pausesAtGrant;
 
-  ControlProcess(SessionWorld world, String name, LogEntry first, ReplicaSettings settings) {
-    super(world, name);
+  ControlProcess(SimulatedCluster cluster, String name, LogEntry first, ReplicaSettings settings) {
+    super(cluster, name);
     this.settings = settings;
     this.id = new MemberId(name);
-    this.disk = new SyncedDisk(first);
+    this.disk = new SimulatedDisk(first);
   }
 
   MemberId id() {
     return id;
   }
 
-  boolean leaseHolds() {
-    return isUp() && member.isLeaseValid(localNs());
+  boolean hasValidLease() {
+    return isRunning() && member.isLeaseValid(localNs());
   }
 
   Configuration configuration() {
@@ -70,23 +70,28 @@
   }
 
   @Override
-  void begin() {
+  void onStart() {
     Replica replica =
         new Replica(
-            SessionWorld.GROUP, id, settings, disk.recovered(), world.random().split(), localNs());
+            SimulatedCluster.GROUP,
+            id,
+            settings,
+            disk.recovered(),
+            cluster.random().split(),
+            localNs());
     member =
         new ControlMember(
             id,
             ControlSettings.DEFAULT,
             replica,
-            world.codec(),
+            cluster.codec(),
             (pool, fencing, seed) ->
                 new PoolScheduler(pool, fencing, SchedulerSettings.defaults(), seed));
   }
 
   @Override
-  void ended() {
-    disk.loseUnsynced();
+  void onKill() {
+    disk.discardUnsynced();
     syncing = false;
     serving = false;
     pausesAtGrant = false;
@@ -106,30 +111,30 @@
     handle(new ControlEvent.Tick());
   }
 
-  void opened(ControlConnection connection) {
+  void onConnectionOpened(ControlConnection connection) {
     ControlConnection before = connections.put(connection.entry().vm(), connection);
     if (before != null) {
       before.closeByMember();
     }
   }
 
-  void closed(ControlConnection connection) {
+  void onConnectionClosed(ControlConnection connection) {
     connections.remove(connection.entry().vm(), connection);
   }
 
-  void received(VmId vm, EntryMessage message) {
+  void onMessage(VmId vm, EntryMessage message) {
     handle(new ControlEvent.FromEntry(vm, message));
   }
 
   /** Submits an operator request; the callback isn't invoked if the process dies first. */
-  void ask(OperatorRequest request, Consumer<OperatorResult> callback) {
+  void submitOperatorRequest(OperatorRequest request, Consumer<OperatorResult> callback) {
     lastCallId++;
     calls.put(lastCallId, callback);
     handle(new ControlEvent.OperatorCall(lastCallId, request));
   }
 
   /** Pauses the process after it has decided its next grant and before it sends it. */
-  void freezeAtNextGrant() {
+  void pauseBeforeNextGrant() {
     pausesAtGrant = true;
   }
 
@@ -138,13 +143,13 @@
   }
 
   private void handle(ControlEvent event) {
-    if (!isUp()) {
+    if (!isRunning()) {
       return;
     }
     member.handle(event, localNs()).forEach(this::execute);
     flush();
     startSync();
-    rearm();
+    scheduleWakeup();
   }
 
   private void execute(ControlAction action) {
@@ -153,16 +158,16 @@
     } else if (action instanceof ControlAction.Persist persist) {
       disk.write(persist.write());
     } else if (action instanceof ControlAction.SendToPeer send) {
-      ControlProcess to = world.member(send.envelope().to());
-      world
+      ControlProcess to = cluster.member(send.envelope().to());
+      cluster
           .network()
-          .datagram(this, to, () -> to.handle(new ControlEvent.FromPeer(send.envelope())));
+          .sendDatagram(this, to, () -> to.handle(new ControlEvent.FromPeer(send.envelope())));
     } else if (action instanceof ControlAction.SendNotLeader send) {
-      Optional.ofNullable(connections.get(send.vm())).ifPresent(c -> c.toEntry(send.message()));
+      Optional.ofNullable(connections.get(send.vm())).ifPresent(c -> c.sendToEntry(send.message()));
     } else if (action instanceof ControlAction.Reply reply) {
       calls.remove(reply.callId()).accept(reply.result());
     } else if (action instanceof ControlAction.LogDecision log) {
-      world.trace().decision(this, log.decision());
+      cluster.trace().decision(this, log.decision());
     } else if (action instanceof ControlAction.LeadershipChanged changed) {
       leadershipChanged(changed.serving());
     }
@@ -171,7 +176,7 @@
   private void leadershipChanged(boolean nowServing) {
     if (nowServing != serving) {
       serving = nowServing;
-      world.trace().line(name(), serving ? "leads" : "leads no longer");
+      cluster.trace().addLine(name(), serving ? "leads" : "leads no longer");
     }
     if (!serving) {
       leaseActions.clear();
@@ -184,16 +189,16 @@
       ControlAction.SendToEntryVm send = (ControlAction.SendToEntryVm) leaseActions.getFirst();
       if (pausesAtGrant && send.message() instanceof ControlMessage.Grant) {
         pausesAtGrant = false;
-        freeze();
+        pause();
         return;
       }
       leaseActions.removeFirst();
       ControlConnection connection = connections.get(send.vm());
       if (connection != null) {
-        world.trace().fromControl(this, send.vm(), send.message());
-        connection.toEntry(send.message());
+        cluster.trace().addControlMessage(this, send.vm(), send.message());
+        connection.sendToEntry(send.message());
         if (send.message() instanceof ControlMessage.Grant) {
-          world.checks().granted();
+          cluster.invariants().granted();
         }
       }
     }
@@ -204,8 +209,8 @@
       return;
     }
     syncing = true;
-    long writeNumber = disk.newestWrite();
-    later(
+    long writeNumber = disk.latestWriteNumber();
+    schedule(
         SYNC_NS,
         () -> {
           disk.sync(writeNumber);
--- a/session/src/test/java/org/teaseltrail/session/EngineProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/EngineProcess.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.upstream.ServedModel;
 import org.teaseltrail.core.upstream.SocketAddress;
 import org.teaseltrail.standin.model.AnswerLength;
-import org.teaseltrail.standin.model.AnswerText;
+import org.teaseltrail.standin.model.AnswerTextGenerator;
 import org.teaseltrail.standin.model.EngineAction;
 import org.teaseltrail.standin.model.EngineEvent;
 import org.teaseltrail.standin.model.EngineFrame;
@@ -27,21 +27,21 @@
 import org.teaseltrail.standin.model.UpstreamIdentity;
 
 /** Simulated engine process with the connections that read its streams. */
-final class EngineProcess extends FakeProcess {
+final class EngineProcess extends SimulatedProcess {
 
   private static final HardwareProfile HARDWARE = new HardwareProfile(10, 1, 0.1, 4, 512, 10_240);
   private static final int PORT = 9_000;
 
   private final UpstreamId id;
   private final SocketAddress address;
-  private final List<EngineReader> readers = new ArrayList<>();
+  private final List<EngineStreamReader> readers = new ArrayList<>();
   private final Set<RequestId> abortedStreams = new HashSet<>();
   private EngineModel model;
   private Runnable drainedListener = () -> {};
   private long leavingSinceNs = Long.MAX_VALUE;
 
-  EngineProcess(SessionWorld world, String name) {
-    super(world, name);
+  EngineProcess(SimulatedCluster cluster, String name) {
+    super(cluster, name);
     this.id = new UpstreamId(name);
     this.address = new SocketAddress(name, PORT);
   }
@@ -59,12 +59,12 @@
   }
 
   @Override
-  void begin() {
+  void onStart() {
     leavingSinceNs = Long.MAX_VALUE;
     UpstreamIdentity identity =
-        new UpstreamIdentity(id, new Incarnation(life()), address, new DataCenterId("a"));
+        new UpstreamIdentity(id, new Incarnation(incarnation()), address, new DataCenterId("a"));
     ServedModel served =
-        new ServedModel(SessionWorld.MODEL.model(), SessionWorld.MODEL.version(), Set.of());
+        new ServedModel(SimulatedCluster.MODEL.model(), SimulatedCluster.MODEL.version(), Set.of());
     model =
         new EngineModel(
             new EngineSettings(
@@ -79,14 +79,14 @@
                 1_000,
                 1_000,
                 1,
-                world.random().nextLong()),
+                cluster.random().nextLong()),
             localNs());
   }
 
   @Override
-  void ended() {
+  void onKill() {
     abortedStreams.clear();
-    readers.forEach(EngineReader::broken);
+    readers.forEach(EngineStreamReader::broken);
     readers.clear();
   }
 
@@ -102,12 +102,12 @@
 
   void leave(Runnable onDrained) {
     drainedListener = onDrained;
-    leavingSinceNs = world.timeline().nowNs();
-    handle(new EngineEvent.Leave());
+    leavingSinceNs = cluster.timeline().nowNs();
+    handle(new EngineEvent.Drain());
   }
 
-  void straggle(double factor) {
-    handle(new EngineEvent.Straggle(factor));
+  void slowDown(double factor) {
+    handle(new EngineEvent.SetStragglerFactor(factor));
   }
 
   void cancel(RequestId request) {
@@ -115,8 +115,8 @@
   }
 
   /** Registers a connection, which breaks when this incarnation ends. */
-  void opened(EngineReader reader) {
-    if (isUp()) {
+  void onConnectionOpened(EngineStreamReader reader) {
+    if (isRunning()) {
       readers.add(reader);
     } else {
       reader.broken();
@@ -125,11 +125,11 @@
 
   /** Accepts a request from an entry VM. */
   void submit(EngineRequest request) {
-    world.engineHistory().submitted(request.id());
+    cluster.engineRequests().submitted(request.id());
     handle(new EngineEvent.Submit(request));
   }
 
-  void resume(EngineReader reader) {
+  void resume(EngineStreamReader reader) {
     if (model.request(reader.stream()).isEmpty()) {
       reader.unknown();
       return;
@@ -139,11 +139,11 @@
 
   /** Breaks all connections that read the given stream. */
   void breakConnections(RequestId stream) {
-    readersOf(stream).forEach(EngineReader::broken);
+    readersOf(stream).forEach(EngineStreamReader::broken);
   }
 
-  void disturb(RequestId stream, EngineReader.Mischief frameFault) {
-    readersOf(stream).forEach(reader -> reader.disturb(frameFault));
+  void injectFrameFault(RequestId stream, EngineStreamReader.FrameFault frameFault) {
+    readersOf(stream).forEach(reader -> reader.injectFault(frameFault));
   }
 
   private void handle(EngineEvent event) {
@@ -152,30 +152,30 @@
       execute(action);
     }
     forwardFrames();
-    rearm();
+    scheduleWakeup();
   }
 
   private void execute(EngineAction action) {
     if (action instanceof EngineAction.Accept accept) {
-      world.engineHistory().ran(accept.request());
+      cluster.engineRequests().ran(accept.request());
     } else if (action instanceof EngineAction.Refuse refuse) {
       refuse(refuse);
-    } else if (action instanceof EngineAction.StreamBroken broken) {
+    } else if (action instanceof EngineAction.StreamAborted broken) {
       abortedStreams.add(broken.request());
     } else if (action instanceof EngineAction.Announce announce) {
-      world.anyEntry(this).ifPresent(entry -> entry.hear(announce.announcement()));
+      cluster.randomReachableEntry(this).ifPresent(entry -> entry.receive(announce.announcement()));
     } else if (action instanceof EngineAction.PublishCacheEvent publish) {
-      world.anyEntry(this).ifPresent(entry -> entry.hear(publish.event()));
+      cluster.randomReachableEntry(this).ifPresent(entry -> entry.receive(publish.event()));
     } else if (action instanceof EngineAction.Drained) {
-      world.trace().line(name(), "is drained");
+      cluster.trace().addLine(name(), "is drained");
       drainedListener.run();
     }
   }
 
   private void refuse(EngineAction.Refuse refuse) {
-    for (EngineReader reader : readersOf(refuse.request())) {
+    for (EngineStreamReader reader : readersOf(refuse.request())) {
       if (refuse.reason() == EngineRefusal.DUPLICATE_REQUEST) {
-        reader.alreadyKnown();
+        reader.onDuplicateRequest();
       } else {
         reader.refused();
       }
@@ -184,12 +184,12 @@
 
   private void forwardFrames() {
     readers.removeIf(reader -> !reader.isOpen());
-    for (EngineReader reader : List.copyOf(readers)) {
+    for (EngineStreamReader reader : List.copyOf(readers)) {
       forwardFrames(reader);
     }
   }
 
-  private void forwardFrames(EngineReader reader) {
+  private void forwardFrames(EngineStreamReader reader) {
     Optional<EngineFrame> next = model.frame(reader.stream(), reader.nextFrame());
     while (reader.isOpen() && next.isPresent()) {
       reader.frame(text(next.get()));
@@ -206,11 +206,11 @@
       return new StreamFrame.End(stream, frame.sequence(), frame.usage().orElseThrow());
     }
     long seed = model.request(stream).orElseThrow().answerSeed();
-    String text = AnswerText.text(seed, frame.firstToken(), frame.tokens());
+    String text = AnswerTextGenerator.text(seed, frame.firstToken(), frame.tokens());
     return new StreamFrame.Text(stream, frame.sequence(), text);
   }
 
-  private List<EngineReader> readersOf(RequestId stream) {
+  private List<EngineStreamReader> readersOf(RequestId stream) {
     return readers.stream().filter(r -> r.isOpen() && r.stream().equals(stream)).toList();
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/EngineHistory.java
+++ b/session/src/test/java/org/teaseltrail/session/EngineRequestTracker.java
@@ -11,7 +11,7 @@
  * is dispatched at most once, and none to an engine that began to leave or drain longer ago than
  * {@link #MAX_DISPATCH_DELAY_NS}.
  */
-final class EngineHistory {
+final class EngineRequestTracker {
 
   /**
    * Maximum time for which an engine that leaves or drains may still receive new requests: the
@@ -19,11 +19,11 @@
    */
   private static final long MAX_DISPATCH_DELAY_NS = 3_060 * Timeline.MS;
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final Map<RequestId, Integer> submissions = new HashMap<>();
   private final Map<RequestId, Integer> runs = new HashMap<>();
 
-  EngineHistory(SessionWorld cluster) {
+  EngineRequestTracker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
@@ -33,7 +33,7 @@
         .isEqualTo(1);
   }
 
-  void transmitted(RequestId request, EngineProcess engine) {
+  void onTransmitted(RequestId request, EngineProcess engine) {
     long nowNs = cluster.timeline().nowNs();
     assertThat(nowNs)
         .describedAs(
--- a/session/src/test/java/org/teaseltrail/session/EngineReader.java
+++ b/session/src/test/java/org/teaseltrail/session/EngineStreamReader.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.request.StreamFrame;
 
 /** Connection on which an entry VM reads one response stream from an engine. */
-final class EngineReader {
+final class EngineStreamReader {
 
   private final EntryProcess entry;
   private final RequestId request;
@@ -16,10 +16,10 @@
   private int nextFrame;
   private boolean open = true;
   private StreamFrame delayedFrame;
-  private Mischief nextFault = Mischief.NONE;
+  private FrameFault nextFault = FrameFault.NONE;
 
   /** Faults that can be injected into the next frame of a stream. */
-  enum Mischief {
+  enum FrameFault {
     NONE,
     /** The frame arrives after the one that follows it. */
     SWAP,
@@ -29,7 +29,7 @@
     FOREIGN
   }
 
-  EngineReader(
+  EngineStreamReader(
       EngineProcess engine,
       EntryProcess entry,
       RequestId request,
@@ -60,7 +60,7 @@
     return open;
   }
 
-  void disturb(Mischief fault) {
+  void injectFault(FrameFault fault) {
     nextFault = fault;
   }
 
@@ -70,17 +70,17 @@
 
   void frame(StreamFrame frame) {
     nextFrame++;
-    if (nextFault == Mischief.SWAP) {
-      nextFault = Mischief.NONE;
+    if (nextFault == FrameFault.SWAP) {
+      nextFault = FrameFault.NONE;
       delayedFrame = frame;
       return;
     }
-    if (nextFault == Mischief.FOREIGN) {
+    if (nextFault == FrameFault.FOREIGN) {
       sendToEntry(new EntryEvent.FrameReceived(request, attempt, foreignFrame(frame)));
-    } else if (nextFault == Mischief.DOUBLE) {
+    } else if (nextFault == FrameFault.DOUBLE) {
       sendToEntry(new EntryEvent.FrameReceived(request, attempt, frame));
     }
-    nextFault = Mischief.NONE;
+    nextFault = FrameFault.NONE;
     sendToEntry(new EntryEvent.FrameReceived(request, attempt, frame));
     if (delayedFrame != null) {
       StreamFrame late = delayedFrame;
@@ -109,7 +109,7 @@
     open = false;
   }
 
-  void alreadyKnown() {
+  void onDuplicateRequest() {
     sendToEntry(new EntryEvent.UpstreamFailed(request, attempt, FailureReason.UPSTREAM_PROTOCOL));
     open = false;
   }
--- a/session/src/test/java/org/teaseltrail/session/EntryProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/EntryProcess.java
@@ -21,7 +21,7 @@
 import org.teaseltrail.core.upstream.CacheEvent;
 
 /** Simulated entry VM with its connections to control members, engines and callers. */
-final class EntryProcess extends FakeProcess {
+final class EntryProcess extends SimulatedProcess {
 
   private static final long RECONNECT_NS = 50 * Timeline.MS;
   private static final long CONNECT_TIMEOUT_NS = 1_000 * Timeline.MS;
@@ -29,13 +29,13 @@
   private final VmId vm;
   private final Map<MemberId, ControlConnection> control = new LinkedHashMap<>();
   private final Map<RequestId, Submission> submissions = new LinkedHashMap<>();
-  private final Map<RequestId, EngineReader> readers = new HashMap<>();
+  private final Map<RequestId, EngineStreamReader> readers = new HashMap<>();
   private EntryNode node;
   private boolean listening;
   private long revision;
 
-  EntryProcess(SessionWorld world, String name) {
-    super(world, name);
+  EntryProcess(SimulatedCluster cluster, String name) {
+    super(cluster, name);
     this.vm = new VmId(name);
   }
 
@@ -44,11 +44,11 @@
   }
 
   boolean isListening() {
-    return isUp() && listening;
+    return isRunning() && listening;
   }
 
   boolean isReady() {
-    return isUp() && !isFrozen() && node.isReady(localNs());
+    return isRunning() && !isPaused() && node.isReady(localNs());
   }
 
   EntryStatus status() {
@@ -60,21 +60,22 @@
   }
 
   @Override
-  void begin() {
+  void onStart() {
     listening = true;
     revision = 0;
     node =
-        new EntryNode(EntrySettings.defaults(vm, new Incarnation(life()), new DataCenterId("a")));
-    world.members().forEach(this::connect);
+        new EntryNode(
+            EntrySettings.defaults(vm, new Incarnation(incarnation()), new DataCenterId("a")));
+    cluster.members().forEach(this::connect);
   }
 
   @Override
-  void ended() {
+  void onKill() {
     control.values().forEach(ControlConnection::closeByEntry);
     control.clear();
-    readers.values().forEach(EngineReader::close);
+    readers.values().forEach(EngineStreamReader::close);
     readers.clear();
-    submissions.values().forEach(Submission::lost);
+    submissions.values().forEach(Submission::connectionLost);
     submissions.clear();
   }
 
@@ -88,37 +89,41 @@
     handle(new EntryEvent.Tick());
   }
 
-  void arrive(Submission submission) {
+  void onSubmission(Submission submission) {
     submissions.put(submission.id(), submission);
-    deliver(life(), () -> handle(new EntryEvent.RequestArrived(submission.id(), submission.ask())));
+    deliver(
+        incarnation(),
+        () -> handle(new EntryEvent.RequestArrived(submission.id(), submission.callerCall())));
   }
 
-  void hangUp(Submission submission) {
+  void disconnectCaller(Submission submission) {
     submissions.remove(submission.id());
-    deliver(life(), () -> handle(new EntryEvent.CallerGone(submission.id())));
+    deliver(incarnation(), () -> handle(new EntryEvent.CallerGone(submission.id())));
   }
 
-  void hear(Announcement announcement) {
-    later(
-        world.network().delayNs(),
+  void receive(Announcement announcement) {
+    schedule(
+        cluster.network().delayNs(),
         () ->
-            handle(new EntryEvent.AnnouncementReceived(0, announcement, SessionWorld.SECRET_HASH)));
+            handle(
+                new EntryEvent.AnnouncementReceived(
+                    0, announcement, SimulatedCluster.SECRET_HASH)));
   }
 
-  void hear(CacheEvent event) {
-    later(
-        world.network().delayNs(),
-        () -> handle(new EntryEvent.CacheEventReceived(0, event, SessionWorld.SECRET_HASH)));
+  void receive(CacheEvent event) {
+    schedule(
+        cluster.network().delayNs(),
+        () -> handle(new EntryEvent.CacheEventReceived(0, event, SimulatedCluster.SECRET_HASH)));
   }
 
-  void received(ControlProcess member, ControlMessage message) {
+  void onControlMessage(ControlProcess member, ControlMessage message) {
     handle(new EntryEvent.ControlReceived(member.id(), message));
   }
 
-  void disconnected(ControlConnection connection) {
+  void onDisconnected(ControlConnection connection) {
     if (control.remove(connection.member().id(), connection)) {
       handle(new EntryEvent.ControlDisconnected(connection.member().id()));
-      later(RECONNECT_NS, () -> connect(connection.member()));
+      schedule(RECONNECT_NS, () -> connect(connection.member()));
     }
   }
 
@@ -128,17 +133,17 @@
 
   private void connect(ControlProcess member) {
     boolean reachable =
-        member.isUp()
-            && !world.network().isCut(this, member)
-            && !world.network().isCut(member, this);
+        member.isRunning()
+            && !cluster.network().isPartitioned(this, member)
+            && !cluster.network().isPartitioned(member, this);
     if (!reachable) {
-      later(RECONNECT_NS, () -> connect(member));
+      schedule(RECONNECT_NS, () -> connect(member));
       return;
     }
     ControlConnection connection = new ControlConnection(this, member);
     control.put(member.id(), connection);
     connection.open();
-    later(2 * world.network().delayNs(), () -> onEstablished(connection));
+    schedule(2 * cluster.network().delayNs(), () -> onEstablished(connection));
   }
 
   private void onEstablished(ControlConnection connection) {
@@ -148,39 +153,39 @@
   }
 
   void handle(EntryEvent event) {
-    if (!isUp()) {
+    if (!isRunning()) {
       return;
     }
     List<EntryAction> actions = node.handle(event, localNs());
-    world.checks().configured(this, revision, node.status().revision());
+    cluster.invariants().onConfigurationApplied(this, revision, node.status().revision());
     revision = node.status().revision();
     boolean arrived = event instanceof EntryEvent.RequestArrived;
     if (arrived && actions.stream().noneMatch(EntryAction.Conclude.class::isInstance)) {
-      world.checks().admitted(this);
+      cluster.invariants().onAdmitted(this);
     }
     actions.forEach(this::execute);
-    rearm();
+    scheduleWakeup();
   }
 
   private void execute(EntryAction action) {
-    world.trace().fromEntry(this, action);
+    cluster.trace().addEntryAction(this, action);
     if (action instanceof EntryAction.SendControl send) {
       ControlConnection connection = control.get(send.member());
       if (connection != null) {
-        connection.toMember(send.message());
+        connection.sendToMember(send.message());
       }
     } else if (action instanceof EntryAction.ReconnectControl reconnect) {
       reconnect(reconnect.member());
     } else if (action instanceof EntryAction.Deliver deliver) {
-      withSubmission(deliver.request(), s -> s.delivered(deliver.frame()));
+      withSubmission(deliver.request(), s -> s.onTextFrame(deliver.frame()));
     } else if (action instanceof EntryAction.Conclude conclude) {
-      withSubmission(conclude.request(), s -> s.concluded(conclude.outcome()));
+      withSubmission(conclude.request(), s -> s.onOutcome(conclude.outcome()));
       submissions.remove(conclude.request());
     } else if (action instanceof EntryAction.CloseListener) {
       listening = false;
     } else if (action instanceof EntryAction.Exit) {
-      world.checks().exits(this, submissions.values());
-      later(0, this::kill);
+      cluster.invariants().onExit(this, submissions.values());
+      schedule(0, this::kill);
     } else {
       executeUpstream(action);
     }
@@ -197,7 +202,7 @@
       resume(resume);
     } else if (action instanceof EntryAction.CancelUpstream cancel) {
       closeUpstream(cancel.request());
-      EngineProcess engine = world.engine(cancel.target().address());
+      EngineProcess engine = cluster.engine(cancel.target().address());
       new Pipe(this, engine).send(() -> engine.cancel(cancel.request()));
     }
   }
@@ -206,39 +211,41 @@
     ControlConnection connection = control.get(member);
     if (connection != null) {
       connection.closeByEntry();
-      later(0, () -> disconnected(connection));
+      schedule(0, () -> onDisconnected(connection));
     }
   }
 
   private void connectUpstream(EntryAction.Connect connect) {
-    EngineProcess engine = world.engine(connect.target().address());
-    boolean cut = world.network().isCut(this, engine) || world.network().isCut(engine, this);
-    later(
-        cut ? CONNECT_TIMEOUT_NS : 2 * world.network().delayNs(),
+    EngineProcess engine = cluster.engine(connect.target().address());
+    boolean cut =
+        cluster.network().isPartitioned(this, engine)
+            || cluster.network().isPartitioned(engine, this);
+    schedule(
+        cut ? CONNECT_TIMEOUT_NS : 2 * cluster.network().delayNs(),
         () ->
             handle(
-                engine.isUp() && !cut
+                engine.isRunning() && !cut
                     ? new EntryEvent.UpstreamConnected(connect.request(), connect.attempt())
                     : new EntryEvent.UpstreamConnectFailed(connect.request(), connect.attempt())));
-    world.callers().find(connect.request()).goesTo(engine);
+    cluster.callers().find(connect.request()).setEngine(engine);
   }
 
   private void transmit(EntryAction.Transmit transmit) {
-    Submission submission = world.callers().find(transmit.request());
+    Submission submission = cluster.callers().find(transmit.request());
     EngineProcess engine = submission.engine();
-    EngineReader reader =
-        new EngineReader(
+    EngineStreamReader reader =
+        new EngineStreamReader(
             engine, this, transmit.request(), transmit.attempt(), transmit.request(), 0);
     open(transmit.request(), reader);
-    world.engineHistory().transmitted(transmit.request(), engine);
-    engine.opened(reader);
+    cluster.engineRequests().onTransmitted(transmit.request(), engine);
+    engine.onConnectionOpened(reader);
     new Pipe(this, engine).send(() -> engine.submit(submission.engineRequest()));
   }
 
   private void resume(EntryAction.Resume resume) {
-    EngineProcess engine = world.engine(resume.target().address());
-    EngineReader reader =
-        new EngineReader(
+    EngineProcess engine = cluster.engine(resume.target().address());
+    EngineStreamReader reader =
+        new EngineStreamReader(
             engine,
             this,
             resume.request(),
@@ -246,17 +253,17 @@
             resume.stream(),
             Math.toIntExact(resume.fromSequence()));
     open(resume.request(), reader);
-    engine.opened(reader);
+    engine.onConnectionOpened(reader);
     new Pipe(this, engine).send(() -> engine.resume(reader));
   }
 
-  private void open(RequestId request, EngineReader reader) {
+  private void open(RequestId request, EngineStreamReader reader) {
     closeUpstream(request);
     readers.put(request, reader);
   }
 
   private void closeUpstream(RequestId request) {
-    EngineReader reader = readers.remove(request);
+    EngineStreamReader reader = readers.remove(request);
     if (reader != null) {
       reader.close();
     }
--- a/session/src/test/java/org/teaseltrail/session/Fault.java
+++ b/session/src/test/java/org/teaseltrail/session/Fault.java
@@ -12,80 +12,80 @@
 enum Fault {
   KILL_ENTRY {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       killFor(cluster, randomOf(cluster, cluster.entries()), 3_000);
     }
   },
   KILL_MEMBER {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       killFor(cluster, randomOf(cluster, cluster.members()), 3_000);
     }
   },
   KILL_LEADER {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       cluster.leader().ifPresent(leader -> killFor(cluster, leader, 1_500));
     }
   },
   KILL_ENGINE {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       killFor(cluster, randomOf(cluster, cluster.engines()), 2_000);
     }
   },
   HAND_OVER {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       cluster.leader().ifPresent(ControlProcess::handOver);
     }
   },
   FREEZE_LEADER {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       cluster.leader().ifPresent(leader -> pauseFor(cluster, leader, 5_000));
     }
   },
   FREEZE_LEADER_AT_GRANT {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       cluster
           .leader()
           .ifPresent(
               leader -> {
-                leader.freezeAtNextGrant();
-                after(cluster, 5_000, leader::thaw);
+                leader.pauseBeforeNextGrant();
+                after(cluster, 5_000, leader::unpause);
               });
     }
   },
   FREEZE_ENTRY {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       pauseFor(cluster, randomOf(cluster, cluster.entries()), 5_000);
     }
   },
   ISOLATE_LEADER {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       cluster.leader().ifPresent(leader -> isolateFor(cluster, leader, 12_000));
     }
   },
   ISOLATE_ENTRY {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       isolateFor(cluster, randomOf(cluster, cluster.entries()), 6_000);
     }
   },
   CUT_ONE_WAY {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       ControlProcess member = randomOf(cluster, cluster.members());
       boolean outwards = cluster.random().nextBoolean();
-      for (FakeProcess other : cluster.processes()) {
+      for (SimulatedProcess other : cluster.processes()) {
         if (outwards) {
-          cluster.network().cutOneWay(member, other);
+          cluster.network().partitionOneWay(member, other);
         } else {
-          cluster.network().cutOneWay(other, member);
+          cluster.network().partitionOneWay(other, member);
         }
       }
       after(cluster, 6_000, () -> cluster.network().heal(member));
@@ -93,28 +93,28 @@
   },
   LEAVE_ENGINE {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       EngineProcess engine = randomOf(cluster, cluster.engines());
-      if (engine.isUp() && engine.leavingSinceNs() == Long.MAX_VALUE) {
-        engine.leave(() -> engine.later(STOP_DELAY_NS, () -> killFor(cluster, engine, 1_000)));
+      if (engine.isRunning() && engine.leavingSinceNs() == Long.MAX_VALUE) {
+        engine.leave(() -> engine.schedule(STOP_DELAY_NS, () -> killFor(cluster, engine, 1_000)));
       }
     }
   },
   STRAGGLE {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       EngineProcess engine = randomOf(cluster, cluster.engines());
-      if (engine.isUp()) {
-        engine.straggle(8);
-        engine.later(3_000 * Timeline.MS, () -> engine.straggle(1));
+      if (engine.isRunning()) {
+        engine.slowDown(8);
+        engine.schedule(3_000 * Timeline.MS, () -> engine.slowDown(1));
       }
     }
   },
   BREAK_STREAMS {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       for (Submission submission : cluster.callers().all()) {
-        if (!submission.isOver() && submission.engine() != null) {
+        if (!submission.isFinished() && submission.engine() != null) {
           submission.engine().breakConnections(submission.id());
         }
       }
@@ -122,19 +122,19 @@
   },
   DISTURB_STREAMS {
     @Override
-    void strike(SessionWorld cluster) {
-      EngineReader.Mischief[] all = EngineReader.Mischief.values();
+    void inject(SimulatedCluster cluster) {
+      EngineStreamReader.FrameFault[] all = EngineStreamReader.FrameFault.values();
       for (Submission submission : cluster.callers().all()) {
-        if (!submission.isOver() && submission.engine() != null) {
-          EngineReader.Mischief frameFault = all[cluster.random().nextInt(all.length)];
-          submission.engine().disturb(submission.id(), frameFault);
+        if (!submission.isFinished() && submission.engine() != null) {
+          EngineStreamReader.FrameFault frameFault = all[cluster.random().nextInt(all.length)];
+          submission.engine().injectFrameFault(submission.id(), frameFault);
         }
       }
     }
   },
   DRAIN_UPSTREAM {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       EngineProcess engine = randomOf(cluster, cluster.engines());
       change(cluster, Optional.empty(), new ConfigurationChange.SetDraining(engine.id(), true));
       after(
@@ -149,9 +149,9 @@
   },
   RACE_OF_OPERATORS {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       Optional<Revision> currentRevision =
-          Optional.of(new Revision(cluster.checks().newestRevision()));
+          Optional.of(new Revision(cluster.invariants().latestRevision()));
       for (String name : List.of("gold", "silver", "bronze")) {
         change(
             cluster,
@@ -162,10 +162,10 @@
   },
   DRAIN_ENTRY {
     @Override
-    void strike(SessionWorld cluster) {
+    void inject(SimulatedCluster cluster) {
       EntryProcess entry = randomOf(cluster, cluster.entries());
-      if (entry.isUp()) {
-        entry.deliver(entry.life(), entry::drain);
+      if (entry.isRunning()) {
+        entry.deliver(entry.incarnation(), entry::drain);
         after(cluster, 15_000, entry::start);
       }
     }
@@ -173,38 +173,38 @@
 
   private static final long STOP_DELAY_NS = 4_000 * Timeline.MS;
 
-  abstract void strike(SessionWorld cluster);
+  abstract void inject(SimulatedCluster cluster);
 
   static Fault any(SplittableRandom random) {
     return values()[random.nextInt(values().length)];
   }
 
-  private static <T> T randomOf(SessionWorld cluster, List<T> all) {
+  private static <T> T randomOf(SimulatedCluster cluster, List<T> all) {
     return all.get(cluster.random().nextInt(all.size()));
   }
 
   /** Runs a step after a random delay below the given bound. */
-  private static void after(SessionWorld cluster, long maxMs, Runnable step) {
+  private static void after(SimulatedCluster cluster, long maxMs, Runnable step) {
     cluster.timeline().after(cluster.random().nextLong(maxMs * Timeline.MS), step);
   }
 
-  private static void killFor(SessionWorld cluster, FakeProcess process, long maxMs) {
+  private static void killFor(SimulatedCluster cluster, SimulatedProcess process, long maxMs) {
     process.kill();
     after(cluster, maxMs, process::start);
   }
 
-  private static void pauseFor(SessionWorld cluster, FakeProcess process, long maxMs) {
-    process.freeze();
-    after(cluster, maxMs, process::thaw);
+  private static void pauseFor(SimulatedCluster cluster, SimulatedProcess process, long maxMs) {
+    process.pause();
+    after(cluster, maxMs, process::unpause);
   }
 
-  private static void isolateFor(SessionWorld cluster, FakeProcess process, long maxMs) {
-    cluster.processes().forEach(other -> cluster.network().cut(process, other));
+  private static void isolateFor(SimulatedCluster cluster, SimulatedProcess process, long maxMs) {
+    cluster.processes().forEach(other -> cluster.network().partition(process, other));
     after(cluster, maxMs, () -> cluster.network().heal(process));
   }
 
   private static void change(
-      SessionWorld cluster, Optional<Revision> expected, ConfigurationChange item) {
+      SimulatedCluster cluster, Optional<Revision> expected, ConfigurationChange item) {
     cluster.operator().change("change-" + cluster.random().nextLong(), expected, List.of(item));
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/GoldenSessionTest.java
+++ b/session/src/test/java/org/teaseltrail/session/GoldenSessionTest.java
@@ -25,9 +25,9 @@
 
   @ParameterizedTest(name = "{0}")
   @MethodSource("scripts")
-  void flowIsAsBefore(String name) throws IOException {
-    SessionWorld cluster = new SessionWorld(1, ENTRY_VMS, ENGINES, false);
-    cluster.begin();
+  void messageFlowMatchesGoldenFile(String name) throws IOException {
+    SimulatedCluster cluster = new SimulatedCluster(1, ENTRY_VMS, ENGINES, false);
+    cluster.startAndConfigure();
     new SessionScript(cluster).run(Files.readAllLines(FOLDER.resolve(name + ".session")));
     Path golden = FOLDER.resolve(name + ".golden");
     if (REWRITE) {
--- a/session/src/test/java/org/teaseltrail/session/TableCodec.java
+++ b/session/src/test/java/org/teaseltrail/session/InMemoryStateCodec.java
@@ -10,7 +10,7 @@
 /**
  * State codec that keeps the immutable objects in memory and encodes them as indexes into a table.
  */
-final class TableCodec implements StateCodec {
+final class InMemoryStateCodec implements StateCodec {
 
   private final List<Object> table = new ArrayList<>();
 
--- a/session/src/test/java/org/teaseltrail/session/SessionChecks.java
+++ b/session/src/test/java/org/teaseltrail/session/InvariantChecker.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.id.UpstreamId;
 
 /** Checks the invariants that span several processes, after each step. */
-final class SessionChecks {
+final class InvariantChecker {
 
   /**
    * Maximum age of a replaced configuration under which an entry VM still admits requests: the
@@ -20,12 +20,12 @@
    */
   private static final long MAX_CONFIGURATION_AGE_NS = 3_060 * Timeline.MS;
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final Map<UpstreamId, Long> drainedSinceNs = new HashMap<>();
-  private final List<Long> grantedAtNs = new ArrayList<>();
+  private final List<Long> grantTimesNs = new ArrayList<>();
   private final List<Long> acceptTimesNs = new ArrayList<>(List.of(0L));
 
-  SessionChecks(SessionWorld cluster) {
+  InvariantChecker(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
@@ -33,29 +33,29 @@
     return drainedSinceNs.getOrDefault(upstream, Long.MAX_VALUE);
   }
 
-  long newestRevision() {
+  long latestRevision() {
     return acceptTimesNs.size() - 1;
   }
 
   /** Checks that at most one member holds a valid lease, and tracks the accepted configurations. */
-  void afterEach() {
+  void checkAfterStep() {
     int leases = 0;
     for (ControlProcess member : cluster.members()) {
-      leases += member.leaseHolds() ? 1 : 0;
-      if (member.isUp() && member.revision() > newestRevision()) {
+      leases += member.hasValidLease() ? 1 : 0;
+      if (member.isRunning() && member.revision() > latestRevision()) {
         onConfigurationAccepted(member.configuration());
       }
     }
     assertThat(leases).describedAs("members with a valid lease").isLessThanOrEqualTo(1);
   }
 
-  void configured(EntryProcess entry, long before, long after) {
+  void onConfigurationApplied(EntryProcess entry, long before, long after) {
     assertThat(after).describedAs("revision on %s", entry.name()).isGreaterThanOrEqualTo(before);
   }
 
-  void admitted(EntryProcess entry) {
+  void onAdmitted(EntryProcess entry) {
     long revision = entry.revision();
-    if (revision < newestRevision()) {
+    if (revision < latestRevision()) {
       long sinceNs = cluster.timeline().nowNs() - acceptTimesNs.get((int) revision + 1);
       assertThat(sinceNs)
           .describedAs("age of the configuration after %d on %s", revision, entry.name())
@@ -63,7 +63,7 @@
     }
   }
 
-  void exits(EntryProcess entry, Collection<Submission> unfinished) {
+  void onExit(EntryProcess entry, Collection<Submission> unfinished) {
     assertThat(unfinished)
         .describedAs("requests aborted by the exit of %s", entry.name())
         .isEmpty();
@@ -71,16 +71,16 @@
 
   /** Records the time at which a grant is sent, to measure how long scheduling was interrupted. */
   void granted() {
-    grantedAtNs.add(cluster.timeline().nowNs());
+    grantTimesNs.add(cluster.timeline().nowNs());
   }
 
-  List<Long> grantedAtNs() {
-    return grantedAtNs;
+  List<Long> grantTimesNs() {
+    return grantTimesNs;
   }
 
   private void onConfigurationAccepted(Configuration configuration) {
     long nowNs = cluster.timeline().nowNs();
-    while (newestRevision() < configuration.revision().value()) {
+    while (latestRevision() < configuration.revision().value()) {
       acceptTimesNs.add(nowNs);
     }
     for (AllowedUpstream upstream : configuration.upstreams().values()) {
--- a/session/src/test/java/org/teaseltrail/session/LeaderKillTest.java
+++ b/session/src/test/java/org/teaseltrail/session/LeaderKillTest.java
@@ -21,21 +21,21 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void schedulingGoesOnWithinTwoSeconds(long seed) {
-    SessionWorld cluster = new SessionWorld(seed, 3, 3, true);
-    cluster.begin();
+  void schedulingResumesWithinTwoSeconds(long seed) {
+    SimulatedCluster cluster = new SimulatedCluster(seed, 3, 3, true);
+    cluster.startAndConfigure();
     load(cluster);
     cluster.timeline().runFor(2_000 * Timeline.MS);
     long killedNs = cluster.timeline().nowNs();
     cluster.leader().orElseThrow().kill();
     cluster.timeline().runFor(15_000 * Timeline.MS);
-    long outageNs = firstAfter(cluster.checks().grantedAtNs(), killedNs) - killedNs;
+    long outageNs = firstAfter(cluster.invariants().grantTimesNs(), killedNs) - killedNs;
     System.out.println("seed " + seed + ": no grant for " + outageNs / Timeline.MS + " ms");
     assertThat(outageNs).isLessThan(MAX_OUTAGE_NS);
     cluster.callers().checkAtEnd();
   }
 
-  private void load(SessionWorld cluster) {
+  private void load(SimulatedCluster cluster) {
     if (calls < CALLS) {
       calls++;
       CallSpec spec = new CallSpec("c" + calls, 1, 12, 5, Optional.empty(), false, 0);
--- a/session/src/test/java/org/teaseltrail/session/LongRunTest.java
+++ b/session/src/test/java/org/teaseltrail/session/LongRunTest.java
@@ -19,7 +19,7 @@
   private static final Long SEED = Long.getLong("teaseltrail.longrun.seed");
 
   @Test
-  void keepsItsPromisesUnderFaultsWithFreshSeeds() {
+  void guaranteesHoldUnderFaultsWithFreshSeeds() {
     if (SEED != null) {
       run(SEED);
       return;
@@ -42,6 +42,6 @@
     } catch (RuntimeException | AssertionError e) {
       throw new AssertionError("random session of seed " + seed + " failed: " + e.getMessage(), e);
     }
-    return session.struck();
+    return session.injectedFaults();
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/Network.java
+++ b/session/src/test/java/org/teaseltrail/session/Network.java
@@ -16,23 +16,23 @@
 
   private record Link(String from, String to) {}
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final boolean jitter;
   private final Set<Link> partitionedLinks = new HashSet<>();
   private final Set<Pipe> pendingPipes = new LinkedHashSet<>();
 
-  Network(SessionWorld cluster, boolean jitter) {
+  Network(SimulatedCluster cluster, boolean jitter) {
     this.cluster = cluster;
     this.jitter = jitter;
   }
 
-  void cutOneWay(FakeProcess from, FakeProcess to) {
+  void partitionOneWay(SimulatedProcess from, SimulatedProcess to) {
     partitionedLinks.add(new Link(from.name(), to.name()));
   }
 
-  void cut(FakeProcess one, FakeProcess other) {
-    cutOneWay(one, other);
-    cutOneWay(other, one);
+  void partition(SimulatedProcess one, SimulatedProcess other) {
+    partitionOneWay(one, other);
+    partitionOneWay(other, one);
   }
 
   void heal() {
@@ -41,7 +41,7 @@
   }
 
   /** Heals the partitions from and to one process. */
-  void heal(FakeProcess process) {
+  void heal(SimulatedProcess process) {
     partitionedLinks.removeIf(
         link -> link.from().equals(process.name()) || link.to().equals(process.name()));
     flushPending();
@@ -56,11 +56,11 @@
     pipes.forEach(Pipe::flush);
   }
 
-  boolean isCut(FakeProcess from, FakeProcess to) {
+  boolean isPartitioned(SimulatedProcess from, SimulatedProcess to) {
     return partitionedLinks.contains(new Link(from.name(), to.name()));
   }
 
-  void holds(Pipe pipe) {
+  void addPendingPipe(Pipe pipe) {
     pendingPipes.add(pipe);
   }
 
@@ -73,13 +73,13 @@
   }
 
   /** Sends a message that may be lost, duplicated and reordered. */
-  void datagram(FakeProcess from, FakeProcess to, Runnable onArrival) {
-    if (isCut(from, to)) {
+  void sendDatagram(SimulatedProcess from, SimulatedProcess to, Runnable onArrival) {
+    if (isPartitioned(from, to)) {
       return;
     }
     boolean duplicated = jitter && cluster.random().nextInt(100) < DUPLICATED_PERCENT;
     for (int copy = duplicated ? 0 : 1; copy < 2; copy++) {
-      int life = to.life();
+      int life = to.incarnation();
       cluster.timeline().after(delayNs(), () -> to.deliver(life, onArrival));
     }
   }
--- a/session/src/test/java/org/teaseltrail/session/Operator.java
+++ b/session/src/test/java/org/teaseltrail/session/OperatorClient.java
@@ -18,16 +18,16 @@
  * result, and checks that retries return the same result and that no two changes are accepted as
  * the same revision.
  */
-final class Operator {
+final class OperatorClient {
 
   private static final long RETRY_INTERVAL_NS = 700 * Timeline.MS;
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final int lostResponsesPercent;
   private final Map<ChangeId, ChangeResult> results = new HashMap<>();
   private final Map<Revision, ChangeId> acceptedChanges = new HashMap<>();
 
-  Operator(SessionWorld cluster, int lostResponsesPercent) {
+  OperatorClient(SimulatedCluster cluster, int lostResponsesPercent) {
     this.cluster = cluster;
     this.lostResponsesPercent = lostResponsesPercent;
   }
@@ -45,14 +45,17 @@
       return;
     }
     ControlProcess member = cluster.members().get(attempt % cluster.members().size());
-    int life = member.life();
+    int life = member.incarnation();
     cluster
         .timeline()
         .after(
             cluster.network().delayNs(),
             () ->
                 member.deliver(
-                    life, () -> member.ask(change, response -> onResponse(change, response))));
+                    life,
+                    () ->
+                        member.submitOperatorRequest(
+                            change, response -> onResponse(change, response))));
     cluster.timeline().after(RETRY_INTERVAL_NS, () -> send(change, attempt + 1));
   }
 
@@ -73,7 +76,7 @@
           .isEqualTo(before);
       return;
     }
-    cluster.trace().line("operator", "change " + change.change() + " came to " + result);
+    cluster.trace().addLine("operator", "change " + change.change() + " came to " + result);
     if (result instanceof ChangeResult.Accepted accepted) {
       assertThat(acceptedChanges.putIfAbsent(accepted.revision(), change.change()))
           .describedAs("other change accepted as revision %s", accepted.revision())
--- a/session/src/test/java/org/teaseltrail/session/Pipe.java
+++ b/session/src/test/java/org/teaseltrail/session/Pipe.java
@@ -9,29 +9,29 @@
  */
 final class Pipe {
 
-  private final SessionWorld world;
-  private final FakeProcess from;
-  private final FakeProcess to;
-  private final int life;
+  private final SimulatedCluster cluster;
+  private final SimulatedProcess from;
+  private final SimulatedProcess to;
+  private final int incarnation;
   private final List<Runnable> pending = new ArrayList<>();
   private long lastArrivalNs;
 
-  Pipe(FakeProcess from, FakeProcess to) {
-    this.world = from.world;
+  Pipe(SimulatedProcess from, SimulatedProcess to) {
+    this.cluster = from.cluster;
     this.from = from;
     this.to = to;
-    this.life = to.life();
+    this.incarnation = to.incarnation();
   }
 
   void send(Runnable onArrival) {
-    if (world.network().isCut(from, to)) {
+    if (cluster.network().isPartitioned(from, to)) {
       pending.add(onArrival);
-      world.network().holds(this);
+      cluster.network().addPendingPipe(this);
       return;
     }
-    long nowNs = world.timeline().nowNs();
-    lastArrivalNs = Math.max(lastArrivalNs, nowNs + world.network().delayNs());
-    world.timeline().after(lastArrivalNs - nowNs, () -> to.deliver(life, onArrival));
+    long nowNs = cluster.timeline().nowNs();
+    lastArrivalNs = Math.max(lastArrivalNs, nowNs + cluster.network().delayNs());
+    cluster.timeline().after(lastArrivalNs - nowNs, () -> to.deliver(incarnation, onArrival));
   }
 
   void flush() {
--- a/session/src/test/java/org/teaseltrail/session/RandomSession.java
+++ b/session/src/test/java/org/teaseltrail/session/RandomSession.java
@@ -22,49 +22,49 @@
   private static final long PROBE_NS = 3_000 * Timeline.MS;
   private static final int MAX_ATTEMPTS = 5;
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final SplittableRandom random;
-  private final Map<Fault, Integer> struck = new EnumMap<>(Fault.class);
+  private final Map<Fault, Integer> injectedFaults = new EnumMap<>(Fault.class);
   private long faultsEndNs;
   private int calls;
 
   RandomSession(long seed) {
-    cluster = new SessionWorld(seed, ENTRY_VMS, ENGINES, true);
+    cluster = new SimulatedCluster(seed, ENTRY_VMS, ENGINES, true);
     random = cluster.random().split();
   }
 
-  SessionWorld cluster() {
+  SimulatedCluster cluster() {
     return cluster;
   }
 
   /** Returns how often each fault was injected. */
-  Map<Fault, Integer> struck() {
-    return struck;
+  Map<Fault, Integer> injectedFaults() {
+    return injectedFaults;
   }
 
   /** Runs the session and checks the guarantees after each step and at the end. */
   void run() {
-    cluster.begin();
+    cluster.startAndConfigure();
     faultsEndNs = cluster.timeline().nowNs() + FAULTS_NS;
     load();
     faults();
     cluster.timeline().runFor(FAULTS_NS);
     cluster.network().heal();
-    cluster.processes().forEach(FakeProcess::thaw);
-    cluster.processes().forEach(FakeProcess::start);
+    cluster.processes().forEach(SimulatedProcess::unpause);
+    cluster.processes().forEach(SimulatedProcess::start);
     cluster.timeline().runFor(RECOVERY_NS);
-    cluster.processes().forEach(FakeProcess::start);
+    cluster.processes().forEach(SimulatedProcess::start);
     cluster.timeline().runFor(RECOVERY_NS);
     cluster.callers().checkAtEnd();
     probe();
   }
 
-  private boolean isOver() {
+  private boolean faultPhaseEnded() {
     return cluster.timeline().nowNs() >= faultsEndNs;
   }
 
   private void load() {
-    if (isOver()) {
+    if (faultPhaseEnded()) {
       return;
     }
     int count = random.nextInt(25) == 0 ? 30 : 1;
@@ -75,14 +75,14 @@
   }
 
   private void faults() {
-    if (isOver()) {
+    if (faultPhaseEnded()) {
       return;
     }
     cluster.timeline().after(random.nextLong(1_500 * Timeline.MS), this::faults);
     Fault fault = Fault.any(random);
-    struck.merge(fault, 1, Integer::sum);
-    cluster.trace().line("fault", fault.toString());
-    fault.strike(cluster);
+    injectedFaults.merge(fault, 1, Integer::sum);
+    cluster.trace().addLine("fault", fault.toString());
+    fault.inject(cluster);
   }
 
   private CallSpec spec() {
@@ -91,7 +91,7 @@
     boolean isLong = random.nextInt(5) == 0;
     return new CallSpec(
         "c" + calls,
-        1 + random.nextInt(SessionWorld.TIERS),
+        1 + random.nextInt(SimulatedCluster.TIERS),
         1 + random.nextInt(isLong ? 1_200 : 60),
         1 + random.nextInt(isLong ? 200 : 20),
         keyed ? Optional.of("k" + calls) : Optional.empty(),
@@ -108,17 +108,17 @@
     }
     Submission submission =
         cluster.callers().submit(call, listening.get(random.nextInt(listening.size())));
-    submission.whenOver(() -> onFinished(submission, attempts));
+    submission.onFinished(() -> onFinished(submission, attempts));
     if (random.nextInt(20) == 0) {
       cluster
           .timeline()
-          .after(random.nextLong(2_000 * Timeline.MS), () -> hangUp(submission, attempts));
+          .after(random.nextLong(2_000 * Timeline.MS), () -> disconnect(submission, attempts));
     }
   }
 
-  private void hangUp(Submission submission, int attempts) {
-    if (!submission.isOver()) {
-      submission.hangUp();
+  private void disconnect(Submission submission, int attempts) {
+    if (!submission.isFinished()) {
+      submission.disconnect();
       onFinished(submission, attempts);
     }
   }
--- a/session/src/test/java/org/teaseltrail/session/RandomSessionProperties.java
+++ b/session/src/test/java/org/teaseltrail/session/RandomSessionProperties.java
@@ -13,7 +13,7 @@
 class RandomSessionProperties {
 
   @Property(seed = "1847", tries = 5, shrinking = ShrinkingMode.OFF)
-  void keepsItsPromisesUnderFaults(@ForAll long seed) {
+  void guaranteesHoldUnderFaults(@ForAll long seed) {
     new RandomSession(seed).run();
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/FailedSeedsTest.java
+++ b/session/src/test/java/org/teaseltrail/session/RegressionSeedsTest.java
@@ -4,7 +4,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Repeats the random sessions whose seeds revealed a fault. */
-class FailedSeedsTest {
+class RegressionSeedsTest {
 
   /**
    * Seed 3137811655120930206: an upstream leaves while an entry VM is paused. When the VM
@@ -13,7 +13,7 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {3137811655120930206L})
-  void keepsItsPromises(long seed) {
+  void guaranteesHoldForRecordedSeeds(long seed) {
     new RandomSession(seed).run();
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/SessionScript.java
+++ b/session/src/test/java/org/teaseltrail/session/SessionScript.java
@@ -23,11 +23,11 @@
  */
 final class SessionScript {
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final Map<String, Call> calls = new HashMap<>();
   private final Map<String, Submission> submissions = new HashMap<>();
 
-  SessionScript(SessionWorld cluster) {
+  SessionScript(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
@@ -49,11 +49,11 @@
       case "call" -> call(words);
       case "calls" -> calls(words);
       case "again" -> submit(calls.get(words.poll()), words.poll());
-      case "hangup" -> hangUp(words.poll());
+      case "hangup" -> disconnect(words.poll());
       case "break" -> breakConnection(words.poll());
-      case "swap" -> disturb(words.poll(), EngineReader.Mischief.SWAP);
-      case "double" -> disturb(words.poll(), EngineReader.Mischief.DOUBLE);
-      case "foreign" -> disturb(words.poll(), EngineReader.Mischief.FOREIGN);
+      case "swap" -> injectFrameFault(words.poll(), EngineStreamReader.FrameFault.SWAP);
+      case "double" -> injectFrameFault(words.poll(), EngineStreamReader.FrameFault.DOUBLE);
+      case "foreign" -> injectFrameFault(words.poll(), EngineStreamReader.FrameFault.FOREIGN);
       case "end" -> cluster.callers().checkAtEnd();
       default -> fault(verb, words);
     }
@@ -65,22 +65,23 @@
       return;
     }
     if (verb.equals("heal")) {
-      cluster.trace().line("fault", verb);
+      cluster.trace().addLine("fault", verb);
       cluster.network().heal();
       return;
     }
-    FakeProcess process = cluster.process(words.poll());
-    cluster.trace().line("fault", verb + " " + process.name());
+    SimulatedProcess process = cluster.process(words.poll());
+    cluster.trace().addLine("fault", verb + " " + process.name());
     switch (verb) {
       case "kill" -> process.kill();
       case "start" -> process.start();
-      case "freeze" -> process.freeze();
-      case "thaw" -> process.thaw();
-      case "freeze-at-grant" -> ((ControlProcess) process).freezeAtNextGrant();
-      case "isolate" -> cluster.processes().forEach(other -> cluster.network().cut(process, other));
+      case "freeze" -> process.pause();
+      case "thaw" -> process.unpause();
+      case "freeze-at-grant" -> ((ControlProcess) process).pauseBeforeNextGrant();
+      case "isolate" ->
+          cluster.processes().forEach(other -> cluster.network().partition(process, other));
       case "drain-vm" -> ((EntryProcess) process).drain();
       case "leave" -> ((EngineProcess) process).leave(() -> {});
-      case "straggle" -> ((EngineProcess) process).straggle(Double.parseDouble(words.poll()));
+      case "straggle" -> ((EngineProcess) process).slowDown(Double.parseDouble(words.poll()));
       default -> throw new IllegalArgumentException("unknown verb in session script: " + verb);
     }
   }
@@ -104,7 +105,7 @@
               template.promptTokens(),
               template.maxTokens(),
               template.key(),
-              template.once(),
+              template.atMostOnce(),
               template.deadlineMs());
       submit(new Call(spec), cluster.entries().get(i % cluster.entries().size()).name());
     }
@@ -137,21 +138,21 @@
         Long.parseLong(options.getOrDefault("deadline", "0")));
   }
 
-  private void hangUp(String name) {
-    cluster.trace().line("caller " + name, "hangs up");
-    submissions.get(name).hangUp();
+  private void disconnect(String name) {
+    cluster.trace().addLine("caller " + name, "hangs up");
+    submissions.get(name).disconnect();
   }
 
   private void breakConnection(String name) {
     Submission submission = submissions.get(name);
-    cluster.trace().line("fault", "break the connection of " + submission.id());
+    cluster.trace().addLine("fault", "break the connection of " + submission.id());
     submission.engine().breakConnections(submission.id());
   }
 
-  private void disturb(String name, EngineReader.Mischief frameFault) {
+  private void injectFrameFault(String name, EngineStreamReader.FrameFault frameFault) {
     Submission submission = submissions.get(name);
-    cluster.trace().line("fault", frameFault + " the next frame of " + submission.id());
-    submission.engine().disturb(submission.id(), frameFault);
+    cluster.trace().addLine("fault", frameFault + " the next frame of " + submission.id());
+    submission.engine().injectFrameFault(submission.id(), frameFault);
   }
 
   /** Changes a tier's name ({@code ID REVISION rename NAME}) or drains an upstream. */
@@ -162,7 +163,7 @@
         words.poll().equals("drain")
             ? new ConfigurationChange.SetDraining(new UpstreamId(words.poll()), true)
             : new ConfigurationChange.PutTier(new TierDefinition(new Tier(1), words.poll()));
-    cluster.trace().line("operator", "sends change " + id + " for revision " + expected.get());
+    cluster.trace().addLine("operator", "sends change " + id + " for revision " + expected.get());
     cluster.operator().change(id, expected, List.of(item));
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/SessionWorld.java
+++ b/session/src/test/java/org/teaseltrail/session/SimulatedCluster.java
@@ -34,7 +34,7 @@
  * Simulates a small deployment: control members, entry VMs, engines, callers and an operator under
  * one virtual clock.
  */
-final class SessionWorld {
+final class SimulatedCluster {
 
   static final GroupId GROUP = new GroupId("group");
   static final ModelTarget MODEL =
@@ -51,19 +51,19 @@
   private final SplittableRandom random;
   private final Network network;
   private final Trace trace = new Trace(timeline);
-  private final SessionChecks checks = new SessionChecks(this);
-  private final CallerBook callers = new CallerBook(this);
-  private final EngineHistory engineHistory = new EngineHistory(this);
-  private final StateCodec codec = new TableCodec();
-  private final Operator operator;
+  private final InvariantChecker invariants = new InvariantChecker(this);
+  private final SubmissionRegistry callers = new SubmissionRegistry(this);
+  private final EngineRequestTracker engineRequests = new EngineRequestTracker(this);
+  private final StateCodec codec = new InMemoryStateCodec();
+  private final OperatorClient operator;
   private final List<ControlProcess> members = new ArrayList<>();
   private final List<EntryProcess> entries = new ArrayList<>();
   private final List<EngineProcess> engines = new ArrayList<>();
 
-  SessionWorld(long seed, int entryCount, int engineCount, boolean jitter) {
+  SimulatedCluster(long seed, int entryCount, int engineCount, boolean jitter) {
     this.random = new SplittableRandom(seed);
     this.network = new Network(this, jitter);
-    this.operator = new Operator(this, jitter ? LOST_RESPONSES_PERCENT : 0);
+    this.operator = new OperatorClient(this, jitter ? LOST_RESPONSES_PERCENT : 0);
     LogEntry first = firstEntry();
     for (int i = 1; i <= MEMBERS; i++) {
       members.add(new ControlProcess(this, memberName(i), first, replicaSettings(i, jitter)));
@@ -74,16 +74,16 @@
     for (int i = 1; i <= engineCount; i++) {
       engines.add(new EngineProcess(this, "engine-" + i));
     }
-    timeline.afterEach(checks::afterEach);
+    timeline.afterEach(invariants::checkAfterStep);
   }
 
   /** Starts all processes, applies the initial configuration and waits until they settle. */
-  void begin() {
-    processes().forEach(FakeProcess::start);
+  void startAndConfigure() {
+    processes().forEach(SimulatedProcess::start);
     timeline.runFor(SETTLE_NS / 2);
     operator.change("setup", Optional.empty(), initialConfiguration());
     timeline.runFor(SETTLE_NS / 2);
-    trace.begin();
+    trace.start();
   }
 
   private static String memberName(int number) {
@@ -164,23 +164,23 @@
     return trace;
   }
 
-  SessionChecks checks() {
-    return checks;
+  InvariantChecker invariants() {
+    return invariants;
   }
 
-  CallerBook callers() {
+  SubmissionRegistry callers() {
     return callers;
   }
 
-  EngineHistory engineHistory() {
-    return engineHistory;
+  EngineRequestTracker engineRequests() {
+    return engineRequests;
   }
 
   StateCodec codec() {
     return codec;
   }
 
-  Operator operator() {
+  OperatorClient operator() {
     return operator;
   }
 
@@ -196,12 +196,12 @@
     return engines;
   }
 
-  List<FakeProcess> processes() {
-    return Stream.of(members, entries, engines).<FakeProcess>flatMap(List::stream).toList();
+  List<SimulatedProcess> processes() {
+    return Stream.of(members, entries, engines).<SimulatedProcess>flatMap(List::stream).toList();
   }
 
   long drainedSinceNs(UpstreamId upstream) {
-    return checks.drainedSinceNs(upstream);
+    return invariants.drainedSinceNs(upstream);
   }
 
   ControlProcess member(MemberId id) {
@@ -213,11 +213,11 @@
   }
 
   Optional<ControlProcess> leader() {
-    return members.stream().filter(ControlProcess::leaseHolds).findFirst();
+    return members.stream().filter(ControlProcess::hasValidLease).findFirst();
   }
 
   /** Returns the process with the given name in a script; "leader" is the current leader. */
-  FakeProcess process(String name) {
+  SimulatedProcess process(String name) {
     if (name.equals("leader")) {
       return leader().orElseThrow();
     }
@@ -225,11 +225,11 @@
   }
 
   /** Returns a random entry VM that listens and is not partitioned from the given process. */
-  Optional<EntryProcess> anyEntry(FakeProcess caller) {
+  Optional<EntryProcess> randomReachableEntry(SimulatedProcess caller) {
     List<EntryProcess> candidates =
         entries.stream()
             .filter(EntryProcess::isListening)
-            .filter(entry -> !network.isCut(caller, entry))
+            .filter(entry -> !network.isPartitioned(caller, entry))
             .toList();
     return candidates.isEmpty()
         ? Optional.empty()
--- a/session/src/test/java/org/teaseltrail/session/SyncedDisk.java
+++ b/session/src/test/java/org/teaseltrail/session/SimulatedDisk.java
@@ -12,14 +12,14 @@
 import org.teaseltrail.core.replication.Vote;
 
 /** Simulated disk that keeps synced writes over a process kill and loses unsynced ones. */
-final class SyncedDisk {
+final class SimulatedDisk {
 
   private final Deque<ReplicaAction.Write> unsynced = new ArrayDeque<>();
   private final List<LogEntry> entries;
   private Optional<Snapshot> snapshot = Optional.empty();
   private Vote vote = Vote.none();
 
-  SyncedDisk(LogEntry first) {
+  SimulatedDisk(LogEntry first) {
     entries = new ArrayList<>(List.of(first));
   }
 
@@ -31,7 +31,7 @@
     return unsynced.isEmpty();
   }
 
-  long newestWrite() {
+  long latestWriteNumber() {
     return unsynced.getLast().writeNumber();
   }
 
@@ -41,7 +41,7 @@
     }
   }
 
-  void loseUnsynced() {
+  void discardUnsynced() {
     unsynced.clear();
   }
 
--- a/session/src/test/java/org/teaseltrail/session/FakeProcess.java
+++ b/session/src/test/java/org/teaseltrail/session/SimulatedProcess.java
@@ -8,34 +8,34 @@
  * Simulated operating system process. It can be started, killed, paused and unpaused, and its clock
  * has its own offset and drift.
  */
-abstract class FakeProcess {
+abstract class SimulatedProcess {
 
   private static final double MAX_CLOCK_DRIFT = 0.01;
   private static final long MAX_CLOCK_OFFSET_NS = 1_000_000_000_000L;
   private static final long ROUNDING_NS = 1_000;
 
-  final SessionWorld world;
+  final SimulatedCluster cluster;
   private final String name;
   private final long offsetNs;
   private final double rate;
   private final Deque<Runnable> held = new ArrayDeque<>();
-  private int life;
+  private int incarnation;
   private boolean up;
   private boolean paused;
   private long wakeupNs = Long.MAX_VALUE;
 
-  FakeProcess(SessionWorld world, String name) {
-    this.world = world;
+  SimulatedProcess(SimulatedCluster cluster, String name) {
+    this.cluster = cluster;
     this.name = name;
-    this.offsetNs = world.random().nextLong(MAX_CLOCK_OFFSET_NS);
-    this.rate = 1 + (world.random().nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
+    this.offsetNs = cluster.random().nextLong(MAX_CLOCK_OFFSET_NS);
+    this.rate = 1 + (cluster.random().nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
   }
 
   /** Creates the state machine for a new incarnation of the process. */
-  abstract void begin();
+  abstract void onStart();
 
   /** Closes the connections that the kernel closes when a process dies. */
-  abstract void ended();
+  abstract void onKill();
 
   abstract OptionalLong nextWakeupNs();
 
@@ -45,27 +45,27 @@
     return name;
   }
 
-  int life() {
-    return life;
+  int incarnation() {
+    return incarnation;
   }
 
-  boolean isUp() {
+  boolean isRunning() {
     return up;
   }
 
-  boolean isFrozen() {
+  boolean isPaused() {
     return paused;
   }
 
   long localNs() {
-    return offsetNs + (long) (world.timeline().nowNs() * rate);
+    return offsetNs + (long) (cluster.timeline().nowNs() * rate);
   }
 
   void start() {
     if (!up) {
       up = true;
       wakeupNs = Long.MAX_VALUE;
-      begin();
+      onStart();
       tick();
     }
   }
@@ -74,17 +74,17 @@
     if (up) {
       up = false;
       paused = false;
-      life++;
+      incarnation++;
       held.clear();
-      ended();
+      onKill();
     }
   }
 
-  void freeze() {
+  void pause() {
     paused = up;
   }
 
-  void thaw() {
+  void unpause() {
     paused = false;
     while (!paused && !held.isEmpty()) {
       held.removeFirst().run();
@@ -99,7 +99,7 @@
    * dropped if that incarnation has ended.
    */
   void deliver(int expectedIncarnation, Runnable step) {
-    if (!up || life != expectedIncarnation) {
+    if (!up || incarnation != expectedIncarnation) {
       return;
     }
     if (paused) {
@@ -109,13 +109,13 @@
     }
   }
 
-  void later(long delayNs, Runnable step) {
-    int expectedIncarnation = life;
-    world.timeline().after(delayNs, () -> deliver(expectedIncarnation, step));
+  void schedule(long delayNs, Runnable step) {
+    int expectedIncarnation = incarnation;
+    cluster.timeline().after(delayNs, () -> deliver(expectedIncarnation, step));
   }
 
   /** Schedules the state machine's next wake-up; must be called after each event. */
-  void rearm() {
+  void scheduleWakeup() {
     OptionalLong wanted = up ? nextWakeupNs() : OptionalLong.empty();
     if (wanted.isEmpty() || wanted.getAsLong() >= wakeupNs) {
       return;
@@ -123,7 +123,7 @@
     long atNs = wanted.getAsLong();
     wakeupNs = atNs;
     long delayNs = (long) ((atNs - localNs()) / rate) + ROUNDING_NS;
-    later(delayNs, () -> wake(atNs));
+    schedule(delayNs, () -> wake(atNs));
   }
 
   private void wake(long atNs) {
--- a/session/src/test/java/org/teaseltrail/session/Submission.java
+++ b/session/src/test/java/org/teaseltrail/session/Submission.java
@@ -12,23 +12,23 @@
 /** One attempt of a call at one entry VM. */
 final class Submission {
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final RequestId id;
   private final Call call;
   private final EntryProcess entry;
-  private final CallerCall ask;
+  private final CallerCall callerCall;
   private EngineProcess engine;
   private Outcome outcome;
-  private boolean lost;
+  private boolean connectionLost;
   private boolean disconnected;
-  private Runnable whenOver = () -> {};
+  private Runnable onFinished = () -> {};
 
-  Submission(SessionWorld cluster, RequestId id, Call call, EntryProcess entry) {
+  Submission(SimulatedCluster cluster, RequestId id, Call call, EntryProcess entry) {
     this.cluster = cluster;
     this.id = id;
     this.call = call;
     this.entry = entry;
-    this.ask = call.ask();
+    this.callerCall = call.toCallerCall();
   }
 
   RequestId id() {
@@ -43,8 +43,8 @@
     return entry;
   }
 
-  CallerCall ask() {
-    return ask;
+  CallerCall callerCall() {
+    return callerCall;
   }
 
   EngineRequest engineRequest() {
@@ -60,54 +60,54 @@
   }
 
   /** Returns whether the entry VM died before the outcome. */
-  boolean isLost() {
-    return lost;
+  boolean isConnectionLost() {
+    return connectionLost;
   }
 
-  boolean isOver() {
-    return outcome != null || lost || disconnected;
+  boolean isFinished() {
+    return outcome != null || connectionLost || disconnected;
   }
 
-  void whenOver(Runnable listener) {
-    whenOver = listener;
+  void onFinished(Runnable listener) {
+    onFinished = listener;
   }
 
-  void goesTo(EngineProcess granted) {
+  void setEngine(EngineProcess granted) {
     engine = granted;
   }
 
-  void delivered(StreamFrame.Text frame) {
+  void onTextFrame(StreamFrame.Text frame) {
     assertThat(outcome).describedAs("outcome of %s before the end of its answer", id).isNull();
     if (call.nextFrame() == 0) {
-      cluster.trace().line("caller " + call.spec().name(), "gets the first token of " + id);
+      cluster.trace().addLine("caller " + call.spec().name(), "gets the first token of " + id);
     }
-    call.delivered(frame);
+    call.onTextFrame(frame);
   }
 
-  void concluded(Outcome finalOutcome) {
+  void onOutcome(Outcome finalOutcome) {
     assertThat(outcome).describedAs("earlier outcome of %s", id).isNull();
     outcome = finalOutcome;
     if (finalOutcome instanceof Outcome.Completed) {
-      assertThat(call.isWhole()).describedAs("complete answer of %s", id).isTrue();
+      assertThat(call.isComplete()).describedAs("complete answer of %s", id).isTrue();
     }
     cluster
         .trace()
-        .line(
+        .addLine(
             "caller " + call.spec().name(),
             "has " + call.nextFrame() + " tokens and " + finalOutcome);
-    whenOver.run();
+    onFinished.run();
   }
 
-  void hangUp() {
+  void disconnect() {
     disconnected = true;
-    entry.hangUp(this);
+    entry.disconnectCaller(this);
   }
 
-  void lost() {
-    if (!isOver()) {
-      lost = true;
-      cluster.trace().line("caller " + call.spec().name(), "loses the connection of " + id);
-      whenOver.run();
+  void connectionLost() {
+    if (!isFinished()) {
+      connectionLost = true;
+      cluster.trace().addLine("caller " + call.spec().name(), "loses the connection of " + id);
+      onFinished.run();
     }
   }
 }
--- a/session/src/test/java/org/teaseltrail/session/CallerBook.java
+++ b/session/src/test/java/org/teaseltrail/session/SubmissionRegistry.java
@@ -11,12 +11,12 @@
 import org.teaseltrail.core.request.Outcome;
 
 /** Registry of all submissions of the callers, with their outcomes. */
-final class CallerBook {
+final class SubmissionRegistry {
 
-  private final SessionWorld cluster;
+  private final SimulatedCluster cluster;
   private final Map<RequestId, Submission> submissions = new LinkedHashMap<>();
 
-  CallerBook(SessionWorld cluster) {
+  SubmissionRegistry(SimulatedCluster cluster) {
     this.cluster = cluster;
   }
 
@@ -26,8 +26,8 @@
     submissions.put(id, submission);
     cluster
         .trace()
-        .line("caller " + call.spec().name(), "asks " + entry.name() + ", which calls it " + id);
-    entry.arrive(submission);
+        .addLine("caller " + call.spec().name(), "asks " + entry.name() + ", which calls it " + id);
+    entry.onSubmission(submission);
     return submission;
   }
 
@@ -47,11 +47,11 @@
   void checkAtEnd() {
     Map<String, Integer> runsByKey = new HashMap<>();
     for (Submission submission : submissions.values()) {
-      int runs = cluster.engineHistory().runs(submission.id());
-      assertThat(submission.isOver()).describedAs("%s has ended", submission.id()).isTrue();
+      int runs = cluster.engineRequests().runs(submission.id());
+      assertThat(submission.isFinished()).describedAs("%s has ended", submission.id()).isTrue();
       checkNotRun(submission, runs);
       CallSpec spec = submission.call().spec();
-      if (spec.once()) {
+      if (spec.atMostOnce()) {
         int total = runsByKey.merge(spec.key().orElseThrow(), runs, Integer::sum);
         assertThat(total).describedAs("runs under key %s", spec.key()).isLessThanOrEqualTo(1);
       }
--- a/session/src/test/java/org/teaseltrail/session/Trace.java
+++ b/session/src/test/java/org/teaseltrail/session/Trace.java
@@ -23,7 +23,7 @@
     this.timeline = timeline;
   }
 
-  void begin() {
+  void start() {
     on = true;
     startNs = timeline.nowNs();
   }
@@ -32,24 +32,24 @@
     return String.join("\n", lines) + "\n";
   }
 
-  void line(String source, String text) {
+  void addLine(String source, String text) {
     if (on) {
       double ms = (double) (timeline.nowNs() - startNs) / Timeline.MS;
       lines.add(String.format(Locale.ROOT, "%9.1f  %s: %s", ms, source, text));
     }
   }
 
-  void fromEntry(EntryProcess entry, EntryAction action) {
+  void addEntryAction(EntryProcess entry, EntryAction action) {
     if (action instanceof EntryAction.SendControl send) {
       message(send.message())
-          .ifPresent(text -> line(entry.name(), "to " + send.member() + " " + text));
+          .ifPresent(text -> addLine(entry.name(), "to " + send.member() + " " + text));
     } else if (isTracedElsewhere(action)) {
       return;
     } else if (action instanceof EntryAction.Connect connect) {
-      line(
+      addLine(
           entry.name(), "connects to " + connect.target().upstream() + " for " + connect.request());
     } else {
-      line(entry.name(), action.toString());
+      addLine(entry.name(), action.toString());
     }
   }
 
@@ -92,7 +92,7 @@
         + ticket.claim().map(claim -> " key=" + claim.key()).orElse("");
   }
 
-  void fromControl(ControlProcess member, VmId vm, ControlMessage message) {
+  void addControlMessage(ControlProcess member, VmId vm, ControlMessage message) {
     if (message instanceof ControlMessage.Welcome) {
       return;
     }
@@ -100,13 +100,13 @@
         message instanceof ControlMessage.ConfigurationUpdate update
             ? "ConfigurationUpdate revision=" + update.configuration().revision()
             : message.toString();
-    line(member.name(), "to " + vm + " " + text);
+    addLine(member.name(), "to " + vm + " " + text);
   }
 
   void decision(ControlProcess member, Decision decision) {
     String request = decision.request().map(id -> " " + id).orElse("");
     String tier = decision.tier().map(rank -> " tier=" + rank).orElse("");
     String upstream = decision.upstream().map(id -> " " + id).orElse("");
-    line(member.name(), "decides " + decision.kind() + request + tier + upstream);
+    addLine(member.name(), "decides " + decision.kind() + request + tier + upstream);
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/AdminRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/AdminRoutes.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
 import org.reactivestreams.Publisher;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import reactor.core.publisher.Mono;
 import reactor.netty.http.server.HttpServerRequest;
 import reactor.netty.http.server.HttpServerResponse;
@@ -19,11 +19,11 @@
   private static final int ACCEPTED = 202;
   private static final int BAD_REQUEST = 400;
 
-  private final PartLogger logger = new PartLogger("standin");
-  private final StandinBehaviour behaviour;
+  private final ComponentLogger logger = new ComponentLogger("standin");
+  private final SimulatedUpstream behaviour;
   private final Runnable leave;
 
-  AdminRoutes(StandinBehaviour behaviour, Runnable leave) {
+  AdminRoutes(SimulatedUpstream behaviour, Runnable leave) {
     this.behaviour = behaviour;
     this.leave = leave;
   }
@@ -45,7 +45,7 @@
         return response.status(BAD_REQUEST).send();
       }
       logger.info("Set the straggler factor to " + factor + "; it applies from now on.");
-      behaviour.straggle(factor);
+      behaviour.setStragglerFactor(factor);
       return response.status(ACCEPTED).send();
     } catch (NumberFormatException failure) {
       return response.status(BAD_REQUEST).send();
@@ -65,6 +65,6 @@
 
   private Publisher<Void> counters(HttpServerRequest request, HttpServerResponse response) {
     return Mono.fromFuture(behaviour::counters)
-        .flatMap(counters -> JsonAnswer.send(response, OK, counters));
+        .flatMap(counters -> JsonResponse.send(response, OK, counters));
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/Announcer.java
+++ b/standin/src/main/java/org/teaseltrail/standin/Announcer.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.teaseltrail.core.upstream.Announcement;
 import org.teaseltrail.core.upstream.CacheEvent;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import reactor.core.publisher.Mono;
 import reactor.netty.ByteBufFlux;
 import reactor.netty.http.client.HttpClient;
@@ -28,12 +28,12 @@
   private static final int CONNECT_TIMEOUT_MS = 500;
   private static final Duration TIMEOUT = Duration.ofSeconds(1);
 
-  private final PartLogger logger = new PartLogger("standin");
+  private final ComponentLogger logger = new ComponentLogger("standin");
   private final List<InetSocketAddress> entries;
   private final Map<InetSocketAddress, Integer> lastStatus = new ConcurrentHashMap<>();
   private final ConnectionProvider connections = ConnectionProvider.create("announce");
   private final HttpClient client;
-  private final List<EntryLane> lanes;
+  private final List<ConflatingSender> lanes;
 
   Announcer(String upstream, String secret, List<InetSocketAddress> entries) {
     this.entries = List.copyOf(entries);
@@ -44,7 +44,7 @@
             .headers(headers -> addIdentityHeaders(headers, upstream, secret));
     this.lanes =
         this.entries.stream()
-            .map(entry -> new EntryLane(body -> post(entry, "/v1/upstreams/announce", body)))
+            .map(entry -> new ConflatingSender(body -> post(entry, "/v1/upstreams/announce", body)))
             .toList();
   }
 
@@ -53,7 +53,7 @@
     lanes.forEach(lane -> lane.send(body));
   }
 
-  void cacheEvent(CacheEvent event) {
+  void publishCacheEvent(CacheEvent event) {
     String body = UpstreamJson.write(event);
     int firstEntry = Math.floorMod(event.upstream().hashCode(), entries.size());
     postCacheEvent(body, firstEntry, entries.size()).subscribe();
--- a/standin/src/main/java/org/teaseltrail/standin/EntryLane.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ConflatingSender.java
@@ -10,13 +10,13 @@
  * answered or has failed. Otherwise one could overtake another, and an entry VM would receive phase
  * SERVING after LEAVING.
  */
-final class EntryLane {
+final class ConflatingSender {
 
   private final Function<String, Mono<Integer>> post;
   private Optional<String> next = Optional.empty();
   private boolean busy;
 
-  EntryLane(Function<String, Mono<Integer>> post) {
+  ConflatingSender(Function<String, Mono<Integer>> post) {
     this.post = post;
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/JsonAnswer.java
+++ b/standin/src/main/java/org/teaseltrail/standin/JsonResponse.java
@@ -4,9 +4,9 @@
 import reactor.netty.http.server.HttpServerResponse;
 
 /** Sends a value as the JSON body of an HTTP response. */
-final class JsonAnswer {
+final class JsonResponse {
 
-  private JsonAnswer() {}
+  private JsonResponse() {}
 
   static Mono<Void> send(HttpServerResponse response, int status, Object value) {
     return response
--- a/standin/src/main/java/org/teaseltrail/standin/KvRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/KvRoutes.java
@@ -20,9 +20,9 @@
   private static final int BAD_REQUEST = 400;
   private static final int NOT_FOUND = 404;
 
-  private final EngineBehaviour engine;
+  private final SimulatedEngine engine;
 
-  KvRoutes(EngineBehaviour engine) {
+  KvRoutes(SimulatedEngine engine) {
     this.engine = engine;
   }
 
@@ -43,7 +43,7 @@
             .map(action -> ((EngineAction.KvExported) action).cache())
             .findFirst();
     return exported
-        .map(cache -> JsonAnswer.send(response, OK, cache))
+        .map(cache -> JsonResponse.send(response, OK, cache))
         .orElseGet(() -> response.status(NOT_FOUND).send().then());
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/ModelLoop.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ModelEventLoop.java
@@ -18,7 +18,7 @@
  * @param <E> type of the model's events
  * @param <A> type of the model's actions
  */
-final class ModelLoop<E, A> implements AutoCloseable {
+final class ModelEventLoop<E, A> implements AutoCloseable {
 
   private static final long CONDITION_CHECK_INTERVAL_MS = 20;
 
@@ -31,7 +31,7 @@
   private Future<?> wakeup = CompletableFuture.completedFuture(null);
   private long wakeupNs = Long.MAX_VALUE;
 
-  ModelLoop(UpstreamModel<E, A> model, E tick, Consumer<A> onAction) {
+  ModelEventLoop(UpstreamModel<E, A> model, E tick, Consumer<A> onAction) {
     this.model = model;
     this.tick = tick;
     this.onAction = onAction;
@@ -60,7 +60,7 @@
    * Returns a future that completes once a delay has passed and a condition holds. The condition is
    * evaluated on the model's thread.
    */
-  CompletableFuture<Void> when(BooleanSupplier condition, long notBeforeMs) {
+  CompletableFuture<Void> awaitCondition(BooleanSupplier condition, long notBeforeMs) {
     CompletableFuture<Void> met = new CompletableFuture<>();
     thread.schedule(() -> checkCondition(condition, met), notBeforeMs, TimeUnit.MILLISECONDS);
     return met;
--- a/standin/src/main/java/org/teaseltrail/standin/OrderRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/OrderRoutes.java
@@ -24,9 +24,9 @@
   private static final int BAD_REQUEST = 400;
   private static final int CONFLICT = 409;
 
-  private final EngineBehaviour engine;
+  private final SimulatedEngine engine;
 
-  OrderRoutes(EngineBehaviour engine) {
+  OrderRoutes(SimulatedEngine engine) {
     this.engine = engine;
   }
 
@@ -54,7 +54,7 @@
         .filter(EngineAction.OrderRefused.class::isInstance)
         .map(EngineAction.OrderRefused.class::cast)
         .findFirst()
-        .map(refused -> JsonAnswer.send(response, CONFLICT, new Refusal(refused.newest())))
+        .map(refused -> JsonResponse.send(response, CONFLICT, new Refusal(refused.newest())))
         .orElseGet(() -> response.status(ACCEPTED).send().then());
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/ServedModels.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ServedModelParser.java
@@ -9,9 +9,9 @@
 import org.teaseltrail.core.upstream.ServedModel;
 
 /** Parses a loaded model from the text {@code model:version} or {@code model:version:a+b}. */
-final class ServedModels {
+final class ServedModelParser {
 
-  private ServedModels() {}
+  private ServedModelParser() {}
 
   static ServedModel parse(String text) {
     String[] parts = text.split(":", -1);
--- a/standin/src/main/java/org/teaseltrail/standin/ServiceCallHandler.java
+++ b/standin/src/main/java/org/teaseltrail/standin/ServiceCallHandler.java
@@ -20,10 +20,10 @@
 
   private static final int OK = 200;
 
-  private final ServiceBehaviour service;
+  private final SimulatedService service;
   private final AtomicLong unnamedCalls = new AtomicLong();
 
-  ServiceCallHandler(ServiceBehaviour service) {
+  ServiceCallHandler(SimulatedService service) {
     this.service = service;
   }
 
@@ -39,7 +39,7 @@
             body ->
                 Mono.fromFuture(() -> service.call(id))
                     .map(execution -> answer(request, id, execution, body)))
-        .flatMap(answer -> JsonAnswer.send(response, OK, answer));
+        .flatMap(answer -> JsonResponse.send(response, OK, answer));
   }
 
   private RequestId requestId(HttpServerRequest request) {
--- a/standin/src/main/java/org/teaseltrail/standin/EngineBehaviour.java
+++ b/standin/src/main/java/org/teaseltrail/standin/SimulatedEngine.java
@@ -14,17 +14,17 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /** Simulated engine: runs an engine model and serves its HTTP interface. */
-final class EngineBehaviour implements StandinBehaviour {
+final class SimulatedEngine implements SimulatedUpstream {
 
   private final EngineModel model;
-  private final StreamReaders readers;
-  private final ModelLoop<EngineEvent, EngineAction> loop;
+  private final StreamPublisher readers;
+  private final ModelEventLoop<EngineEvent, EngineAction> loop;
   private Announcer announcer;
 
-  EngineBehaviour(EngineModel model) {
+  SimulatedEngine(EngineModel model) {
     this.model = model;
-    this.readers = new StreamReaders(model);
-    this.loop = new ModelLoop<>(model, new EngineEvent.Tick(), this::execute);
+    this.readers = new StreamPublisher(model);
+    this.loop = new ModelEventLoop<>(model, new EngineEvent.Tick(), this::execute);
   }
 
   @Override
@@ -41,14 +41,14 @@
   }
 
   @Override
-  public void straggle(double factor) {
-    loop.handle(new EngineEvent.Straggle(factor));
+  public void setStragglerFactor(double factor) {
+    loop.handle(new EngineEvent.SetStragglerFactor(factor));
   }
 
   @Override
-  public CompletableFuture<Void> leave(long graceMs) {
-    loop.handle(new EngineEvent.Leave());
-    return loop.when(() -> model.isIdle() && readers.isEmpty(), graceMs);
+  public CompletableFuture<Void> startDraining(long graceMs) {
+    loop.handle(new EngineEvent.Drain());
+    return loop.awaitCondition(() -> model.isIdle() && readers.isEmpty(), graceMs);
   }
 
   @Override
@@ -85,13 +85,13 @@
 
   private void execute(EngineAction action) {
     if (action instanceof EngineAction.Frame frame) {
-      readers.wake(frame.frame().request());
-    } else if (action instanceof EngineAction.StreamBroken broken) {
-      readers.breakOff(broken.request());
+      readers.onNewFrames(frame.frame().request());
+    } else if (action instanceof EngineAction.StreamAborted broken) {
+      readers.abort(broken.request());
     } else if (action instanceof EngineAction.Announce announce) {
       announcer.announce(announce.announcement());
     } else if (action instanceof EngineAction.PublishCacheEvent publish) {
-      announcer.cacheEvent(publish.event());
+      announcer.publishCacheEvent(publish.event());
     }
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/ServiceBehaviour.java
+++ b/standin/src/main/java/org/teaseltrail/standin/SimulatedService.java
@@ -12,16 +12,16 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /** Simulated service: runs the model of a plain service and answers its HTTP calls. */
-final class ServiceBehaviour implements StandinBehaviour {
+final class SimulatedService implements SimulatedUpstream {
 
   private final ServiceModel model;
-  private final ModelLoop<ServiceEvent, ServiceAction> loop;
+  private final ModelEventLoop<ServiceEvent, ServiceAction> loop;
   private final Map<RequestId, Deque<CompletableFuture<Integer>>> calls = new HashMap<>();
   private Announcer announcer;
 
-  ServiceBehaviour(ServiceModel model) {
+  SimulatedService(ServiceModel model) {
     this.model = model;
-    this.loop = new ModelLoop<>(model, new ServiceEvent.Tick(), this::execute);
+    this.loop = new ModelEventLoop<>(model, new ServiceEvent.Tick(), this::execute);
   }
 
   @Override
@@ -36,14 +36,14 @@
   }
 
   @Override
-  public void straggle(double factor) {
-    loop.handle(new ServiceEvent.Straggle(factor));
+  public void setStragglerFactor(double factor) {
+    loop.handle(new ServiceEvent.SetStragglerFactor(factor));
   }
 
   @Override
-  public CompletableFuture<Void> leave(long graceMs) {
-    loop.handle(new ServiceEvent.Leave());
-    return loop.when(() -> model.isIdle() && calls.isEmpty(), graceMs);
+  public CompletableFuture<Void> startDraining(long graceMs) {
+    loop.handle(new ServiceEvent.Drain());
+    return loop.awaitCondition(() -> model.isIdle() && calls.isEmpty(), graceMs);
   }
 
   @Override
--- a/standin/src/main/java/org/teaseltrail/standin/StandinBehaviour.java
+++ b/standin/src/main/java/org/teaseltrail/standin/SimulatedUpstream.java
@@ -4,7 +4,7 @@
 import reactor.netty.http.server.HttpServerRoutes;
 
 /** Simulated upstream: the part of the daemon that differs between an engine and a service. */
-interface StandinBehaviour extends AutoCloseable {
+interface SimulatedUpstream extends AutoCloseable {
 
   /** Starts the model and its announcements. */
   void start(Announcer announcer);
@@ -13,10 +13,10 @@
   void addRoutes(HttpServerRoutes routes);
 
   /** Sets the multiplier of all processing times. */
-  void straggle(double factor);
+  void setStragglerFactor(double factor);
 
   /** Announces phase LEAVING; completes when the grace time is over and no request is in flight. */
-  CompletableFuture<Void> leave(long graceMs);
+  CompletableFuture<Void> startDraining(long graceMs);
 
   /** Returns the model's counters, to be serialized as JSON. */
   CompletableFuture<Object> counters();
--- a/standin/src/main/java/org/teaseltrail/standin/StandinDaemon.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinDaemon.java
@@ -6,7 +6,7 @@
 import java.time.Duration;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicReference;
-import org.teaseltrail.runtime.log.PartLogger;
+import org.teaseltrail.runtime.log.ComponentLogger;
 import org.teaseltrail.runtime.process.ExitCode;
 import org.teaseltrail.runtime.process.RunningProgram;
 import reactor.netty.DisposableServer;
@@ -18,16 +18,16 @@
   /** Maximum time at shutdown for sending responses that are already generated. */
   private static final Duration SHUTDOWN_TIMEOUT = Duration.ofSeconds(30);
 
-  private final PartLogger logger = new PartLogger("standin");
+  private final ComponentLogger logger = new ComponentLogger("standin");
   private final StandinOptions options;
-  private final StandinBehaviour behaviour;
+  private final SimulatedUpstream behaviour;
   private final Announcer announcer;
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final DisposableServer server;
   private final CompletableFuture<ExitCode> ended = new CompletableFuture<>();
   private final AtomicReference<CompletableFuture<Void>> leaving = new AtomicReference<>();
 
-  StandinDaemon(StandinOptions options, StandinBehaviour behaviour) {
+  StandinDaemon(StandinOptions options, SimulatedUpstream behaviour) {
     this.options = options;
     this.behaviour = behaviour;
     this.server =
@@ -49,7 +49,7 @@
   }
 
   @Override
-  public CompletableFuture<ExitCode> ended() {
+  public CompletableFuture<ExitCode> terminationFuture() {
     return ended;
   }
 
@@ -76,7 +76,7 @@
     }
     logger.info("Draining; requests in flight are completed.");
     behaviour
-        .leave(options.leaveGraceMs())
+        .startDraining(options.leaveGraceMs())
         .thenRun(
             () -> {
               done.complete(null);
--- a/standin/src/main/java/org/teaseltrail/standin/StandinProgram.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinProgram.java
@@ -35,9 +35,9 @@
   private static RunningProgram start(StandinOptions options) {
     if (options.engine().isPresent()) {
       EngineModel model = new EngineModel(options.engine().get(), System.nanoTime());
-      return new StandinDaemon(options, new EngineBehaviour(model));
+      return new StandinDaemon(options, new SimulatedEngine(model));
     }
     ServiceModel model = new ServiceModel(options.service().orElseThrow(), System.nanoTime());
-    return new StandinDaemon(options, new ServiceBehaviour(model));
+    return new StandinDaemon(options, new SimulatedService(model));
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/StandinSettings.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StandinSettings.java
@@ -8,10 +8,10 @@
 import org.teaseltrail.core.id.ServiceId;
 import org.teaseltrail.core.id.UpstreamId;
 import org.teaseltrail.core.upstream.ServedModel;
-import org.teaseltrail.runtime.settings.Kinds;
 import org.teaseltrail.runtime.settings.Secret;
 import org.teaseltrail.runtime.settings.Setting;
 import org.teaseltrail.runtime.settings.SettingsSpec;
+import org.teaseltrail.runtime.settings.ValueKinds;
 import org.teaseltrail.standin.model.AnswerLength;
 import org.teaseltrail.standin.model.HardwareGeneration;
 
@@ -20,40 +20,40 @@
 
   static final Setting<UpstreamId> ID =
       Setting.required(
-          "upstream", "id", Kinds.text(UpstreamId::new, "an id"), "tutor-llm-1", "Its name.");
+          "upstream", "id", ValueKinds.text(UpstreamId::new, "an id"), "tutor-llm-1", "Its name.");
   static final Setting<InetSocketAddress> LISTEN =
       Setting.required(
           "upstream",
           "listen",
-          Kinds.address(),
+          ValueKinds.address(),
           "127.0.0.1:19101",
           "Address on which it takes requests, and which it announces.");
   static final Setting<DataCenterId> DATA_CENTER =
       Setting.required(
           "upstream",
           "data_center",
-          Kinds.text(DataCenterId::new, "an id"),
+          ValueKinds.text(DataCenterId::new, "an id"),
           "regina-a",
           "Data centre where it stands.");
   static final Setting<List<InetSocketAddress>> ENTRIES =
       Setting.required(
           "upstream",
           "entries",
-          Kinds.list(Kinds.address()),
+          ValueKinds.list(ValueKinds.address()),
           "127.0.0.1:18101, 127.0.0.1:18102",
           "Entry VMs that it announces itself to.");
   static final Setting<Secret> SECRET =
       Setting.required(
           "upstream",
           "secret_file",
-          Kinds.secretFile(),
+          ValueKinds.secretFile(),
           "/etc/teaseltrail/tutor-llm-1.secret",
           "File with the secret that its announcements carry.");
   static final Setting<Optional<Long>> INCARNATION =
       Setting.optional(
           "upstream",
           "incarnation",
-          Kinds.longInteger(0, Long.MAX_VALUE),
+          ValueKinds.longInteger(0, Long.MAX_VALUE),
           "1",
           "Number of this life, greater than that of the one before. Without it, the time of day at"
               + " the start in milliseconds.");
@@ -61,28 +61,28 @@
       Setting.withDefault(
           "upstream",
           "leave_grace",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "2s",
           "Time that it still answers after it has announced that it leaves.");
   static final Setting<Double> STRAGGLER_FACTOR =
       Setting.withDefault(
           "upstream",
           "straggler_factor",
-          Kinds.decimal(0.001, 10_000),
+          ValueKinds.decimal(0.001, 10_000),
           "1",
           "How many times longer its work takes than the other settings say.");
   static final Setting<Boolean> ADMIN =
       Setting.withDefault(
           "upstream",
           "admin",
-          Kinds.bool(),
+          ValueKinds.bool(),
           "true",
           "Whether paths under /admin bring about faults and show counters.");
   static final Setting<Long> SEED =
       Setting.withDefault(
           "upstream",
           "seed",
-          Kinds.longInteger(0, Long.MAX_VALUE),
+          ValueKinds.longInteger(0, Long.MAX_VALUE),
           "1",
           "Seed of all that is random.");
 
@@ -90,90 +90,95 @@
       Setting.optional(
           "engine",
           "models",
-          Kinds.list(Kinds.text(ServedModels::parse, "model:version or model:version:a+b")),
+          ValueKinds.list(
+              ValueKinds.text(ServedModelParser::parse, "model:version or model:version:a+b")),
           "tutor-llm:3:quiz+review",
           "Models loaded at the start, with version and adapters. Makes it an engine.");
   static final Setting<HardwareGeneration> GENERATION =
       Setting.withDefault(
           "engine",
           "generation",
-          Kinds.choice(HardwareGeneration.class),
+          ValueKinds.choice(HardwareGeneration.class),
           "generation-3",
           "Hardware whose figures hold where the next settings are left out.");
   static final Setting<Optional<Duration>> STEP =
       Setting.optional(
-          "engine", "step", Kinds.duration("0.001ms", "1h"), "4ms", "Time of an empty step.");
+          "engine", "step", ValueKinds.duration("0.001ms", "1h"), "4ms", "Time of an empty step.");
   static final Setting<Optional<Duration>> STEP_PER_SEQUENCE =
       Setting.optional(
           "engine",
           "step_per_sequence",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "0.1ms",
           "Time that each decoding sequence adds to a step.");
   static final Setting<Optional<Duration>> PREFILL_PER_TOKEN =
       Setting.optional(
           "engine",
           "prefill_per_token",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "0.06ms",
           "Time that each prompt token adds to a step.");
   static final Setting<Optional<Integer>> MAX_BATCH =
       Setting.optional(
-          "engine", "max_batch", Kinds.integer(1, 10_000), "16", "Sequences that run at once.");
+          "engine",
+          "max_batch",
+          ValueKinds.integer(1, 10_000),
+          "16",
+          "Sequences that run at once.");
   static final Setting<Optional<Integer>> PREFILL_CHUNK =
       Setting.optional(
           "engine",
           "prefill_chunk",
-          Kinds.integer(1, 1_000_000),
+          ValueKinds.integer(1, 1_000_000),
           "512",
           "Most prompt tokens processed in one step.");
   static final Setting<Optional<Long>> CACHE_TOKENS =
       Setting.optional(
           "engine",
           "cache_tokens",
-          Kinds.longInteger(0, 100_000_000),
+          ValueKinds.longInteger(0, 100_000_000),
           "120000",
           "Tokens that the prefix cache holds.");
   static final Setting<AnswerLength> ANSWER_LENGTH =
       Setting.withDefault(
           "engine",
           "answer_length",
-          Kinds.choice(AnswerLength.class),
+          ValueKinds.choice(AnswerLength.class),
           "exact",
           "Whether answers are as long as allowed, or between half of that and all of it.");
   static final Setting<Integer> TOKENS_PER_FRAME =
       Setting.withDefault(
           "engine",
           "tokens_per_frame",
-          Kinds.integer(1, 1_000),
+          ValueKinds.integer(1, 1_000),
           "1",
           "Tokens in each frame after the first, which has one.");
   static final Setting<Boolean> HONOURS_FENCING =
       Setting.withDefault(
           "engine",
           "honours_fencing",
-          Kinds.bool(),
+          ValueKinds.bool(),
           "true",
           "Whether it refuses an order with an old fencing number.");
   static final Setting<Duration> RESUME_RETENTION =
       Setting.withDefault(
           "engine",
           "resume_retention",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "60s",
           "Time for which an ended stream can be read again.");
   static final Setting<Duration> MODEL_LOAD =
       Setting.withDefault(
           "engine",
           "model_load",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "5s",
           "Time to load a model that is ordered.");
   static final Setting<Integer> MAX_QUEUE =
       Setting.withDefault(
           "engine",
           "max_queue",
-          Kinds.integer(0, 1_000_000),
+          ValueKinds.integer(0, 1_000_000),
           "10000",
           "Requests that may wait for the batch; one more is refused.");
 
@@ -181,63 +186,71 @@
       Setting.optional(
           "service",
           "name",
-          Kinds.text(ServiceId::new, "an id"),
+          ValueKinds.text(ServiceId::new, "an id"),
           "portal-app",
           "Service it answers for. Makes it a plain service.");
   static final Setting<Duration> SERVICE_MEDIAN =
       Setting.withDefault(
-          "service", "median", Kinds.duration("0.001ms", "1h"), "20ms", "Median time of a call.");
+          "service",
+          "median",
+          ValueKinds.duration("0.001ms", "1h"),
+          "20ms",
+          "Median time of a call.");
   static final Setting<Double> SERVICE_SIGMA =
       Setting.withDefault(
           "service",
           "sigma",
-          Kinds.decimal(0, 10),
+          ValueKinds.decimal(0, 10),
           "0.3",
           "Standard deviation of the logarithm of that time.");
   static final Setting<Integer> SERVICE_MAX_RUNNING =
       Setting.withDefault(
-          "service", "max_running", Kinds.integer(1, 100_000), "64", "Calls that run at once.");
+          "service",
+          "max_running",
+          ValueKinds.integer(1, 100_000),
+          "64",
+          "Calls that run at once.");
 
   static final Setting<Duration> ANNOUNCE_INTERVAL =
       Setting.withDefault(
           "reports",
           "announce_interval",
-          Kinds.duration("10ms", "1h"),
+          ValueKinds.duration("10ms", "1h"),
           "1s",
           "Time between announcements.");
   static final Setting<Duration> ANNOUNCEMENT_LIFETIME =
       Setting.withDefault(
           "reports",
           "announcement_lifetime",
-          Kinds.duration("10ms", "1h"),
+          ValueKinds.duration("10ms", "1h"),
           "3s",
           "How long an announcement is good for; silence past it counts as leaving.");
   static final Setting<Duration> LOAD_LAG =
       Setting.withDefault(
           "reports",
           "load_lag",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "500ms",
           "Least age of the load that it announces.");
   static final Setting<Duration> CACHE_EVENT_INTERVAL =
       Setting.withDefault(
           "reports",
           "cache_event_interval",
-          Kinds.duration("1ms", "1h"),
+          ValueKinds.duration("1ms", "1h"),
           "200ms",
           "Time over which changes of the cache are put into one event.");
   static final Setting<Duration> CACHE_EVENT_LAG =
       Setting.withDefault(
           "reports",
           "cache_event_lag",
-          Kinds.duration("0ms", "1h"),
+          ValueKinds.duration("0ms", "1h"),
           "300ms",
           "How late cache events go out.");
   static final Setting<Double> CACHE_EVENT_GAP_RATE =
       Setting.withDefault(
           "reports",
           "cache_event_gap_rate",
-          Kinds.decimal(0, 1),
+          ValueKinds.decimal(0, 1),
           "0.01",
           "Part of the cache events that are lost.");
 
--- a/standin/src/main/java/org/teaseltrail/standin/StreamLines.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StreamLineFormatter.java
@@ -2,15 +2,15 @@
 
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.message.Usage;
-import org.teaseltrail.standin.model.AnswerText;
+import org.teaseltrail.standin.model.AnswerTextGenerator;
 import org.teaseltrail.standin.model.EngineFrame;
 
 /** Formats an engine's frames as newline-delimited JSON. */
-final class StreamLines {
+final class StreamLineFormatter {
 
-  private StreamLines() {}
+  private StreamLineFormatter() {}
 
-  static String of(EngineFrame frame, long answerSeed) {
+  static String formatFrame(EngineFrame frame, long answerSeed) {
     Object line =
         frame
             .usage()
@@ -24,7 +24,7 @@
   }
 
   private static TextLine textLine(EngineFrame frame, long answerSeed) {
-    String text = AnswerText.text(answerSeed, frame.firstToken(), frame.tokens());
+    String text = AnswerTextGenerator.text(answerSeed, frame.firstToken(), frame.tokens());
     return new TextLine(frame.request(), frame.sequence(), text);
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/StreamReaders.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StreamPublisher.java
@@ -18,12 +18,12 @@
  * of its next frame; the frames are kept once for all readers in the model, where the length of the
  * answer bounds them.
  */
-final class StreamReaders {
+final class StreamPublisher {
 
   private final EngineModel model;
   private final Map<RequestId, List<Reader>> readers = new HashMap<>();
 
-  StreamReaders(EngineModel model) {
+  StreamPublisher(EngineModel model) {
     this.model = model;
   }
 
@@ -35,12 +35,12 @@
   }
 
   /** Sends the new frames of a stream to its readers. */
-  void wake(RequestId request) {
+  void onNewFrames(RequestId request) {
     List.copyOf(readers.getOrDefault(request, List.of())).forEach(this::emitAvailable);
   }
 
   /** Ends an incomplete stream with an error line. */
-  void breakOff(RequestId request) {
+  void abort(RequestId request) {
     List<Reader> aborted = readers.remove(request);
     if (aborted != null) {
       aborted.forEach(Reader::fail);
@@ -74,7 +74,7 @@
         return;
       }
       reader.nextSequence++;
-      reader.sink.next(StreamLines.of(frame.get(), reader.request.answerSeed()));
+      reader.sink.next(StreamLineFormatter.formatFrame(frame.get(), reader.request.answerSeed()));
       if (frame.get().isEnd()) {
         reader.ended = true;
         reader.sink.complete();
@@ -103,7 +103,7 @@
 
     void fail() {
       ended = true;
-      sink.next(StreamLines.failure(request.id(), nextSequence));
+      sink.next(StreamLineFormatter.failure(request.id(), nextSequence));
       sink.complete();
     }
   }
--- a/standin/src/main/java/org/teaseltrail/standin/StreamRoutes.java
+++ b/standin/src/main/java/org/teaseltrail/standin/StreamRoutes.java
@@ -14,7 +14,7 @@
 import org.teaseltrail.core.id.ModelVersion;
 import org.teaseltrail.core.id.RequestId;
 import org.teaseltrail.core.request.PrefixBlockHasher;
-import org.teaseltrail.standin.model.AnswerText;
+import org.teaseltrail.standin.model.AnswerTextGenerator;
 import org.teaseltrail.standin.model.EngineAction;
 import org.teaseltrail.standin.model.EngineEvent;
 import org.teaseltrail.standin.model.EngineRefusal;
@@ -36,9 +36,9 @@
   private static final int CONFLICT = 409;
   private static final int UNAVAILABLE = 503;
 
-  private final EngineBehaviour engine;
+  private final SimulatedEngine engine;
 
-  StreamRoutes(EngineBehaviour engine) {
+  StreamRoutes(SimulatedEngine engine) {
     this.engine = engine;
   }
 
@@ -85,7 +85,7 @@
     if (refusal == EngineRefusal.DUPLICATE_REQUEST) {
       return response.status(CONFLICT).send();
     }
-    return JsonAnswer.send(response, UNAVAILABLE, new NotRun(true, refusal));
+    return JsonResponse.send(response, UNAVAILABLE, new NotRun(true, refusal));
   }
 
   private Publisher<Void> resume(HttpServerRequest request, HttpServerResponse response) {
@@ -129,7 +129,7 @@
         Math.max(1, promptTokens),
         PrefixBlockHasher.hashBlocks(target, prompt),
         body.maxTokens(),
-        AnswerText.seedOf(body.prompt()));
+        AnswerTextGenerator.seedOf(body.prompt()));
   }
 
   private static int fromSequence(HttpServerRequest request) {
--- a/standin/src/main/java/org/teaseltrail/standin/model/AnswerLength.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/AnswerLength.java
@@ -15,7 +15,8 @@
     public int tokens(long answerSeed, int maxTokens) {
       int minTokens = (maxTokens + 1) / 2;
       int span = maxTokens - minTokens + 1;
-      return minTokens + (int) Long.remainderUnsigned(AnswerText.mix(answerSeed, -1), span);
+      return minTokens
+          + (int) Long.remainderUnsigned(AnswerTextGenerator.mix(answerSeed, -1), span);
     }
   };
 
--- a/standin/src/main/java/org/teaseltrail/standin/model/AnswerText.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/AnswerTextGenerator.java
@@ -11,13 +11,13 @@
  * answer is complete and belongs to its request. Each token is four letters long, as four bytes
  * count as one token.
  */
-public final class AnswerText {
+public final class AnswerTextGenerator {
 
   private static final int LETTERS_PER_TOKEN = 4;
   private static final int ALPHABET_SIZE = 26;
   private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
-  private AnswerText() {}
+  private AnswerTextGenerator() {}
 
   /**
    * Returns the seed of the answer to a prompt. A caller knows its prompt, so it can verify an
--- a/standin/src/main/java/org/teaseltrail/standin/model/Batch.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/BatchScheduler.java
@@ -9,13 +9,13 @@
 import org.teaseltrail.core.id.RequestId;
 
 /** Schedules sequences into a batch of limited size, first come first served. */
-final class Batch {
+final class BatchScheduler {
 
   private final HardwareProfile hardware;
   private final Deque<Sequence> queued = new ArrayDeque<>();
   private final List<Sequence> running = new ArrayList<>();
 
-  Batch(HardwareProfile hardware) {
+  BatchScheduler(HardwareProfile hardware) {
     this.hardware = hardware;
   }
 
@@ -24,10 +24,10 @@
   }
 
   /** Moves the sequences that were queued first into the free slots of the batch. */
-  void admit(PrefixCache cache) {
+  void admitQueued(PrefixCache cache) {
     while (running.size() < hardware.maxBatch() && !queued.isEmpty()) {
       Sequence sequence = queued.remove();
-      sequence.begin(cache.match(sequence.request().prefixBlocks()));
+      sequence.startRunning(cache.match(sequence.request().prefixBlocks()));
       running.add(sequence);
     }
     EngineInvariant.BATCH_WITHIN_LIMIT.check(running.size() <= hardware.maxBatch());
@@ -42,8 +42,8 @@
     int chunkLeft = hardware.prefillChunkTokens();
     int decoding = 0;
     for (Sequence sequence : running) {
-      int tokens = Math.min(sequence.prefillLeft(), chunkLeft);
-      if (sequence.prefillLeft() == 0) {
+      int tokens = Math.min(sequence.remainingPrefillTokens(), chunkLeft);
+      if (sequence.remainingPrefillTokens() == 0) {
         decoding++;
         parts.add(new StepPart(sequence, 0));
       } else if (tokens > 0) {
@@ -86,8 +86,8 @@
     return queued.size();
   }
 
-  long prefillLeft() {
-    return all().mapToLong(Sequence::prefillLeft).sum();
+  long remainingPrefillTokens() {
+    return all().mapToLong(Sequence::remainingPrefillTokens).sum();
   }
 
   void clear() {
--- a/standin/src/main/java/org/teaseltrail/standin/model/CacheEventPublisher.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/CacheEventPublisher.java
@@ -56,8 +56,8 @@
             identity.upstream(),
             identity.incarnation(),
             sequence,
-            cache.takeStored(),
-            cache.takeRemoved());
+            cache.drainStored(),
+            cache.drainRemoved());
     boolean lost = random.nextDouble() < reporting.cacheEventGapRate();
     if (!lost) {
       delayed.add(new Delayed(event, nowNs + reporting.cacheEventLagMs() * NS_PER_MS));
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineAction.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineAction.java
@@ -53,7 +53,7 @@
    *
    * @param request the request
    */
-  record StreamBroken(RequestId request) implements EngineAction {}
+  record StreamAborted(RequestId request) implements EngineAction {}
 
   /**
    * The engine keeps no stream of the request.
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineEvent.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineEvent.java
@@ -56,10 +56,10 @@
    *
    * @param factor multiplier of the step times of the hardware profile
    */
-  record Straggle(double factor) implements EngineEvent {}
+  record SetStragglerFactor(double factor) implements EngineEvent {}
 
   /** The engine is to complete its requests and refuse new ones. */
-  record Leave() implements EngineEvent {}
+  record Drain() implements EngineEvent {}
 
   /** The engine crashes and loses its state. */
   record Crash() implements EngineEvent {}
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineModel.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineModel.java
@@ -25,11 +25,11 @@
 
   private final EngineSettings settings;
   private final PrefixCache cache;
-  private final Batch batch;
+  private final BatchScheduler batch;
   private final StreamStore streams;
-  private final OrderDesk orders;
+  private final OrderHandler orders;
   private final EngineReporter reporter;
-  private final WorkLedger ledger = new WorkLedger();
+  private final WorkTracker ledger = new WorkTracker();
   private UpstreamPhase phase = UpstreamPhase.SERVING;
   private double stragglerFactor;
   private double meanStepMs;
@@ -47,9 +47,9 @@
   public EngineModel(EngineSettings settings, long startNs) {
     this.settings = settings;
     this.cache = new PrefixCache(settings.hardware().cacheBlocks());
-    this.batch = new Batch(settings.hardware());
+    this.batch = new BatchScheduler(settings.hardware());
     this.streams = new StreamStore(settings.resumeRetentionMs(), settings.tokensPerFrame());
-    this.orders = new OrderDesk(settings);
+    this.orders = new OrderHandler(settings);
     this.reporter = new EngineReporter(settings, startNs);
     this.stragglerFactor = settings.stragglerFactor();
     this.meanStepMs = settings.hardware().stepBaseMs() * stragglerFactor;
@@ -83,7 +83,7 @@
       return OptionalLong.empty();
     }
     long stepNs = step == null ? Long.MAX_VALUE : step.endNs();
-    long loadedNs = orders.shelf().nextDoneNs().orElse(Long.MAX_VALUE);
+    long loadedNs = orders.modelRegistry().nextLoadEndNs().orElse(Long.MAX_VALUE);
     long reportNs = reporter.nextWakeupNs(cache);
     return OptionalLong.of(Math.min(reportNs, Math.min(stepNs, loadedNs)));
   }
@@ -101,7 +101,7 @@
    * @return the frame, or empty if it isn't generated yet or the stream is unknown
    */
   public Optional<EngineFrame> frame(RequestId request, int sequence) {
-    return streams.find(request).flatMap(stream -> stream.at(sequence));
+    return streams.find(request).flatMap(stream -> stream.frameAt(sequence));
   }
 
   /**
@@ -161,9 +161,9 @@
   }
 
   private void handleStateChange(EngineEvent event, List<EngineAction> actions) {
-    if (event instanceof EngineEvent.Straggle straggle) {
+    if (event instanceof EngineEvent.SetStragglerFactor straggle) {
       stragglerFactor = straggle.factor();
-    } else if (event instanceof EngineEvent.Leave) {
+    } else if (event instanceof EngineEvent.Drain) {
       phase = UpstreamPhase.LEAVING;
       reporter.announceNow(nowNs);
     } else if (event instanceof EngineEvent.Crash) {
@@ -193,7 +193,7 @@
     if (phase == UpstreamPhase.LEAVING) {
       return Optional.of(EngineRefusal.LEAVING);
     }
-    if (!orders.shelf().serves(request.target())) {
+    if (!orders.modelRegistry().serves(request.target())) {
       return Optional.of(EngineRefusal.MODEL_NOT_LOADED);
     }
     if (batch.queuedCount() >= settings.maxQueuedRequests()) {
@@ -224,7 +224,7 @@
   }
 
   private void order(EngineEvent.Order order, List<EngineAction> actions) {
-    EngineAction answer = orders.take(order, nowNs);
+    EngineAction answer = orders.handle(order, nowNs);
     if (answer instanceof EngineAction.OrderAccepted) {
       reporter.announceNow(nowNs);
     }
@@ -266,9 +266,9 @@
   private void abort(Sequence sequence, WorkState end, List<EngineAction> actions) {
     RequestId request = sequence.request().id();
     ledger.ended(sequence, end);
-    streams.find(request).ifPresent(EngineStream::breakOff);
+    streams.find(request).ifPresent(EngineStream::abort);
     streams.retain(request, nowNs);
-    actions.add(new EngineAction.StreamBroken(request));
+    actions.add(new EngineAction.StreamAborted(request));
   }
 
   private void runSteps(List<EngineAction> actions) {
@@ -280,7 +280,7 @@
   }
 
   private Step nextStep(long startNs) {
-    batch.admit(cache);
+    batch.admitQueued(cache);
     return batch.hasRunning() ? batch.plan(startNs, stragglerFactor) : null;
   }
 
@@ -299,14 +299,14 @@
     Sequence sequence = part.sequence();
     if (part.prefillTokens() > 0) {
       sequence.prefill(part.prefillTokens(), cache);
-      if (sequence.prefillLeft() > 0) {
+      if (sequence.remainingPrefillTokens() > 0) {
         return;
       }
       actions.add(
           new EngineAction.Prefilled(
               sequence.request().id(), sequence.cachedTokens(), sequence.processedTokens()));
     }
-    sequence.generate();
+    sequence.generateToken();
     emit(sequence, endNs, actions);
   }
 
@@ -330,7 +330,7 @@
       step = nextStep(nowNs);
     }
     streams.expire(nowNs);
-    if (orders.shelf().advance(nowNs)) {
+    if (orders.modelRegistry().advance(nowNs)) {
       reporter.announceNow(nowNs);
     }
     reporter.advance(this::status, cache, nowNs, actions);
@@ -345,10 +345,10 @@
         new LoadReport(
             batch.runningCount(),
             batch.queuedCount(),
-            batch.prefillLeft(),
+            batch.remainingPrefillTokens(),
             meanStepMs,
             cache.usedFraction(),
             0);
-    return new EngineStatus(orders.role(), phase, orders.shelf().loaded(), load);
+    return new EngineStatus(orders.role(), phase, orders.modelRegistry().loaded(), load);
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/EngineStream.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/EngineStream.java
@@ -52,7 +52,7 @@
     return last;
   }
 
-  void breakOff() {
+  void abort() {
     ended = true;
   }
 
@@ -66,7 +66,7 @@
   }
 
   /** Returns a frame, or empty if it isn't generated yet. */
-  Optional<EngineFrame> at(int sequence) {
+  Optional<EngineFrame> frameAt(int sequence) {
     return sequence < frames.size() ? Optional.of(frames.get(sequence)) : Optional.empty();
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/model/FencingGate.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/FencingValidator.java
@@ -3,16 +3,16 @@
 import org.teaseltrail.core.id.FencingNumber;
 
 /** Tracks the greatest fencing number and, if fencing is honoured, rejects smaller ones. */
-final class FencingGate {
+final class FencingValidator {
 
   private final boolean honoured;
   private FencingNumber newest = new FencingNumber(0);
 
-  FencingGate(boolean honoured) {
+  FencingValidator(boolean honoured) {
     this.honoured = honoured;
   }
 
-  boolean admits(FencingNumber fencing) {
+  boolean accept(FencingNumber fencing) {
     if (fencing.compareTo(newest) < 0) {
       return !honoured;
     }
--- a/standin/src/main/java/org/teaseltrail/standin/model/ModelShelf.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ModelRegistry.java
@@ -12,7 +12,7 @@
 import org.teaseltrail.core.upstream.ServedModel;
 
 /** Registry of the models that an engine has loaded or is loading. */
-final class ModelShelf {
+final class ModelRegistry {
 
   private static final long NS_PER_MS = 1_000_000;
 
@@ -21,7 +21,7 @@
   private final List<ServedModel> loaded = new ArrayList<>();
   private final List<Loading> loading = new ArrayList<>();
 
-  ModelShelf(List<ServedModel> initial, long loadMs) {
+  ModelRegistry(List<ServedModel> initial, long loadMs) {
     this.initial = initial;
     this.loadNs = loadMs * NS_PER_MS;
     reset();
@@ -70,7 +70,7 @@
     return changed;
   }
 
-  OptionalLong nextDoneNs() {
+  OptionalLong nextLoadEndNs() {
     return loading.stream().mapToLong(Loading::doneNs).min();
   }
 
--- a/standin/src/main/java/org/teaseltrail/standin/model/OrderDesk.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/OrderHandler.java
@@ -3,36 +3,36 @@
 import org.teaseltrail.core.upstream.UpstreamRole;
 
 /** Applies orders to an engine's models and role. */
-final class OrderDesk {
+final class OrderHandler {
 
-  private final FencingGate fencing;
-  private final ModelShelf shelf;
+  private final FencingValidator fencing;
+  private final ModelRegistry modelRegistry;
   private UpstreamRole role = UpstreamRole.GENERATE;
 
-  OrderDesk(EngineSettings settings) {
-    this.fencing = new FencingGate(settings.honoursFencing());
-    this.shelf = new ModelShelf(settings.models(), settings.modelLoadMs());
+  OrderHandler(EngineSettings settings) {
+    this.fencing = new FencingValidator(settings.honoursFencing());
+    this.modelRegistry = new ModelRegistry(settings.models(), settings.modelLoadMs());
   }
 
-  EngineAction take(EngineEvent.Order event, long nowNs) {
-    if (!fencing.admits(event.fencing())) {
+  EngineAction handle(EngineEvent.Order event, long nowNs) {
+    if (!fencing.accept(event.fencing())) {
       return new EngineAction.OrderRefused(fencing.newest());
     }
     EngineOrder order = event.order();
     if (order instanceof EngineOrder.LoadModel load) {
-      shelf.load(load.model(), load.version(), nowNs);
+      modelRegistry.load(load.model(), load.version(), nowNs);
     } else if (order instanceof EngineOrder.UnloadModel unload) {
-      shelf.unload(unload.model(), unload.version());
+      modelRegistry.unload(unload.model(), unload.version());
     } else if (order instanceof EngineOrder.LoadAdapter load) {
-      shelf.loadAdapter(load.model(), load.version(), load.adapter());
+      modelRegistry.loadAdapter(load.model(), load.version(), load.adapter());
     } else if (order instanceof EngineOrder.ChangeRole change) {
       role = change.role();
     }
     return new EngineAction.OrderAccepted();
   }
 
-  ModelShelf shelf() {
-    return shelf;
+  ModelRegistry modelRegistry() {
+    return modelRegistry;
   }
 
   UpstreamRole role() {
@@ -40,7 +40,7 @@
   }
 
   void reset() {
-    shelf.reset();
+    modelRegistry.reset();
     role = UpstreamRole.GENERATE;
   }
 }
--- a/standin/src/main/java/org/teaseltrail/standin/model/PrefixCache.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/PrefixCache.java
@@ -61,15 +61,15 @@
 
   /**
    * Returns the blocks stored since the last call. Must be called together with {@link
-   * #takeRemoved}, so that both cover the same period.
+   * #drainRemoved}, so that both cover the same period.
    */
-  List<Long> takeStored() {
+  List<Long> drainStored() {
     List<Long> taken = List.copyOf(stored);
     stored.clear();
     return taken;
   }
 
-  List<Long> takeRemoved() {
+  List<Long> drainRemoved() {
     List<Long> taken = List.copyOf(removed);
     removed.clear();
     return taken;
--- a/standin/src/main/java/org/teaseltrail/standin/model/Sequence.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/Sequence.java
@@ -25,26 +25,26 @@
    * Starts the execution. At least one prompt token is always processed, as the first output token
    * is computed from it.
    */
-  void begin(int cachedBlocks) {
+  void startRunning(int cachedBlocks) {
     int inBlocks = cachedBlocks * HardwareProfile.BLOCK_TOKENS;
     cachedTokens = Math.min(inBlocks, request.promptTokens() - 1);
   }
 
-  int prefillLeft() {
+  int remainingPrefillTokens() {
     return request.promptTokens() - cachedTokens - processedTokens;
   }
 
   /** Processes prompt tokens and caches the blocks that they complete. */
   void prefill(int tokens, PrefixCache cache) {
-    int blocksBefore = wholeBlocks();
+    int blocksBefore = completeBlocks();
     processedTokens += tokens;
-    EngineInvariant.PREFILL_COUNTED_ONCE.check(prefillLeft() >= 0);
-    if (wholeBlocks() > blocksBefore) {
-      cache.store(request.prefixBlocks(), blocksBefore, wholeBlocks());
+    EngineInvariant.PREFILL_COUNTED_ONCE.check(remainingPrefillTokens() >= 0);
+    if (completeBlocks() > blocksBefore) {
+      cache.store(request.prefixBlocks(), blocksBefore, completeBlocks());
     }
   }
 
-  void generate() {
+  void generateToken() {
     EngineInvariant.PREFILL_COUNTED_ONCE.check(
         cachedTokens + processedTokens == request.promptTokens());
     outputTokens++;
@@ -78,7 +78,7 @@
     return new Usage(request.promptTokens(), cachedTokens, outputTokens);
   }
 
-  int wholeBlocks() {
+  int completeBlocks() {
     int blocks = (cachedTokens + processedTokens) / HardwareProfile.BLOCK_TOKENS;
     return Math.min(blocks, request.prefixBlocks().size());
   }
--- a/standin/src/main/java/org/teaseltrail/standin/model/ServiceEvent.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ServiceEvent.java
@@ -18,10 +18,10 @@
    *
    * @param factor multiplier of the duration of calls
    */
-  record Straggle(double factor) implements ServiceEvent {}
+  record SetStragglerFactor(double factor) implements ServiceEvent {}
 
   /** The service is to announce that it is leaving, and to complete calls that still arrive. */
-  record Leave() implements ServiceEvent {}
+  record Drain() implements ServiceEvent {}
 
   /** The service crashes and loses its calls. */
   record Crash() implements ServiceEvent {}
--- a/standin/src/main/java/org/teaseltrail/standin/model/ServiceModel.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/ServiceModel.java
@@ -98,9 +98,9 @@
     if (event instanceof ServiceEvent.Call call) {
       drainedReported = false;
       queued.add(call.request());
-    } else if (event instanceof ServiceEvent.Straggle straggle) {
+    } else if (event instanceof ServiceEvent.SetStragglerFactor straggle) {
       stragglerFactor = straggle.factor();
-    } else if (event instanceof ServiceEvent.Leave) {
+    } else if (event instanceof ServiceEvent.Drain) {
       phase = UpstreamPhase.LEAVING;
       reporter.announceNow(nowNs);
     } else if (event instanceof ServiceEvent.Crash) {
--- a/standin/src/main/java/org/teaseltrail/standin/model/WorkLedger.java
+++ b/standin/src/main/java/org/teaseltrail/standin/model/WorkTracker.java
@@ -6,7 +6,7 @@
 import org.teaseltrail.core.id.RequestId;
 
 /** Tracks an engine's work, in total and by request. */
-final class WorkLedger {
+final class WorkTracker {
 
   /** Maximum number of requests tracked individually; older ones count only in the totals. */
   private static final int MAX_TRACKED_REQUESTS = 200_000;
