--- a/standin/src/test/java/org/teaseltrail/standin/EntryLaneTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/ConflatingSenderTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 import reactor.core.publisher.Sinks;
 
-class EntryLaneTest {
+class ConflatingSenderTest {
 
   private final List<String> posted = new ArrayList<>();
   private final List<Sinks.One<Integer>> answers = new ArrayList<>();
-  private final EntryLane lane =
-      new EntryLane(
+  private final ConflatingSender lane =
+      new ConflatingSender(
           body -> {
             posted.add(body);
             answers.add(Sinks.one());
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void failedAnnouncementMakesWayForTheNext() {
+  void sendsNextAnnouncementAfterFailure() {
     lane.send("1");
     lane.send("2");
     answers.get(0).tryEmitError(new IllegalStateException("unreachable"));
--- a/standin/src/test/java/org/teaseltrail/standin/SettingsPagesTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/SettingsPagesTest.java
@@ -6,9 +6,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import org.teaseltrail.runtime.settings.ExampleFile;
+import org.teaseltrail.runtime.settings.ExampleFilePrinter;
 import org.teaseltrail.runtime.settings.SettingsSpec;
-import org.teaseltrail.runtime.settings.SettingsTable;
+import org.teaseltrail.runtime.settings.SettingsTablePrinter;
 
 /** Checks that the example file and the settings page match the program's declarations. */
 class SettingsPagesTest {
@@ -20,11 +20,11 @@
 
   @Test
   void exampleFileShowsTheDeclarations() throws IOException {
-    assertThat(EXAMPLE).hasContent(ExampleFile.print(spec));
+    assertThat(EXAMPLE).hasContent(ExampleFilePrinter.print(spec));
   }
 
   @Test
   void pageShowsTheDeclarations() throws IOException {
-    assertThat(Files.readString(PAGE)).contains(SettingsTable.print(spec));
+    assertThat(Files.readString(PAGE)).contains(SettingsTablePrinter.print(spec));
   }
 }
--- a/standin/src/test/java/org/teaseltrail/standin/StandinDaemonTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/StandinDaemonTest.java
@@ -28,9 +28,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.teaseltrail.runtime.process.ProgramException;
 import org.teaseltrail.runtime.process.RunningProgram;
-import org.teaseltrail.runtime.settings.SettingsInvalidException;
+import org.teaseltrail.runtime.settings.InvalidSettingsException;
 import org.teaseltrail.runtime.settings.SettingsReader;
-import org.teaseltrail.standin.model.AnswerText;
+import org.teaseltrail.standin.model.AnswerTextGenerator;
 
 @Timeout(30)
 class StandinDaemonTest {
@@ -62,7 +62,7 @@
   }
 
   @Test
-  void streamsTheWholeAnswerInNumberedFrames() throws Exception {
+  void streamsCompleteAnswerInNumberedFrames() throws Exception {
     start(ENGINE, "0ms");
     List<JsonNode> lines = lines(generate("r1", "who chairs the board", 5));
     assertThat(lines).hasSize(6);
@@ -71,7 +71,8 @@
       assertThat(lines.get(i).get("request_id").asText()).isEqualTo("r1");
     }
     assertThat(text(lines))
-        .isEqualTo(AnswerText.text(AnswerText.seedOf("who chairs the board"), 0, 5));
+        .isEqualTo(
+            AnswerTextGenerator.text(AnswerTextGenerator.seedOf("who chairs the board"), 0, 5));
     JsonNode end = lines.get(5);
     assertThat(end.get("end").asBoolean()).isTrue();
     assertThat(end.get("usage").get("prompt_tokens").asInt()).isEqualTo(5);
@@ -124,7 +125,7 @@
   }
 
   @Test
-  void tellsWhatItsCacheHolds() throws Exception {
+  void publishesCacheEventsAndExportsKvCache() throws Exception {
     start(ENGINE, "0ms");
     generate("r1", "x".repeat(2_100), 1);
     assertThat(entry.nextCacheEvent().get("stored_blocks")).hasSize(2);
@@ -154,7 +155,7 @@
   // response. The engine must announce that it is leaving, complete the stream, refuse later
   // requests as not run, and only then exit.
   @Test
-  void gracefulEndCutsNoStreamAndRefusesNewWork() throws Exception {
+  void gracefulShutdownCompletesStreamsAndRefusesNewRequests() throws Exception {
     start(SLOW_ENGINE, "300ms");
     final CompletableFuture<HttpResponse<String>> running = generateLater("r1", "p", 40);
     entry.nextAnnouncement(a -> a.get("load").get("running_requests").asInt() == 1);
@@ -203,7 +204,7 @@
   }
 
   private void start(String role, String leaveGrace)
-      throws IOException, SettingsInvalidException, ProgramException {
+      throws IOException, InvalidSettingsException, ProgramException {
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
--- a/standin/src/test/java/org/teaseltrail/standin/StreamReadersTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/StreamPublisherTest.java
@@ -26,7 +26,7 @@
 import org.teaseltrail.standin.model.UpstreamIdentity;
 import reactor.core.publisher.BaseSubscriber;
 
-class StreamReadersTest {
+class StreamPublisherTest {
 
   private static final RequestId ID = new RequestId("r1");
   private static final ModelTarget TARGET =
@@ -45,13 +45,13 @@
               List.of(new ServedModel(TARGET.model(), TARGET.version(), Set.of())),
               1),
           0);
-  private final StreamReaders readers = new StreamReaders(model);
+  private final StreamPublisher readers = new StreamPublisher(model);
 
   // One caller's connection stalls during a response while another caller continues to read. The
   // engine's memory would grow, or the other caller would be blocked. A reader must receive no more
   // than its demand, and must not block other readers.
   @Test
-  void slowReaderGetsWhatItAsksForAndHoldsUpNoOne() {
+  void slowReaderReceivesOnlyItsDemandAndBlocksNoOther() {
     model.handle(new EngineEvent.Submit(REQUEST), 0);
     Reader slow = read(3);
     final Reader fast = read(Long.MAX_VALUE);
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void readerThatIsGoneIsForgotten() {
+  void cancelledReaderIsRemoved() {
     model.handle(new EngineEvent.Submit(REQUEST), 0);
     Reader gone = read(3);
     gone.cancel();
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void brokenStreamEndsWithFailureLine() {
+  void abortedStreamEndsWithErrorLine() {
     model.handle(new EngineEvent.Submit(REQUEST), 0);
     Reader reader = read(1_000);
     dispatch(model.handle(new EngineEvent.Cancel(ID), 0));
@@ -98,9 +98,9 @@
   private void dispatch(List<EngineAction> actions) {
     for (EngineAction action : actions) {
       if (action instanceof EngineAction.Frame frame) {
-        readers.wake(frame.frame().request());
-      } else if (action instanceof EngineAction.StreamBroken broken) {
-        readers.breakOff(broken.request());
+        readers.onNewFrames(frame.frame().request());
+      } else if (action instanceof EngineAction.StreamAborted broken) {
+        readers.abort(broken.request());
       }
     }
   }
--- a/standin/src/test/java/org/teaseltrail/standin/model/EngineModelProperties.java
+++ b/standin/src/test/java/org/teaseltrail/standin/model/EngineModelProperties.java
@@ -20,7 +20,7 @@
 
   @Property(seed = "4711", tries = 60)
   void invariantsHoldAndEveryFrameIsNumberedInOrder(@ForAll long seed) {
-    EngineRun run = randomRun(seed, true);
+    EngineSimulation run = randomRun(seed, true);
     for (int i = 0; i < REQUESTS; i++) {
       List<EngineFrame> frames = run.frames("r" + i);
       for (int sequence = 0; sequence < frames.size(); sequence++) {
@@ -30,8 +30,8 @@
   }
 
   @Property(seed = "4712", tries = 40)
-  void withoutFaultsEveryRequestIsAnsweredWholeAndPrefillAddsUp(@ForAll long seed) {
-    EngineRun run = randomRun(seed, false);
+  void withoutFaultsEveryAnswerIsCompleteAndPrefillAddsUp(@ForAll long seed) {
+    EngineSimulation run = randomRun(seed, false);
     long prefillTokens = 0;
     for (int i = 0; i < REQUESTS; i++) {
       List<EngineFrame> frames = run.frames("r" + i);
@@ -48,14 +48,16 @@
 
   @Property(seed = "4713", tries = 10)
   void equalHistoriesGiveEqualActions(@ForAll long seed) {
-    assertThat(randomRun(seed, true).done()).isEqualTo(randomRun(seed, true).done());
+    assertThat(randomRun(seed, true).timedActions())
+        .isEqualTo(randomRun(seed, true).timedActions());
   }
 
   @Property(seed = "4714", tries = 100)
   void framesOfSeveralTokensCoverTheAnswer(
       @ForAll @IntRange(min = 1, max = 9) int tokensPerFrame,
       @ForAll @IntRange(min = 1, max = 50) int maxTokens) {
-    EngineStream stream = new EngineStream(EngineRun.request("a", 5, 0, maxTokens), tokensPerFrame);
+    EngineStream stream =
+        new EngineStream(EngineSimulation.request("a", 5, 0, maxTokens), tokensPerFrame);
     int covered = 0;
     for (int tokens = 1; tokens < maxTokens; tokens++) {
       covered += stream.tokens(tokens).map(EngineFrame::tokens).orElse(0);
@@ -66,9 +68,9 @@
     assertThat(covered).isEqualTo(maxTokens);
   }
 
-  private static EngineRun randomRun(long seed, boolean faults) {
+  private static EngineSimulation randomRun(long seed, boolean faults) {
     SplittableRandom random = new SplittableRandom(seed);
-    EngineRun run = new EngineRun(EngineRun.settings());
+    EngineSimulation run = new EngineSimulation(EngineSimulation.settings());
     double atMs = 0;
     for (int i = 0; i < REQUESTS; i++) {
       int promptTokens = 1 + random.nextInt(MAX_PROMPT_TOKENS);
@@ -78,22 +80,22 @@
         fault(run, random, i);
       }
       atMs += random.nextInt(400);
-      run.untilMs(atMs);
+      run.advanceToMs(atMs);
     }
-    return run.untilMs(atMs + 60_000);
+    return run.advanceToMs(atMs + 60_000);
   }
 
-  private static void fault(EngineRun run, SplittableRandom random, int i) {
+  private static void fault(EngineSimulation run, SplittableRandom random, int i) {
     RequestId target = new RequestId("r" + random.nextInt(i + 1));
     switch (random.nextInt(12)) {
-      case 0, 1 -> run.now(new EngineEvent.Cancel(target));
-      case 2 -> run.now(new EngineEvent.Straggle(1 + 3 * random.nextDouble()));
-      case 3 -> run.now(new EngineEvent.ExportKv(target));
+      case 0, 1 -> run.handleNow(new EngineEvent.Cancel(target));
+      case 2 -> run.handleNow(new EngineEvent.SetStragglerFactor(1 + 3 * random.nextDouble()));
+      case 3 -> run.handleNow(new EngineEvent.ExportKv(target));
       case 4 -> {
-        run.now(new EngineEvent.Crash());
-        run.now(new EngineEvent.Restart(new Incarnation(i + 2)));
+        run.handleNow(new EngineEvent.Crash());
+        run.handleNow(new EngineEvent.Restart(new Incarnation(i + 2)));
       }
-      default -> run.now(new EngineEvent.Tick());
+      default -> run.handleNow(new EngineEvent.Tick());
     }
   }
 }
--- a/standin/src/test/java/org/teaseltrail/standin/model/EngineRun.java
+++ b/standin/src/test/java/org/teaseltrail/standin/model/EngineSimulation.java
@@ -18,7 +18,7 @@
 import org.teaseltrail.core.upstream.SocketAddress;
 
 /** Runs an engine model under virtual time and records its actions. */
-final class EngineRun {
+final class EngineSimulation {
 
   static final long MS = 1_000_000;
   static final ModelTarget TARGET =
@@ -33,13 +33,13 @@
    * @param atMs time since the start, in milliseconds
    * @param action the action
    */
-  record Done(double atMs, EngineAction action) {}
+  record TimedAction(double atMs, EngineAction action) {}
 
   private final EngineModel model;
-  private final List<Done> done = new ArrayList<>();
+  private final List<TimedAction> timedActions = new ArrayList<>();
   private long nowNs;
 
-  EngineRun(EngineSettings settings) {
+  EngineSimulation(EngineSettings settings) {
     this.model = new EngineModel(settings, 0);
   }
 
@@ -77,43 +77,47 @@
     List<Long> chain = LongStream.range(firstBlock, firstBlock + blocks).boxed().toList();
     RequestId requestId = new RequestId(id);
     return new EngineRequest(
-        requestId, TARGET, promptTokens, chain, maxTokens, AnswerText.seedOf(requestId));
+        requestId, TARGET, promptTokens, chain, maxTokens, AnswerTextGenerator.seedOf(requestId));
   }
 
   EngineModel model() {
     return model;
   }
 
-  List<EngineAction> now(EngineEvent event) {
+  List<EngineAction> handleNow(EngineEvent event) {
     List<EngineAction> actions = model.handle(event, nowNs);
-    actions.forEach(action -> done.add(new Done((double) nowNs / MS, action)));
+    actions.forEach(action -> timedActions.add(new TimedAction((double) nowNs / MS, action)));
     return actions;
   }
 
-  EngineRun submit(String id, int promptTokens, long firstBlock, int maxTokens) {
-    now(new EngineEvent.Submit(request(id, promptTokens, firstBlock, maxTokens)));
+  EngineSimulation submit(String id, int promptTokens, long firstBlock, int maxTokens) {
+    handleNow(new EngineEvent.Submit(request(id, promptTokens, firstBlock, maxTokens)));
     return this;
   }
 
   /** Advances virtual time, with a tick at each wakeup time that the engine requests. */
-  EngineRun untilMs(double atMs) {
+  EngineSimulation advanceToMs(double atMs) {
     long endNs = Math.round(atMs * MS);
     OptionalLong wakeupNs = model.nextWakeupNs();
     while (wakeupNs.isPresent() && wakeupNs.getAsLong() <= endNs) {
       nowNs = Math.max(nowNs, wakeupNs.getAsLong());
-      now(new EngineEvent.Tick());
+      handleNow(new EngineEvent.Tick());
       wakeupNs = model.nextWakeupNs();
     }
     nowNs = endNs;
     return this;
   }
 
-  List<Done> done() {
-    return done;
+  List<TimedAction> timedActions() {
+    return timedActions;
   }
 
   <T extends EngineAction> List<T> all(Class<T> type) {
-    return done.stream().map(Done::action).filter(type::isInstance).map(type::cast).toList();
+    return timedActions.stream()
+        .map(TimedAction::action)
+        .filter(type::isInstance)
+        .map(type::cast)
+        .toList();
   }
 
   List<EngineFrame> frames(String id) {
@@ -125,7 +129,7 @@
 
   /** Returns the time of the first frame of a request, in milliseconds. */
   double firstFrameMs(String id) {
-    return done.stream()
+    return timedActions.stream()
         .filter(
             d ->
                 d.action() instanceof EngineAction.Frame f
--- a/standin/src/test/java/org/teaseltrail/standin/model/ServiceModelTest.java
+++ b/standin/src/test/java/org/teaseltrail/standin/model/ServiceModelTest.java
@@ -21,7 +21,7 @@
   private long nowNs;
 
   @Test
-  void callTakesItsTimeAndFurtherCallsWait() {
+  void callTakesItsDurationAndFurtherCallsWait() {
     now(new ServiceEvent.Call(A));
     now(new ServiceEvent.Call(B));
     untilMs(19);
@@ -36,7 +36,7 @@
   // caller's data. The model must execute and count the second call, so that a measurement detects
   // the duplicate execution.
   @Test
-  void doubledRunShows() {
+  void duplicateExecutionIsCounted() {
     now(new ServiceEvent.Call(A));
     now(new ServiceEvent.Call(A));
     untilMs(100);
@@ -47,7 +47,7 @@
 
   @Test
   void stragglerTakesLonger() {
-    now(new ServiceEvent.Straggle(4));
+    now(new ServiceEvent.SetStragglerFactor(4));
     now(new ServiceEvent.Call(A));
     untilMs(79);
     assertThat(responses()).isEmpty();
@@ -56,9 +56,9 @@
   }
 
   @Test
-  void leavingServiceFinishesWhatStillReachesIt() {
+  void leavingServiceCompletesCallsThatStillArrive() {
     now(new ServiceEvent.Call(A));
-    now(new ServiceEvent.Leave());
+    now(new ServiceEvent.Drain());
     now(new ServiceEvent.Call(B));
     assertThat(lastAnnouncement().phase()).isEqualTo(UpstreamPhase.LEAVING);
     untilMs(30);
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void crashTellsWhatMayHaveRun() {
+  void crashReportsWhichCallsMayHaveRun() {
     now(new ServiceEvent.Call(A));
     now(new ServiceEvent.Call(B));
     now(new ServiceEvent.Crash());
@@ -95,7 +95,7 @@
   }
 
   private static ServiceModel model(double sigma) {
-    UpstreamIdentity identity = EngineRun.settings().identity();
+    UpstreamIdentity identity = EngineSimulation.settings().identity();
     ServiceSettings settings =
         new ServiceSettings(
             identity, new ServiceId("portal-app"), ReportingProfile.standard(), 20, sigma, 1, 1, 3);
@@ -107,7 +107,7 @@
   }
 
   private void untilMs(long atMs) {
-    nowNs = atMs * EngineRun.MS;
+    nowNs = atMs * EngineSimulation.MS;
     now(new ServiceEvent.Tick());
   }
 
--- a/storage/src/main/java/org/teaseltrail/storage/CheckedFile.java
+++ b/storage/src/main/java/org/teaseltrail/storage/ChecksummedFile.java
@@ -4,7 +4,7 @@
 import java.util.zip.CRC32C;
 
 /** Stores one value per file with a CRC32C checksum; a save replaces the file atomically. */
-final class CheckedFile<T> {
+final class ChecksummedFile<T> {
 
   private static final int MAGIC = 0x54_54_46_31;
   private static final int HEADER_BYTES = 2 * Integer.BYTES;
@@ -12,7 +12,7 @@
   private final DataFolder folder;
   private final Codec<T> codec;
 
-  CheckedFile(DataFolder folder, Codec<T> codec) {
+  ChecksummedFile(DataFolder folder, Codec<T> codec) {
     this.folder = folder;
     this.codec = codec;
   }
@@ -26,19 +26,19 @@
 
   /** Reads the value. Files are only replaced atomically, so any invalid content is corruption. */
   T load(String name) {
-    if (!folder.has(name)) {
-      throw new DamagedFolderException(folder.path(name), "the file is missing");
+    if (!folder.contains(name)) {
+      throw new CorruptFolderException(folder.path(name), "the file is missing");
     }
     byte[] bytes = folder.read(name);
     if (bytes.length < HEADER_BYTES) {
-      throw new DamagedFolderException(folder.path(name), "the file is shorter than its header");
+      throw new CorruptFolderException(folder.path(name), "the file is shorter than its header");
     }
     ByteBuffer header = ByteBuffer.wrap(bytes);
     int length = bytes.length - HEADER_BYTES;
     boolean valid =
         header.getInt() == MAGIC && header.getInt() == checksum(bytes, HEADER_BYTES, length);
     if (!valid) {
-      throw new DamagedFolderException(
+      throw new CorruptFolderException(
           folder.path(name), "magic number or checksum does not match");
     }
     return codec.decode(bytes, HEADER_BYTES, length);
--- a/storage/src/main/java/org/teaseltrail/storage/DataFolder.java
+++ b/storage/src/main/java/org/teaseltrail/storage/DataFolder.java
@@ -48,7 +48,7 @@
     }
   }
 
-  boolean has(String name) {
+  boolean contains(String name) {
     return list().contains(name);
   }
 
@@ -112,7 +112,7 @@
   }
 
   /** Runs an operation without a result, see {@link #run}. */
-  static void step(Path path, FileStep step) {
+  static void step(Path path, FileAction step) {
     run(
         path,
         () -> {
--- a/storage/src/main/java/org/teaseltrail/storage/FileStep.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FileAction.java
@@ -4,7 +4,7 @@
 
 /** A file operation without a result that may throw an I/O error. */
 @FunctionalInterface
-interface FileStep {
+interface FileAction {
 
   void run() throws IOException;
 }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderIdentity.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderIdentity.java
@@ -24,7 +24,7 @@
    * @param incarnation a number that was never used before on this VM
    * @return an identity with a new member
    */
-  public static FolderIdentity fresh(GroupId group, VmId vm, Incarnation incarnation) {
+  public static FolderIdentity create(GroupId group, VmId vm, Incarnation incarnation) {
     MemberId id = new MemberId(vm.value() + "-" + incarnation.value());
     return new FolderIdentity(group, new Member(id, vm), incarnation);
   }
--- a/storage/src/main/java/org/teaseltrail/storage/FolderSetup.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderInitializer.java
@@ -12,7 +12,7 @@
  * folder was ever acknowledged. A marker file that exists from the first to the last step
  * distinguishes such a folder from one whose identity file was lost.
  */
-final class FolderSetup {
+final class FolderInitializer {
 
   static final String VOTE_NAME = "vote";
 
@@ -20,35 +20,36 @@
   private static final String UNFINISHED_MARKER = "unfinished";
   private static final String LOCK_NAME = "lock";
 
-  private FolderSetup() {}
+  private FolderInitializer() {}
 
   static void create(DataFolder folder, FolderIdentity identity, List<LogEntry> entries) {
     folder.create();
     deleteUnfinishedFiles(folder);
     folder.replace(UNFINISHED_MARKER, new byte[0]);
-    new CheckedFile<>(folder, new VoteCodec()).save(VOTE_NAME, Vote.none());
+    new ChecksummedFile<>(folder, new VoteCodec()).save(VOTE_NAME, Vote.none());
     try (SegmentedLog log = new SegmentedLog(folder, Long.MAX_VALUE)) {
       log.append(entries);
       log.sync();
     }
-    new CheckedFile<>(folder, new IdentityCodec()).save(IDENTITY_FILE, identity);
+    new ChecksummedFile<>(folder, new IdentityCodec()).save(IDENTITY_FILE, identity);
     folder.delete(UNFINISHED_MARKER);
     folder.sync();
   }
 
-  static FolderIdentity identityOf(DataFolder folder, GroupId group) {
-    if (!folder.has(IDENTITY_FILE)) {
+  static FolderIdentity loadIdentity(DataFolder folder, GroupId group) {
+    if (!folder.contains(IDENTITY_FILE)) {
       throw new FolderMissingException(folder.path());
     }
-    FolderIdentity identity = new CheckedFile<>(folder, new IdentityCodec()).load(IDENTITY_FILE);
+    FolderIdentity identity =
+        new ChecksummedFile<>(folder, new IdentityCodec()).load(IDENTITY_FILE);
     if (!identity.group().equals(group)) {
-      throw new ForeignFolderException(folder.path(), group, identity.group());
+      throw new FolderOwnerMismatchException(folder.path(), group, identity.group());
     }
     return identity;
   }
 
   /** Deletes temporary and marker files that a crash left behind. */
-  static void removeLeftovers(DataFolder folder) {
+  static void deleteTemporaryFiles(DataFolder folder) {
     for (String name : folder.list()) {
       boolean temporary =
           name.endsWith(DataFolder.TEMPORARY_SUFFIX) || name.equals(UNFINISHED_MARKER);
@@ -70,7 +71,7 @@
               || name.equals(UNFINISHED_MARKER)
               || name.endsWith(DataFolder.TEMPORARY_SUFFIX);
       if (!removable && !unfinished) {
-        throw new DamagedFolderException(folder.path(name), "found without an identity file");
+        throw new CorruptFolderException(folder.path(name), "found without an identity file");
       }
       if (!name.equals(LOCK_NAME) && !name.equals(UNFINISHED_MARKER)) {
         folder.delete(name);
--- a/storage/src/main/java/org/teaseltrail/storage/ForeignFolderException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/FolderOwnerMismatchException.java
@@ -5,17 +5,17 @@
 import org.teaseltrail.core.replication.GroupId;
 
 /** Thrown when a folder belongs to another group or to a member on another VM. */
-public final class ForeignFolderException extends StorageException {
+public final class FolderOwnerMismatchException extends StorageException {
 
   private static final long serialVersionUID = 1L;
 
   /** Creates the exception for a folder of another group. */
-  public ForeignFolderException(Path path, GroupId expected, GroupId found) {
+  public FolderOwnerMismatchException(Path path, GroupId expected, GroupId found) {
     super(path, "belongs to group " + found + ", not " + expected, null);
   }
 
   /** Creates the exception for a folder of a member on another VM. */
-  public ForeignFolderException(Path path, VmId expected, VmId found) {
+  public FolderOwnerMismatchException(Path path, VmId expected, VmId found) {
     super(path, "belongs to the member on VM " + found + ", not " + expected, null);
   }
 }
--- a/storage/src/main/java/org/teaseltrail/storage/LogRecord.java
+++ b/storage/src/main/java/org/teaseltrail/storage/LogRecord.java
@@ -31,7 +31,7 @@
     return contentOffsetBytes() + contentLength;
   }
 
-  static byte[] write(byte[] content, long syncedBytes) {
+  static byte[] encode(byte[] content, long syncedBytes) {
     byte[] record = new byte[HEADER_BYTES + content.length];
     ByteBuffer buffer = ByteBuffer.wrap(record);
     buffer.putInt(MAGIC).putInt(content.length).putInt(0).putLong(syncedBytes).put(content);
--- a/storage/src/main/java/org/teaseltrail/storage/LogSegment.java
+++ b/storage/src/main/java/org/teaseltrail/storage/LogSegment.java
@@ -21,9 +21,9 @@
     this.folder = folder;
     this.name = name;
     this.file = folder.openAppend(name.fileName());
-    this.entryOffsetsBytes = new ArrayList<>(content.offsetsBytes());
-    this.writtenBytes = content.soundBytes();
-    this.syncedBytes = content.soundBytes();
+    this.entryOffsetsBytes = new ArrayList<>(content.entryOffsetsBytes());
+    this.writtenBytes = content.validBytes();
+    this.syncedBytes = content.validBytes();
   }
 
   static LogSegment create(DataFolder folder, long firstIndex) {
@@ -36,7 +36,7 @@
   /** Opens a segment for appending after its valid part; a torn write at the end is truncated. */
   static LogSegment open(DataFolder folder, SegmentName name, SegmentContent content) {
     LogSegment segment = new LogSegment(folder, name, content);
-    segment.truncateAndSync(content.soundBytes());
+    segment.truncateAndSync(content.validBytes());
     return segment;
   }
 
@@ -54,7 +54,7 @@
 
   void append(LogEntry entry) {
     entryOffsetsBytes.add(sizeBytes());
-    byte[] record = LogRecord.write(codec.encode(entry), syncedBytes);
+    byte[] record = LogRecord.encode(codec.encode(entry), syncedBytes);
     writeBuffer.write(record, 0, record.length);
   }
 
--- a/storage/src/main/java/org/teaseltrail/storage/StorageFolder.java
+++ b/storage/src/main/java/org/teaseltrail/storage/ReplicaStorage.java
@@ -23,14 +23,14 @@
  * <p>Example:
  *
  * <pre>{@code
- * StorageFolder.createGroup(files, path, identity);
- * try (StorageFolder folder = StorageFolder.open(files, path, group)) {
+ * ReplicaStorage.createGroup(files, path, identity);
+ * try (ReplicaStorage folder = ReplicaStorage.open(files, path, group)) {
  *   folder.write(write);
  *   replica.handle(new ReplicaEvent.Persisted(folder.sync()), System.nanoTime());
  * }
  * }</pre>
  */
-public final class StorageFolder implements AutoCloseable {
+public final class ReplicaStorage implements AutoCloseable {
 
   /** Size at which the log rolls to a new segment, in bytes. */
   public static final long DEFAULT_SEGMENT_BYTES = 8L * 1024 * 1024;
@@ -40,22 +40,22 @@
   private final DataFolder folder;
   private final AutoCloseable lock;
   private final FolderIdentity identity;
-  private final RecoveredState recovered;
-  private final CheckedFile<Vote> voteFile;
+  private final RecoveredState recoveredState;
+  private final ChecksummedFile<Vote> voteFile;
   private final SnapshotStore snapshots;
   private final SegmentedLog log;
   private StorageException failure;
   private long lastWriteNumber;
 
-  private StorageFolder(DataFolder folder, GroupId group, long segmentBytes) {
+  private ReplicaStorage(DataFolder folder, GroupId group, long segmentBytes) {
     this.folder = folder;
-    this.identity = FolderSetup.identityOf(folder, group);
+    this.identity = FolderInitializer.loadIdentity(folder, group);
     this.lock = folder.lock(LOCK_NAME);
-    this.voteFile = new CheckedFile<>(folder, new VoteCodec());
+    this.voteFile = new ChecksummedFile<>(folder, new VoteCodec());
     this.snapshots = new SnapshotStore(folder);
     this.log = new SegmentedLog(folder, segmentBytes);
     try {
-      this.recovered = recover();
+      this.recoveredState = recover();
     } catch (RuntimeException e) {
       close();
       throw e;
@@ -70,11 +70,11 @@
    * @param path the folder; may exist if it is empty
    * @param identity the group and its first member
    * @throws FolderExistsException if the folder already holds member state
-   * @throws DamagedFolderException if it holds member files but no identity file
+   * @throws CorruptFolderException if it holds member files but no identity file
    */
   public static void createGroup(FileSystemAccess files, Path path, FolderIdentity identity) {
     List<LogEntry> initialEntries = RecoveredState.newGroup(identity.member()).entries();
-    FolderSetup.create(new DataFolder(files, path), identity, initialEntries);
+    FolderInitializer.create(new DataFolder(files, path), identity, initialEntries);
   }
 
   /**
@@ -84,14 +84,14 @@
    * @param files the file system
    * @param path the folder; may exist if it is empty
    * @param identity the group and this initial member
-   * @param founders the initial voters of the group
+   * @param initialMembers the initial voters of the group
    * @throws FolderExistsException if the folder already holds member state
-   * @throws DamagedFolderException if it holds member files but no identity file
+   * @throws CorruptFolderException if it holds member files but no identity file
    */
-  public static void createFounder(
-      FileSystemAccess files, Path path, FolderIdentity identity, Membership founders) {
-    List<LogEntry> initialEntries = RecoveredState.newGroup(founders).entries();
-    FolderSetup.create(new DataFolder(files, path), identity, initialEntries);
+  public static void createInitialMember(
+      FileSystemAccess files, Path path, FolderIdentity identity, Membership initialMembers) {
+    List<LogEntry> initialEntries = RecoveredState.newGroup(initialMembers).entries();
+    FolderInitializer.create(new DataFolder(files, path), identity, initialEntries);
   }
 
   /**
@@ -101,10 +101,10 @@
    * @param path the folder; may exist if it is empty
    * @param identity the group and the new member
    * @throws FolderExistsException if the folder already holds member state
-   * @throws DamagedFolderException if it holds member files but no identity file
+   * @throws CorruptFolderException if it holds member files but no identity file
    */
   public static void createMember(FileSystemAccess files, Path path, FolderIdentity identity) {
-    FolderSetup.create(new DataFolder(files, path), identity, List.of());
+    FolderInitializer.create(new DataFolder(files, path), identity, List.of());
   }
 
   /**
@@ -115,11 +115,11 @@
    * @param group the group that the folder must belong to
    * @return the open folder
    * @throws FolderMissingException if it holds no member state
-   * @throws ForeignFolderException if it belongs to another group
+   * @throws FolderOwnerMismatchException if it belongs to another group
    * @throws FolderInUseException if it is open already
-   * @throws DamagedFolderException if synced data is missing or can't be read
+   * @throws CorruptFolderException if synced data is missing or can't be read
    */
-  public static StorageFolder open(FileSystemAccess files, Path path, GroupId group) {
+  public static ReplicaStorage open(FileSystemAccess files, Path path, GroupId group) {
     return open(files, path, group, DEFAULT_SEGMENT_BYTES);
   }
 
@@ -132,9 +132,9 @@
    * @param segmentBytes size at which the log rolls to a new segment, in bytes
    * @return the open folder
    */
-  public static StorageFolder open(
+  public static ReplicaStorage open(
       FileSystemAccess files, Path path, GroupId group, long segmentBytes) {
-    return new StorageFolder(new DataFolder(files, path), group, segmentBytes);
+    return new ReplicaStorage(new DataFolder(files, path), group, segmentBytes);
   }
 
   /**
@@ -151,8 +151,8 @@
    *
    * @return vote, snapshot and log
    */
-  public RecoveredState recovered() {
-    return recovered;
+  public RecoveredState recoveredState() {
+    return recoveredState;
   }
 
   /**
@@ -160,7 +160,7 @@
    *
    * @param write the write
    * @throws DiskFullException if the disk is full
-   * @throws FolderFailedException if an earlier write failed
+   * @throws StorageFailedException if an earlier write failed
    */
   public void write(ReplicaAction.Write write) {
     runUnlessFailed(() -> applyWrite(write));
@@ -173,7 +173,7 @@
    * @return number of the last write, for {@link
    *     org.teaseltrail.core.replication.ReplicaEvent.Persisted}
    * @throws DiskFullException if the disk is full
-   * @throws FolderFailedException if an earlier write failed
+   * @throws StorageFailedException if an earlier write failed
    */
   public long sync() {
     runUnlessFailed(log::sync);
@@ -193,7 +193,7 @@
       log.truncateFrom(truncate.fromIndex());
     } else if (write instanceof ReplicaAction.SaveVote saved) {
       log.sync();
-      voteFile.save(FolderSetup.VOTE_NAME, saved.vote());
+      voteFile.save(FolderInitializer.VOTE_NAME, saved.vote());
     } else if (write instanceof ReplicaAction.SaveSnapshot saved) {
       log.sync();
       saveSnapshot(saved);
@@ -203,15 +203,15 @@
   private void saveSnapshot(ReplicaAction.SaveSnapshot saved) {
     snapshots.save(saved.snapshot());
     if (saved.discardsLog()) {
-      log.discard();
+      log.deleteAllSegments();
     } else {
-      log.dropThrough(saved.retainAfterIndex());
+      log.deleteSegmentsThrough(saved.retainAfterIndex());
     }
   }
 
   private void runUnlessFailed(Runnable operation) {
     if (failure != null) {
-      throw new FolderFailedException(folder.path(), failure);
+      throw new StorageFailedException(folder.path(), failure);
     }
     try {
       operation.run();
@@ -222,8 +222,8 @@
   }
 
   private RecoveredState recover() {
-    FolderSetup.removeLeftovers(folder);
-    Vote vote = voteFile.load(FolderSetup.VOTE_NAME);
+    FolderInitializer.deleteTemporaryFiles(folder);
+    Vote vote = voteFile.load(FolderInitializer.VOTE_NAME);
     Optional<Snapshot> snapshot = snapshots.load();
     return new RecoveredState(vote, snapshot, log.recover(snapshot));
   }
--- a/storage/src/main/java/org/teaseltrail/storage/SegmentContent.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SegmentContent.java
@@ -9,10 +9,10 @@
  * The content that was read from a log segment.
  *
  * @param entries the log entries
- * @param offsetsBytes file offset of each entry's record, in bytes
- * @param soundBytes size of the valid part, in bytes; data after it was never synced
+ * @param entryOffsetsBytes file offset of each entry's record, in bytes
+ * @param validBytes size of the valid part, in bytes; data after it was never synced
  */
-record SegmentContent(List<LogEntry> entries, List<Long> offsetsBytes, long soundBytes) {
+record SegmentContent(List<LogEntry> entries, List<Long> entryOffsetsBytes, long validBytes) {
 
   /**
    * Reads a segment.
@@ -21,7 +21,7 @@
    * @param name name of the file
    * @param isLast whether this is the last segment, in which a write may have been in progress
    * @return its content
-   * @throws DamagedFolderException if synced data can't be read
+   * @throws CorruptFolderException if synced data can't be read
    */
   static SegmentContent read(DataFolder folder, SegmentName name, boolean isLast) {
     byte[] file = folder.read(name.fileName());
@@ -38,7 +38,7 @@
       record = LogRecord.readAt(file, offset);
     }
     if (offset < file.length && (!isLast || wasSynced(file, offset))) {
-      throw new DamagedFolderException(
+      throw new CorruptFolderException(
           folder.path(name.fileName()), "no valid record at byte " + offset);
     }
     return new SegmentContent(entries, offsets, offset);
--- a/storage/src/main/java/org/teaseltrail/storage/SegmentName.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SegmentName.java
@@ -9,7 +9,7 @@
 
   private static final String PREFIX = "log-";
 
-  static boolean isOne(String fileName) {
+  static boolean isSegmentName(String fileName) {
     return fileName.startsWith(PREFIX) && !fileName.endsWith(DataFolder.TEMPORARY_SUFFIX);
   }
 
--- a/storage/src/main/java/org/teaseltrail/storage/SegmentedLog.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SegmentedLog.java
@@ -23,11 +23,11 @@
    *
    * @param snapshot the newest snapshot
    * @return the log entries; empty if the snapshot supersedes the log
-   * @throws DamagedFolderException if synced data is missing or can't be read
+   * @throws CorruptFolderException if synced data is missing or can't be read
    */
   List<LogEntry> recover(Optional<Snapshot> snapshot) {
     List<SegmentName> names =
-        folder.list().stream().filter(SegmentName::isOne).map(SegmentName::parse).toList();
+        folder.list().stream().filter(SegmentName::isSegmentName).map(SegmentName::parse).toList();
     List<LogEntry> entries = new ArrayList<>();
     for (int i = 0; i < names.size(); i++) {
       SegmentName name = names.get(i);
@@ -39,7 +39,7 @@
     long coveredIndex = snapshot.map(Snapshot::index).orElse(0L);
     checkNoGapBeforeLog(names, coveredIndex);
     if (snapshot.isPresent() && isSupersededBy(snapshot.get(), entries)) {
-      discard();
+      deleteAllSegments();
       return List.of();
     }
     return entries;
@@ -68,7 +68,7 @@
    * Deletes the segments that end at or before an index, except the last one. A synced snapshot
    * covers their entries.
    */
-  void dropThrough(long index) {
+  void deleteSegmentsThrough(long index) {
     while (segments.size() > 1 && segments.get(0).lastIndex() <= index) {
       LogSegment first = segments.remove(0);
       first.close();
@@ -81,7 +81,7 @@
    * the opposite order it would leave a gap between the snapshot and the log, which recovery
    * reports as corruption.
    */
-  void discard() {
+  void deleteAllSegments() {
     while (!segments.isEmpty()) {
       deleteLastSegment();
     }
@@ -121,14 +121,14 @@
       expectedIndex++;
     }
     if (!contiguous) {
-      throw new DamagedFolderException(
+      throw new CorruptFolderException(
           folder.path(name.fileName()), "its entries do not follow the previous segment");
     }
   }
 
   private void checkNoGapBeforeLog(List<SegmentName> names, long coveredIndex) {
     if (!names.isEmpty() && names.get(0).firstIndex() > coveredIndex + 1) {
-      throw new DamagedFolderException(
+      throw new CorruptFolderException(
           folder.path(), "log entries are missing before the first segment");
     }
   }
--- a/storage/src/main/java/org/teaseltrail/storage/SnapshotStore.java
+++ b/storage/src/main/java/org/teaseltrail/storage/SnapshotStore.java
@@ -10,11 +10,11 @@
   private static final String PREFIX = "snapshot-";
 
   private final DataFolder folder;
-  private final CheckedFile<Snapshot> files;
+  private final ChecksummedFile<Snapshot> files;
 
   SnapshotStore(DataFolder folder) {
     this.folder = folder;
-    this.files = new CheckedFile<>(folder, new SnapshotCodec());
+    this.files = new ChecksummedFile<>(folder, new SnapshotCodec());
   }
 
   /** Saves and syncs a snapshot, then deletes older ones. */
--- a/storage/src/main/java/org/teaseltrail/storage/StorageException.java
+++ b/storage/src/main/java/org/teaseltrail/storage/StorageException.java
@@ -4,13 +4,13 @@
 
 /** Base class of data folder errors. Writes that were reported as synced are still stored. */
 public abstract sealed class StorageException extends RuntimeException
-    permits DamagedFolderException,
+    permits CorruptFolderException,
         DiskFullException,
         FolderExistsException,
-        FolderFailedException,
+        StorageFailedException,
         FolderInUseException,
         FolderMissingException,
-        ForeignFolderException,
+        FolderOwnerMismatchException,
         StorageIoException {
 
   private static final long serialVersionUID = 1L;
--- a/storage/src/test/java/org/teaseltrail/storage/FakeFileSystem.java
+++ b/storage/src/test/java/org/teaseltrail/storage/FakeFileSystem.java
@@ -25,16 +25,16 @@
   private int freeBytes = Integer.MAX_VALUE;
   private boolean ignoresSyncs;
 
-  void losePowerAfterSteps(int steps) {
+  void losePowerAfterOperations(int steps) {
     operationsUntilPowerLoss = steps;
   }
 
-  void leaveFreeBytes(int bytes) {
+  void limitFreeBytes(int bytes) {
     freeBytes = bytes;
   }
 
   /** Makes all syncs no-ops, so that tests can show that they are needed. */
-  void syncNothing() {
+  void ignoreSyncs() {
     ignoresSyncs = true;
   }
 
@@ -42,7 +42,7 @@
     return names.get(name).present;
   }
 
-  void damage(String name, int offsetBytes) {
+  void corrupt(String name, int offsetBytes) {
     names.get(name).present[offsetBytes] ^= 0x55;
   }
 
--- a/storage/src/test/java/org/teaseltrail/storage/PowerLossProperties.java
+++ b/storage/src/test/java/org/teaseltrail/storage/PowerLossProperties.java
@@ -25,13 +25,13 @@
   private static final int MAX_STEPS = 1_000;
 
   @Property(seed = "4711", tries = 25, shrinking = ShrinkingMode.OFF)
-  void everyStepKeepsWhatWasSynced(@ForAll long seed) {
+  void syncedWritesSurvivePowerLossAtEveryOperation(@ForAll long seed) {
     for (int steps = 0; steps < MAX_STEPS; steps++) {
       SplittableRandom random = new SplittableRandom(seed + steps);
       FakeFileSystem files = new FakeFileSystem();
-      StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
-      FolderScript script = FolderScript.ofAllKinds();
-      files.losePowerAfterSteps(steps);
+      ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
+      WriteSequence script = WriteSequence.ofAllWriteTypes();
+      files.losePowerAfterOperations(steps);
       int synced = runUntilPowerLoss(files, script, random);
       files.losePower(random);
       checkRecovery(files, script, synced);
@@ -44,16 +44,16 @@
   }
 
   @Property(seed = "4711", tries = 1_000, shrinking = ShrinkingMode.OFF)
-  void anyWritesKeepWhatWasSynced(@ForAll long seed) {
-    checkAnyWrites(seed);
+  void syncedWritesSurvivePowerLossWithRandomWrites(@ForAll long seed) {
+    checkRandomWrites(seed);
   }
 
-  static void checkAnyWrites(long seed) {
+  static void checkRandomWrites(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     FakeFileSystem files = new FakeFileSystem();
-    StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
-    FolderScript script = FolderScript.random(random);
-    files.losePowerAfterSteps(random.nextInt(150));
+    ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
+    WriteSequence script = WriteSequence.random(random);
+    files.losePowerAfterOperations(random.nextInt(150));
     int synced = runUntilPowerLoss(files, script, random);
     files.losePower(random);
     checkRecovery(files, script, synced);
@@ -61,40 +61,40 @@
   }
 
   @Property(seed = "4711", tries = 20, shrinking = ShrinkingMode.OFF)
-  void everyStepOfTheMakingCanBeDoneAgain(@ForAll long seed) {
+  void groupCreationCanBeRetriedAfterPowerLoss(@ForAll long seed) {
     for (int steps = 0; steps < 40; steps++) {
       FakeFileSystem files = new FakeFileSystem();
-      files.losePowerAfterSteps(steps);
+      files.losePowerAfterOperations(steps);
       try {
-        StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
+        ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
       } catch (StorageException e) {
         files.losePower(new SplittableRandom(seed + steps));
         createUnlessExists(files);
       }
-      files.losePowerAfterSteps(MAX_STEPS);
-      try (StorageFolder folder = open(files)) {
-        assertThat(folder.recovered()).isEqualTo(new FolderScript().stateAfter(0));
+      files.losePowerAfterOperations(MAX_STEPS);
+      try (ReplicaStorage folder = open(files)) {
+        assertThat(folder.recoveredState()).isEqualTo(new WriteSequence().stateAfter(0));
       }
     }
   }
 
   private static void createUnlessExists(FakeFileSystem files) {
     try {
-      StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
+      ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
     } catch (FolderExistsException e) {
       assertThat(files.list(PATH)).contains("identity");
     }
   }
 
-  private static StorageFolder open(FakeFileSystem files) {
-    return StorageFolder.open(files, PATH, FolderScript.GROUP, SEGMENT_BYTES);
+  private static ReplicaStorage open(FakeFileSystem files) {
+    return ReplicaStorage.open(files, PATH, WriteSequence.GROUP, SEGMENT_BYTES);
   }
 
   /** Returns the number of writes that were reported as synced. */
   private static int runUntilPowerLoss(
-      FakeFileSystem files, FolderScript script, SplittableRandom random) {
+      FakeFileSystem files, WriteSequence script, SplittableRandom random) {
     int synced = 0;
-    try (StorageFolder folder = open(files)) {
+    try (ReplicaStorage folder = open(files)) {
       for (ReplicaAction.Write write : script.writes()) {
         folder.write(write);
         if (random.nextInt(3) == 0) {
@@ -109,20 +109,20 @@
   }
 
   /** Asserts that the recovered state is the last one reported as synced or a later one. */
-  private static void checkRecovery(FakeFileSystem files, FolderScript script, int synced) {
-    try (StorageFolder folder = open(files)) {
+  private static void checkRecovery(FakeFileSystem files, WriteSequence script, int synced) {
+    try (ReplicaStorage folder = open(files)) {
       boolean found =
           IntStream.rangeClosed(synced, script.writes().size())
-              .anyMatch(count -> script.stateAfter(count).equals(folder.recovered()));
+              .anyMatch(count -> script.stateAfter(count).equals(folder.recoveredState()));
       if (!found) {
-        checkPartiallyAppliedWrite(folder.recovered(), script, synced);
+        checkPartiallyAppliedWrite(folder.recoveredState(), script, synced);
       }
     }
   }
 
   /** Allows for an unsynced append or truncation that was applied to only some of its entries. */
   private static void checkPartiallyAppliedWrite(
-      RecoveredState recovered, FolderScript script, int synced) {
+      RecoveredState recovered, WriteSequence script, int synced) {
     for (int count = synced; count < script.writes().size(); count++) {
       RecoveredState before = script.stateAfter(count);
       RecoveredState after = script.stateAfter(count + 1);
@@ -150,15 +150,15 @@
 
   /** Asserts that writes after a recovery survive a second power loss. */
   private static void checkWritesAfterRecovery(FakeFileSystem files, SplittableRandom random) {
-    FolderScript more;
-    try (StorageFolder folder = open(files)) {
-      more = new FolderScript(folder.recovered()).append(9, 2).vote(9).append(9, 1);
+    WriteSequence more;
+    try (ReplicaStorage folder = open(files)) {
+      more = new WriteSequence(folder.recoveredState()).append(9, 2).vote(9).append(9, 1);
       more.writes().forEach(folder::write);
       folder.sync();
     }
     files.losePower(random);
-    try (StorageFolder folder = open(files)) {
-      assertThat(folder.recovered()).isEqualTo(more.stateAfter(3));
+    try (ReplicaStorage folder = open(files)) {
+      assertThat(folder.recoveredState()).isEqualTo(more.stateAfter(3));
     }
   }
 }
--- a/storage/src/test/java/org/teaseltrail/storage/StorageFolderTest.java
+++ b/storage/src/test/java/org/teaseltrail/storage/ReplicaStorageTest.java
@@ -10,7 +10,7 @@
 import org.teaseltrail.core.replication.GroupId;
 import org.teaseltrail.core.replication.RecoveredState;
 
-class StorageFolderTest {
+class ReplicaStorageTest {
 
   private static final Path PATH = Path.of("data");
   private static final String FIRST_SEGMENT = "log-00000000000000000001";
@@ -18,22 +18,22 @@
   @TempDir private Path temporaryFolder;
 
   @Test
-  void keepsAllKindsOfWritesOnRealFiles() {
+  void recoversAllWriteTypesFromRealFiles() {
     NioFileSystem files = new NioFileSystem();
-    FolderScript script = FolderScript.ofAllKinds();
-    StorageFolder.createGroup(files, temporaryFolder, FolderScript.IDENTITY);
-    try (StorageFolder folder = open(files, temporaryFolder)) {
+    WriteSequence script = WriteSequence.ofAllWriteTypes();
+    ReplicaStorage.createGroup(files, temporaryFolder, WriteSequence.IDENTITY);
+    try (ReplicaStorage folder = open(files, temporaryFolder)) {
       script.writes().forEach(folder::write);
       assertThat(folder.sync()).isEqualTo(script.writes().size());
     }
-    try (StorageFolder folder = open(files, temporaryFolder)) {
-      assertThat(folder.identity()).isEqualTo(FolderScript.IDENTITY);
-      assertThat(folder.recovered()).isEqualTo(script.stateAfter(script.writes().size()));
+    try (ReplicaStorage folder = open(files, temporaryFolder)) {
+      assertThat(folder.identity()).isEqualTo(WriteSequence.IDENTITY);
+      assertThat(folder.recoveredState()).isEqualTo(script.stateAfter(script.writes().size()));
     }
   }
 
   @Test
-  void startsNoGroupByItself() {
+  void neverCreatesGroupImplicitly() {
     Path missing = temporaryFolder.resolve("missing");
     NioFileSystem files = new NioFileSystem();
     assertThatThrownBy(() -> open(files, temporaryFolder))
@@ -42,11 +42,11 @@
   }
 
   @Test
-  void newMemberKnowsNothing() {
+  void newMemberStartsWithEmptyState() {
     FakeFileSystem files = new FakeFileSystem();
-    StorageFolder.createMember(files, PATH, FolderScript.IDENTITY);
-    try (StorageFolder folder = open(files, PATH)) {
-      assertThat(folder.recovered()).isEqualTo(RecoveredState.empty());
+    ReplicaStorage.createMember(files, PATH, WriteSequence.IDENTITY);
+    try (ReplicaStorage folder = open(files, PATH)) {
+      assertThat(folder.recoveredState()).isEqualTo(RecoveredState.empty());
     }
   }
 
@@ -55,13 +55,13 @@
    * already has a member, or configures the folder of another group.
    */
   @Test
-  void refusesFoldersOfOthers() {
+  void refusesFolderOfExistingMemberOrOtherGroup() {
     FakeFileSystem files = new FakeFileSystem();
-    StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
-    assertThatThrownBy(() -> StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY))
+    ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
+    assertThatThrownBy(() -> ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY))
         .isInstanceOf(FolderExistsException.class);
-    assertThatThrownBy(() -> StorageFolder.open(files, PATH, new GroupId("other")))
-        .isInstanceOf(ForeignFolderException.class);
+    assertThatThrownBy(() -> ReplicaStorage.open(files, PATH, new GroupId("other")))
+        .isInstanceOf(FolderOwnerMismatchException.class);
   }
 
   /**
@@ -69,11 +69,11 @@
    * process dead and starts a second one on the same folder.
    */
   @Test
-  void refusesTwoAtOnce() {
+  void refusesSecondOpenOfSameFolder() {
     NioFileSystem files = new NioFileSystem();
-    StorageFolder.createGroup(files, temporaryFolder, FolderScript.IDENTITY);
-    try (StorageFolder folder = open(files, temporaryFolder)) {
-      assertThat(folder.recovered().entries()).hasSize(1);
+    ReplicaStorage.createGroup(files, temporaryFolder, WriteSequence.IDENTITY);
+    try (ReplicaStorage folder = open(files, temporaryFolder)) {
+      assertThat(folder.recoveredState().entries()).hasSize(1);
       assertThatThrownBy(() -> open(files, temporaryFolder))
           .isInstanceOf(FolderInUseException.class);
     }
@@ -85,26 +85,26 @@
    * after a restart the log is truncated there as if after a torn write.
    */
   @Test
-  void refusesDamageBeforeTheTail() {
+  void refusesCorruptionOfSyncedEntries() {
     FakeFileSystem files = new FakeFileSystem();
-    StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
-    FolderScript script = new FolderScript().append(1, 3).append(1, 3);
-    try (StorageFolder folder = open(files, PATH)) {
+    ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
+    WriteSequence script = new WriteSequence().append(1, 3).append(1, 3);
+    try (ReplicaStorage folder = open(files, PATH)) {
       folder.write(script.writes().get(0));
       folder.sync();
       folder.write(script.writes().get(1));
       folder.sync();
     }
-    files.damage(FIRST_SEGMENT, LogRecord.HEADER_BYTES + 2);
-    assertThatThrownBy(() -> open(files, PATH)).isInstanceOf(DamagedFolderException.class);
+    files.corrupt(FIRST_SEGMENT, LogRecord.HEADER_BYTES + 2);
+    assertThatThrownBy(() -> open(files, PATH)).isInstanceOf(CorruptFolderException.class);
   }
 
   @Test
-  void refusesDamagedVote() {
+  void refusesCorruptVoteFile() {
     FakeFileSystem files = new FakeFileSystem();
-    StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
-    files.damage("vote", files.content("vote").length - 1);
-    assertThatThrownBy(() -> open(files, PATH)).isInstanceOf(DamagedFolderException.class);
+    ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
+    files.corrupt("vote", files.content("vote").length - 1);
+    assertThatThrownBy(() -> open(files, PATH)).isInstanceOf(CorruptFolderException.class);
   }
 
   /**
@@ -112,20 +112,20 @@
    * must report the error, reject further writes and recover all synced writes once there is space.
    */
   @Test
-  void losesNothingOnFullDisk() {
+  void keepsSyncedWritesWhenDiskIsFull() {
     FakeFileSystem files = new FakeFileSystem();
-    StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
-    FolderScript script = new FolderScript().append(1, 3).append(1, 3);
-    try (StorageFolder folder = open(files, PATH)) {
+    ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
+    WriteSequence script = new WriteSequence().append(1, 3).append(1, 3);
+    try (ReplicaStorage folder = open(files, PATH)) {
       folder.write(script.writes().get(0));
       folder.sync();
-      files.leaveFreeBytes(20);
+      files.limitFreeBytes(20);
       folder.write(script.writes().get(1));
       assertThatThrownBy(folder::sync).isInstanceOf(DiskFullException.class);
-      assertThatThrownBy(folder::sync).isInstanceOf(FolderFailedException.class);
+      assertThatThrownBy(folder::sync).isInstanceOf(StorageFailedException.class);
     }
-    try (StorageFolder folder = open(files, PATH)) {
-      assertThat(folder.recovered()).isEqualTo(script.stateAfter(1));
+    try (ReplicaStorage folder = open(files, PATH)) {
+      assertThat(folder.recoveredState()).isEqualTo(script.stateAfter(1));
     }
   }
 
@@ -134,22 +134,22 @@
    * nothing.
    */
   @Test
-  void fakeDiskLosesWhatIsNotSynced() {
+  void fakeFileSystemLosesUnsyncedWrites() {
     FakeFileSystem files = new FakeFileSystem();
-    StorageFolder.createGroup(files, PATH, FolderScript.IDENTITY);
-    FolderScript script = new FolderScript().append(1, 3);
-    files.syncNothing();
-    try (StorageFolder folder = open(files, PATH)) {
+    ReplicaStorage.createGroup(files, PATH, WriteSequence.IDENTITY);
+    WriteSequence script = new WriteSequence().append(1, 3);
+    files.ignoreSyncs();
+    try (ReplicaStorage folder = open(files, PATH)) {
       folder.write(script.writes().get(0));
       folder.sync();
     }
     files.losePower(new SplittableRandom(1));
-    try (StorageFolder folder = open(files, PATH)) {
-      assertThat(folder.recovered()).isNotEqualTo(script.stateAfter(1));
+    try (ReplicaStorage folder = open(files, PATH)) {
+      assertThat(folder.recoveredState()).isNotEqualTo(script.stateAfter(1));
     }
   }
 
-  private static StorageFolder open(FileSystemAccess files, Path path) {
-    return StorageFolder.open(files, path, FolderScript.GROUP, 200);
+  private static ReplicaStorage open(FileSystemAccess files, Path path) {
+    return ReplicaStorage.open(files, path, WriteSequence.GROUP, 200);
   }
 }
--- a/storage/src/test/java/org/teaseltrail/storage/FolderScript.java
+++ b/storage/src/test/java/org/teaseltrail/storage/WriteSequence.java
@@ -16,26 +16,26 @@
 import org.teaseltrail.core.replication.Vote;
 
 /** A sequence of writes with the expected state after each of them. */
-final class FolderScript {
+final class WriteSequence {
 
   static final GroupId GROUP = new GroupId("group");
   static final FolderIdentity IDENTITY =
-      FolderIdentity.fresh(GROUP, new VmId("c1"), new Incarnation(17));
+      FolderIdentity.create(GROUP, new VmId("c1"), new Incarnation(17));
 
   private final List<ReplicaAction.Write> writes = new ArrayList<>();
   private final List<RecoveredState> states = new ArrayList<>();
 
-  FolderScript() {
+  WriteSequence() {
     this(RecoveredState.newGroup(IDENTITY.member()));
   }
 
-  FolderScript(RecoveredState start) {
+  WriteSequence(RecoveredState start) {
     states.add(start);
   }
 
   /** Appends, votes, truncates, saves its own snapshot and installs one from another member. */
-  static FolderScript ofAllKinds() {
-    FolderScript script = new FolderScript();
+  static WriteSequence ofAllWriteTypes() {
+    WriteSequence script = new WriteSequence();
     script.vote(1).append(1, 4).append(1, 2).append(1, 3).vote(2);
     script.truncate(6).append(2, 5).snapshot(8, 2, 5, false).append(2, 3);
     script.truncate(12).append(3, 1).append(3, 6).vote(4);
@@ -43,8 +43,8 @@
   }
 
   /** Generates random writes that a replica could request. */
-  static FolderScript random(SplittableRandom random) {
-    FolderScript script = new FolderScript();
+  static WriteSequence random(SplittableRandom random) {
+    WriteSequence script = new WriteSequence();
     for (int term = 1; term <= 30; term++) {
       long first = script.firstIndex();
       long last = script.lastIndex();
@@ -83,7 +83,7 @@
     return states.get(count);
   }
 
-  FolderScript append(long term, int count) {
+  WriteSequence append(long term, int count) {
     List<LogEntry> added = new ArrayList<>();
     long next = lastIndex() + 1;
     for (int i = 0; i < count; i++) {
@@ -97,7 +97,7 @@
         new RecoveredState(lastState().vote(), lastState().snapshot(), entries));
   }
 
-  FolderScript truncate(long index) {
+  WriteSequence truncate(long index) {
     List<LogEntry> entries =
         lastState().entries().stream().filter(entry -> entry.index() < index).toList();
     return add(
@@ -105,14 +105,14 @@
         new RecoveredState(lastState().vote(), lastState().snapshot(), entries));
   }
 
-  FolderScript vote(long term) {
+  WriteSequence vote(long term) {
     Vote vote = new Vote(term, Optional.of(IDENTITY.member().id()));
     return add(
         new ReplicaAction.SaveVote(number(), vote),
         new RecoveredState(vote, lastState().snapshot(), lastState().entries()));
   }
 
-  FolderScript snapshot(long index, long term, long keepAfterIndex, boolean discardsLog) {
+  WriteSequence snapshot(long index, long term, long keepAfterIndex, boolean discardsLog) {
     Membership membership = Membership.of(IDENTITY.member());
     Snapshot snapshot = new Snapshot(index, term, membership, new byte[50]);
     List<LogEntry> entries = discardsLog ? List.of() : lastState().entries();
@@ -121,7 +121,7 @@
         new RecoveredState(lastState().vote(), Optional.of(snapshot), entries));
   }
 
-  private FolderScript add(ReplicaAction.Write write, RecoveredState state) {
+  private WriteSequence add(ReplicaAction.Write write, RecoveredState state) {
     writes.add(write);
     states.add(state);
     return this;
--- a/wire/src/main/java/org/teaseltrail/wire/SpeakerKind.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ClientType.java
@@ -1,7 +1,7 @@
 package org.teaseltrail.wire;
 
 /** Type of client that opens a connection. */
-public enum SpeakerKind {
+public enum ClientType {
   /** An entry VM that connects to control members. */
   ENTRY_VM,
   /** A control member that connects to its peers. */
--- a/wire/src/main/java/org/teaseltrail/wire/ConfigurationFrames.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ConfigurationFrameEncoder.java
@@ -5,27 +5,27 @@
 import org.teaseltrail.core.message.ControlMessage.ConfigurationUpdate;
 
 /** Encodes frames with configurations, each only once for all entry VMs. Thread-safe. */
-final class ConfigurationFrames {
+final class ConfigurationFrameEncoder {
 
   private final MessageCodec codec;
   private final FrameCache frames = new FrameCache();
 
-  ConfigurationFrames(MessageCodec codec) {
+  ConfigurationFrameEncoder(MessageCodec codec) {
     this.codec = codec;
   }
 
   /** Returns the frame body for a full configuration. */
   byte[] whole(ConfigurationUpdate update) {
-    return frames.body(
-        FrameCache.Content.NONE,
+    return frames.getOrEncode(
+        FrameCache.Content.EMPTY,
         versionedContent(update.configuration()),
         update.fencing(),
         () -> codec.encode(ControlMessage.class, update));
   }
 
   /** Returns the frame body for the delta from an older configuration. */
-  byte[] delta(Configuration from, ConfigurationUpdate update) {
-    return frames.body(
+  byte[] deltaFrame(Configuration from, ConfigurationUpdate update) {
+    return frames.getOrEncode(
         versionedContent(from),
         versionedContent(update.configuration()),
         update.fencing(),
@@ -39,6 +39,6 @@
   private byte[] made(Configuration from, ConfigurationUpdate update) {
     ConfigurationDelta delta =
         ConfigurationDelta.between(update.fencing(), from, update.configuration());
-    return DeltaFrame.of(codec.encode(ConfigurationDelta.class, delta));
+    return DeltaFrame.wrap(codec.encode(ConfigurationDelta.class, delta));
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/ConnectionOpening.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ConnectionHandshake.java
@@ -8,7 +8,7 @@
  * @param speaker type of the client
  * @param speakerId VM id or member id of the client as text
  */
-public record ConnectionOpening(int protocolVersion, SpeakerKind speaker, String speakerId) {
+public record ConnectionHandshake(int protocolVersion, ClientType speaker, String speakerId) {
 
   /** Protocol version of this program. */
   public static final int PROTOCOL_VERSION = 1;
@@ -20,7 +20,7 @@
    * @param speakerId VM id or member id of the client as text
    * @return the handshake
    */
-  public static ConnectionOpening of(SpeakerKind speaker, String speakerId) {
-    return new ConnectionOpening(PROTOCOL_VERSION, speaker, speakerId);
+  public static ConnectionHandshake of(ClientType speaker, String speakerId) {
+    return new ConnectionHandshake(PROTOCOL_VERSION, speaker, speakerId);
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/ControlMessageDecoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ControlMessageDecoder.java
@@ -17,8 +17,8 @@
   @Override
   public ControlMessage decode(byte[] body) {
     ControlMessage message =
-        DeltaFrame.isMarked(body)
-            ? whole(codec.decode(ConfigurationDelta.class, DeltaFrame.content(body)))
+        DeltaFrame.isDelta(body)
+            ? whole(codec.decode(ConfigurationDelta.class, DeltaFrame.unwrap(body)))
             : codec.decode(ControlMessage.class, body);
     if (message instanceof ConfigurationUpdate update) {
       lastReceived = update.configuration();
--- a/wire/src/main/java/org/teaseltrail/wire/ControlMessageEncoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ControlMessageEncoder.java
@@ -27,14 +27,14 @@
   public byte[] encode(ControlMessage message) {
     if (message instanceof ConfigurationUpdate update) {
       return lastSent == null
-          ? codec.configurations().whole(update)
-          : codec.configurations().delta(lastSent, update);
+          ? codec.configurationFrames().whole(update)
+          : codec.configurationFrames().deltaFrame(lastSent, update);
     }
     return codec.encode(ControlMessage.class, message);
   }
 
   @Override
-  public void sent(ControlMessage message) {
+  public void onSent(ControlMessage message) {
     if (message instanceof ConfigurationUpdate update) {
       lastSent = update.configuration();
     }
--- a/wire/src/main/java/org/teaseltrail/wire/DeltaFrame.java
+++ b/wire/src/main/java/org/teaseltrail/wire/DeltaFrame.java
@@ -12,16 +12,16 @@
   private DeltaFrame() {}
 
   /** Returns the frame body for an encoded delta. */
-  static byte[] of(byte[] delta) {
+  static byte[] wrap(byte[] delta) {
     return ByteBuffer.allocate(1 + delta.length).put(DELTA_MARKER).put(delta).array();
   }
 
-  static boolean isMarked(byte[] body) {
+  static boolean isDelta(byte[] body) {
     return body.length > 0 && body[0] == DELTA_MARKER;
   }
 
   /** Returns the encoded delta in the body of a delta frame. */
-  static byte[] content(byte[] body) {
+  static byte[] unwrap(byte[] body) {
     return Arrays.copyOfRange(body, 1, body.length);
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameCache.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameCache.java
@@ -26,7 +26,7 @@
   record Content(long version, Object value) {
 
     /** Base of a receiver to which nothing was sent yet. */
-    static final Content NONE = new Content(0, null);
+    static final Content EMPTY = new Content(0, null);
 
     private boolean isSame(Content other) {
       return version == other.version && value == other.value;
@@ -48,16 +48,16 @@
    * @param from the value that the receiver holds
    * @param to the value that the frame carries to it
    * @param fencing fencing number of the leader that sends it
-   * @param write encodes the frame if it isn't cached
+   * @param encoder encodes the frame if it isn't cached
    */
-  synchronized byte[] body(
-      Content from, Content to, FencingNumber fencing, Supplier<byte[]> write) {
+  synchronized byte[] getOrEncode(
+      Content from, Content to, FencingNumber fencing, Supplier<byte[]> encoder) {
     for (CachedFrame each : cachedFrames) {
       if (each.matches(from, to, fencing)) {
         return each.body();
       }
     }
-    byte[] body = write.get();
+    byte[] body = encoder.get();
     if (cachedFrames.size() == KEPT) {
       cachedFrames.removeLast();
     }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameChannel.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameChannel.java
@@ -23,7 +23,7 @@
   private final FrameLimits limits;
   private final AtomicLong queuedBytes = new AtomicLong();
   private final AtomicBoolean ended = new AtomicBoolean();
-  private final CompletableFuture<CloseReason> closed = new CompletableFuture<>();
+  private final CompletableFuture<CloseReason> closeFuture = new CompletableFuture<>();
 
   FrameChannel(Connection connection, FrameLimits limits) {
     this.connection = connection;
@@ -39,13 +39,13 @@
   }
 
   /** Forwards inbound frame bodies in order, except keepalives, until the connection closes. */
-  void read(FrameReceiver receiver) {
+  void subscribe(FrameReceiver receiver) {
     connection
         .inbound()
         .receive()
         .asByteArray()
         .filter(body -> body.length > 0 && !ended.get())
-        .subscribe(receiver::received, failure -> end(closeReasonOf(failure)));
+        .subscribe(receiver::onFrame, failure -> end(closeReasonOf(failure)));
   }
 
   /**
@@ -74,12 +74,12 @@
   void end(CloseReason reason) {
     if (ended.compareAndSet(false, true)) {
       channel.close();
-      channel.eventLoop().execute(() -> closed.complete(reason));
+      channel.eventLoop().execute(() -> closeFuture.complete(reason));
     }
   }
 
-  CompletableFuture<CloseReason> closed() {
-    return closed;
+  CompletableFuture<CloseReason> closeFuture() {
+    return closeFuture;
   }
 
   private void onWritten(ChannelFuture future, int sizeBytes) {
@@ -102,6 +102,6 @@
   /** Receives frame bodies. */
   @FunctionalInterface
   interface FrameReceiver {
-    void received(byte[] body);
+    void onFrame(byte[] body);
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameClient.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameClient.java
@@ -25,7 +25,7 @@
 
   private final LoopResources loops;
   private final SocketAddress address;
-  private final ConnectionOpening handshake;
+  private final ConnectionHandshake handshake;
   private final FrameEndpoint<I, O> endpoint;
   private final FrameLimits limits;
   private final MessageCodec codec;
@@ -43,7 +43,7 @@
       ReconnectBackoff backoff) {
     this.loops = loops;
     this.address = address;
-    this.handshake = ConnectionOpening.of(endpoint.speaker(), speakerId);
+    this.handshake = ConnectionHandshake.of(endpoint.speaker(), speakerId);
     this.endpoint = endpoint;
     this.limits = limits;
     this.codec = codec;
@@ -153,14 +153,14 @@
     FrameChannel frames = new FrameChannel(connection, limits);
     TypedConnection<I, O> typedConnection =
         new TypedConnection<>(frames, handshake, endpoint, codec, limits);
-    frames.write(codec.encode(ConnectionOpening.class, handshake));
+    frames.write(codec.encode(ConnectionHandshake.class, handshake));
     current = typedConnection;
     typedConnection.open();
-    frames.closed().thenAccept(this::onConnectionClosed);
-    frames.read(
+    frames.closeFuture().thenAccept(this::onConnectionClosed);
+    frames.subscribe(
         body -> {
           backoff.reset();
-          typedConnection.received(body);
+          typedConnection.onFrame(body);
         });
     if (closing.get()) {
       typedConnection.close();
--- a/wire/src/main/java/org/teaseltrail/wire/FrameConnection.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameConnection.java
@@ -15,7 +15,7 @@
    *
    * @return the first frame of the connection
    */
-  ConnectionOpening opening();
+  ConnectionHandshake handshake();
 
   /**
    * Queues a message for sending. Messages from one thread are sent in the order of the calls. If
@@ -33,7 +33,7 @@
    *
    * @return a future that never completes exceptionally
    */
-  CompletableFuture<CloseReason> closed();
+  CompletableFuture<CloseReason> closeFuture();
 
   /** Closes the connection; queued messages may be lost. */
   @Override
--- a/wire/src/main/java/org/teaseltrail/wire/FrameLimits.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameLimits.java
@@ -39,7 +39,7 @@
    *
    * @return the limits
    */
-  public static FrameLimits standard() {
+  public static FrameLimits defaults() {
     return new FrameLimits(
         DEFAULT_MAX_FRAME_BYTES,
         DEFAULT_MAX_QUEUED_BYTES,
--- a/wire/src/main/java/org/teaseltrail/wire/FrameListener.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameListener.java
@@ -14,7 +14,7 @@
    *
    * @param connection the connection
    */
-  void opened(FrameConnection<I, O> connection);
+  void onOpened(FrameConnection<I, O> connection);
 
   /**
    * Called when a message is received.
@@ -22,7 +22,7 @@
    * @param connection the connection
    * @param message the message
    */
-  void received(FrameConnection<I, O> connection, I message);
+  void onReceived(FrameConnection<I, O> connection, I message);
 
   /**
    * Called when an open connection has closed.
@@ -30,5 +30,5 @@
    * @param connection the connection
    * @param reason why it closed
    */
-  void closed(FrameConnection<I, O> connection, CloseReason reason);
+  void onClosed(FrameConnection<I, O> connection, CloseReason reason);
 }
--- a/wire/src/main/java/org/teaseltrail/wire/FrameServer.java
+++ b/wire/src/main/java/org/teaseltrail/wire/FrameServer.java
@@ -25,7 +25,7 @@
 
   private final MessageCodec codec;
   private final FrameLimits limits;
-  private final Map<SpeakerKind, FrameEndpoint<?, ?>> endpoints = new EnumMap<>(SpeakerKind.class);
+  private final Map<ClientType, FrameEndpoint<?, ?>> endpoints = new EnumMap<>(ClientType.class);
   private final Set<FrameChannel> channels = ConcurrentHashMap.newKeySet();
   private final DisposableServer server;
 
@@ -82,12 +82,12 @@
   private void accept(Connection connection) {
     FrameChannel channel = new FrameChannel(connection, limits);
     channels.add(channel);
-    channel.closed().thenAccept(reason -> channels.remove(channel));
-    channel.read(new HandshakeReceiver(channel));
+    channel.closeFuture().thenAccept(reason -> channels.remove(channel));
+    channel.subscribe(new HandshakeReceiver(channel));
   }
 
   private <I, O> TypedConnection<I, O> open(
-      FrameChannel channel, ConnectionOpening handshake, FrameEndpoint<I, O> endpoint) {
+      FrameChannel channel, ConnectionHandshake handshake, FrameEndpoint<I, O> endpoint) {
     TypedConnection<I, O> typedConnection =
         new TypedConnection<>(channel, handshake, endpoint, codec, limits);
     typedConnection.open();
@@ -105,26 +105,26 @@
     }
 
     @Override
-    public void received(byte[] body) {
+    public void onFrame(byte[] body) {
       if (typedConnection == null) {
         typedConnection = new CompletableFuture<>();
         acceptHandshake(body);
       } else if (typedConnection.isDone()) {
-        typedConnection.join().received(body);
+        typedConnection.join().onFrame(body);
       }
     }
 
     private void acceptHandshake(byte[] body) {
-      ConnectionOpening handshake;
+      ConnectionHandshake handshake;
       try {
-        handshake = codec.decode(ConnectionOpening.class, body);
+        handshake = codec.decode(ConnectionHandshake.class, body);
       } catch (MalformedMessageException failure) {
         LOGGER.log(Level.WARNING, "[wire] malformed handshake refused: {0}", failure.getMessage());
         channel.end(CloseReason.MALFORMED_MESSAGE);
         return;
       }
       FrameEndpoint<?, ?> endpoint = endpoints.get(handshake.speaker());
-      if (endpoint == null || handshake.protocolVersion() != ConnectionOpening.PROTOCOL_VERSION) {
+      if (endpoint == null || handshake.protocolVersion() != ConnectionHandshake.PROTOCOL_VERSION) {
         LOGGER.log(Level.WARNING, "[wire] unsupported handshake refused: {0}", handshake);
         channel.end(CloseReason.OPENING_REFUSED);
         return;
--- a/wire/src/main/java/org/teaseltrail/wire/MessageCodec.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessageCodec.java
@@ -46,8 +46,8 @@
   private final ObjectMapper mapper;
   private final Map<Class<?>, ObjectWriter> writers = new ConcurrentHashMap<>();
   private final Map<Class<?>, ObjectReader> readers = new ConcurrentHashMap<>();
-  private final ConfigurationFrames configurations = new ConfigurationFrames(this);
-  private final ServingFrames serving = new ServingFrames(this);
+  private final ConfigurationFrameEncoder configurationFrames = new ConfigurationFrameEncoder(this);
+  private final ServingFrameEncoder serving = new ServingFrameEncoder(this);
 
   /** Creates a codec. Warming it up is expensive, so a process should share one instance. */
   public MessageCodec() {
@@ -98,11 +98,11 @@
     return message;
   }
 
-  ConfigurationFrames configurations() {
-    return configurations;
+  ConfigurationFrameEncoder configurationFrames() {
+    return configurationFrames;
   }
 
-  ServingFrames serving() {
+  ServingFrameEncoder serving() {
     return serving;
   }
 
--- a/wire/src/main/java/org/teaseltrail/wire/MessageDecoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessageDecoder.java
@@ -29,7 +29,7 @@
    * @return the decoder
    */
   @SuppressWarnings("unchecked")
-  static <I> MessageDecoder<I> of(Class<I> type, MessageCodec codec) {
+  static <I> MessageDecoder<I> forType(Class<I> type, MessageCodec codec) {
     if (type == ControlMessage.class) {
       return (MessageDecoder<I>) new ControlMessageDecoder(codec);
     }
--- a/wire/src/main/java/org/teaseltrail/wire/MessageEncoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/MessageEncoder.java
@@ -24,7 +24,7 @@
    *
    * @param message the message
    */
-  default void sent(O message) {}
+  default void onSent(O message) {}
 
   /**
    * Creates the encoder of a connection.
@@ -35,7 +35,7 @@
    * @return the encoder
    */
   @SuppressWarnings("unchecked")
-  static <O> MessageEncoder<O> of(Class<O> type, MessageCodec codec) {
+  static <O> MessageEncoder<O> forType(Class<O> type, MessageCodec codec) {
     if (type == ControlMessage.class) {
       return (MessageEncoder<O>) new ControlMessageEncoder(codec);
     }
--- a/wire/src/main/java/org/teaseltrail/wire/ServingFrames.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ServingFrameEncoder.java
@@ -5,20 +5,20 @@
 import org.teaseltrail.core.serving.ServingReply;
 
 /** Encodes frames with plans and registrations, each only once for all entry VMs. */
-final class ServingFrames {
+final class ServingFrameEncoder {
 
   private final MessageCodec codec;
   private final FrameCache plans = new FrameCache();
   private final FrameCache registrations = new FrameCache();
 
-  ServingFrames(MessageCodec codec) {
+  ServingFrameEncoder(MessageCodec codec) {
     this.codec = codec;
   }
 
   /** Returns the frame body for a plan, as a delta if the receiver holds an older one (or null). */
   byte[] plan(ServingPlan from, ServingReply.PlanUpdate update) {
-    return plans.body(
-        from == null ? FrameCache.Content.NONE : versionedContent(from),
+    return plans.getOrEncode(
+        from == null ? FrameCache.Content.EMPTY : versionedContent(from),
         versionedContent(update.plan()),
         update.fencing(),
         () ->
@@ -30,8 +30,8 @@
 
   /** Returns the frame body for registrations, as a delta if the receiver holds older ones. */
   byte[] registrations(ServingReply.RegistryUpdate from, ServingReply.RegistryUpdate update) {
-    return registrations.body(
-        from == null ? FrameCache.Content.NONE : versionedContent(from),
+    return registrations.getOrEncode(
+        from == null ? FrameCache.Content.EMPTY : versionedContent(from),
         versionedContent(update),
         update.fencing(),
         () ->
@@ -51,7 +51,7 @@
 
   private byte[] encodeDeltaOrFull(Optional<? extends ServingDelta> delta, ServingReply whole) {
     return delta
-        .map(told -> DeltaFrame.of(codec.encode(ServingDelta.class, told)))
+        .map(told -> DeltaFrame.wrap(codec.encode(ServingDelta.class, told)))
         .orElseGet(() -> codec.encode(ServingReply.class, whole));
   }
 }
--- a/wire/src/main/java/org/teaseltrail/wire/ServingReplyDecoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ServingReplyDecoder.java
@@ -20,8 +20,8 @@
   @Override
   public ServingReply decode(byte[] body) {
     ServingReply message =
-        DeltaFrame.isMarked(body)
-            ? whole(codec.decode(ServingDelta.class, DeltaFrame.content(body)))
+        DeltaFrame.isDelta(body)
+            ? whole(codec.decode(ServingDelta.class, DeltaFrame.unwrap(body)))
             : codec.decode(ServingReply.class, body);
     if (message instanceof ServingReply.PlanUpdate update) {
       plan = update.plan();
--- a/wire/src/main/java/org/teaseltrail/wire/ServingReplyEncoder.java
+++ b/wire/src/main/java/org/teaseltrail/wire/ServingReplyEncoder.java
@@ -35,7 +35,7 @@
   }
 
   @Override
-  public void sent(ServingReply message) {
+  public void onSent(ServingReply message) {
     if (message instanceof ServingReply.PlanUpdate update) {
       lastSentPlan = update.plan();
     } else if (message instanceof ServingReply.RegistryUpdate update) {
--- a/wire/src/main/java/org/teaseltrail/wire/TypedConnection.java
+++ b/wire/src/main/java/org/teaseltrail/wire/TypedConnection.java
@@ -10,7 +10,7 @@
   private static final Logger LOGGER = System.getLogger(TypedConnection.class.getName());
 
   private final FrameChannel frames;
-  private final ConnectionOpening handshake;
+  private final ConnectionHandshake handshake;
   private final FrameEndpoint<I, O> endpoint;
   private final MessageEncoder<O> encoder;
   private final MessageDecoder<I> decoder;
@@ -18,26 +18,26 @@
 
   TypedConnection(
       FrameChannel frames,
-      ConnectionOpening handshake,
+      ConnectionHandshake handshake,
       FrameEndpoint<I, O> endpoint,
       MessageCodec codec,
       FrameLimits limits) {
     this.frames = frames;
     this.handshake = handshake;
     this.endpoint = endpoint;
-    this.encoder = MessageEncoder.of(endpoint.outType(), codec);
-    this.decoder = MessageDecoder.of(endpoint.inType(), codec);
+    this.encoder = MessageEncoder.forType(endpoint.outboundType(), codec);
+    this.decoder = MessageDecoder.forType(endpoint.inboundType(), codec);
     this.limits = limits;
   }
 
   /** Notifies the listener that the connection is open, and later that it has closed. */
   void open() {
-    endpoint.listener().opened(this);
-    frames.closed().thenAccept(this::onConnectionClosed);
+    endpoint.listener().onOpened(this);
+    frames.closeFuture().thenAccept(this::onConnectionClosed);
   }
 
   /** Decodes the body of an inbound frame and delivers the message. */
-  void received(byte[] body) {
+  void onFrame(byte[] body) {
     I message;
     try {
       message = decoder.decode(body);
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public ConnectionOpening opening() {
+  public ConnectionHandshake handshake() {
     return handshake;
   }
 
@@ -68,15 +68,15 @@
       }
       boolean queued = frames.write(body);
       if (queued) {
-        encoder.sent(message);
+        encoder.onSent(message);
       }
       return queued;
     }
   }
 
   @Override
-  public CompletableFuture<CloseReason> closed() {
-    return frames.closed();
+  public CompletableFuture<CloseReason> closeFuture() {
+    return frames.closeFuture();
   }
 
   @Override
@@ -86,12 +86,12 @@
 
   private void onConnectionClosed(CloseReason reason) {
     LOGGER.log(Level.INFO, "[wire] connection of {0} closed: {1}", handshake.speakerId(), reason);
-    endpoint.listener().closed(this, reason);
+    endpoint.listener().onClosed(this, reason);
   }
 
   private void deliver(I message) {
     try {
-      endpoint.listener().received(this, message);
+      endpoint.listener().onReceived(this, message);
     } catch (RuntimeException failure) {
       LOGGER.log(Level.ERROR, "[wire] connection listener threw an exception", failure);
       frames.end(CloseReason.LISTENER_FAILED);
--- a/wire/src/test/java/org/teaseltrail/wire/ConfigurationDeltaProperties.java
+++ b/wire/src/test/java/org/teaseltrail/wire/ConfigurationDeltaProperties.java
@@ -28,7 +28,7 @@
   private final MessageCodec codec = new MessageCodec();
 
   @Property(seed = "31", tries = 100)
-  void configurationsComeWholeAtTheOtherEnd(@ForAll long seed) {
+  void decoderRestoresFullConfigurations(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     ControlMessageEncoder encoder = new ControlMessageEncoder(codec);
     ControlMessageDecoder decoder = new ControlMessageDecoder(codec);
@@ -36,46 +36,48 @@
     for (int i = 0; i < 8; i++) {
       ControlMessage update = new ConfigurationUpdate(FENCING, configuration);
       assertThat(decoder.decode(encoder.encode(update))).isEqualTo(update);
-      encoder.sent(update);
+      encoder.onSent(update);
       configuration = changed(configuration, random);
     }
   }
 
   @Example
-  void changeOfOneCustomerIsSmallHoweverLargeTheConfiguration() {
+  void frameSizeOfCustomerChangeIsIndependentOfConfigurationSize() {
     ControlMessageEncoder encoder = new ControlMessageEncoder(codec);
     Configuration large = SampleMessages.configuration(440, 1_100);
     ConfigurationUpdate first = new ConfigurationUpdate(FENCING, large);
     assertThat(encoder.encode(first).length).isGreaterThan(100_000);
-    encoder.sent(first);
+    encoder.onSent(first);
     Configuration next = changed(large, new SplittableRandom(1));
     assertThat(encoder.encode(new ConfigurationUpdate(FENCING, next)).length).isLessThan(1_000);
   }
 
   @Example
-  void oneFrameServesAllConnectionsButNoOtherLeadership() {
+  void frameIsSharedByConnectionsOfOneLeadershipOnly() {
     Configuration from = SampleMessages.configuration(5, 5);
     ConfigurationUpdate update =
         new ConfigurationUpdate(FENCING, changed(from, new SplittableRandom(1)));
-    byte[] first = codec.configurations().delta(from, update);
-    assertThat(codec.configurations().delta(from, update)).isSameAs(first);
-    assertThat(codec.configurations().whole(update)).isSameAs(codec.configurations().whole(update));
+    byte[] first = codec.configurationFrames().deltaFrame(from, update);
+    assertThat(codec.configurationFrames().deltaFrame(from, update)).isSameAs(first);
+    assertThat(codec.configurationFrames().whole(update))
+        .isSameAs(codec.configurationFrames().whole(update));
     ConfigurationUpdate later =
         new ConfigurationUpdate(new FencingNumber(5), update.configuration());
     ControlMessageDecoder decoder = new ControlMessageDecoder(codec);
-    decoder.decode(codec.configurations().whole(new ConfigurationUpdate(FENCING, from)));
-    assertThat(decoder.decode(codec.configurations().delta(from, later))).isEqualTo(later);
+    decoder.decode(codec.configurationFrames().whole(new ConfigurationUpdate(FENCING, from)));
+    assertThat(decoder.decode(codec.configurationFrames().deltaFrame(from, later)))
+        .isEqualTo(later);
   }
 
   // Guards against VMs with different configurations of the same revision, such as one that still
   // serves a removed customer, if a delta frame is decoded with the state of another connection. A
   // delta with a different base must be refused.
   @Example
-  void deltaOfAnotherBaseIsRefused() {
+  void deltaWithDifferentBaseIsRefused() {
     Configuration from = SampleMessages.configuration(5, 5);
     Configuration to = changed(from, new SplittableRandom(1));
     ControlMessageEncoder encoder = new ControlMessageEncoder(codec);
-    encoder.sent(new ConfigurationUpdate(FENCING, from));
+    encoder.onSent(new ConfigurationUpdate(FENCING, from));
     byte[] delta = encoder.encode(new ConfigurationUpdate(FENCING, to));
     ControlMessageDecoder fresh = new ControlMessageDecoder(codec);
     assertThatThrownBy(() -> fresh.decode(delta)).isInstanceOf(MalformedMessageException.class);
--- a/wire/src/test/java/org/teaseltrail/wire/FrameLinkTest.java
+++ b/wire/src/test/java/org/teaseltrail/wire/FrameConnectionTest.java
@@ -16,7 +16,7 @@
 
 @SuppressWarnings("try")
 @Timeout(30)
-class FrameLinkTest {
+class FrameConnectionTest {
 
   private static final String HOST = "127.0.0.1";
   private static final FrameLimits LIMITS = new FrameLimits(100_000, 1_000_000, 5_000, 1_000);
@@ -24,15 +24,16 @@
       new FrameLimits(100_000, 1_000_000, 90, 1_000);
 
   private final MessageCodec codec = new MessageCodec();
-  private final RecordingListener<Asked, Told> entryListener = new RecordingListener<>();
+  private final RecordingListener<ClientMessage, ServerMessage> entryListener =
+      new RecordingListener<>();
   private final RecordingListener<Peer, Peer> peerListener = new RecordingListener<>();
 
-  sealed interface Asked {
-    record Question(int number) implements Asked {}
+  sealed interface ClientMessage {
+    record Question(int number) implements ClientMessage {}
   }
 
-  sealed interface Told {
-    record Answer(int number, byte[] padding) implements Told {}
+  sealed interface ServerMessage {
+    record Answer(int number, byte[] padding) implements ServerMessage {}
   }
 
   sealed interface Peer {
@@ -40,43 +41,44 @@
   }
 
   @Test
-  void onePortCarriesEntryVmsAndPeersInOrder() {
-    RecordingListener<Told, Asked> entry = new RecordingListener<>();
+  void serverKeepsMessageOrderOfEntryVmsAndPeersOnOnePort() {
+    RecordingListener<ServerMessage, ClientMessage> entry = new RecordingListener<>();
     RecordingListener<Peer, Peer> peer = new RecordingListener<>();
     try (FrameServer server = listen(0);
-        FrameClient<Told, Asked> entryConnection = entryClient(server.port(), entry, LIMITS);
+        FrameClient<ServerMessage, ClientMessage> entryConnection =
+            entryClient(server.port(), entry, LIMITS);
         FrameClient<Peer, Peer> peerConnection =
             client(
                 server.port(),
-                new FrameEndpoint<>(SpeakerKind.CONTROL_MEMBER, Peer.class, Peer.class, peer),
+                new FrameEndpoint<>(ClientType.CONTROL_MEMBER, Peer.class, Peer.class, peer),
                 LIMITS)) {
       entry.nextOpened();
       peer.nextOpened();
       for (int i = 0; i < 100; i++) {
-        assertThat(entryConnection.send(new Asked.Question(i))).isTrue();
+        assertThat(entryConnection.send(new ClientMessage.Question(i))).isTrue();
       }
       peerConnection.send(new Peer.Vote("v"));
       for (int i = 0; i < 100; i++) {
-        assertThat(entryListener.nextReceived()).isEqualTo(new Asked.Question(i));
+        assertThat(entryListener.nextReceived()).isEqualTo(new ClientMessage.Question(i));
       }
       assertThat(peerListener.nextReceived()).isEqualTo(new Peer.Vote("v"));
-      FrameConnection<Asked, Told> accepted = entryListener.nextOpened();
-      assertThat(accepted.opening().speakerId()).isEqualTo("here");
-      accepted.send(new Told.Answer(5, new byte[0]));
-      assertThat(((Told.Answer) entry.nextReceived()).number()).isEqualTo(5);
+      FrameConnection<ClientMessage, ServerMessage> accepted = entryListener.nextOpened();
+      assertThat(accepted.handshake().speakerId()).isEqualTo("here");
+      accepted.send(new ServerMessage.Answer(5, new byte[0]));
+      assertThat(((ServerMessage.Answer) entry.nextReceived()).number()).isEqualTo(5);
     }
   }
 
   // Guards against unbounded memory growth in the leader while an entry VM is paused with its
   // sockets open. Once the bounded queue is full, the connection must close with its reason.
   @Test
-  void peerThatDoesNotReadIsDropped() throws IOException {
+  void peerThatDoesNotReadIsDisconnected() throws IOException {
     try (FrameServer server = listen(0);
         Socket pausedPeer = new Socket(HOST, server.port())) {
       writeFrame(
-          pausedPeer, handshakeBody(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
-      FrameConnection<Asked, Told> connection = entryListener.nextOpened();
-      Told.Answer answer = new Told.Answer(1, new byte[50_000]);
+          pausedPeer, handshakeBody(ConnectionHandshake.PROTOCOL_VERSION, ClientType.ENTRY_VM));
+      FrameConnection<ClientMessage, ServerMessage> connection = entryListener.nextOpened();
+      ServerMessage.Answer answer = new ServerMessage.Answer(1, new byte[50_000]);
       int sent = 0;
       while (sent < 10_000 && connection.send(answer)) {
         sent++;
@@ -91,10 +93,10 @@
   // switch drops a control member's packets without a TCP reset. The client must close the
   // connection after the idle timeout and reconnect.
   @Test
-  void halfOpenLinkIsFoundAndMadeAgain() throws IOException {
-    RecordingListener<Told, Asked> entry = new RecordingListener<>();
+  void halfOpenConnectionIsDetectedAndReestablished() throws IOException {
+    RecordingListener<ServerMessage, ClientMessage> entry = new RecordingListener<>();
     try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getByName(HOST));
-        FrameClient<Told, Asked> client =
+        FrameClient<ServerMessage, ClientMessage> client =
             entryClient(silent.getLocalPort(), entry, SHORT_TIMEOUT_LIMITS);
         Socket first = silent.accept()) {
       assertThat(entry.nextClosed()).isEqualTo(CloseReason.IDLE);
@@ -105,10 +107,10 @@
   }
 
   @Test
-  void quietLinkSendsKeepalives() throws IOException {
-    RecordingListener<Told, Asked> entry = new RecordingListener<>();
+  void idleConnectionSendsKeepalives() throws IOException {
+    RecordingListener<ServerMessage, ClientMessage> entry = new RecordingListener<>();
     try (ServerSocket silent = new ServerSocket(0, 10, InetAddress.getByName(HOST));
-        FrameClient<Told, Asked> client =
+        FrameClient<ServerMessage, ClientMessage> client =
             entryClient(silent.getLocalPort(), entry, SHORT_TIMEOUT_LIMITS);
         Socket accepted = silent.accept()) {
       DataInputStream in = new DataInputStream(accepted.getInputStream());
@@ -118,28 +120,28 @@
   }
 
   @Test
-  void clientComesBackAfterServerRestart() {
-    RecordingListener<Told, Asked> entry = new RecordingListener<>();
+  void clientReconnectsAfterServerRestart() {
+    RecordingListener<ServerMessage, ClientMessage> entry = new RecordingListener<>();
     FrameServer first = listen(0);
     int port = first.port();
-    try (FrameClient<Told, Asked> client = entryClient(port, entry, LIMITS)) {
+    try (FrameClient<ServerMessage, ClientMessage> client = entryClient(port, entry, LIMITS)) {
       entry.nextOpened();
       entryListener.nextOpened();
       first.close();
       assertThat(entry.nextClosed()).isEqualTo(CloseReason.CLOSED_BY_PEER);
       try (FrameServer second = listen(port)) {
         entry.nextOpened();
-        client.send(new Asked.Question(8));
-        assertThat(entryListener.nextReceived()).isEqualTo(new Asked.Question(8));
+        client.send(new ClientMessage.Question(8));
+        assertThat(entryListener.nextReceived()).isEqualTo(new ClientMessage.Question(8));
       }
     }
   }
 
   @Test
-  void frameBeyondTheLimitEndsTheConnectionBeforeItIsRead() throws IOException {
+  void frameAboveLimitClosesConnectionBeforeItIsRead() throws IOException {
     try (FrameServer server = listen(0);
         Socket socket = new Socket(HOST, server.port())) {
-      writeFrame(socket, handshakeBody(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
+      writeFrame(socket, handshakeBody(ConnectionHandshake.PROTOCOL_VERSION, ClientType.ENTRY_VM));
       entryListener.nextOpened();
       new DataOutputStream(socket.getOutputStream()).writeInt(100_001);
       assertThat(entryListener.nextClosed()).isEqualTo(CloseReason.FRAME_TOO_LARGE);
@@ -147,24 +149,25 @@
   }
 
   @Test
-  void messageBeyondTheLimitIsNotSent() {
-    RecordingListener<Told, Asked> entry = new RecordingListener<>();
+  void messageAboveLimitIsNotSent() {
+    RecordingListener<ServerMessage, ClientMessage> entry = new RecordingListener<>();
     try (FrameServer server = listen(0);
-        FrameClient<Told, Asked> client = entryClient(server.port(), entry, LIMITS)) {
+        FrameClient<ServerMessage, ClientMessage> client =
+            entryClient(server.port(), entry, LIMITS)) {
       entry.nextOpened();
-      FrameConnection<Asked, Told> accepted = entryListener.nextOpened();
-      assertThatThrownBy(() -> accepted.send(new Told.Answer(1, new byte[100_000])))
+      FrameConnection<ClientMessage, ServerMessage> accepted = entryListener.nextOpened();
+      assertThatThrownBy(() -> accepted.send(new ServerMessage.Answer(1, new byte[100_000])))
           .isInstanceOf(FrameTooLargeException.class);
-      accepted.send(new Told.Answer(2, new byte[0]));
-      assertThat(((Told.Answer) entry.nextReceived()).number()).isEqualTo(2);
+      accepted.send(new ServerMessage.Answer(2, new byte[0]));
+      assertThat(((ServerMessage.Answer) entry.nextReceived()).number()).isEqualTo(2);
     }
   }
 
   @Test
-  void malformedMessageEndsTheConnection() throws IOException {
+  void malformedMessageClosesConnection() throws IOException {
     try (FrameServer server = listen(0);
         Socket socket = new Socket(HOST, server.port())) {
-      writeFrame(socket, handshakeBody(ConnectionOpening.PROTOCOL_VERSION, SpeakerKind.ENTRY_VM));
+      writeFrame(socket, handshakeBody(ConnectionHandshake.PROTOCOL_VERSION, ClientType.ENTRY_VM));
       writeFrame(socket, new byte[] {1, 2, 3});
       assertThat(entryListener.nextClosed()).isEqualTo(CloseReason.MALFORMED_MESSAGE);
       assertThat(isClosedWithoutData(socket)).isTrue();
@@ -172,8 +175,8 @@
   }
 
   @Test
-  void openingOfAnotherVersionOrOfNoKnownSpeakerIsRefused() throws IOException {
-    byte[] otherVersion = handshakeBody(99, SpeakerKind.ENTRY_VM);
+  void handshakeWithUnknownVersionOrClientTypeIsRefused() throws IOException {
+    byte[] otherVersion = handshakeBody(99, ClientType.ENTRY_VM);
     try (FrameServer server = listen(0)) {
       for (byte[] bad : new byte[][] {otherVersion, {1, 2, 3}}) {
         try (Socket socket = new Socket(HOST, server.port())) {
@@ -189,14 +192,18 @@
         new SocketAddress(HOST, port),
         LIMITS,
         codec,
-        new FrameEndpoint<>(SpeakerKind.ENTRY_VM, Asked.class, Told.class, entryListener),
-        new FrameEndpoint<>(SpeakerKind.CONTROL_MEMBER, Peer.class, Peer.class, peerListener));
+        new FrameEndpoint<>(
+            ClientType.ENTRY_VM, ClientMessage.class, ServerMessage.class, entryListener),
+        new FrameEndpoint<>(ClientType.CONTROL_MEMBER, Peer.class, Peer.class, peerListener));
   }
 
-  private FrameClient<Told, Asked> entryClient(
-      int port, RecordingListener<Told, Asked> listener, FrameLimits limits) {
+  private FrameClient<ServerMessage, ClientMessage> entryClient(
+      int port, RecordingListener<ServerMessage, ClientMessage> listener, FrameLimits limits) {
     return client(
-        port, new FrameEndpoint<>(SpeakerKind.ENTRY_VM, Told.class, Asked.class, listener), limits);
+        port,
+        new FrameEndpoint<>(
+            ClientType.ENTRY_VM, ServerMessage.class, ClientMessage.class, listener),
+        limits);
   }
 
   private <I, O> FrameClient<I, O> client(
@@ -206,9 +213,9 @@
         new SocketAddress(HOST, port), "here", endpoint, limits, codec, backoff);
   }
 
-  private byte[] handshakeBody(int version, SpeakerKind speaker) {
+  private byte[] handshakeBody(int version, ClientType speaker) {
     return codec.encode(
-        ConnectionOpening.class, new ConnectionOpening(version, speaker, "entry-1"));
+        ConnectionHandshake.class, new ConnectionHandshake(version, speaker, "entry-1"));
   }
 
   private static void writeFrame(Socket socket, byte[] body) throws IOException {
--- a/wire/src/test/java/org/teaseltrail/wire/MessageCodecTest.java
+++ b/wire/src/test/java/org/teaseltrail/wire/MessageCodecTest.java
@@ -52,25 +52,25 @@
     record Binary(byte[] bytes, Map<Tier, List<Shape>> parts) implements Shape {}
   }
 
-  record Wider(RequestId request, WithdrawReason reason, String added) {}
+  record WithdrawWithAddedField(RequestId request, WithdrawReason reason, String added) {}
 
-  static List<Sample<?>> messages() {
-    List<Sample<?>> messages = new ArrayList<>(SampleMessages.all());
+  static List<SampleMessage<?>> messages() {
+    List<SampleMessage<?>> messages = new ArrayList<>(SampleMessages.all());
     for (Class<?> root : SEALED_TYPES) {
-      messages.addAll(RecordSampler.samplesOf(root));
+      messages.addAll(SampleRecordFactory.samplesOf(root));
     }
     return messages;
   }
 
   @ParameterizedTest
   @MethodSource("messages")
-  void everyPermittedMessageComesBackEqual(Sample<?> sample) {
+  void everyPermittedMessageSurvivesRoundTrip(SampleMessage<?> sample) {
     assertThat(roundTrip(sample)).usingRecursiveComparison().isEqualTo(sample.message());
   }
 
   @ParameterizedTest
   @MethodSource("messages")
-  void onlyComponentsAreWritten(Sample<?> sample) throws IOException {
+  void onlyComponentsAreWritten(SampleMessage<?> sample) throws IOException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(sample.encode(codec))) {
       unpacker.unpackArrayHeader();
       assertThat(unpacker.unpackString()).isEqualTo(sample.type().getSimpleName());
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void absentOptionalComesBackEmpty() {
+  void absentOptionalIsDecodedAsEmpty() {
     ControlMessage message = new ControlMessage.NotLeader(new MemberId("c1"), Optional.empty(), 7);
     byte[] bytes = codec.encode(ControlMessage.class, message);
     assertThat(codec.decode(ControlMessage.class, bytes)).isEqualTo(message);
@@ -93,7 +93,7 @@
   }
 
   @Test
-  void bytesAndNestedSealedTypesComeBack() {
+  void bytesAndNestedSealedTypesSurviveRoundTrip() {
     Shape.Binary shape =
         new Shape.Binary(
             new byte[] {0, -1, 5},
@@ -105,7 +105,7 @@
   }
 
   @Test
-  void wholeConfigurationComesBackEqual() {
+  void fullConfigurationSurvivesRoundTrip() {
     Configuration configuration = SampleMessages.configuration(10, 20);
     byte[] bytes = codec.encode(Configuration.class, configuration);
     assertThat(codec.decode(Configuration.class, bytes)).isEqualTo(configuration);
@@ -113,8 +113,9 @@
 
   @Test
   void componentAddedByNewerProgramIsSkipped() {
-    Wider wider = new Wider(new RequestId("r"), WithdrawReason.DEADLINE, "new");
-    byte[] bytes = codec.encode(Wider.class, wider);
+    WithdrawWithAddedField wider =
+        new WithdrawWithAddedField(new RequestId("r"), WithdrawReason.DEADLINE, "new");
+    byte[] bytes = codec.encode(WithdrawWithAddedField.class, wider);
     assertThat(codec.decode(EntryMessage.Withdraw.class, bytes))
         .isEqualTo(new EntryMessage.Withdraw(new RequestId("r"), WithdrawReason.DEADLINE));
   }
@@ -139,17 +140,17 @@
 
   @ParameterizedTest
   @MethodSource("org.teaseltrail.wire.SampleMessages#all")
-  void everyCutIsMalformed(Sample<?> sample) {
+  void everyTruncatedMessageIsMalformed(SampleMessage<?> sample) {
     byte[] bytes = sample.encode(codec);
     for (int length = 0; length < bytes.length; length++) {
       byte[] cut = Arrays.copyOf(bytes, length);
-      assertThatThrownBy(() -> codec.decode(sample.root(), cut))
+      assertThatThrownBy(() -> codec.decode(sample.sealedType(), cut))
           .isInstanceOf(MalformedMessageException.class);
     }
   }
 
   @Test
-  void bytesAfterTheEndAreMalformed() {
+  void trailingBytesAreMalformed() {
     byte[] bytes = codec.encode(Revision.class, new Revision(5));
     byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
     assertThatThrownBy(() -> codec.decode(Revision.class, longer))
@@ -183,8 +184,8 @@
     return threads.getThreadAllocatedBytes(Thread.currentThread().getId());
   }
 
-  private <T> T roundTrip(Sample<T> sample) {
-    return codec.decode(sample.root(), sample.encode(codec));
+  private <T> T roundTrip(SampleMessage<T> sample) {
+    return codec.decode(sample.sealedType(), sample.encode(codec));
   }
 
   private static byte[] packed(String text) {
--- a/wire/src/test/java/org/teaseltrail/wire/ReconnectBackoffProperties.java
+++ b/wire/src/test/java/org/teaseltrail/wire/ReconnectBackoffProperties.java
@@ -10,7 +10,7 @@
 class ReconnectBackoffProperties {
 
   @Property(seed = "17", tries = 200)
-  void delaysGrowWithinBoundsAndStartOver(@ForAll long seed, @ForAll @IntRange(max = 20) int n) {
+  void delaysDoubleUpToMaximumUntilReset(@ForAll long seed, @ForAll @IntRange(max = 20) int n) {
     ReconnectBackoff backoff = new ReconnectBackoff(100, 2_000, new Random(seed));
     long boundMs = 100;
     for (int i = 0; i < n; i++) {
--- a/wire/src/test/java/org/teaseltrail/wire/RecordingListener.java
+++ b/wire/src/test/java/org/teaseltrail/wire/RecordingListener.java
@@ -14,17 +14,17 @@
   private final BlockingQueue<CloseReason> closed = new LinkedBlockingQueue<>();
 
   @Override
-  public void opened(FrameConnection<I, O> connection) {
+  public void onOpened(FrameConnection<I, O> connection) {
     opened.add(connection);
   }
 
   @Override
-  public void received(FrameConnection<I, O> connection, I message) {
+  public void onReceived(FrameConnection<I, O> connection, I message) {
     received.add(message);
   }
 
   @Override
-  public void closed(FrameConnection<I, O> connection, CloseReason reason) {
+  public void onClosed(FrameConnection<I, O> connection, CloseReason reason) {
     closed.add(reason);
   }
 
--- a/wire/src/test/java/org/teaseltrail/wire/SampleMessages.java
+++ b/wire/src/test/java/org/teaseltrail/wire/SampleMessages.java
@@ -60,7 +60,7 @@
 
   private SampleMessages() {}
 
-  static List<Sample<?>> all() {
+  static List<SampleMessage<?>> all() {
     return List.of(
         entry(
             new EntryMessage.Hello(
@@ -175,11 +175,11 @@
         Optional.of(new Claim(new IdempotencyKey("quiz-77"), HASH, true)));
   }
 
-  private static Sample<EntryMessage> entry(EntryMessage message) {
-    return new Sample<>(EntryMessage.class, message);
+  private static SampleMessage<EntryMessage> entry(EntryMessage message) {
+    return new SampleMessage<>(EntryMessage.class, message);
   }
 
-  private static Sample<ControlMessage> control(ControlMessage message) {
-    return new Sample<>(ControlMessage.class, message);
+  private static SampleMessage<ControlMessage> control(ControlMessage message) {
+    return new SampleMessage<>(ControlMessage.class, message);
   }
 }
--- a/wire/src/test/java/org/teaseltrail/wire/RecordSampler.java
+++ b/wire/src/test/java/org/teaseltrail/wire/SampleRecordFactory.java
@@ -14,21 +14,22 @@
 import java.util.Set;
 
 /** Creates sample values of any message type by reflection, so that new types are covered too. */
-final class RecordSampler {
+final class SampleRecordFactory {
 
   private static final int SAMPLE_NUMBER = 3;
   private static final String TEXT = "a1";
 
-  private RecordSampler() {}
+  private SampleRecordFactory() {}
 
   /** Returns a sample value of each record that a sealed interface permits. */
-  static <T> List<Sample<T>> samplesOf(Class<T> root) {
-    List<Sample<T>> samples = new ArrayList<>();
+  static <T> List<SampleMessage<T>> samplesOf(Class<T> root) {
+    List<SampleMessage<T>> samples = new ArrayList<>();
     for (Class<?> permitted : root.getPermittedSubclasses()) {
       if (SealedTypeIntrospector.isSealedInterface(permitted)) {
-        samplesOf(permitted).forEach(s -> samples.add(new Sample<>(root, root.cast(s.message()))));
+        samplesOf(permitted)
+            .forEach(s -> samples.add(new SampleMessage<>(root, root.cast(s.message()))));
       } else {
-        samples.add(new Sample<>(root, root.cast(record(permitted))));
+        samples.add(new SampleMessage<>(root, root.cast(record(permitted))));
       }
     }
     return samples;
--- a/wire/src/test/java/org/teaseltrail/wire/ServingPushTest.java
+++ b/wire/src/test/java/org/teaseltrail/wire/ServingDeltaTest.java
@@ -28,7 +28,7 @@
  * second or more, and it loses its lease before it responds. The same applies to registrations if
  * each new one causes all of them to be sent to all VMs.
  */
-class ServingPushTest {
+class ServingDeltaTest {
 
   private static final FencingNumber FENCING = new FencingNumber(3);
   private static final ServiceId SERVICE = new ServiceId("tutor-llm");
@@ -37,8 +37,10 @@
   private static final int MAX_DELTA_BYTES = 1_000;
 
   private final MessageCodec codec = new MessageCodec();
-  private final MessageEncoder<ServingReply> encoder = MessageEncoder.of(ServingReply.class, codec);
-  private final MessageDecoder<ServingReply> decoder = MessageDecoder.of(ServingReply.class, codec);
+  private final MessageEncoder<ServingReply> encoder =
+      MessageEncoder.forType(ServingReply.class, codec);
+  private final MessageDecoder<ServingReply> decoder =
+      MessageDecoder.forType(ServingReply.class, codec);
 
   static PlanRoute route(int number, long timeoutMs) {
     return new PlanRoute(
@@ -80,13 +82,13 @@
 
   private int push(ServingReply update) {
     byte[] body = encoder.encode(update);
-    encoder.sent(update);
+    encoder.onSent(update);
     assertThat(decoder.decode(body)).isEqualTo(update);
     return body.length;
   }
 
   @Test
-  void changeOfOneRouteIsSmallHoweverLargeThePlan() {
+  void frameSizeOfRouteChangeIsIndependentOfPlanSize() {
     List<PlanRoute> routes = new ArrayList<>(routes());
     push(new ServingReply.PlanUpdate(FENCING, plan(1, routes)));
     routes.set(700, route(700, 8_000));
@@ -97,32 +99,32 @@
   }
 
   @Test
-  void routesInAnotherOrderComeInThatOrder() {
+  void decoderKeepsNewOrderOfRoutes() {
     push(new ServingReply.PlanUpdate(FENCING, plan(1, List.of(route(1, 1), route(2, 1)))));
     push(new ServingReply.PlanUpdate(FENCING, plan(2, List.of(route(2, 1), route(1, 1)))));
     push(new ServingReply.PlanUpdate(FENCING, plan(3, List.of(route(3, 1), route(1, 1)))));
   }
 
   @Test
-  void noRegistrationsOfTwoRevisionsAreToldApart() {
+  void emptyRegistriesOfDifferentRevisionsAreDistinct() {
     push(new ServingReply.RegistryUpdate(FENCING, 1, List.of()));
     push(new ServingReply.RegistryUpdate(FENCING, 2, List.of()));
     push(new ServingReply.RegistryUpdate(FENCING, 3, List.of()));
-    MessageEncoder<ServingReply> otherEncoder = MessageEncoder.of(ServingReply.class, codec);
+    MessageEncoder<ServingReply> otherEncoder = MessageEncoder.forType(ServingReply.class, codec);
     ServingReply last = new ServingReply.RegistryUpdate(FENCING, 3, List.of());
     assertThat(codec.decode(ServingReply.class, otherEncoder.encode(last))).isEqualTo(last);
   }
 
   @Test
-  void planIsWrittenOnceForAllVms() {
+  void planIsEncodedOnceForAllVms() {
     ServingPlan first = plan(1, routes());
-    MessageEncoder<ServingReply> otherEncoder = MessageEncoder.of(ServingReply.class, codec);
+    MessageEncoder<ServingReply> otherEncoder = MessageEncoder.forType(ServingReply.class, codec);
     ServingReply update = new ServingReply.PlanUpdate(FENCING, first);
     assertThat(otherEncoder.encode(update)).isSameAs(encoder.encode(update));
   }
 
   @Test
-  void registrationsThatComeOneByOneCostWhatTheyAre() {
+  void incrementalRegistrationsAreSentAsDeltas() {
     List<Registration> present = new ArrayList<>();
     int pushedBytes = 0;
     for (int number = 0; number < UPSTREAMS; number++) {
