--- a/core/src/main/java/org/teaseltrail/core/plan/PlanRoute.java
+++ b/core/src/main/java/org/teaseltrail/core/plan/PlanRoute.java
@@ -53,8 +53,8 @@
 
   /**
    * Returns how long callers wait for the first event of a stream before they disconnect. The
-   * contract with the users sets it to 2 s, four times the objective or eight times the event gap,
-   * whichever is longest, and no longer than the timeout of the route.
+   * requirements set it to 2 s, four times the objective or eight times the event gap, whichever is
+   * longest, and no longer than the timeout of the route.
    *
    * @return milliseconds; the timeout of the route if its answers are not streams
    */
--- a/core/src/main/java/org/teaseltrail/core/quarantine/LossTracker.java
+++ b/core/src/main/java/org/teaseltrail/core/quarantine/LossTracker.java
@@ -22,7 +22,7 @@
  */
 public final class LossTracker {
 
-  /** Number of losses at which a request is held; the users accept no more than this. */
+  /** Number of losses at which a request is held; the requirements allow no more than this. */
   public static final int LOSSES_TO_HOLD = 3;
 
   private static final long NS_PER_MS = 1_000_000L;
--- a/core/src/main/java/org/teaseltrail/core/rollout/CanaryLimit.java
+++ b/core/src/main/java/org/teaseltrail/core/rollout/CanaryLimit.java
@@ -9,7 +9,7 @@
  */
 public record CanaryLimit(double share, double slack) {
 
-  /** The limit that the users set. */
+  /** The limit that the requirements set. */
   public static final CanaryLimit DEFAULT = new CanaryLimit(0.1, 50);
 
   /** Fraction of the share that is used; the rest covers counts that are lost when a VM crashes. */
--- a/core/src/test/java/org/teaseltrail/core/SansIoTest.java
+++ b/core/src/test/java/org/teaseltrail/core/SansIoTest.java
@@ -13,7 +13,10 @@
 import java.util.UUID;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** Holds core to being free of sockets, clocks, threads and chance that no seed repeats. */
+/**
+ * Checks that the core module performs no file or network I/O, reads no clock, starts no thread and
+ * uses no unseeded random numbers, and that it depends on the JDK only.
+ */
 @AnalyzeClasses(
     packages = "org.teaseltrail.core",
     importOptions = ImportOption.DoNotIncludeTests.class)
@@ -27,7 +30,7 @@
           .resideInAnyPackage("java..", "org.teaseltrail.core..");
 
   @ArchTest
-  static final ArchRule USES_NO_FILE_SOCKET_OR_CLASS_OF_IO =
+  static final ArchRule USES_NO_FILE_OR_NETWORK_IO =
       noClasses()
           .should()
           .dependOnClassesThat()
@@ -66,7 +69,7 @@
                   com.tngtech.archunit.core.domain.properties.HasName.Predicates.name("now")));
 
   @ArchTest
-  static final ArchRule DRAWS_NOTHING_WITHOUT_A_SEED =
+  static final ArchRule USES_NO_UNSEEDED_RANDOMNESS =
       noClasses()
           .should()
           .callConstructor(Random.class)
--- a/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
+++ b/core/src/test/java/org/teaseltrail/core/control/QuotaOverManyVmsTest.java
@@ -24,7 +24,7 @@
  * Simulates one customer whose few large requests are spread over many VMs: half of its quota for
  * twenty seconds, distributed over all VMs at random, so that each VM receives a request every few
  * seconds, of up to half a second of the quota's rate. The sixty VMs, the smallest quota and the
- * prompt sizes are those of the users.
+ * prompt sizes are those of the requirements.
  */
 class QuotaOverManyVmsTest {
 
