--- a/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
+++ b/entry/src/main/java/org/teaseltrail/entry/EntryDaemon.java
@@ -54,7 +54,7 @@
     parts.metrics().registerGauges(parts.loop()::status, parts.exchanges()::callCount);
     parts.shutdown().setListenerCloser(() -> server.dispose());
     parts.control().open(options.node().vm(), options.members());
-    LOGGER.info("Listens on " + address() + ".");
+    LOGGER.info("Listening on " + address() + ".");
   }
 
   /** Returns the address on which the daemon serves callers and upstreams. */
--- a/runtime/src/main/java/org/teaseltrail/runtime/log/ComponentLogger.java
+++ b/runtime/src/main/java/org/teaseltrail/runtime/log/ComponentLogger.java
@@ -6,8 +6,8 @@
 /**
  * Logger of one component of a program; prefixes each line with the component's name.
  *
- * <p>Example: {@code new ComponentLogger("entry").info("Listens on " + address + ".")} writes
- * {@code [entry] Listens on 127.0.0.1:8080.}
+ * <p>Example: {@code new ComponentLogger("entry").info("Listening on " + address + ".")} writes
+ * {@code [entry] Listening on 127.0.0.1:8080.}
  */
 public final class ComponentLogger {
 
